--- a/cmd/cherrytrestle/main_test.go
+++ b/cmd/cherrytrestle/main_test.go
@@ -888,7 +888,7 @@
 	c.Close()
 	r.take("m1", 10*time.Second)
 	eventually(t, "delivered", func() bool { return h.count("m1") == 1 })
-	if lock, err := wal.Lock(state); !errors.Is(err, wal.ErrHeld) {
+	if lock, err := wal.Lock(state); !errors.Is(err, wal.ErrLocked) {
 		t.Errorf("the log is free: %v, %v", lock, err)
 	}
 	close(release)
--- a/cmd/cherrytrestlectl/main.go
+++ b/cmd/cherrytrestlectl/main.go
@@ -95,14 +95,14 @@
 	} else {
 		summary(out, f)
 	}
-	if !f.Log.Sound() {
+	if !f.Log.Intact() {
 		return errBroken
 	}
 	return nil
 }
 
 func summary(out io.Writer, f *recovery.Folder) {
-	fmt.Fprint(out, f.Log.Words())
+	fmt.Fprint(out, f.Log.Summary())
 	counts := map[string]int{}
 	for _, m := range f.Messages {
 		counts[m.State]++
--- a/cmd/cherrytrestlectl/main_test.go
+++ b/cmd/cherrytrestlectl/main_test.go
@@ -42,7 +42,7 @@
 	if err := l.Accept(one, two); err != nil {
 		t.Fatal(err)
 	}
-	if err := l.Sent(wal.Send{Message: one, Attempt: wal.Attempt{Host: "s-1"}}); err != nil {
+	if err := l.RecordSends(wal.Send{Message: one, Attempt: wal.Attempt{Host: "s-1"}}); err != nil {
 		t.Fatal(err)
 	}
 	if err := l.Close(); err != nil {
@@ -66,7 +66,7 @@
 }
 
 func TestCheckAndShowChangeNothing(t *testing.T) {
-	for _, format := range []int{1, wal.Format} {
+	for _, format := range []int{1, wal.SegmentFormat} {
 		dir := folder(t, format)
 		before := content(t, dir)
 		code, out := ctl("state", "check", dir)
@@ -88,7 +88,7 @@
 }
 
 func TestRepairIntoEitherFormat(t *testing.T) {
-	dir := folder(t, wal.Format)
+	dir := folder(t, wal.SegmentFormat)
 	for _, format := range []string{"1", "2", "0"} {
 		if code, out := ctl("state", "repair", "--format", format, dir); code != 0 || strings.Count(out, "2 messages: 2 held") != 2 {
 			t.Fatalf("to format %s: %d, %s", format, code, out)
@@ -100,7 +100,7 @@
 }
 
 func TestDamageIsToldAndMended(t *testing.T) {
-	dir := folder(t, wal.Format)
+	dir := folder(t, wal.SegmentFormat)
 	seg := filepath.Join(dir, "seg-00000001")
 	data, err := os.ReadFile(seg)
 	if err != nil {
@@ -120,7 +120,7 @@
 }
 
 func TestAServingRelaysFolderIsLeftAlone(t *testing.T) {
-	dir := folder(t, wal.Format)
+	dir := folder(t, wal.SegmentFormat)
 	lock, err := wal.Lock(dir)
 	if err != nil {
 		t.Fatal(err)
--- a/cmd/testbed/recovery.go
+++ b/cmd/testbed/recovery.go
@@ -274,7 +274,7 @@
 
 // fill leaves a log behind: with one message, or as large as the limit allows, with what held messages leave on the way.
 func fill(dir string, limit int64, full bool) (held int, err error) {
-	l, _, err := wal.OpenWith(wal.Options{Dir: dir, Limit: limit * 9 / 10, Format: wal.Format, Name: "n0"})
+	l, _, err := wal.OpenWith(wal.Options{Dir: dir, Limit: limit * 9 / 10, Format: wal.SegmentFormat, Name: "n0"})
 	if err != nil {
 		return 0, err
 	}
@@ -289,7 +289,7 @@
 		held++
 		if id%3 == 0 {
 			// A delivered one for every two that are held.
-			if err := l.Sent(wal.Send{Message: m, Attempt: wal.Attempt{Host: "s-1", At: time.Now()}}); err != nil {
+			if err := l.RecordSends(wal.Send{Message: m, Attempt: wal.Attempt{Host: "s-1", At: time.Now()}}); err != nil {
 				return 0, err
 			}
 			l.End(m)
--- a/internal/backlog/crash_test.go
+++ b/internal/backlog/crash_test.go
@@ -36,9 +36,9 @@
 	if h.left <= 0 || h.wrong != "" || h.rng.IntN(12) > 0 {
 		return
 	}
-	left := d.Copy
+	left := d.AfterKill
 	if h.power {
-		left = func() *crashdisk.Disk { return d.Crash(crashdisk.Draw(h.rng)) }
+		left = func() *crashdisk.Disk { return d.Crash(crashdisk.KeepRandom(h.rng)) }
 	}
 	x := left()
 	before, after := h.acked, maps.Clone(h.acked)
@@ -59,8 +59,8 @@
 		if again != nil || rng.IntN(8) > 0 {
 			return
 		}
-		if again = x.Copy(); h.power {
-			again = x.Crash(crashdisk.Draw(rng))
+		if again = x.AfterKill(); h.power {
+			again = x.Crash(crashdisk.KeepRandom(rng))
 		}
 	}
 	h.look(x, before, after, op)
@@ -76,12 +76,12 @@
 	o.Power = h.power
 	s, found, err := Open(o)
 	if err != nil {
-		h.wrong = fmt.Sprintf("%s: %v: %s", when, err, d.Text())
+		h.wrong = fmt.Sprintf("%s: %v: %s", when, err, d.Listing())
 		return
 	}
 	defer s.Close()
 	if found.Lost || found.Rebuilt || len(found.Aside) > 0 {
-		h.wrong = fmt.Sprintf("%s: found %+v: %s", when, found, d.Text())
+		h.wrong = fmt.Sprintf("%s: found %+v: %s", when, found, d.Listing())
 		return
 	}
 	if a, b := before.agrees(s), after.agrees(s); a != "" && b != "" {
@@ -135,10 +135,10 @@
 			break
 		}
 		if rng.IntN(25) == 0 { // the process ends and starts again
-			next := d.Copy()
+			next := d.AfterKill()
 			if h.power {
 				h.mu.Lock()
-				next = d.Crash(crashdisk.Draw(h.rng))
+				next = d.Crash(crashdisk.KeepRandom(h.rng))
 				h.mu.Unlock()
 			}
 			s.Close()
--- a/internal/backlog/damage_test.go
+++ b/internal/backlog/damage_test.go
@@ -39,7 +39,7 @@
 		t.Fatal(wrong)
 	}
 	s.db.TestOnlyWaitForCleaning()
-	return live.Copy(), m, ever
+	return live.AfterKill(), m, ever
 }
 
 // readAll reads a store in each way and tells which messages it found; one that is other than it was put is an error.
@@ -108,7 +108,7 @@
 		t.Fatalf("%s: after it: %v", what, err)
 	}
 	s.Close()
-	d = d.Copy()
+	d = d.AfterKill()
 	s, again, err := Open(small(d))
 	if err != nil {
 		t.Fatalf("%s: opened again: %v", what, err)
@@ -152,8 +152,8 @@
 	for _, name := range names {
 		data, _ := whole.ReadFile(name)
 		for range min(*bitFlips, len(data)) {
-			d, bit := whole.Copy(), rng.IntN(8*len(data))
-			if err := d.Flip(name, bit); err != nil {
+			d, bit := whole.AfterKill(), rng.IntN(8*len(data))
+			if err := d.FlipBit(name, bit); err != nil {
 				t.Fatal(err)
 			}
 			what := fmt.Sprintf("bit %d of %s", bit, name)
@@ -186,7 +186,7 @@
 			if cut >= len(data) || cut == 0 && len(data) == 0 {
 				continue
 			}
-			d := whole.Copy()
+			d := whole.AfterKill()
 			what := fmt.Sprintf("%s taken away", name)
 			if cut < 0 {
 				d.Remove(name)
@@ -198,7 +198,7 @@
 				}
 				f.Truncate(int64(cut))
 			}
-			left, found := damagedFolder(t, d.Copy(), m, ever, strings.HasSuffix(name, ".log"), what)
+			left, found := damagedFolder(t, d.AfterKill(), m, ever, strings.HasSuffix(name, ".log"), what)
 			if left < len(m) && len(found.Aside) == 0 && !strings.HasSuffix(name, ".log") {
 				t.Errorf("%s: %d of %d messages are left, and nothing is told", what, left, len(m))
 			}
--- a/internal/backlog/fail_test.go
+++ b/internal/backlog/fail_test.go
@@ -98,7 +98,7 @@
 		t.Error("nothing was refused")
 	}
 	s.Close()
-	left := d.Copy()
+	left := d.AfterKill()
 	o.FS = left
 	s, found := mustOpen(t, o)
 	if wrong := m.agrees(s); wrong != "" || len(found.Aside) > 0 {
@@ -231,7 +231,7 @@
 		t.Fatalf("%d and %d messages", stores[0].Len(), stores[1].Len())
 	}
 	o := small(d)
-	o.FS = disk.Prefixed{FS: d.Copy(), Prefix: "a-"}
+	o.FS = disk.Prefixed{FS: d.AfterKill(), Prefix: "a-"}
 	if s, _ := mustOpen(t, o); s.Len() != 1 {
 		t.Fatalf("%d messages after a crash of both", s.Len())
 	}
--- a/internal/backlog/files.go
+++ b/internal/backlog/files.go
@@ -19,7 +19,7 @@
 // folder is what the store needs of its folder.
 type folder interface {
 	disk.FS
-	disk.Opener
+	disk.ReadOpener
 }
 
 // files is one generation of the engine's files in the store's flat folder: each name has the generation's prefix.
--- a/internal/backlog/model_test.go
+++ b/internal/backlog/model_test.go
@@ -171,7 +171,7 @@
 				}
 			},
 			"killed": func(t *rapid.T) { // the process ends: what the folder holds now is what a start finds
-				o.FS = d.Copy()
+				o.FS = d.AfterKill()
 				s.Close()
 				d = o.FS.(*crashdisk.Disk)
 				var found Found
--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -11,7 +11,7 @@
 )
 
 // What a relay links reads time by this package alone: a reading that goes past it can't be stepped by a test.
-func TestNothingElseReadsTheSystemsClock(t *testing.T) {
+func TestOnlyThisPackageReadsTheSystemClock(t *testing.T) {
 	const module = "onyxroad.dev/onyxroad/"
 	out, err := exec.Command("go", "list", "-deps", "-f", "{{.ImportPath}}\t{{.Dir}}", module+"cmd/cherrytrestle").Output()
 	if err != nil {
@@ -28,14 +28,14 @@
 		}
 		for _, file := range files {
 			if !strings.HasSuffix(file, "_test.go") {
-				refuseClock(t, file)
+				checkNoSystemClock(t, file)
 			}
 		}
 	}
 }
 
-// refuseClock reports each use of the functions of package time that read the system's clock.
-func refuseClock(t *testing.T, file string) {
+// checkNoSystemClock reports each use of the functions of package time that read the system's clock.
+func checkNoSystemClock(t *testing.T, file string) {
 	t.Helper()
 	fset := token.NewFileSet()
 	parsed, err := parser.ParseFile(fset, file, nil, 0)
--- a/internal/clock/timeline.go
+++ b/internal/clock/timeline.go
@@ -12,10 +12,10 @@
 
 const bootIDPath = "/proc/sys/kernel/random/boot_id"
 
-// readingsApart is more than two clocks differ by because they are not read in the same moment.
-const readingsApart = time.Millisecond
+// maxReadSkew is more than two clocks differ by because they are not read in the same moment.
+const maxReadSkew = time.Millisecond
 
-const readTries = 5
+const maxReadAttempts = 5
 
 // Machine is a reading of what all processes of a machine share.
 type Machine struct {
@@ -42,17 +42,17 @@
 	return strings.TrimSpace(string(id))
 })
 
-// readBoth reads the machine's clock and this process's as near to one moment as can be had.
-func readBoth() (m Machine, local time.Time, ok bool) {
-	best := time.Duration(math.MaxInt64)
-	for range readTries {
+// readClocks reads the machine's clock and this process's as near to one moment as can be had.
+func readClocks() (m Machine, local time.Time, ok bool) {
+	smallestSkew := time.Duration(math.MaxInt64)
+	for range maxReadAttempts {
 		before := Now()
 		reading, readable := ReadMachine()
 		after := Now()
-		if apart := after.Sub(before); apart < best {
-			m, local, ok, best = reading, before, readable, apart
+		if skew := after.Sub(before); skew < smallestSkew {
+			m, local, ok, smallestSkew = reading, before, readable, skew
 		}
-		if best < readingsApart/10 {
+		if smallestSkew < maxReadSkew/10 {
 			break
 		}
 	}
@@ -79,7 +79,7 @@
 
 // NewTimeline begins a timeline, which starts out from the wall clock.
 func NewTimeline() Timeline {
-	m, local, ok := readBoth()
+	m, local, ok := readClocks()
 	t := Timeline{local: local, stamp: local.Round(0).UTC()}
 	if ok {
 		t.anchor = Anchor{Machine: m, Time: t.stamp}
@@ -90,12 +90,12 @@
 // ResumeTimeline goes on with the timeline of an earlier process. ok is false where nothing tells how much time has passed
 // since: the machine was booted anew, or its monotonic clock can't be read. The wall clock is all there is to go by then.
 func ResumeTimeline(a Anchor) (t Timeline, ok bool) {
-	m, local, readable := readBoth()
+	m, local, readable := readClocks()
 	if !readable || !m.Follows(a.Machine) {
 		return Timeline{local: local, stamp: local.Round(0).UTC()}, false
 	}
 	stamp := a.Time.Add(m.Monotonic - a.Monotonic)
-	if wall := local.Round(0).UTC(); stamp.Sub(wall).Abs() < readingsApart {
+	if wall := local.Round(0).UTC(); stamp.Sub(wall).Abs() < maxReadSkew {
 		stamp = wall // the clock has not been stepped
 	}
 	return Timeline{anchor: a, local: local, stamp: stamp}, true
--- a/internal/clock/wallshift/wallshift_test.go
+++ b/internal/clock/wallshift/wallshift_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-func TestShiftMovesTheWallClockAlone(t *testing.T) {
+func TestShiftMovesOnlyTheWallClock(t *testing.T) {
 	for _, seconds := range []int64{-3600, -5, 5, 3600} {
 		now := time.Now()
 		shifted := Shift(now, seconds)
--- a/internal/disk/crashdisk/crashdisk.go
+++ b/internal/disk/crashdisk/crashdisk.go
@@ -19,10 +19,10 @@
 
 // Disk is such a folder.
 type Disk struct {
-	mu    sync.Mutex
-	names map[string]*inode // as the process sees them
-	kept  map[string]*inode // as they are on disk
-	moves []move            // since the last sync of the folder
+	mu            sync.Mutex
+	visible       map[string]*inode // as the process sees them
+	durable       map[string]*inode // as they are on disk
+	unsyncedNames []nameChange      // since the last sync of the folder
 	// Fail is asked before every operation that changes anything, and may fail it: "write", "reserve", "sync", "open",
 	// "rename", "remove", "guard", "syncdir". A write that fails may have written a part.
 	Fail func(op, name string) error
@@ -30,17 +30,17 @@
 	After func(op, name string)
 }
 
-// move is a change of the folder: some name goes, some name comes.
-type move struct {
+// nameChange is a change of the folder: some name goes, some name comes.
+type nameChange struct {
 	from, to string // "": none
 	node     *inode
 }
 
 type inode struct {
-	data   []byte // as the process sees it
-	kept   []byte // as it is on disk
-	writes []write
-	folder bool
+	data     []byte // as the process sees it
+	durable  []byte // as it is on disk
+	unsynced []write
+	isDir    bool
 }
 
 // write is a change of a file since its last sync: bytes at an offset, or a size.
@@ -51,7 +51,7 @@
 }
 
 // New returns an empty folder.
-func New() *Disk { return &Disk{names: map[string]*inode{}, kept: map[string]*inode{}} }
+func New() *Disk { return &Disk{visible: map[string]*inode{}, durable: map[string]*inode{}} }
 
 func (d *Disk) fail(op, name string) error {
 	if d.Fail == nil {
@@ -71,12 +71,12 @@
 		return nil, err
 	}
 	d.mu.Lock()
-	n := d.names[name]
+	n := d.visible[name]
 	made := n == nil
 	if made {
 		n = &inode{}
-		d.names[name] = n
-		d.moves = append(d.moves, move{to: name, node: n})
+		d.visible[name] = n
+		d.unsyncedNames = append(d.unsyncedNames, nameChange{to: name, node: n})
 	}
 	d.mu.Unlock()
 	if made {
@@ -88,8 +88,8 @@
 func (d *Disk) ReadFile(name string) ([]byte, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	n := d.names[name]
-	if n == nil || n.folder {
+	n := d.visible[name]
+	if n == nil || n.isDir {
 		return nil, &fs.PathError{Op: "open", Path: name, Err: fs.ErrNotExist}
 	}
 	return slices.Clone(n.data), nil
@@ -99,8 +99,8 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	var all []string
-	for name, n := range d.names {
-		if n.folder {
+	for name, n := range d.visible {
+		if n.isDir {
 			name += "/"
 		}
 		all = append(all, name)
@@ -114,14 +114,14 @@
 		return err
 	}
 	d.mu.Lock()
-	n := d.names[from]
+	n := d.visible[from]
 	if n == nil {
 		d.mu.Unlock()
 		return &fs.PathError{Op: "rename", Path: from, Err: fs.ErrNotExist}
 	}
-	delete(d.names, from)
-	d.names[to] = n
-	d.moves = append(d.moves, move{from, to, n})
+	delete(d.visible, from)
+	d.visible[to] = n
+	d.unsyncedNames = append(d.unsyncedNames, nameChange{from, to, n})
 	d.mu.Unlock()
 	d.after("rename", from)
 	return nil
@@ -132,10 +132,10 @@
 		return err
 	}
 	d.mu.Lock()
-	_, ok := d.names[name]
+	_, ok := d.visible[name]
 	if ok {
-		delete(d.names, name)
-		d.moves = append(d.moves, move{from: name})
+		delete(d.visible, name)
+		d.unsyncedNames = append(d.unsyncedNames, nameChange{from: name})
 	}
 	d.mu.Unlock()
 	if ok {
@@ -149,11 +149,11 @@
 		return err
 	}
 	d.mu.Lock()
-	_, ok := d.names[name]
+	_, ok := d.visible[name]
 	if !ok {
-		n := &inode{folder: true}
-		d.names[name] = n
-		d.moves = append(d.moves, move{to: name, node: n})
+		n := &inode{isDir: true}
+		d.visible[name] = n
+		d.unsyncedNames = append(d.unsyncedNames, nameChange{to: name, node: n})
 	}
 	d.mu.Unlock()
 	if !ok {
@@ -176,11 +176,11 @@
 func (d *Disk) BeginSyncDir() (done func()) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	names, todo := maps.Clone(d.names), len(d.moves)
+	names, todo := maps.Clone(d.visible), len(d.unsyncedNames)
 	return func() {
 		d.mu.Lock()
 		defer d.mu.Unlock()
-		d.kept, d.moves = names, slices.Clone(d.moves[min(todo, len(d.moves)):])
+		d.durable, d.unsyncedNames = names, slices.Clone(d.unsyncedNames[min(todo, len(d.unsyncedNames)):])
 	}
 }
 
@@ -197,8 +197,8 @@
 		p = p[:len(p)/2] // a part of it
 	}
 	f.d.mu.Lock()
-	f.n.data = put(f.n.data, p, off)
-	f.n.writes = append(f.n.writes, write{off, slices.Clone(p), -1})
+	f.n.data = writeAt(f.n.data, p, off)
+	f.n.unsynced = append(f.n.unsynced, write{off, slices.Clone(p), -1})
 	f.d.mu.Unlock()
 	f.d.after("write", f.name)
 	return len(p), err
@@ -212,7 +212,7 @@
 	changed := int64(len(f.n.data)) != size
 	if changed {
 		f.n.data = resize(f.n.data, size)
-		f.n.writes = append(f.n.writes, write{size: size})
+		f.n.unsynced = append(f.n.unsynced, write{size: size})
 	}
 	f.d.mu.Unlock()
 	if changed {
@@ -237,17 +237,17 @@
 func (f *File) BeginSync() (done func()) {
 	f.d.mu.Lock()
 	defer f.d.mu.Unlock()
-	todo, data := len(f.n.writes), slices.Clone(f.n.data)
+	todo, data := len(f.n.unsynced), slices.Clone(f.n.data)
 	return func() {
 		f.d.mu.Lock()
 		defer f.d.mu.Unlock()
-		f.n.kept, f.n.writes = data, slices.Clone(f.n.writes[min(todo, len(f.n.writes)):])
+		f.n.durable, f.n.unsynced = data, slices.Clone(f.n.unsynced[min(todo, len(f.n.unsynced)):])
 	}
 }
 
 func (f *File) Close() error { return nil }
 
-func put(data, p []byte, off int64) []byte {
+func writeAt(data, p []byte, off int64) []byte {
 	if end := off + int64(len(p)); int64(len(data)) < end {
 		data = resize(data, end)
 	}
@@ -262,22 +262,22 @@
 	return append(slices.Clip(data), make([]byte, size-int64(len(data)))...)
 }
 
-// Pieces is how many things may each have come to the disk or not: 2 to their number is the number of states in which a
+// PendingPieces is how many things may each have come to the disk or not: 2 to their number is the number of states in which a
 // loss of power now may leave the folder.
-func (d *Disk) Pieces() int {
+func (d *Disk) PendingPieces() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	n := len(d.moves)
-	for _, node := range d.nodes() {
-		for _, w := range node.writes {
-			n += len(pieces(w))
+	n := len(d.unsyncedNames)
+	for _, node := range d.inodes() {
+		for _, w := range node.unsynced {
+			n += len(splitAtSectors(w))
 		}
 	}
 	return n
 }
 
-// nodes lists the files, each once, in the order of their names on disk, then seen; with mu held.
-func (d *Disk) nodes() (all []*inode) {
+// inodes lists the files, each once, in the order of their names on disk, then seen; with mu held.
+func (d *Disk) inodes() (all []*inode) {
 	seen := map[*inode]bool{}
 	add := func(n *inode) {
 		if n != nil && !seen[n] {
@@ -285,19 +285,19 @@
 			all = append(all, n)
 		}
 	}
-	for _, of := range []map[string]*inode{d.kept, d.names} {
+	for _, of := range []map[string]*inode{d.durable, d.visible} {
 		for _, name := range slices.Sorted(maps.Keys(of)) {
 			add(of[name])
 		}
 	}
-	for _, m := range d.moves {
+	for _, m := range d.unsyncedNames {
 		add(m.node)
 	}
 	return all
 }
 
-// pieces splits a write at sectors.
-func pieces(w write) (all []write) {
+// splitAtSectors splits a write at sectors.
+func splitAtSectors(w write) (all []write) {
 	if w.data == nil {
 		return []write{w}
 	}
@@ -314,50 +314,50 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	after := map[*inode]*inode{}
-	for _, n := range d.nodes() {
-		now := &inode{data: slices.Clone(n.kept), folder: n.folder}
-		for _, w := range n.writes {
-			for _, p := range pieces(w) {
+	for _, n := range d.inodes() {
+		now := &inode{data: slices.Clone(n.durable), isDir: n.isDir}
+		for _, w := range n.unsynced {
+			for _, p := range splitAtSectors(w) {
 				switch {
 				case !keep():
 				case p.data == nil:
 					now.data = resize(now.data, p.size)
 				default:
-					now.data = put(now.data, p.data, p.off)
+					now.data = writeAt(now.data, p.data, p.off)
 				}
 			}
 		}
-		now.kept = slices.Clone(now.data)
+		now.durable = slices.Clone(now.data)
 		after[n] = now
 	}
 	x := New()
-	for name, n := range d.kept {
-		x.names[name] = after[n]
+	for name, n := range d.durable {
+		x.visible[name] = after[n]
 	}
-	for _, m := range d.moves {
+	for _, m := range d.unsyncedNames {
 		if !keep() {
 			continue
 		}
 		if m.from != "" {
-			delete(x.names, m.from)
+			delete(x.visible, m.from)
 		}
 		if m.to != "" {
-			x.names[m.to] = after[m.node]
+			x.visible[m.to] = after[m.node]
 		}
 	}
-	x.kept = maps.Clone(x.names)
+	x.durable = maps.Clone(x.visible)
 	return x
 }
 
-// Draw is a keep for Crash that draws, with a bias that is drawn too: from nearly nothing to nearly all.
-func Draw(rng *rand.Rand) func() bool {
+// KeepRandom is a keep for Crash that draws, with a bias that is drawn too: from nearly nothing to nearly all.
+func KeepRandom(rng *rand.Rand) func() bool {
 	p := [...]float64{0.03, 0.3, 0.5, 0.7, 0.97}[rng.IntN(5)]
 	return func() bool { return rng.Float64() < p }
 }
 
-// Number is a keep for Crash that takes the bits of a number, the lowest first: with every number below 2 to the number of
+// KeepBits is a keep for Crash that takes the bits of a number, the lowest first: with every number below 2 to the number of
 // pieces it gives every state.
-func Number(n uint64) func() bool {
+func KeepBits(n uint64) func() bool {
 	return func() bool {
 		bit := n&1 == 1
 		n >>= 1
@@ -365,24 +365,24 @@
 	}
 }
 
-// Copy returns the folder as the process sees it, all of it on disk: what is left of it after SIGKILL.
-func (d *Disk) Copy() *Disk { return d.Crash(func() bool { return true }) }
+// AfterKill returns the folder as the process sees it, all of it on disk: what is left of it after SIGKILL.
+func (d *Disk) AfterKill() *Disk { return d.Crash(func() bool { return true }) }
 
-// Flip flips a bit of a file on disk.
-func (d *Disk) Flip(name string, bit int) error {
+// FlipBit flips a bit of a file on disk.
+func (d *Disk) FlipBit(name string, bit int) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	n := d.names[name]
+	n := d.visible[name]
 	if n == nil || bit/8 >= len(n.data) {
 		return fmt.Errorf("crashdisk: no bit %d in %s", bit, name)
 	}
 	n.data[bit/8] ^= 1 << (bit % 8)
-	n.kept = slices.Clone(n.data)
+	n.durable = slices.Clone(n.data)
 	return nil
 }
 
-// Text lists the files with their sizes.
-func (d *Disk) Text() string {
+// Listing lists the files with their sizes.
+func (d *Disk) Listing() string {
 	names, _ := d.Names()
 	var b strings.Builder
 	for _, n := range names {
--- a/internal/disk/crashdisk/read.go
+++ b/internal/disk/crashdisk/read.go
@@ -11,8 +11,8 @@
 func (d *Disk) OpenRead(name string) (disk.Reader, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	n := d.names[name]
-	if n == nil || n.folder {
+	n := d.visible[name]
+	if n == nil || n.isDir {
 		return nil, &fs.PathError{Op: "open", Path: name, Err: fs.ErrNotExist}
 	}
 	return reader{d, n}, nil
--- a/internal/disk/disk.go
+++ b/internal/disk/disk.go
@@ -135,8 +135,8 @@
 
 type file struct{ *os.File }
 
-// Uninterrupted makes a call of the system again for as long as a signal interrupts it.
-func Uninterrupted(call func() error) error {
+// RetryOnEINTR makes a call of the system again for as long as a signal interrupts it.
+func RetryOnEINTR(call func() error) error {
 	for {
 		if err := call(); err != unix.EINTR {
 			return err
@@ -145,11 +145,11 @@
 }
 
 func (f file) Sync() error {
-	return Uninterrupted(func() error { return unix.Fdatasync(int(f.Fd())) })
+	return RetryOnEINTR(func() error { return unix.Fdatasync(int(f.Fd())) })
 }
 
 func (f file) Reserve(off, bytes int64) error {
-	err := Uninterrupted(func() error { return unix.Fallocate(int(f.Fd()), unix.FALLOC_FL_KEEP_SIZE, off, bytes) })
+	err := RetryOnEINTR(func() error { return unix.Fallocate(int(f.Fd()), unix.FALLOC_FL_KEEP_SIZE, off, bytes) })
 	if err == unix.EOPNOTSUPP || err == unix.ENOSYS || err == unix.EINVAL {
 		return nil
 	}
--- a/internal/disk/faultdisk/faultdisk.go
+++ b/internal/disk/faultdisk/faultdisk.go
@@ -6,14 +6,14 @@
 	"onyxroad.dev/onyxroad/internal/disk"
 )
 
-// Reach is how much of its effect a failing call has had.
-type Reach int
+// Extent is how much of its effect a failing call has had.
+type Extent int
 
 // The reaches.
 const (
-	Nothing Reach = iota
-	Part          // of a write: its first half; of any other call: nothing
-	All
+	None Extent = iota
+	Part        // of a write: its first half; of any other call: nothing
+	Full
 )
 
 // Op is a kind of call.
@@ -34,13 +34,13 @@
 	SyncDir  Op = "syncdir"
 )
 
-// Changing are the calls that change the folder, all but those that read it.
-var Changing = []Op{Open, Write, Truncate, Reserve, Sync, Rename, Remove, Guard, SyncDir}
+// MutatingOps are the calls that change the folder, all but those that read it.
+var MutatingOps = []Op{Open, Write, Truncate, Reserve, Sync, Rename, Remove, Guard, SyncDir}
 
 // Fault is how a call fails. The zero Fault lets it succeed.
 type Fault struct {
-	Err   error
-	Reach Reach
+	Err    error
+	Extent Extent
 }
 
 // Disk is such a folder. Fail is asked before each call.
@@ -55,7 +55,7 @@
 	if fault.Err == nil {
 		return call()
 	}
-	if fault.Reach == All {
+	if fault.Extent == Full {
 		call() // whatever comes of it, the caller sees the fault
 	}
 	return fault.Err
@@ -123,8 +123,8 @@
 	if fault.Err == nil {
 		return f.File.WriteAt(p, off)
 	}
-	switch fault.Reach {
-	case All:
+	switch fault.Extent {
+	case Full:
 		f.File.WriteAt(p, off)
 	case Part:
 		f.File.WriteAt(p[:len(p)/2], off)
--- a/internal/disk/prefixed.go
+++ b/internal/disk/prefixed.go
@@ -17,7 +17,7 @@
 
 // OpenRead opens a file to be read in parts, if the folder can.
 func (p Prefixed) OpenRead(name string) (Reader, error) {
-	o, ok := p.FS.(Opener)
+	o, ok := p.FS.(ReadOpener)
 	if !ok {
 		return nil, errors.ErrUnsupported
 	}
--- a/internal/disk/read.go
+++ b/internal/disk/read.go
@@ -5,8 +5,8 @@
 	"os"
 )
 
-// Opener is a folder whose files can be read in parts, which not every user of a folder needs.
-type Opener interface {
+// ReadOpener is a folder whose files can be read in parts, which not every user of a folder needs.
+type ReadOpener interface {
 	// OpenRead opens a file to be read; an error that is fs.ErrNotExist if there is no such file. What is open can be read
 	// on after its name has gone.
 	OpenRead(name string) (Reader, error)
--- a/internal/disk/tracedisk/tracedisk.go
+++ b/internal/disk/tracedisk/tracedisk.go
@@ -19,40 +19,40 @@
 	"onyxroad.dev/onyxroad/internal/disk/crashdisk"
 )
 
-// Env names the variable that names the trace. A file of that name with ".faults" behind it tells what goes wrong: words
+// EnvTrace names the variable that names the trace. A file of that name with ".faults" behind it tells what goes wrong: words
 // "full" (writes fail), "broken" (syncs fail), "slow=50ms" (each sync takes so long).
-const Env = "TESTBED_DISK_TRACE"
+const EnvTrace = "TESTBED_DISK_TRACE"
 
-// Backlog stands behind the trace's name in that of the backlog's folder.
-const Backlog = ".backlog"
+// BacklogSuffix stands behind the trace's name in that of the backlog's folder.
+const BacklogSuffix = ".backlog"
 
 // EnvSync names the variable that, where there is no trace, says how long a sync takes.
 const EnvSync = "TESTBED_DISK_SYNC"
 
-// Timed is a folder whose syncs take a time of their own, and sync nothing.
-type Timed struct {
+// DelayedSync is a folder whose syncs take a time of their own, and sync nothing.
+type DelayedSync struct {
 	disk.Dir
-	Sync time.Duration
+	Delay time.Duration
 }
 
 // Open opens a file.
-func (d Timed) Open(name string) (disk.File, error) {
+func (d DelayedSync) Open(name string) (disk.File, error) {
 	f, err := d.Dir.Open(name)
-	return timed{f, d.Sync}, err
+	return delayedSyncFile{f, d.Delay}, err
 }
 
-func (d Timed) SyncDir() error {
-	time.Sleep(d.Sync)
+func (d DelayedSync) SyncDir() error {
+	time.Sleep(d.Delay)
 	return nil
 }
 
-type timed struct {
+type delayedSyncFile struct {
 	disk.File
-	sync time.Duration
+	delay time.Duration
 }
 
-func (f timed) Sync() error {
-	time.Sleep(f.sync)
+func (f delayedSyncFile) Sync() error {
+	time.Sleep(f.delay)
 	return nil
 }
 
@@ -68,7 +68,7 @@
 // Disk is such a folder.
 type Disk struct {
 	disk.Dir
-	faults string
+	faultsPath string
 
 	mu  sync.Mutex
 	out *gob.Encoder
@@ -80,19 +80,19 @@
 	if err != nil {
 		return nil, fmt.Errorf("tracedisk: %w", err)
 	}
-	return &Disk{Dir: d, faults: trace + ".faults", out: gob.NewEncoder(f)}, nil
+	return &Disk{Dir: d, faultsPath: trace + ".faults", out: gob.NewEncoder(f)}, nil
 }
 
-// note writes a change down. It is called under mu, around the change itself: the order of the trace is that of the changes.
-func (d *Disk) note(c Change) {
+// record writes a change down. It is called under mu, around the change itself: the order of the trace is that of the changes.
+func (d *Disk) record(c Change) {
 	if err := d.out.Encode(c); err != nil {
 		panic(fmt.Sprintf("tracedisk: %v", err)) // a trace with a gap proves nothing
 	}
 }
 
-// trouble is what goes wrong now.
-func (d *Disk) trouble() (full, broken bool, slow time.Duration) {
-	text, err := os.ReadFile(d.faults)
+// activeFaults is what goes wrong now.
+func (d *Disk) activeFaults() (full, broken bool, slow time.Duration) {
+	text, err := os.ReadFile(d.faultsPath)
 	if err != nil {
 		return false, false, 0
 	}
@@ -107,7 +107,7 @@
 
 // do makes a change and writes it down, unless the disk is full.
 func (d *Disk) do(c Change, make func() error) error {
-	if full, _, _ := d.trouble(); full && c.Op != "remove" && c.Op != "syncdir" {
+	if full, _, _ := d.activeFaults(); full && c.Op != "remove" && c.Op != "syncdir" {
 		return fmt.Errorf("tracedisk: %s %s: %w", c.Op, c.Name, syscall.ENOSPC)
 	}
 	d.mu.Lock()
@@ -115,7 +115,7 @@
 	if err := make(); err != nil {
 		return err
 	}
-	d.note(c)
+	d.record(c)
 	return nil
 }
 
@@ -148,9 +148,9 @@
 
 // sync notes which changes are on disk: those that were written down when it began.
 func (d *Disk) sync(c Change) error {
-	_, broken, slow := d.trouble()
+	_, broken, slow := d.activeFaults()
 	d.mu.Lock()
-	d.note(Change{Op: "begin-" + c.Op, Name: c.Name})
+	d.record(Change{Op: "begin-" + c.Op, Name: c.Name})
 	d.mu.Unlock()
 	time.Sleep(slow)
 	if broken {
@@ -158,7 +158,7 @@
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.note(c)
+	d.record(c)
 	return nil
 }
 
@@ -181,7 +181,7 @@
 }
 
 func (f *file) Reserve(off, bytes int64) error {
-	if full, _, _ := f.d.trouble(); full {
+	if full, _, _ := f.d.activeFaults(); full {
 		return syscall.ENOSPC
 	}
 	return f.File.Reserve(off, bytes)
@@ -209,8 +209,8 @@
 		}
 		file.WriteAt(data, 0)
 	}
-	d = d.Copy() // it is all on disk
-	r := replay{d: d, files: map[string]*crashdisk.File{}, ends: map[string]func(){}}
+	d = d.AfterKill() // it is all on disk
+	r := replayState{d: d, files: map[string]*crashdisk.File{}, finishSync: map[string]func(){}}
 	for in := gob.NewDecoder(f); ; {
 		var c Change
 		if err := in.Decode(&c); errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) {
@@ -224,14 +224,14 @@
 	}
 }
 
-// replay is a trace on its way through a folder in memory.
-type replay struct {
-	d     *crashdisk.Disk
-	files map[string]*crashdisk.File
-	ends  map[string]func() // of syncs that have begun
+// replayState is a trace on its way through a folder in memory.
+type replayState struct {
+	d          *crashdisk.Disk
+	files      map[string]*crashdisk.File
+	finishSync map[string]func() // of syncs that have begun
 }
 
-func (r *replay) apply(c Change) error {
+func (r *replayState) apply(c Change) error {
 	f := r.files[c.Name]
 	switch c.Op {
 	case "open":
@@ -246,11 +246,11 @@
 	case "truncate":
 		return f.Truncate(c.Off)
 	case "begin-sync":
-		r.ends[c.Name] = f.BeginSync()
+		r.finishSync[c.Name] = f.BeginSync()
 	case "begin-syncdir":
-		r.ends[""] = r.d.BeginSyncDir()
+		r.finishSync[""] = r.d.BeginSyncDir()
 	case "sync", "syncdir":
-		r.ends[c.Name]()
+		r.finishSync[c.Name]()
 	case "rename":
 		r.files[c.To] = f
 		return r.d.Rename(c.Name, c.To)
--- a/internal/faultfile/disk.go
+++ b/internal/faultfile/disk.go
@@ -12,7 +12,7 @@
 		if rule.Errno == 0 {
 			return faultdisk.Fault{}
 		}
-		reach := map[string]faultdisk.Reach{"part": faultdisk.Part, "all": faultdisk.All}[rule.Reach]
-		return faultdisk.Fault{Err: rule.Errno, Reach: reach}
+		reach := map[string]faultdisk.Extent{"part": faultdisk.Part, "all": faultdisk.Full}[rule.Reach]
+		return faultdisk.Fault{Err: rule.Errno, Extent: reach}
 	}}
 }
--- a/internal/recovery/recovery.go
+++ b/internal/recovery/recovery.go
@@ -16,8 +16,8 @@
 	"onyxroad.dev/onyxroad/internal/wal"
 )
 
-// ErrServing tells that a relay has the folder.
-var ErrServing = errors.New("a relay has the folder: stop it first")
+// ErrRelayRunning tells that a relay has the folder.
+var ErrRelayRunning = errors.New("a relay has the folder: stop it first")
 
 // Folder is what stands in a state folder.
 type Folder struct {
@@ -54,8 +54,8 @@
 	if errors.Is(err, fs.ErrNotExist) {
 		return func() {}, nil // no relay was ever here, and none is to be seen by a check
 	}
-	if errors.Is(err, wal.ErrHeld) {
-		return nil, ErrServing
+	if errors.Is(err, wal.ErrLocked) {
+		return nil, ErrRelayRunning
 	}
 	if err != nil {
 		return nil, fmt.Errorf("recovery: %w", err)
@@ -116,8 +116,8 @@
 // before. Adopt gives it to another relay: that one must never have served beside the relay whose folder it was.
 func Repair(dir string, format int, adopt string, limit int64) (*Folder, error) {
 	lockFile, err := wal.Lock(dir)
-	if errors.Is(err, wal.ErrHeld) {
-		return nil, ErrServing
+	if errors.Is(err, wal.ErrLocked) {
+		return nil, ErrRelayRunning
 	} else if err != nil {
 		return nil, fmt.Errorf("recovery: %w", err)
 	}
@@ -133,8 +133,8 @@
 	if adopt != "" {
 		name = adopt
 	}
-	l, _, err := wal.OpenWith(wal.Options{Dir: dir, Limit: limit, Format: format, Power: format == wal.Format, Name: name,
-		Adopt: adopt != ""})
+	l, _, err := wal.OpenWith(wal.Options{Dir: dir, Limit: limit, Format: format, SyncWrites: format == wal.SegmentFormat, Name: name,
+		AdoptForeign: adopt != ""})
 	if err != nil {
 		return before, fmt.Errorf("recovery: %w", err)
 	}
--- a/internal/relay/accept.go
+++ b/internal/relay/accept.go
@@ -82,8 +82,8 @@
 		delete(r.msgs, m.ID)
 		delete(r.traces, m.Trace)
 	}
-	r.wal.TurnAway(in.m.Trace, in.m.Deadline, wal.Refused)
-	if errors.Is(cause, wal.ErrUnclear) {
+	r.wal.RememberRejection(in.m.Trace, in.m.Deadline, wal.Refused)
+	if errors.Is(cause, wal.ErrIndeterminate) {
 		r.deny(in, a)
 		return
 	}
--- a/internal/relay/admin.go
+++ b/internal/relay/admin.go
@@ -109,7 +109,7 @@
 func (r *Relay) publish() {
 	r.figures.current.Store(int64(r.held + r.owed.owing()))
 	r.figures.size.Store(int64(len(r.routes)))
-	remembered, evicted := r.wal.Remembered()
+	remembered, evicted := r.wal.CompletionStats()
 	r.resubmitted.remembered.Store(int64(remembered))
 	r.resubmitted.evicted.Store(evicted)
 	if now := clock.Now(); !now.Before(r.countAt) {
--- a/internal/relay/backlog.go
+++ b/internal/relay/backlog.go
@@ -269,7 +269,7 @@
 // mayLeave tells whether a message at the module may lie on disk: nothing of it has run or is out, and nobody waits for it.
 func (o *overflow) mayLeave(m *message) bool {
 	return !m.ended && m.move == staying && m.sends == 0 && m.out == 0 && m.Attempts == 0 && len(m.MayRun) == 0 &&
-		m.Final == nil && !m.Withdrawn && m.next == nil && storable(m.Dest) && m.seq <= o.relay.wal.Durable() && o.relay.wal.Owes(m.Message)
+		m.Final == nil && !m.Withdrawn && m.next == nil && storable(m.Dest) && m.seq <= o.relay.wal.Durable() && o.relay.wal.IsLive(m.Message)
 }
 
 // balance has leave what the window is too small for. The module hears of it before it decides anything more.
@@ -278,7 +278,7 @@
 		return
 	}
 	least := 0
-	if o.relay.wal.Fill() > leaveFill {
+	if o.relay.wal.FillRatio() > leaveFill {
 		least = 1 + (o.held-o.sent)/8
 	}
 	for _, m := range o.excess(least, o.mayLeave) {
@@ -327,7 +327,7 @@
 	if ok {
 		delete(o.ending, id)
 		o.gone = append(o.gone, ref)
-		o.relay.wal.Remember(ref.Trace, o.restoredTime(ref.Deadline), wal.CompletionOf(outOfTime))
+		o.relay.wal.RememberCompletion(ref.Trace, o.restoredTime(ref.Deadline), wal.CompletionOf(outOfTime))
 	}
 	return ok
 }
--- a/internal/relay/backlog_test.go
+++ b/internal/relay/backlog_test.go
@@ -189,7 +189,7 @@
 		if _, ok := b.s.all[id]; ok {
 			b.t.Errorf("message %d is in the log and on disk", id)
 		}
-		if !m.ended && b.wal.Owes(m.Message) {
+		if !m.ended && b.wal.IsLive(m.Message) {
 			held++
 		}
 	}
@@ -334,7 +334,7 @@
 					t.Fatalf("%d jobs", len(b.jobs))
 				}
 				b.step([]any{withdrawal{in.m.ID}})
-				if !b.wal.Owes(in.m) {
+				if !b.wal.IsLive(in.m) {
 					t.Error("it left the log before the disk")
 				}
 			case "on disk":
@@ -475,7 +475,7 @@
 		}
 		for _, x := range shots {
 			state++
-			_, found, err := wal.OpenWith(wal.Options{FS: x.logs, Limit: 40e6, Format: wal.Format, Name: "n3", Also: withBacklog("n3")})
+			_, found, err := wal.OpenWith(wal.Options{FS: x.logs, Limit: 40e6, Format: wal.SegmentFormat, Name: "n3", PreviousName: withBacklog("n3")})
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -517,9 +517,9 @@
 	b := newBacklogged(t, &shelf{all: map[uint32]owed.Entry{}}, d, 64)
 	b.hand(100, 0, 7, time.Hour)
 	b.settle()
-	plain := wal.Options{Limit: 40e6, Format: wal.Format, Name: "n3"}
-	plain.FS = d.Copy()
-	if _, _, err := wal.OpenWith(plain); !errors.Is(err, wal.ErrOther) {
+	plain := wal.Options{Limit: 40e6, Format: wal.SegmentFormat, Name: "n3"}
+	plain.FS = d.AfterKill()
+	if _, _, err := wal.OpenWith(plain); !errors.Is(err, wal.ErrForeignFolder) {
 		t.Errorf("with messages on disk: %v", err)
 	}
 	for len(b.msgs) > 0 {
@@ -532,7 +532,7 @@
 	if err := b.endLog(); err != nil {
 		t.Fatal(err)
 	}
-	plain.FS = d.Copy()
+	plain.FS = d.AfterKill()
 	if _, found, err := wal.OpenWith(plain); err != nil || len(found.Messages) > 0 {
 		t.Errorf("with nothing on disk: %v, %d messages", err, len(found.Messages))
 	}
--- a/internal/relay/carry.go
+++ b/internal/relay/carry.go
@@ -44,7 +44,7 @@
 				r.complete(m, wal.CompletionOf(final))
 				continue
 			}
-			r.wal.Decide(m.Message, final)
+			r.wal.SetFinal(m.Message, final)
 			ended = append(ended, m)
 		case policy.Wake:
 			r.wakeAt = clock.Now().Add(a.Delay) // the module keeps one wake in mind, the last that it asked for
@@ -56,7 +56,7 @@
 	// A send that is not in the log must not leave: after a restart it would be made again. An end that is not must not be
 	// told: after a restart the message would be sent.
 	err := r.record(calls)
-	if err != nil && !errors.Is(err, wal.ErrWorn) {
+	if err != nil && !errors.Is(err, wal.ErrNeedsNewFile) {
 		r.log.Warn("log not written", "calls", len(calls), "err", err)
 		r.giveBack(calls, policy.ConnectFailed)
 		p.calls = nil
@@ -122,7 +122,7 @@
 	if len(sends) == 0 {
 		return r.wal.Flush()
 	}
-	return r.wal.Sent(sends...)
+	return r.wal.RecordSends(sends...)
 }
 
 // giveBack ends calls that are not made with an outcome which proves so.
--- a/internal/relay/clients_test.go
+++ b/internal/relay/clients_test.go
@@ -277,7 +277,7 @@
 		decide(r, in)
 		m := r.msgs[in.m.ID]
 		sent := wal.Attempt{N: 0, Host: "s-8", Zone: 1, At: time.Now().Add(-time.Second).Round(0)}
-		if err := r.wal.Sent(wal.Send{Message: m.Message, Attempt: sent}); err != nil {
+		if err := r.wal.RecordSends(wal.Send{Message: m.Message, Attempt: sent}); err != nil {
 			t.Fatal(err)
 		}
 		r.step([]any{withdrawal{m.ID}})
--- a/internal/relay/durable.go
+++ b/internal/relay/durable.go
@@ -112,7 +112,7 @@
 	}
 	if p.unwritten && len(calls) > 0 {
 		switch err := r.record(calls); {
-		case errors.Is(err, wal.ErrWorn):
+		case errors.Is(err, wal.ErrNeedsNewFile):
 			r.promise(promise{calls: calls, unwritten: true})
 		case err != nil:
 			r.giveBack(calls, policy.Moot)
@@ -145,7 +145,7 @@
 
 // tend has the log go on after the disk has failed it, and ends the waits of those who have waited too long.
 func (r *Relay) tend() {
-	if worn := !r.wal.Tend(); worn != r.worn {
+	if worn := !r.wal.TryRecover(); worn != r.worn {
 		r.worn = worn
 		if worn {
 			r.log.Error("the disk fails the log: nothing new is taken on until a new file is there", "err", r.wal.Failure())
@@ -195,7 +195,7 @@
 // overdue ends a message that is not on the disk in time, and is what its client is told.
 func (r *Relay) overdue(m *message) answer {
 	turned := answer{status: 503, again: policy.RetryAdvice}
-	if m.Withdrawn || !r.wal.Owes(m.Message) {
+	if m.Withdrawn || !r.wal.IsLive(m.Message) {
 		return turned // a second client of the same message
 	}
 	if m.Final != nil {
@@ -246,7 +246,7 @@
 
 // options is how the log is kept.
 func (r *Relay) options() wal.Options {
-	o := wal.Options{Dir: r.cfg.StateDir, Limit: int64(r.cfg.Limits.DiskMB*1e6) - stateReserve, Told: func() {
+	o := wal.Options{Dir: r.cfg.StateDir, Limit: int64(r.cfg.Limits.DiskMB*1e6) - stateReserve, Notify: func() {
 		select {
 		case r.synced <- struct{}{}:
 		default:
@@ -254,14 +254,14 @@
 	}}
 	o.FS = r.cfg.Disk
 	if r.cfg.Segments {
-		o.Format, o.Power, o.Name = wal.Format, r.cfg.Power, r.cfg.Name
+		o.Format, o.SyncWrites, o.Name = wal.SegmentFormat, r.cfg.Power, r.cfg.Name
 	}
 	if r.cfg.MemoriesEvery > 0 {
 		o.Limit -= 2 * memoriesMost(r.cfg)
 	}
 	if r.cfg.Backlog != nil {
 		// A relay that knows nothing of the backlog would leave what lies there: the folder is not its own.
-		o.Name, o.Also = withBacklog(r.cfg.Name), r.cfg.Name
+		o.Name, o.PreviousName = withBacklog(r.cfg.Name), r.cfg.Name
 	}
 	return o
 }
--- a/internal/relay/durable_test.go
+++ b/internal/relay/durable_test.go
@@ -83,7 +83,7 @@
 		t.Errorf("%d calls", r.out)
 	}
 	// The power fails here: nothing that was not synced is there.
-	_, found, err := wal.OpenWith(wal.Options{FS: d.Crash(func() bool { return false }), Limit: 1 << 20, Format: wal.Format})
+	_, found, err := wal.OpenWith(wal.Options{FS: d.Crash(func() bool { return false }), Limit: 1 << 20, Format: wal.SegmentFormat})
 	if err != nil || len(found.Messages) != 1 || len(found.Messages[0].MayRun) != 1 {
 		t.Errorf("after a loss of power: %+v, %v", found.Messages, err)
 	}
--- a/internal/relay/handover.go
+++ b/internal/relay/handover.go
@@ -447,7 +447,7 @@
 		}
 	}
 	if err == nil && l != nil && l.send(frame{Mine: true}) != nil {
-		err = errors.Join(wal.ErrHeld, r.owed.close(), r.wal.Close()) // that process waits no longer, or has ended: begin anew
+		err = errors.Join(wal.ErrLocked, r.owed.close(), r.wal.Close()) // that process waits no longer, or has ended: begin anew
 		r.owed = nil
 	}
 	if err != nil {
@@ -462,8 +462,8 @@
 		return fmt.Errorf("relay: %w", err)
 	}
 	r.found, r.legacy = found, from
-	if found.Report != nil && !found.Report.Sound() {
-		r.log.Error("the state folder is damaged", "report", found.Report.Words())
+	if found.Report != nil && !found.Report.Intact() {
+		r.log.Error("the state folder is damaged", "report", found.Report.Summary())
 	}
 	if l == nil {
 		return nil
--- a/internal/relay/job.go
+++ b/internal/relay/job.go
@@ -99,7 +99,7 @@
 		}
 		m.ended = true
 		o.relay.figures.ended(m, outOfTime)
-		o.relay.wal.Decide(m.Message, outOfTime)
+		o.relay.wal.SetFinal(m.Message, outOfTime)
 		ended = append(ended, m)
 		o.ended++
 	}
@@ -130,7 +130,7 @@
 	o.in = rest
 	j.gone, o.gone = o.gone, nil
 	j.remove = append(j.remove, j.gone...)
-	if !o.relay.stopping && now.After(o.hold) && o.relay.wal.Fill() < loadFill {
+	if !o.relay.stopping && now.After(o.hold) && o.relay.wal.FillRatio() < loadFill {
 		j.loads = o.loads(batchStored)
 	}
 	if by := o.storedTime(now.Add(dueAhead)); o.next <= by && len(o.ending) < dueMost && !o.relay.noSends {
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -391,7 +391,7 @@
 			// What it has sent may be missing from the log: nothing can be promised.
 			m.ended = true
 			r.figures.ended(m, wal.Final{})
-			r.wal.Decide(w, wal.Final{})
+			r.wal.SetFinal(w, wal.Final{})
 			ended = append(ended, m)
 		case r.owed.keeps(m):
 			r.held++
--- a/internal/relay/resubmission.go
+++ b/internal/relay/resubmission.go
@@ -91,7 +91,7 @@
 		r.figures.turned(in.m.Class, a)
 	}
 	r.changed(&message{Message: in.m}, stateNew, stateGone, why, slog.Int("status", a.status))
-	r.wal.TurnAway(in.m.Trace, in.m.Deadline, how)
+	r.wal.RememberRejection(in.m.Trace, in.m.Deadline, how)
 	r.turnedAway = append(r.turnedAway, turnedAway{in, a})
 }
 
--- a/internal/relay/resubmission_test.go
+++ b/internal/relay/resubmission_test.go
@@ -22,7 +22,7 @@
 	in := newHandIn(id, unlistedDest, 5*time.Second)
 	decide(r, in)
 	m := r.msgs[in.m.ID]
-	if err := r.wal.Sent(wal.Send{Message: m.Message, Attempt: wal.Attempt{Host: "s-8", At: time.Now()}}); err != nil {
+	if err := r.wal.RecordSends(wal.Send{Message: m.Message, Attempt: wal.Attempt{Host: "s-8", At: time.Now()}}); err != nil {
 		t.Fatal(err)
 	}
 	m.out++
@@ -131,8 +131,8 @@
 	r.cells[unlistedDest] = true
 	decide(r, newHandIn("pending", unlistedDest, 5*time.Second))
 	decide(r, newHandIn("refused", unlistedDest, -time.Second))
-	r.wal.Remember("delivered", time.Now(), wal.Delivered)
-	r.wal.Remember("failed", time.Now(), wal.Failed)
+	r.wal.RememberCompletion("delivered", time.Now(), wal.Delivered)
+	r.wal.RememberCompletion("failed", time.Now(), wal.Failed)
 	for _, id := range []string{"pending", "refused", "delivered", "failed"} {
 		decide(r, newHandIn(id, unlistedDest, 5*time.Second))
 		if text := r.resubmitted.String(); !strings.Contains(text, "relay.resubmitted."+id+":1|c") {
@@ -152,7 +152,7 @@
 	if len(violations) > 0 {
 		t.Fatalf("before its end: %v", violations)
 	}
-	r.wal.Remember("m1", time.Now(), wal.Delivered)
+	r.wal.RememberCompletion("m1", time.Now(), wal.Delivered)
 	r.checkSends(c)
 	if len(violations) != 1 || !strings.Contains(violations[0], "send_of_an_ended_message") {
 		t.Errorf("after its end: %v", violations)
--- a/internal/relay/step.go
+++ b/internal/relay/step.go
@@ -287,7 +287,7 @@
 
 // retire forgets a message for which nothing is owed and nothing is out.
 func (r *Relay) retire(m *message) {
-	if m.out == 0 && m.ended && !r.wal.Owes(m.Message) {
+	if m.out == 0 && m.ended && !r.wal.IsLive(m.Message) {
 		delete(r.msgs, m.ID)
 		if r.traces[m.Trace] == m {
 			delete(r.traces, m.Trace)
--- a/internal/relay/transient.go
+++ b/internal/relay/transient.go
@@ -116,7 +116,7 @@
 func (r *Relay) begin(ctx context.Context) error {
 	for {
 		err := persist(ctx, r.log, "take the log over", startMost, r.takeUp)
-		if !errors.Is(err, wal.ErrHeld) || ctx.Err() != nil {
+		if !errors.Is(err, wal.ErrLocked) || ctx.Err() != nil {
 			return err
 		}
 		sleep(ctx, lockPause)
--- a/internal/relay/transient_test.go
+++ b/internal/relay/transient_test.go
@@ -140,7 +140,7 @@
 			})
 		}
 	}
-	for _, op := range append(faultdisk.Changing, faultdisk.Read, faultdisk.Names) {
+	for _, op := range append(faultdisk.MutatingOps, faultdisk.Read, faultdisk.Names) {
 		for _, errno := range []syscall.Errno{syscall.EIO, syscall.ENOSPC} {
 			t.Run(fmt.Sprint(op, " ", errno), func(t *testing.T) {
 				t.Parallel()
--- a/internal/relay/unwritten_test.go
+++ b/internal/relay/unwritten_test.go
@@ -44,7 +44,7 @@
 			full  bool
 		}{
 			"a write fails":         {faultdisk.Fault{Err: syscall.EIO}, []faultdisk.Op{faultdisk.Write}, false},
-			"half a write stays":    {faultdisk.Fault{Err: syscall.ENOSPC, Reach: faultdisk.Part}, []faultdisk.Op{faultdisk.Write}, false},
+			"half a write stays":    {faultdisk.Fault{Err: syscall.ENOSPC, Extent: faultdisk.Part}, []faultdisk.Op{faultdisk.Write}, false},
 			"no room, and none had": {faultdisk.Fault{Err: syscall.ENOSPC}, []faultdisk.Op{faultdisk.Open}, true},
 		} {
 			t.Run(format+" "+name, func(t *testing.T) {
@@ -119,7 +119,7 @@
 	for format, change := range stateFormats {
 		t.Run(format, func(t *testing.T) {
 			// All of a write stays, though it fails, and can't be taken away.
-			d := &sickDisk{fault: faultdisk.Fault{Err: syscall.EIO, Reach: faultdisk.All},
+			d := &sickDisk{fault: faultdisk.Fault{Err: syscall.EIO, Extent: faultdisk.Full},
 				ops: []faultdisk.Op{faultdisk.Write}}
 			cleaning := &sickDisk{fault: faultdisk.Fault{Err: syscall.EIO}, ops: []faultdisk.Op{faultdisk.Truncate, faultdisk.Open}}
 			var erasing atomic.Bool
@@ -165,7 +165,7 @@
 }
 
 func TestAWithheldAnswerIsGivenUpOnceItsClientHasLeft(t *testing.T) {
-	d := &sickDisk{fault: faultdisk.Fault{Err: syscall.EIO, Reach: faultdisk.All}, ops: []faultdisk.Op{faultdisk.Write, faultdisk.Truncate}}
+	d := &sickDisk{fault: faultdisk.Fault{Err: syscall.EIO, Extent: faultdisk.Full}, ops: []faultdisk.Op{faultdisk.Write, faultdisk.Truncate}}
 	r := newTestRelayOn(t, d.files)
 	d.sick.Store(true)
 	in := newHandIn("m1", 7, 5*time.Second)
--- a/internal/testbed/process/disk.go
+++ b/internal/testbed/process/disk.go
@@ -74,7 +74,7 @@
 		if behind, err = readImage(f.backlog(r), ofBacklog); err != nil {
 			return nil, err
 		}
-		if err := os.WriteFile(f.trace(r)+tracedisk.Backlog+".faults", []byte(f.usual(r)), 0o600); err != nil {
+		if err := os.WriteFile(f.trace(r)+tracedisk.BacklogSuffix+".faults", []byte(f.usual(r)), 0o600); err != nil {
 			return nil, fmt.Errorf("process: %w", err)
 		}
 	}
@@ -87,7 +87,7 @@
 			return nil, fmt.Errorf("process: %w", err)
 		}
 	}
-	return append(env, tracedisk.Env+"="+f.trace(r)), nil
+	return append(env, tracedisk.EnvTrace+"="+f.trace(r)), nil
 }
 
 // usual is how a relay's disk is while nothing is wrong with it.
@@ -145,7 +145,7 @@
 		f.end(p, syscall.SIGKILL)
 		state := filepath.Join(f.dir, f.plan.Relays[r].Name, "state")
 		rng := rand.New(rand.NewPCG(f.plan.Relays[r].Seed, uint64(x.count)))
-		d, err := tracedisk.Replay(x.image, f.trace(r), crashdisk.Draw(rng))
+		d, err := tracedisk.Replay(x.image, f.trace(r), crashdisk.KeepRandom(rng))
 		if err != nil {
 			return err
 		}
@@ -155,7 +155,7 @@
 			return err
 		}
 		if x.backlog != nil {
-			if d, err = tracedisk.Replay(x.backlog, f.trace(r)+tracedisk.Backlog, crashdisk.Draw(rng)); err != nil {
+			if d, err = tracedisk.Replay(x.backlog, f.trace(r)+tracedisk.BacklogSuffix, crashdisk.KeepRandom(rng)); err != nil {
 				return err
 			}
 			if err := writeImage(f.backlog(r), d, ofBacklog); err != nil {
@@ -208,7 +208,7 @@
 func (f *Fleet) diskFails(r int, x *plan.Fault) error {
 	words := map[string]string{"disk-full": "full", "disk-sick": "broken", "disk-slow": fmt.Sprintf("slow=%.0fms", x.Size)}
 	say := func(word string) (err error) {
-		for _, trace := range []string{f.trace(r), f.trace(r) + tracedisk.Backlog} {
+		for _, trace := range []string{f.trace(r), f.trace(r) + tracedisk.BacklogSuffix} {
 			err = errors.Join(err, os.WriteFile(trace+".faults", []byte(word), 0o600))
 		}
 		return err
--- a/internal/testbed/scale/relayslope/hollow.go
+++ b/internal/testbed/scale/relayslope/hollow.go
@@ -184,7 +184,7 @@
 	}
 	o := wal.Options{Dir: h.cfg.StateDir, Limit: int64(h.cfg.Limits.DiskMB * 1e6)}
 	if h.cfg.Segments {
-		o.Format, o.Name = wal.Format, h.cfg.Name
+		o.Format, o.Name = wal.SegmentFormat, h.cfg.Name
 	}
 	return writeLog(o, n, func(i int) (class, dest int) { return 1, h.Healthy + i%h.Down })
 }
--- a/internal/testbed/scale/relayslope/log.go
+++ b/internal/testbed/scale/relayslope/log.go
@@ -36,7 +36,7 @@
 func (j *logJob) options() wal.Options {
 	o := wal.Options{Dir: j.Dir, Limit: j.Limit}
 	if j.Segments {
-		o.Format, o.Name = wal.Format, "hollow"
+		o.Format, o.Name = wal.SegmentFormat, "hollow"
 	}
 	return o
 }
@@ -68,7 +68,7 @@
 			m := found.Messages[i]
 			sends = append(sends, wal.Send{Message: m, Attempt: wal.Attempt{N: m.Attempts, Host: "s-00000000", At: at}})
 		}
-		if err := l.Sent(sends...); err != nil {
+		if err := l.RecordSends(sends...); err != nil {
 			return nil, errors.Join(fmt.Errorf("relayslope: %w", err), l.Close())
 		}
 		for _, x := range sends {
--- a/internal/wal/completed.go
+++ b/internal/wal/completed.go
@@ -32,20 +32,20 @@
 }
 
 const (
-	// completedFor is how long an end is remembered, from the message's deadline on, as far as there is room.
-	completedFor = 15 * time.Minute
-	// completedShare is the part of the disk limit that remembered ends may take.
-	completedShare = 0.03
-	// turnedAwayShare is the part that requests may take which were never taken on: a flood of them must not have ends forgotten.
-	turnedAwayShare = 0.005
-	completedLeast  = 64 // of either, on the smallest disk
-
-	digestBytes    = 12
-	completedBytes = digestBytes + 4 + 1 // digest, expiry, completion
-	completedBatch = 2048                // ends in a record
-
-	// notesMost bounds what refusals add to the notes while the log can't write them.
-	notesMost = 4096
+	// completionRetention is how long an end is remembered, from the message's deadline on, as far as there is room.
+	completionRetention = 15 * time.Minute
+	// completionShare is the part of the disk limit that remembered ends may take.
+	completionShare = 0.03
+	// rejectionShare is the part that requests may take which were never taken on: a flood of them must not have ends forgotten.
+	rejectionShare = 0.005
+	minCompletions = 64 // of either, on the smallest disk
+
+	digestBytes          = 12
+	completionBytes      = digestBytes + 4 + 1 // digest, expiry, completion
+	completionsPerRecord = 2048                // ends in a record
+
+	// maxPendingWithRejections bounds what refusals add to the notes while the log can't write them.
+	maxPendingWithRejections = 4096
 )
 
 // traceDigest stands for a trace id, whatever its length. Ids of different messages have the same one with a probability that
@@ -58,25 +58,25 @@
 	return d
 }
 
-// completed is one remembered end.
-type completed struct {
+// completedEntry is one remembered end.
+type completedEntry struct {
 	expiry uint32 // on the log's timeline, in Unix seconds
 	how    Completion
 }
 
-// completions are the ends that are remembered.
-type completions struct {
-	ends    map[traceDigest]completed
+// completionSet are the ends that are remembered.
+type completionSet struct {
+	entries map[traceDigest]completedEntry
 	order   []traceDigest // the oldest first
 	evicted int64         // forgotten for want of room
 }
 
 // put remembers an end. One that is remembered already is not forgotten earlier for it, and a delivery stays one.
-func (c *completions) put(d traceDigest, end completed) {
-	if c.ends == nil {
-		c.ends = map[traceDigest]completed{}
+func (c *completionSet) put(d traceDigest, end completedEntry) {
+	if c.entries == nil {
+		c.entries = map[traceDigest]completedEntry{}
 	}
-	old, known := c.ends[d]
+	old, known := c.entries[d]
 	if !known {
 		c.order = append(c.order, d)
 	}
@@ -84,30 +84,30 @@
 		end.how = Delivered
 	}
 	end.expiry = max(end.expiry, old.expiry)
-	c.ends[d] = end
+	c.entries[d] = end
 }
 
 // prune forgets what has expired by now, and the oldest where there are more than most.
-func (c *completions) prune(now uint32, most int) {
+func (c *completionSet) prune(now uint32, most int) {
 	for len(c.order) > 0 {
 		oldest := c.order[0]
-		expired := c.ends[oldest].expiry <= now
+		expired := c.entries[oldest].expiry <= now
 		if !expired && len(c.order) <= most {
 			return
 		}
 		if !expired {
 			c.evicted++
 		}
-		delete(c.ends, oldest)
+		delete(c.entries, oldest)
 		c.order = c.order[1:]
 	}
 }
 
-// bytes is about what the ends take in a snapshot.
-func (c *completions) bytes() int64 { return int64(len(c.order)) * completedBytes }
+// size is about what the ends take in a snapshot.
+func (c *completionSet) size() int64 { return int64(len(c.order)) * completionBytes }
 
 // records are the ends as records of a snapshot, of a kind.
-func (c *completions) records(kind byte) (all [][]byte) {
+func (c *completionSet) records(kind byte) (all [][]byte) {
 	var packed []byte
 	flush := func() {
 		if len(packed) > 0 {
@@ -116,8 +116,8 @@
 		}
 	}
 	for _, d := range c.order {
-		packed = appendCompleted(packed, d, c.ends[d])
-		if len(packed) >= completedBatch*completedBytes {
+		packed = appendCompleted(packed, d, c.entries[d])
+		if len(packed) >= completionsPerRecord*completionBytes {
 			flush()
 		}
 	}
@@ -125,25 +125,25 @@
 	return all
 }
 
-func appendCompleted(buf []byte, d traceDigest, end completed) []byte {
+func appendCompleted(buf []byte, d traceDigest, end completedEntry) []byte {
 	buf = append(buf, d[:]...)
 	buf = binary.LittleEndian.AppendUint32(buf, end.expiry)
 	return append(buf, byte(end.how))
 }
 
-// remembered is all that is remembered as records of a snapshot.
-func (s *state) remembered() [][]byte {
-	return slices.Concat(s.completed.records(recCompleted), s.turnedAway.records(recTurnedAway))
+// completionRecords is all that is completionRecords as records of a snapshot.
+func (s *state) completionRecords() [][]byte {
+	return slices.Concat(s.completed.records(recCompleted), s.rejected.records(recRejected))
 }
 
-// rememberedBytes is about what that takes.
-func (s *state) rememberedBytes() int64 { return s.completed.bytes() + s.turnedAway.bytes() }
+// completionsSize is about what that takes.
+func (s *state) completionsSize() int64 { return s.completed.size() + s.rejected.size() }
 
-// applyCompleted takes a record of remembered ends that was read.
-func (s *state) applyCompleted(to *completions, packed []byte) {
-	for ; len(packed) >= completedBytes; packed = packed[completedBytes:] {
-		end := completed{expiry: binary.LittleEndian.Uint32(packed[digestBytes:]), how: Completion(packed[completedBytes-1])}
-		if !s.resumed && !s.stamped {
+// applyCompletions takes a record of remembered ends that was read.
+func (s *state) applyCompletions(to *completionSet, packed []byte) {
+	for ; len(packed) >= completionBytes; packed = packed[completionBytes:] {
+		end := completedEntry{expiry: binary.LittleEndian.Uint32(packed[digestBytes:]), how: Completion(packed[completionBytes-1])}
+		if !s.timelineResumed && !s.rawTimes {
 			// The times are another timeline's: nothing tells how long ago it ended.
 			end.expiry = max(end.expiry, s.expiry(clock.Now()))
 		}
@@ -153,12 +153,12 @@
 
 // expiry is when the end of a message with a deadline may be forgotten.
 func (s *state) expiry(deadline time.Time) uint32 {
-	return uint32(s.times.Stamp(deadline).Add(completedFor).Unix())
+	return uint32(s.times.Stamp(deadline).Add(completionRetention).Unix())
 }
 
-// complete remembers the end of m.
-func (s *state) complete(m *Message, how Completion) {
-	s.completed.put(digestOf(m.Trace), completed{s.expiry(m.Deadline), how})
+// rememberCompletion remembers the end of m.
+func (s *state) rememberCompletion(m *Message, how Completion) {
+	s.completed.put(digestOf(m.Trace), completedEntry{s.expiry(m.Deadline), how})
 }
 
 // Complete notes how m has ended: nothing more is owed for it, and its trace id is remembered.
@@ -167,50 +167,50 @@
 		return
 	}
 	l.end(m, how)
-	l.complete(m, how)
-	l.pruneCompleted()
+	l.rememberCompletion(m, how)
+	l.pruneCompletions()
 }
 
-// Remember notes the end of a message that is not in the log.
-func (l *Log) Remember(trace string, deadline time.Time, how Completion) {
-	l.remember(&l.completed, recCompleted, trace, deadline, how)
+// RememberCompletion notes the end of a message that is not in the log.
+func (l *Log) RememberCompletion(trace string, deadline time.Time, how Completion) {
+	l.recordCompletion(&l.completed, recCompleted, trace, deadline, how)
 }
 
-// TurnAway notes that a request is not taken on. Where the log has long written nothing, this process alone remembers it.
-func (l *Log) TurnAway(trace string, deadline time.Time, how Completion) {
-	if len(l.notes) >= notesMost {
-		l.turnedAway.put(digestOf(trace), completed{l.expiry(deadline), how})
-		l.pruneCompleted()
+// RememberRejection notes that a request is not taken on. Where the log has long written nothing, this process alone remembers it.
+func (l *Log) RememberRejection(trace string, deadline time.Time, how Completion) {
+	if len(l.pending) >= maxPendingWithRejections {
+		l.rejected.put(digestOf(trace), completedEntry{l.expiry(deadline), how})
+		l.pruneCompletions()
 		return
 	}
-	l.remember(&l.turnedAway, recTurnedAway, trace, deadline, how)
+	l.recordCompletion(&l.rejected, recRejected, trace, deadline, how)
 }
 
-func (l *Log) remember(in *completions, kind byte, trace string, deadline time.Time, how Completion) {
-	d, end := digestOf(trace), completed{l.expiry(deadline), how}
-	l.notes = append(l.notes, payload(record{Kind: kind}, appendCompleted(nil, d, end)))
+func (l *Log) recordCompletion(in *completionSet, kind byte, trace string, deadline time.Time, how Completion) {
+	d, end := digestOf(trace), completedEntry{l.expiry(deadline), how}
+	l.pending = append(l.pending, payload(record{Kind: kind}, appendCompleted(nil, d, end)))
 	in.put(d, end)
-	l.pruneCompleted()
+	l.pruneCompletions()
 }
 
 // Completed tells how the message with a trace id has ended, or the request that was turned away; false if none is remembered.
 func (l *Log) Completed(trace string) (Completion, bool) {
 	d := digestOf(trace)
-	end, ok := l.completed.ends[d]
+	end, ok := l.completed.entries[d]
 	if !ok {
-		end, ok = l.turnedAway.ends[d]
+		end, ok = l.rejected.entries[d]
 	}
 	return end.how, ok
 }
 
-// Remembered is how many ends are remembered, and how many were forgotten before their time for want of room.
-func (l *Log) Remembered() (now int, evicted int64) {
+// CompletionStats is how many ends are remembered, and how many were forgotten before their time for want of room.
+func (l *Log) CompletionStats() (now int, evicted int64) {
 	return len(l.completed.order), l.completed.evicted
 }
 
-func (l *Log) pruneCompleted() {
+func (l *Log) pruneCompletions() {
 	now := uint32(l.times.Stamp(clock.Now()).Unix())
-	most := func(share float64) int { return max(completedLeast, int(l.share(share)/completedBytes)) }
-	l.completed.prune(now, most(completedShare))
-	l.turnedAway.prune(now, most(turnedAwayShare))
+	most := func(share float64) int { return max(minCompletions, int(l.share(share)/completionBytes)) }
+	l.completed.prune(now, most(completionShare))
+	l.rejected.prune(now, most(rejectionShare))
 }
--- a/internal/wal/completed_test.go
+++ b/internal/wal/completed_test.go
@@ -12,14 +12,14 @@
 )
 
 // The ways in which a log is kept.
-var logKinds = []Options{{}, {Format: Format}, {Format: Format, Power: true}}
+var logVariants = []Options{{}, {Format: SegmentFormat}, {Format: SegmentFormat, SyncWrites: true}}
 
-func (o Options) on(d disk.FS, limit int64) Options {
+func (o Options) onDisk(d disk.FS, limit int64) Options {
 	o.FS, o.Limit, o.Name = d, limit, "n3"
 	return o
 }
 
-func openKind(t *testing.T, o Options) *Log {
+func mustOpen(t *testing.T, o Options) *Log {
 	t.Helper()
 	l, _, err := OpenWith(o)
 	must(t, err)
@@ -37,17 +37,17 @@
 	return m
 }
 
-func TestAnEndIsForgottenByNoRestartOrCompaction(t *testing.T) {
-	for i, first := range logKinds {
-		for k, second := range logKinds {
+func TestCompletionsSurviveRestartAndCompaction(t *testing.T) {
+	for i, first := range logVariants {
+		for k, second := range logVariants {
 			t.Run(fmt.Sprint(i, " then ", k), func(t *testing.T) {
 				d := crashdisk.New()
-				l := openKind(t, first.on(d, 1<<20))
+				l := mustOpen(t, first.onDisk(d, 1<<20))
 				var all []*Message
 				for id, how := range []Completion{Delivered, Refused, Failed} {
 					all = append(all, completeNew(t, l, uint32(id+1), how))
 				}
-				l.Remember("elsewhere", time.Now().Add(time.Minute), Refused)
+				l.RememberCompletion("elsewhere", time.Now().Add(time.Minute), Refused)
 				moved := message(9)
 				must(t, l.Accept(moved))
 				l.End(moved)
@@ -68,12 +68,12 @@
 				check("at first")
 				must(t, l.Flush())
 				l.Close()
-				l = openKind(t, second.on(d, 1<<20))
+				l = mustOpen(t, second.onDisk(d, 1<<20))
 				check("after a restart")
 				must(t, l.compact())
 				check("after a compaction")
 				l.Close()
-				l = openKind(t, first.on(d, 1<<20))
+				l = mustOpen(t, first.onDisk(d, 1<<20))
 				check("after a second restart")
 				l.Close()
 			})
@@ -81,20 +81,20 @@
 	}
 }
 
-func TestRememberedEndsTakeABoundedPartOfDiskAndMemory(t *testing.T) {
+func TestCompletionsAreBounded(t *testing.T) {
 	const ends = 12_000
 	limit := int64(3_000_000)
-	for i, o := range logKinds {
+	for i, o := range logVariants {
 		t.Run(fmt.Sprint(i), func(t *testing.T) {
-			l := openKind(t, o.on(disk.Dir(t.TempDir()), limit))
+			l := mustOpen(t, o.onDisk(disk.Dir(t.TempDir()), limit))
 			for id := range uint32(ends) {
 				completeNew(t, l, id+1, Delivered)
 				if l.Size() > limit {
 					t.Fatalf("%d bytes on disk of %d", l.Size(), limit)
 				}
 			}
-			most := int(completedShare * float64(limit) / completedBytes)
-			if n, evicted := l.Remembered(); n != most || evicted != int64(ends-most) {
+			most := int(completionShare * float64(limit) / completionBytes)
+			if n, evicted := l.CompletionStats(); n != most || evicted != int64(ends-most) {
 				t.Errorf("%d remembered, %d evicted; want %d", n, evicted, most)
 			}
 			if _, ok := l.Completed(message(ends).Trace); !ok {
@@ -106,11 +106,11 @@
 	}
 }
 
-func TestAnEndIsForgottenAfterItsTime(t *testing.T) {
-	l := openKind(t, Options{}.on(crashdisk.New(), 1<<20))
+func TestCompletionsExpire(t *testing.T) {
+	l := mustOpen(t, Options{}.onDisk(crashdisk.New(), 1<<20))
 	defer l.Close()
-	l.Remember("old", time.Now().Add(-completedFor-time.Minute), Delivered)
-	l.Remember("new", time.Now(), Delivered)
+	l.RememberCompletion("old", time.Now().Add(-completionRetention-time.Minute), Delivered)
+	l.RememberCompletion("new", time.Now(), Delivered)
 	if _, ok := l.Completed("old"); ok {
 		t.Error("remembered for too long")
 	}
@@ -119,41 +119,41 @@
 	}
 }
 
-func TestRefusalsWhileTheLogFailsTakeABoundedPartOfMemory(t *testing.T) {
+func TestRejectionsDuringDiskFailureAreBounded(t *testing.T) {
 	d := crashdisk.New()
-	l := openKind(t, Options{}.on(d, 1<<20))
+	l := mustOpen(t, Options{}.onDisk(d, 1<<20))
 	d.Fail = func(op, _ string) error { return errors.New("input/output error") }
-	for i := range 3 * notesMost {
-		l.TurnAway(fmt.Sprint(i), time.Now(), Refused)
+	for i := range 3 * maxPendingWithRejections {
+		l.RememberRejection(fmt.Sprint(i), time.Now(), Refused)
 		if i%256 == 0 {
 			l.Flush()
 		}
 	}
-	if len(l.notes) > notesMost {
-		t.Errorf("%d notes wait", len(l.notes))
+	if len(l.pending) > maxPendingWithRejections {
+		t.Errorf("%d notes wait", len(l.pending))
 	}
-	if _, ok := l.Completed(fmt.Sprint(3*notesMost - 1)); !ok {
+	if _, ok := l.Completed(fmt.Sprint(3*maxPendingWithRejections - 1)); !ok {
 		t.Error("the last refusal is forgotten")
 	}
 	d.Fail = nil
-	eventuallyTends(t, l)
+	waitForRecovery(t, l)
 	l.Close()
 }
 
-// eventuallyTends waits until the log goes on.
-func eventuallyTends(t *testing.T, l *Log) {
+// waitForRecovery waits until the log goes on.
+func waitForRecovery(t *testing.T, l *Log) {
 	t.Helper()
-	for end := time.Now().Add(10 * time.Second); !l.Tend(); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(10 * time.Second); !l.TryRecover(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatal("the log does not go on")
 		}
 	}
 }
 
-// endBytesMost is what an end that is remembered may take of memory.
-const endBytesMost = 100
+// maxCompletionMemory is what an end that is remembered may take of memory.
+const maxCompletionMemory = 100
 
-func TestARememberedEndTakesUnder100Bytes(t *testing.T) {
+func TestCompletionMemorySize(t *testing.T) {
 	const ends = 5_000
 	heap := func() uint64 {
 		var stats runtime.MemStats
@@ -161,37 +161,37 @@
 		runtime.ReadMemStats(&stats)
 		return stats.HeapAlloc
 	}
-	var c completions
+	var c completionSet
 	before := heap()
 	for i := range 4 * ends {
-		c.put(digestOf(fmt.Sprint(i)), completed{1000, Delivered})
+		c.put(digestOf(fmt.Sprint(i)), completedEntry{1000, Delivered})
 		c.prune(0, ends)
 	}
-	if each := float64(heap()-before) / ends; each > endBytesMost {
+	if each := float64(heap()-before) / ends; each > maxCompletionMemory {
 		t.Errorf("%.0f bytes for each end", each)
 	}
 	runtime.KeepAlive(&c)
 }
 
-func TestAStartWithRememberedEndsIsAsQuick(t *testing.T) {
+func TestCompletionsDoNotSlowStart(t *testing.T) {
 	const (
 		ends     = 16 * 255 // of 16 s at the target of the page of capacity
 		moreMost = 50 * time.Millisecond
 	)
-	for i, o := range logKinds {
+	for i, o := range logVariants {
 		start := func(ends int) time.Duration {
-			o := o.on(disk.Dir(t.TempDir()), 3_000_000)
-			l := openKind(t, o)
+			o := o.onDisk(disk.Dir(t.TempDir()), 3_000_000)
+			l := mustOpen(t, o)
 			for n := range ends {
-				l.Remember(fmt.Sprint(n), time.Now(), Delivered)
+				l.RememberCompletion(fmt.Sprint(n), time.Now(), Delivered)
 			}
 			must(t, l.Flush())
 			must(t, l.compact())
 			l.Close()
 			began := time.Now()
-			l = openKind(t, o)
+			l = mustOpen(t, o)
 			took := time.Since(began)
-			if n, _ := l.Remembered(); n != ends {
+			if n, _ := l.CompletionStats(); n != ends {
 				t.Errorf("%d ends are remembered", n)
 			}
 			l.Close()
@@ -205,8 +205,8 @@
 	}
 }
 
-// BenchmarkEnds is what a message costs the log from its acceptance to its end, remembered or not.
-func BenchmarkEnds(b *testing.B) {
+// BenchmarkCompletion is what a message costs the log from its acceptance to its end, remembered or not.
+func BenchmarkCompletion(b *testing.B) {
 	for name, end := range map[string]func(*Log, *Message){
 		"forgotten": (*Log).End,
 		"remembered": func(l *Log, m *Message) {
@@ -216,7 +216,7 @@
 		},
 	} {
 		b.Run(name, func(b *testing.B) {
-			l, _, err := OpenWith(Options{}.on(disk.Dir(b.TempDir()), 3_000_000))
+			l, _, err := OpenWith(Options{}.onDisk(disk.Dir(b.TempDir()), 3_000_000))
 			if err != nil {
 				b.Fatal(err)
 			}
--- a/internal/wal/crash_test.go
+++ b/internal/wal/crash_test.go
@@ -14,41 +14,41 @@
 	"onyxroad.dev/onyxroad/internal/disk/crashdisk"
 )
 
-// A driver has a log live through a drawn history, as a relay would: effects are let out only once they are durable. At
+// A crashTester has a log live through a drawn history, as a relay would: effects are let out only once they are durable. At
 // every change of the disk it has the power fail, in every state that may leave or in drawn ones, and checks what a start
 // makes of each.
-type driver struct {
-	t      *testing.T
-	rng    *rand.Rand
-	disk   *crashdisk.Disk
-	log    *Log
-	told   chan struct{}
-	states *atomic.Int64
-	limit  int64
+type crashTester struct {
+	t        *testing.T
+	rng      *rand.Rand
+	disk     *crashdisk.Disk
+	log      *Log
+	notified chan struct{}
+	states   *atomic.Int64
+	limit    int64
 
-	gate sync.RWMutex // held by the driver: no sync comes to its end
+	syncGate sync.RWMutex // held by the driver: no sync comes to its end
 
-	mu       sync.Mutex // guards what follows: promises are made while no state is looked at
-	draw     *rand.Rand
-	taken    map[uint32]*Message // acknowledged
-	ran      map[uint32][]int    // attempts whose first byte may have left
-	never    map[uint32][]int    // attempts that are known not to have run
-	final    map[uint32]Final    // notices that were told
-	ended    map[uint32]bool
-	complete []*Message // whose ends are to be remembered, the last ones
-	deep     bool       // crashes in mid-recovery are tried too
-	finished bool
+	mu                  sync.Mutex // guards what follows: promises are made while no state is looked at
+	stateRNG            *rand.Rand
+	accepted            map[uint32]*Message // acknowledged
+	mayRun              map[uint32][]int    // attempts whose first byte may have left
+	neverRan            map[uint32][]int    // attempts that are known not to have run
+	final               map[uint32]Final    // notices that were told
+	ended               map[uint32]bool
+	completed           []*Message // whose ends are to be remembered, the last ones
+	crashDuringRecovery bool       // crashes in mid-recovery are tried too
+	finished            bool
 }
 
-func newDriver(t *testing.T, seed uint64, states *atomic.Int64) *driver {
-	x := &driver{t: t, rng: rand.New(rand.NewPCG(seed, 1)), draw: rand.New(rand.NewPCG(seed, 2)), disk: crashdisk.New(),
-		told: make(chan struct{}, 1), states: states, limit: 14_000, taken: map[uint32]*Message{}, ran: map[uint32][]int{},
-		never: map[uint32][]int{}, final: map[uint32]Final{}, ended: map[uint32]bool{}, deep: true}
-	x.disk.After = func(op, name string) { x.powerFails(op + " " + name) }
+func newCrashTester(t *testing.T, seed uint64, states *atomic.Int64) *crashTester {
+	x := &crashTester{t: t, rng: rand.New(rand.NewPCG(seed, 1)), stateRNG: rand.New(rand.NewPCG(seed, 2)), disk: crashdisk.New(),
+		notified: make(chan struct{}, 1), states: states, limit: 14_000, accepted: map[uint32]*Message{}, mayRun: map[uint32][]int{},
+		neverRan: map[uint32][]int{}, final: map[uint32]Final{}, ended: map[uint32]bool{}, crashDuringRecovery: true}
+	x.disk.After = func(op, name string) { x.checkPowerLoss(op + " " + name) }
 	x.disk.Fail = func(op, _ string) error {
 		if op == "sync" {
-			x.gate.RLock()
-			x.gate.RUnlock() //lint:ignore SA2001 it waits until the gate opens
+			x.syncGate.RLock()
+			x.syncGate.RUnlock() //lint:ignore SA2001 it waits until the gate opens
 		}
 		return nil
 	}
@@ -56,11 +56,11 @@
 	return x
 }
 
-func (x *driver) open() {
+func (x *crashTester) open() {
 	x.t.Helper()
-	l, _, err := OpenWith(Options{FS: x.disk, Limit: x.limit, Name: "n3", Format: Format, Power: true, Told: func() {
+	l, _, err := OpenWith(Options{FS: x.disk, Limit: x.limit, Name: "n3", Format: SegmentFormat, SyncWrites: true, Notify: func() {
 		select {
-		case x.told <- struct{}{}:
+		case x.notified <- struct{}{}:
 		default:
 		}
 	}})
@@ -70,82 +70,82 @@
 	x.log = l
 }
 
-// settle waits until all that was written is durable and no snapshot is under way.
-func (x *driver) settle() {
-	s := x.log.keep.(*segments)
+// waitIdle waits until all that was written is durable and no snapshot is under way.
+func (x *crashTester) waitIdle() {
+	s := x.log.backend.(*segmentedLog)
 	for {
 		s.mu.Lock()
-		quiet := !s.renewing && (s.durable == s.written || s.failed != nil)
+		quiet := !s.snapshotting && (s.durable == s.written || s.failed != nil)
 		s.mu.Unlock()
 		if quiet {
 			return
 		}
-		<-x.told
+		<-x.notified
 	}
 }
 
-// powerFails looks at what a loss of power now would leave.
-func (x *driver) powerFails(when string) {
+// checkPowerLoss looks at what a loss of power now would leave.
+func (x *crashTester) checkPowerLoss(when string) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	if x.finished {
 		return
 	}
-	n := x.disk.Pieces()
+	n := x.disk.PendingPieces()
 	if n <= 6 {
 		for i := range uint64(1) << n {
-			x.check(x.disk.Crash(crashdisk.Number(i)), when, x.deep && i%5 == 0)
+			x.check(x.disk.Crash(crashdisk.KeepBits(i)), when, x.crashDuringRecovery && i%5 == 0)
 		}
 		return
 	}
 	for i := range 24 {
-		x.check(x.disk.Crash(crashdisk.Draw(x.draw)), when, x.deep && i == 0)
+		x.check(x.disk.Crash(crashdisk.KeepRandom(x.stateRNG)), when, x.crashDuringRecovery && i == 0)
 	}
-	x.check(x.disk.Copy(), when, false)
+	x.check(x.disk.AfterKill(), when, false)
 }
 
 // check has a start read a folder, and perhaps lose power in the middle of that.
-func (x *driver) check(d *crashdisk.Disk, when string, deep bool) {
+func (x *crashTester) check(d *crashdisk.Disk, when string, deep bool) {
 	x.states.Add(1)
-	text := d.Text()
+	text := d.Listing()
 	if deep {
-		first, draw := true, x.draw
+		first, draw := true, x.stateRNG
 		d.After = func(string, string) {
 			for range 2 {
-				x.check(d.Crash(crashdisk.Draw(draw)), when+", then in mid-recovery", false)
+				x.check(d.Crash(crashdisk.KeepRandom(draw)), when+", then in mid-recovery", false)
 			}
 			first = false
 		}
 		_ = first
 	}
-	l, found, err := OpenWith(Options{FS: d, Limit: x.limit, Name: "n3", Format: Format, Power: true})
+	l, found, err := OpenWith(Options{FS: d, Limit: x.limit, Name: "n3", Format: SegmentFormat, SyncWrites: true})
 	if err != nil {
 		x.t.Errorf("%s, %s: no start: %v", when, text, err)
 		return
 	}
 	d.After = nil
 	defer l.Close()
-	if !found.Report.Sound() {
-		x.t.Errorf("%s, %s: %s", when, text, found.Report.Words())
+	if !found.Report.Intact() {
+		x.t.Errorf("%s, %s: %s", when, text, found.Report.Summary())
 	}
 	live := map[uint32]*Message{}
 	for _, m := range found.Messages {
 		live[m.ID] = m
-		for _, n := range x.ran[m.ID] {
-			if !slices.Contains(x.never[m.ID], n) && !slices.ContainsFunc(m.MayRun, func(a Attempt) bool { return a.N == n }) {
+		for _, n := range x.mayRun[m.ID] {
+			if !slices.Contains(x.neverRan[m.ID], n) && !slices.ContainsFunc(m.MayRun, func(a Attempt) bool { return a.N == n }) {
 				x.t.Errorf("%s, %s: message %d may have run in attempt %d, and nothing tells: %+v", when, text, m.ID, n, m.MayRun)
 			}
 		}
-		if m.Attempts < len(x.ran[m.ID]) {
-			x.t.Errorf("%s: message %d: %d attempts, %d told", when, m.ID, len(x.ran[m.ID]), m.Attempts)
+		if m.Attempts < len(x.mayRun[m.ID]) {
+			x.t.Errorf("%s: message %d: %d attempts, %d told", when, m.ID, len(x.mayRun[m.ID]), m.Attempts)
 		}
 	}
-	for _, m := range x.complete {
+	for _, m := range x.completed {
 		if _, ok := l.Completed(m.Trace); !ok {
 			x.t.Errorf("%s, %s: the end of message %d is forgotten", when, text, m.ID)
 		}
 	}
-	for id, m := range x.taken {
+	for id, m := range x.accepted {
 		got := live[id]
 		switch {
 		case x.ended[id]:
@@ -160,13 +160,13 @@
 }
 
 // live lists the messages that are held, by number.
-func (x *driver) live() []*Message { return x.log.messages() }
+func (x *crashTester) live() []*Message { return x.log.messages() }
 
 // step does one thing, or several between two syncs.
-func (x *driver) step(next *uint32) {
+func (x *crashTester) step(next *uint32) {
 	held := x.rng.IntN(3) == 0
 	if held {
-		x.gate.Lock()
+		x.syncGate.Lock()
 	}
 	var promises []func()
 	for range 1 + x.rng.IntN(4) {
@@ -191,7 +191,7 @@
 			} else {
 				promises = append(promises, func() {
 					for _, m := range in {
-						x.taken[m.ID] = m
+						x.accepted[m.ID] = m
 					}
 				})
 			}
@@ -201,24 +201,24 @@
 				continue
 			}
 			a := Attempt{N: m.Attempts, Host: "s-1", At: noon}
-			if err := x.log.Sent(Send{m, a}); errors.Is(err, ErrFull) {
+			if err := x.log.RecordSends(Send{m, a}); errors.Is(err, ErrFull) {
 				continue
 			} else if err != nil {
 				x.t.Fatal(err)
 			}
-			promises = append(promises, func() { x.ran[m.ID] = append(x.ran[m.ID], a.N) })
+			promises = append(promises, func() { x.mayRun[m.ID] = append(x.mayRun[m.ID], a.N) })
 		case k == 6:
 			if m := pick(); len(m.MayRun) > 0 {
 				n := m.MayRun[len(m.MayRun)-1].N
 				x.mu.Lock()
-				x.never[m.ID] = append(x.never[m.ID], n)
+				x.neverRan[m.ID] = append(x.neverRan[m.ID], n)
 				x.mu.Unlock()
 				x.log.NeverRan(m, n)
 			}
 		case k == 7:
 			if m := pick(); m.Final == nil && !m.Withdrawn {
 				f := Final{Deferred: true, Again: time.Second}
-				x.log.Decide(m, f)
+				x.log.SetFinal(m, f)
 				promises = append(promises, func() { x.final[m.ID] = f })
 			}
 		case k == 8:
@@ -230,8 +230,8 @@
 				x.mu.Unlock()
 				x.log.Complete(m, Delivered)
 				promises = append(promises, func() {
-					x.complete = append(x.complete, m)
-					x.complete = x.complete[max(0, len(x.complete)-completedLeast/2):]
+					x.completed = append(x.completed, m)
+					x.completed = x.completed[max(0, len(x.completed)-minCompletions/2):]
 				})
 			}
 		default:
@@ -242,12 +242,12 @@
 	}
 	err := x.log.Flush()
 	if held {
-		x.gate.Unlock()
+		x.syncGate.Unlock()
 	}
 	if err != nil && !errors.Is(err, ErrFull) {
 		x.t.Fatal(err)
 	}
-	x.settle()
+	x.waitIdle()
 	if err == nil {
 		x.mu.Lock()
 		for _, p := range promises {
@@ -257,21 +257,21 @@
 	}
 }
 
-func (x *driver) end(m *Message) {
+func (x *crashTester) end(m *Message) {
 	x.mu.Lock()
 	x.ended[m.ID] = true
 	x.mu.Unlock()
 	x.log.End(m)
 }
 
-// TestNoCrashStateLosesAPromise has the power fail in over 100,000 states of drawn histories.
-func TestNoCrashStateLosesAPromise(t *testing.T) {
+// TestPowerLossKeepsDurableState has the power fail in over 100,000 states of drawn histories.
+func TestPowerLossKeepsDurableState(t *testing.T) {
 	var states atomic.Int64
 	t.Run("histories", func(t *testing.T) {
 		for seed := range uint64(10) {
 			t.Run(fmt.Sprint(seed), func(t *testing.T) {
 				t.Parallel()
-				x := newDriver(t, seed, &states)
+				x := newCrashTester(t, seed, &states)
 				next := uint32(0)
 				for i := range 60 {
 					x.step(&next)
@@ -279,13 +279,13 @@
 					case t.Failed():
 						return
 					case i%20 == 13: // the process is killed, and starts again
-						x.settle()
+						x.waitIdle()
 						x.log.Close()
 						x.open()
 					case i%20 == 19: // the power fails
-						x.settle()
+						x.waitIdle()
 						x.mu.Lock()
-						d := x.disk.Crash(crashdisk.Draw(x.draw))
+						d := x.disk.Crash(crashdisk.KeepRandom(x.stateRNG))
 						x.mu.Unlock()
 						d.After, d.Fail = x.disk.After, x.disk.Fail
 						x.log.Close()
--- a/internal/wal/faults_test.go
+++ b/internal/wal/faults_test.go
@@ -11,56 +11,56 @@
 	"onyxroad.dev/onyxroad/internal/disk/faultdisk"
 )
 
-// faulty is a folder whose calls of some kinds fail while it is sick.
-type faulty struct {
+// failingDisk is a folder whose calls of some kinds fail while it is sick.
+type failingDisk struct {
 	*faultdisk.Disk
-	sick  []faultdisk.Op
-	reach faultdisk.Reach
-	times int // calls that still fail; -1: all
+	ops    []faultdisk.Op
+	extent faultdisk.Extent
+	times  int // calls that still fail; -1: all
 }
 
-func newFaulty(dir string) *faulty {
-	f := &faulty{}
+func newFailingDisk(dir string) *failingDisk {
+	f := &failingDisk{}
 	f.Disk = &faultdisk.Disk{FS: disk.Dir(dir), Fail: func(op faultdisk.Op, _ string) faultdisk.Fault {
-		if f.times == 0 || !slices.Contains(f.sick, op) {
+		if f.times == 0 || !slices.Contains(f.ops, op) {
 			return faultdisk.Fault{}
 		}
 		f.times--
-		return faultdisk.Fault{Err: syscall.EIO, Reach: f.reach}
+		return faultdisk.Fault{Err: syscall.EIO, Extent: f.extent}
 	}}
 	return f
 }
 
-func (f *faulty) fail(times int, reach faultdisk.Reach, ops ...faultdisk.Op) {
-	f.sick, f.reach, f.times = ops, reach, times
+func (f *failingDisk) fail(times int, reach faultdisk.Extent, ops ...faultdisk.Op) {
+	f.ops, f.extent, f.times = ops, reach, times
 }
 
-func (f *faulty) options(format int) Options {
-	return Options{FS: f, Limit: roomy, Format: format, Name: "n3"}
+func (f *failingDisk) options(format int) Options {
+	return Options{FS: f, Limit: ampleLimit, Format: format, Name: "n3"}
 }
 
 var (
-	formats = []int{1, Format}
-	reaches = []faultdisk.Reach{faultdisk.Nothing, faultdisk.Part, faultdisk.All}
+	formats = []int{1, SegmentFormat}
+	extents = []faultdisk.Extent{faultdisk.None, faultdisk.Part, faultdisk.Full}
 )
 
 // A client that was told of a refusal hands its message in anew: it must not come back from the log as well. Where nothing can
 // be made of the failed write, the error says so. What was taken on before and after it stays, undamaged.
-func TestAMessageWhoseWriteFailedDoesNotComeBack(t *testing.T) {
+func TestFailedAcceptIsNotRecovered(t *testing.T) {
 	for _, format := range formats {
-		for _, reach := range reaches {
+		for _, reach := range extents {
 			for _, cleanup := range []bool{true, false} {
 				for _, later := range []int{0, 1, 2} {
 					name := fmt.Sprintf("format %d, reach %d, cleaned up %v, %d later", format, reach, cleanup, later)
 					t.Run(name, func(t *testing.T) {
 						dir := t.TempDir()
-						f := newFaulty(dir)
+						f := newFailingDisk(dir)
 						l, _, err := OpenWith(f.options(format))
 						must(t, err)
 						must(t, l.Accept(message(1), message(2)))
 						sick := []faultdisk.Op{faultdisk.Write}
 						if !cleanup {
-							sick = faultdisk.Changing
+							sick = faultdisk.MutatingOps
 						}
 						times := -1
 						if cleanup {
@@ -71,7 +71,7 @@
 						if err == nil {
 							t.Fatal("taken on though the write failed")
 						}
-						unclear := errors.Is(err, ErrUnclear)
+						unclear := errors.Is(err, ErrIndeterminate)
 						if unclear && cleanup {
 							t.Errorf("unclear though it could be cleaned up: %v", err)
 						}
@@ -82,13 +82,13 @@
 							m := message(id)
 							m.Key = "" // shorter than what it may stand over
 							m.Body = nil
-							eventuallyAccepted(t, l, m)
+							acceptAfterRecovery(t, l, m)
 							want += fmt.Sprint(id, " ")
 						}
 						if !unclear || later > 0 {
-							_, found, err := OpenWith(newFaulty(dir).options(format))
+							_, found, err := OpenWith(newFailingDisk(dir).options(format))
 							must(t, err)
-							if got := ids(found); got != want || found.Damaged || found.Report != nil && !found.Report.Sound() {
+							if got := foundIDs(found); got != want || found.Damaged || found.Report != nil && !found.Report.Intact() {
 								t.Errorf("found %q, damaged %v, report %+v; want %q", got, found.Damaged, found.Report, want)
 							}
 						}
@@ -99,35 +99,35 @@
 	}
 }
 
-// eventuallyAccepted takes a message on, once the log has found that the disk is well again.
-func eventuallyAccepted(t *testing.T, l *Log, m *Message) {
+// acceptAfterRecovery takes a message on, once the log has found that the disk is well again.
+func acceptAfterRecovery(t *testing.T, l *Log, m *Message) {
 	t.Helper()
 	var err error
 	for range 100 {
-		l.Tend()
+		l.TryRecover()
 		if err = l.Accept(m); err == nil {
 			return
 		}
-		backdate(l)
+		skipRetryInterval(l)
 	}
 	t.Fatal(err)
 }
 
-// backdate lets the pause pass between two attempts to go on.
-func backdate(l *Log) {
-	if s, ok := l.keep.(*segments); ok {
+// skipRetryInterval lets the pause pass between two attempts to go on.
+func skipRetryInterval(l *Log) {
+	if s, ok := l.backend.(*segmentedLog); ok {
 		s.mu.Lock()
-		s.tried = s.tried.Add(-renewAfter)
+		s.lastFailedTry = s.lastFailedTry.Add(-recoveryRetryInterval)
 		s.mu.Unlock()
 	}
 }
 
 // No call of a start that changes the folder may refuse it, whichever fails: what was owed is read, and new work is taken on
 // once the disk is well again.
-func TestAStartOutlastsAFailingDisk(t *testing.T) {
+func TestStartWithFailingDisk(t *testing.T) {
 	for _, format := range formats {
 		for _, torn := range []bool{false, true} {
-			for _, reach := range reaches {
+			for _, reach := range extents {
 				for times := 1; times <= 6; times++ {
 					for _, empty := range []bool{false, true} {
 						name := fmt.Sprintf("format %d, torn %v, reach %d, the first %d calls, empty %v", format, torn, reach, times, empty)
@@ -135,28 +135,28 @@
 							dir := t.TempDir()
 							want := ""
 							if !empty {
-								l, _, err := OpenWith(newFaulty(dir).options(format))
+								l, _, err := OpenWith(newFailingDisk(dir).options(format))
 								must(t, err)
 								must(t, l.Accept(message(1), message(2)))
 								want = "1 2 "
 								if torn {
-									f := newFaulty(dir)
-									tear(t, f, format)
+									f := newFailingDisk(dir)
+									appendTornRecord(t, f, format)
 								}
 							}
-							f := newFaulty(dir)
-							f.fail(times, reach, faultdisk.Changing...)
+							f := newFailingDisk(dir)
+							f.fail(times, reach, faultdisk.MutatingOps...)
 							l, found, err := OpenWith(f.options(format))
 							if err != nil {
 								t.Fatalf("refused: %v", err)
 							}
-							if got := ids(found); got != want || found.Damaged {
+							if got := foundIDs(found); got != want || found.Damaged {
 								t.Errorf("found %q, damaged %v; want %q", got, found.Damaged, want)
 							}
-							eventuallyAccepted(t, l, message(9))
-							_, found, err = OpenWith(newFaulty(dir).options(format))
+							acceptAfterRecovery(t, l, message(9))
+							_, found, err = OpenWith(newFailingDisk(dir).options(format))
 							must(t, err)
-							if got := ids(found); got != want+"9 " || found.Damaged {
+							if got := foundIDs(found); got != want+"9 " || found.Damaged {
 								t.Errorf("at the next start: found %q, damaged %v", got, found.Damaged)
 							}
 						})
@@ -167,15 +167,15 @@
 	}
 }
 
-// tear leaves half a record at the end of the file that is written.
-func tear(t *testing.T, f *faulty, format int) {
+// appendTornRecord leaves half a record at the end of the file that is written.
+func appendTornRecord(t *testing.T, f *failingDisk, format int) {
 	t.Helper()
 	names, err := f.Names()
 	must(t, err)
-	last := name
-	if format == Format {
+	last := logName
+	if format == SegmentFormat {
 		for _, n := range names {
-			if _, ok := generation(segPrefix, n); ok {
+			if _, ok := parseGeneration(segPrefix, n); ok {
 				last = n
 			}
 		}
@@ -190,26 +190,26 @@
 }
 
 // A compaction that fails, and may have had its effect, leaves a log that is read and written in one place.
-func TestACompactionThatFailsLosesNothing(t *testing.T) {
+func TestFailedCompactionLosesNothing(t *testing.T) {
 	for _, format := range formats {
-		for _, op := range faultdisk.Changing {
-			for _, reach := range reaches {
+		for _, op := range faultdisk.MutatingOps {
+			for _, reach := range extents {
 				for _, times := range []int{1, 2, 3, -1} {
 					t.Run(fmt.Sprintf("format %d, %s, reach %d, %d times", format, op, reach, times), func(t *testing.T) {
 						dir := t.TempDir()
-						f := newFaulty(dir)
+						f := newFailingDisk(dir)
 						l, _, err := OpenWith(f.options(format))
 						must(t, err)
 						must(t, l.Accept(message(1), message(2)))
 						f.fail(times, reach, op)
 						l.compact()
 						f.fail(0, 0)
-						eventuallyAccepted(t, l, message(3))
+						acceptAfterRecovery(t, l, message(3))
 						l.End(l.live[1])
 						must(t, l.Flush())
-						_, found, err := OpenWith(newFaulty(dir).options(format))
+						_, found, err := OpenWith(newFailingDisk(dir).options(format))
 						must(t, err)
-						if got := ids(found); got != "2 3 " || found.Damaged {
+						if got := foundIDs(found); got != "2 3 " || found.Damaged {
 							t.Errorf("found %q, damaged %v", got, found.Damaged)
 						}
 					})
--- a/internal/wal/frame.go
+++ b/internal/wal/frame.go
@@ -12,7 +12,7 @@
 // disk when the frame was written, a checksum, the payload. The checksum covers the file's generation and the frame's place
 // in it too, so that neither a stale sector nor one at a wrong place passes for a record, whatever length it claims.
 
-const frameBytes = 12
+const frameHeaderBytes = 12
 
 // castagnoli is made when it is first used: a relay without segments shall not pay for it at its start.
 var castagnoli = sync.OnceValue(func() *crc32.Table { return crc32.MakeTable(crc32.Castagnoli) })
@@ -27,7 +27,7 @@
 
 // appendFrame appends a frame that will stand at offset at of the file with this salt.
 func appendFrame(buf []byte, salt uint64, at, durable int64, payload []byte) []byte {
-	var head [frameBytes]byte
+	var head [frameHeaderBytes]byte
 	binary.LittleEndian.PutUint32(head[:], uint32(len(payload)))
 	binary.LittleEndian.PutUint32(head[4:], uint32(durable))
 	binary.LittleEndian.PutUint32(head[8:], checksum(salt, at, head[:8], payload))
@@ -45,29 +45,29 @@
 
 // readFrame reads the frame at the start of rest, which is at offset at of its file; ok is false if there is no whole one.
 func readFrame(rest []byte, salt uint64, at int64) (f frame, ok bool) {
-	if len(rest) < frameBytes {
+	if len(rest) < frameHeaderBytes {
 		return f, false
 	}
 	n := binary.LittleEndian.Uint32(rest)
 	durable := int64(binary.LittleEndian.Uint32(rest[4:]))
-	if n == 0 || n > mostBytes || int(n) > len(rest)-frameBytes || durable > at {
+	if n == 0 || n > maxRecordBytes || int(n) > len(rest)-frameHeaderBytes || durable > at {
 		return f, false
 	}
-	payload := rest[frameBytes : frameBytes+n]
+	payload := rest[frameHeaderBytes : frameHeaderBytes+n]
 	if checksum(salt, at, rest[:8], payload) != binary.LittleEndian.Uint32(rest[8:]) {
 		return f, false
 	}
-	return frame{payload: payload, durable: durable, size: frameBytes + int(n)}, true
+	return frame{payload: payload, durable: durable, size: frameHeaderBytes + int(n)}, true
 }
 
-// mendFrame reads the frame at the start of rest where a single bit of it has flipped. A frame that is torn does not look so: the
+// repairFrame reads the frame at the start of rest where a single bit of it has flipped. A frame that is torn does not look so: the
 // chance that what is left of one is one bit from a checksum that fits is about its bits in 2^32.
-func mendFrame(rest []byte, salt uint64, at int64) (f frame, ok bool) {
-	if len(rest) < frameBytes {
+func repairFrame(rest []byte, salt uint64, at int64) (f frame, ok bool) {
+	if len(rest) < frameHeaderBytes {
 		return f, false
 	}
 	try := func(n uint32, off int, mask byte) bool {
-		flipped := bytes.Clone(rest[:frameBytes+n])
+		flipped := bytes.Clone(rest[:frameHeaderBytes+n])
 		flipped[off] ^= mask
 		f, ok = readFrame(flipped, salt, at)
 		f.repaired = ok
@@ -76,7 +76,7 @@
 	for off := range 4 { // the length: all else depends on it
 		for bit := range 8 {
 			n := binary.LittleEndian.Uint32(rest) ^ 1<<(8*off+bit)
-			if n == 0 || n > mostBytes || int(n) > len(rest)-frameBytes {
+			if n == 0 || n > maxRecordBytes || int(n) > len(rest)-frameHeaderBytes {
 				continue
 			}
 			if try(n, off, 1<<bit) {
@@ -85,33 +85,33 @@
 		}
 	}
 	n := binary.LittleEndian.Uint32(rest)
-	if n == 0 || n > mostBytes || int(n) > len(rest)-frameBytes {
+	if n == 0 || n > maxRecordBytes || int(n) > len(rest)-frameHeaderBytes {
 		return f, false
 	}
-	payload := rest[frameBytes : frameBytes+n]
-	wrong := checksum(salt, at, rest[:8], payload) ^ binary.LittleEndian.Uint32(rest[8:])
-	if bits.OnesCount32(wrong) == 1 {
-		bit := bits.TrailingZeros32(wrong)
+	payload := rest[frameHeaderBytes : frameHeaderBytes+n]
+	syndrome := checksum(salt, at, rest[:8], payload) ^ binary.LittleEndian.Uint32(rest[8:])
+	if bits.OnesCount32(syndrome) == 1 {
+		bit := bits.TrailingZeros32(syndrome)
 		try(n, 8+bit/8, 1<<(bit%8))
 		return f, ok
 	}
 	// A flipped bit changes the checksum by what depends on its distance from the end alone.
-	var change [8]uint32
+	var bitSyndromes [8]uint32
 	table := castagnoli()
-	for bit := range change {
-		change[bit] = table[1<<bit]
+	for bit := range bitSyndromes {
+		bitSyndromes[bit] = table[1<<bit]
 	}
 	for k := int(n) - 1; k >= -4; k-- { // the payload, and before it what is known to be on disk
-		for bit := range change {
-			if change[bit] == wrong {
-				off := frameBytes + k
+		for bit := range bitSyndromes {
+			if bitSyndromes[bit] == syndrome {
+				off := frameHeaderBytes + k
 				if k < 0 {
 					off = 8 + k
 				}
 				try(n, off, 1<<bit)
 				return f, ok
 			}
-			change[bit] = table[change[bit]&0xff] ^ change[bit]>>8
+			bitSyndromes[bit] = table[bitSyndromes[bit]&0xff] ^ bitSyndromes[bit]>>8
 		}
 	}
 	return f, false
--- a/internal/wal/read.go
+++ b/internal/wal/read.go
@@ -26,20 +26,20 @@
 // segment is begun first, and the files before it go once its snapshot is there.
 
 const (
-	snapPrefix = "snap-"
-	segPrefix  = "seg-"
-	snapTemp   = "snap.tmp"
-	guardName  = tempName // what a version of before removes first, and can't
-	guardFile  = "kept-in-segments-by-a-newer-version"
-	setAside   = "damaged-" // and the file's name, and where in it
-	snapSalt   = 1 << 63
-
-	// Format is the version of the folder in segments.
-	Format = 2
+	snapPrefix       = "snap-"
+	segPrefix        = "seg-"
+	snapTemp         = "snap.tmp"
+	guardName        = tempName // what a version of before removes first, and can't
+	guardFile        = "kept-in-segments-by-a-newer-version"
+	quarantinePrefix = "damaged-" // and the file's name, and where in it
+	snapSalt         = 1 << 63
+
+	// SegmentFormat is the version of the folder in segments.
+	SegmentFormat = 2
 )
 
-// head is the first record of a file.
-type head struct {
+// fileHeader is the first record of a file.
+type fileHeader struct {
 	Format int
 	Name   string // of the relay
 	Gen    uint64
@@ -77,64 +77,64 @@
 	Missing    []string // files that must have been there
 }
 
-// Sound tells whether everything that was promised has been read.
-func (r *Report) Sound() bool {
+// Intact tells whether everything that was promised has been read.
+func (r *Report) Intact() bool {
 	return len(r.Missing) == 0 && !slices.ContainsFunc(r.Holes, func(h Hole) bool { return !h.Torn })
 }
 
-// ErrOther tells that the folder is another relay's.
-var ErrOther = errors.New("wal: another relay's folder")
+// ErrForeignFolder tells that the folder is another relay's.
+var ErrForeignFolder = errors.New("wal: another relay's folder")
 
 // state is what a folder tells of messages.
 type state struct {
-	live       map[uint32]*Message
-	bytes      int64 // of the live messages, about
-	completed  completions
-	turnedAway completions
-	times      clock.Timeline
-	resumed    bool // times go on with those of an earlier process
-	stamped    bool // times are left as they stand in the log
+	live            map[uint32]*Message
+	bytes           int64 // of the live messages, about
+	completed       completionSet
+	rejected        completionSet
+	times           clock.Timeline
+	timelineResumed bool // times go on with those of an earlier process
+	rawTimes        bool // times are left as they stand in the log
 }
 
-// chain is what reading a folder in segments leaves to go on from.
-type chain struct {
+// segmentFolder is what reading a folder in segments leaves to go on from.
+type segmentFolder struct {
 	state
 	Report
-	from uint64 // the snapshot's generation
-	last uint64 // newest generation seen, in any file
+	snapshotGen uint64 // the snapshot's generation
+	newestGen   uint64 // newest generation seen, in any file
 }
 
-func genName(prefix string, gen uint64) string { return fmt.Sprintf("%s%08x", prefix, gen) }
+func genFileName(prefix string, gen uint64) string { return fmt.Sprintf("%s%08x", prefix, gen) }
 
-func generation(prefix, name string) (uint64, bool) {
+func parseGeneration(prefix, name string) (uint64, bool) {
 	hex, ok := strings.CutPrefix(name, prefix)
 	if !ok || len(hex) < 8 {
 		return 0, false
 	}
 	gen, err := strconv.ParseUint(hex, 16, 63)
-	return gen, err == nil && gen > 0 && genName(prefix, gen) == name
+	return gen, err == nil && gen > 0 && genFileName(prefix, gen) == name
 }
 
-// inSegments tells whether the folder is kept in segments: it is guarded, and its first snapshot was finished.
-func inSegments(names []string) bool {
-	return slices.Contains(names, guardName+"/") && slices.ContainsFunc(names, isSegments)
+// isSegmented tells whether the folder is kept in segments: it is guarded, and its first snapshot was finished.
+func isSegmented(names []string) bool {
+	return slices.Contains(names, guardName+"/") && slices.ContainsFunc(names, isSegmentedFile)
 }
 
-// isSegments tells whether a file is one of a folder in segments.
-func isSegments(name string) bool {
-	_, snap := generation(snapPrefix, name)
-	_, seg := generation(segPrefix, name)
+// isSegmentedFile tells whether a file is one of a folder in segments.
+func isSegmentedFile(name string) bool {
+	_, snap := parseGeneration(snapPrefix, name)
+	_, seg := parseGeneration(segPrefix, name)
 	return snap || seg
 }
 
-// readChain reads a folder in segments. It changes nothing.
-func readChain(d disk.FS, names []string, s state) (*chain, error) {
-	c := &chain{state: s, Report: Report{Format: Format}}
+// readSegmentFolder reads a folder in segments. It changes nothing.
+func readSegmentFolder(d disk.FS, names []string, s state) (*segmentFolder, error) {
+	c := &segmentFolder{state: s, Report: Report{Format: SegmentFormat}}
 	data := map[string][]byte{}
 	var snaps, segs []uint64
 	for _, n := range names {
-		snap, isSnap := generation(snapPrefix, n)
-		seg, isSeg := generation(segPrefix, n)
+		snap, isSnap := parseGeneration(snapPrefix, n)
+		seg, isSeg := parseGeneration(segPrefix, n)
 		if !isSnap && !isSeg {
 			continue
 		}
@@ -145,7 +145,7 @@
 			return nil, fmt.Errorf("wal: read %s: %w", n, err)
 		}
 		data[n] = content
-		c.last = max(c.last, snap, seg)
+		c.newestGen = max(c.newestGen, snap, seg)
 		if isSnap {
 			snaps = append(snaps, snap)
 		} else {
@@ -154,9 +154,9 @@
 	}
 	slices.Sort(snaps)
 	slices.Sort(segs)
-	from, newest := uint64(0), &snapshot{}
+	from, newest := uint64(0), &snapshotFile{}
 	for i := len(snaps) - 1; i >= 0 && from == 0; i-- {
-		x := &snapshot{}
+		x := &snapshotFile{}
 		if x.read(data, snaps[i]) {
 			from, newest = snaps[i], x
 		} else if i == len(snaps)-1 {
@@ -170,44 +170,44 @@
 	if len(snaps) > 0 {
 		for gen := from; gen < snaps[len(snaps)-1]; gen++ {
 			if !slices.Contains(segs, gen) {
-				c.Missing = append(c.Missing, genName(segPrefix, gen))
+				c.Missing = append(c.Missing, genFileName(segPrefix, gen))
 			}
 		}
 	}
-	c.from = from
+	c.snapshotGen = from
 	if from > 0 {
-		c.take(&newest.Report)
-		c.Files = append(c.Files, genName(snapPrefix, from))
+		c.merge(&newest.Report)
+		c.Files = append(c.Files, genFileName(snapPrefix, from))
 		if newest.clock != nil {
-			c.resume(newest.clock)
+			c.resumeTimeline(newest.clock)
 		}
-		for _, f := range newest.frames {
+		for _, f := range newest.entries {
 			c.apply(f.rec, f.body)
 		}
 		if len(newest.Holes)+len(c.Missing) > 0 {
-			c.doubt()
+			c.markDoubt()
 		}
 	}
-	var row []*segment
+	var row []*segmentFile
 	for _, gen := range segs {
 		if gen >= from {
-			row = append(row, readSegment(data[genName(segPrefix, gen)], gen))
+			row = append(row, readSegment(data[genFileName(segPrefix, gen)], gen))
 		}
 	}
-	c.segments(row)
+	c.applySegments(row)
 	for _, n := range names {
 		if _, ok := data[n]; ok && !slices.Contains(c.Files, n) {
 			c.Spare = append(c.Spare, n)
 		}
 	}
-	c.Generation = c.last
+	c.Generation = c.newestGen
 	return c, nil
 }
 
-func sectors(n int64) int64 { return (n + disk.Sector - 1) / disk.Sector * disk.Sector }
+func roundUpToSector(n int64) int64 { return (n + disk.Sector - 1) / disk.Sector * disk.Sector }
 
-// take adds to a report what reading one file found.
-func (r *Report) take(of *Report) {
+// merge adds to a report what reading one file found.
+func (r *Report) merge(of *Report) {
 	r.Records += of.Records
 	r.Bytes += of.Bytes
 	r.Repaired += of.Repaired
@@ -229,13 +229,13 @@
 	durable int64
 }
 
-// entries reads every frame that can be read. A damaged one hides none behind it.
-func (r *Report) entries(file string, data []byte, salt uint64) (all []entry) {
+// readEntries reads every frame that can be read. A damaged one hides none behind it.
+func (r *Report) readEntries(file string, data []byte, salt uint64) (all []entry) {
 	hole := int64(-1)
 	for at := int64(0); at < int64(len(data)); {
 		f, ok := readFrame(data[at:], salt, at)
 		if !ok && hole < 0 {
-			f, ok = mendFrame(data[at:], salt, at)
+			f, ok = repairFrame(data[at:], salt, at)
 		}
 		var rec record
 		var body []byte
@@ -265,145 +265,145 @@
 	return all
 }
 
-// snapshot is a snapshot's file.
-type snapshot struct {
+// snapshotFile is a snapshotFile's file.
+type snapshotFile struct {
 	Report
-	frames []entry
-	clock  *clock.Anchor
+	entries []entry
+	clock   *clock.Anchor
 }
 
 // read reads a snapshot; false if it is not whole.
-func (s *snapshot) read(data map[string][]byte, gen uint64) bool {
-	name := genName(snapPrefix, gen)
-	all := s.entries(name, data[name], gen|snapSalt)
+func (s *snapshotFile) read(data map[string][]byte, gen uint64) bool {
+	name := genFileName(snapPrefix, gen)
+	all := s.readEntries(name, data[name], gen|snapSalt)
 	s.Bytes = int64(len(data[name]))
 	whole := false
 	for i, e := range all {
 		switch {
-		case e.rec.Kind == recHead && e.rec.Head != nil:
+		case e.rec.Kind == recHeader && e.rec.Head != nil:
 			s.Name, s.Began, s.clock = e.rec.Head.Name, e.rec.Head.Began, e.rec.Head.Clock
-		case e.rec.Kind == recFoot:
-			whole = i == len(all)-1 && e.rec.N == len(s.frames) && len(s.Holes) == 0
+		case e.rec.Kind == recFooter:
+			whole = i == len(all)-1 && e.rec.N == len(s.entries) && len(s.Holes) == 0
 		default:
-			s.frames = append(s.frames, e)
+			s.entries = append(s.entries, e)
 		}
 	}
-	s.Records = len(s.frames)
+	s.Records = len(s.entries)
 	if !whole && len(s.Holes) == 0 {
 		s.Holes = append(s.Holes, Hole{File: name, From: s.Bytes, To: s.Bytes})
 	}
 	return whole
 }
 
-// segment is a segment's file.
-type segment struct {
+// segmentFile is a segmentFile's file.
+type segmentFile struct {
 	Report
-	gen      uint64
-	head     *head // nil if it can't be read
-	all      []entry
-	size     int64
-	durable  int64 // bytes that are known to have been on disk by what stands in the segment itself
-	promised int64 // by all that is known
+	gen           uint64
+	head          *fileHeader // nil if it can't be read
+	entries       []entry
+	size          int64
+	durableBytes  int64 // bytes that are known to have been on disk by what stands in the segment itself
+	promisedBytes int64 // by all that is known
 }
 
-func readSegment(data []byte, gen uint64) *segment {
-	s := &segment{gen: gen, size: int64(len(data))}
-	s.all = s.entries(genName(segPrefix, gen), data, gen)
+func readSegment(data []byte, gen uint64) *segmentFile {
+	s := &segmentFile{gen: gen, size: int64(len(data))}
+	s.entries = s.readEntries(genFileName(segPrefix, gen), data, gen)
 	s.Bytes = s.size
-	for _, e := range s.all {
-		s.durable = max(s.durable, e.durable)
-		if e.rec.Kind == recHead && e.rec.Head != nil {
+	for _, e := range s.entries {
+		s.durableBytes = max(s.durableBytes, e.durable)
+		if e.rec.Kind == recHeader && e.rec.Head != nil {
 			s.head, s.Name, s.Began = e.rec.Head, e.rec.Head.Name, e.rec.Head.Began
 		}
 	}
 	return s
 }
 
-// segments takes the records of the segments that follow the snapshot, in their order.
-func (c *chain) segments(row []*segment) {
+// applySegments takes the records of the applySegments that follow the snapshot, in their order.
+func (c *segmentFolder) applySegments(row []*segmentFile) {
 	for i := len(row) - 1; i >= 0; i-- {
 		s := row[i]
-		s.promised = s.durable
+		s.promisedBytes = s.durableBytes
 		if i+1 == len(row) || row[i+1].head == nil || row[i+1].head.Prev != s.gen {
 			continue
 		}
 		// One that follows was begun when so much of this one was on disk, and is synced after it.
 		next := row[i+1]
-		s.promised = max(s.promised, next.head.Kept)
-		if next.promised > 0 {
-			s.promised = max(s.promised, next.head.Good)
+		s.promisedBytes = max(s.promisedBytes, next.head.Kept)
+		if next.promisedBytes > 0 {
+			s.promisedBytes = max(s.promisedBytes, next.head.Good)
 		}
 	}
 	last := uint64(0)
 	for _, s := range row {
-		if len(s.all) == 0 && s.promised == 0 {
-			c.cut(s, 0)
+		if len(s.entries) == 0 && s.promisedBytes == 0 {
+			c.addTornTail(s, 0)
 			return // its first write never came to the disk: nothing of it or behind it was promised
 		}
-		if h := s.head; h != nil && h.Prev > 0 && h.Prev != last && h.Kept > 0 && h.Prev >= c.from {
-			c.Missing = append(c.Missing, genName(segPrefix, h.Prev))
-			c.doubt()
+		if h := s.head; h != nil && h.Prev > 0 && h.Prev != last && h.Kept > 0 && h.Prev >= c.snapshotGen {
+			c.Missing = append(c.Missing, genFileName(segPrefix, h.Prev))
+			c.markDoubt()
 		}
 		last = s.gen
-		if !c.segment(s) {
+		if !c.applySegment(s) {
 			return
 		}
 	}
 }
 
-// cut notes where a segment ends whose last write did not come to the disk whole.
-func (c *chain) cut(s *segment, at int64) {
+// addTornTail notes where a segment ends whose last write did not come to the disk whole.
+func (c *segmentFolder) addTornTail(s *segmentFile, at int64) {
 	if s.size > at {
-		c.Holes = append(c.Holes, Hole{File: genName(segPrefix, s.gen), From: at, To: s.size, Torn: true})
+		c.Holes = append(c.Holes, Hole{File: genFileName(segPrefix, s.gen), From: at, To: s.size, Torn: true})
 	}
 }
 
-// segment takes a segment's records; false if it ends before its file does, so that nothing behind it counts.
-func (c *chain) segment(s *segment) bool {
-	name := genName(segPrefix, s.gen)
+// applySegment takes a applySegment's records; false if it ends before its file does, so that nothing behind it counts.
+func (c *segmentFolder) applySegment(s *segmentFile) bool {
+	name := genFileName(segPrefix, s.gen)
 	c.Files = append(c.Files, name)
 	holes := s.Holes
 	s.Holes = nil
-	if s.size < s.promised {
-		holes = append(holes, Hole{File: name, From: s.size, To: s.promised})
+	if s.size < s.promisedBytes {
+		holes = append(holes, Hole{File: name, From: s.size, To: s.promisedBytes})
 	}
 	end := s.size
 	for i, h := range holes {
-		if h.From >= s.promised {
+		if h.From >= s.promisedBytes {
 			holes, end = holes[:i], h.From
 			break
 		}
 	}
 	if s.head != nil && s.head.Clock != nil {
-		c.resume(s.head.Clock)
+		c.resumeTimeline(s.head.Clock)
 	}
 	next := 0
-	for _, e := range s.all {
+	for _, e := range s.entries {
 		if e.at >= end {
 			break
 		}
 		for ; next < len(holes) && holes[next].From < e.at; next++ {
-			c.doubt()
+			c.markDoubt()
 		}
-		if e.rec.Kind != recHead && e.rec.Kind != recSeal {
+		if e.rec.Kind != recHeader && e.rec.Kind != recSeal {
 			c.apply(e.rec, e.body)
 			s.Records++
 		}
 	}
 	if next < len(holes) {
-		c.doubt()
+		c.markDoubt()
 	}
 	s.Report.Holes = holes
-	c.take(&s.Report)
+	c.merge(&s.Report)
 	if end < s.size {
-		c.cut(s, end)
+		c.addTornTail(s, end)
 		return false
 	}
 	return true
 }
 
-// doubt marks what is live: what it has sent may be missing.
-func (s *state) doubt() {
+// markDoubt marks what is live: what it has sent may be missing.
+func (s *state) markDoubt() {
 	for _, m := range s.live {
 		m.Doubt = true
 	}
@@ -432,8 +432,8 @@
 	return rec, p[text:], true
 }
 
-// ignoreAbsent passes on every error but that there is no such file.
-func ignoreAbsent(err error) error {
+// ignoreNotExist passes on every error but that there is no such file.
+func ignoreNotExist(err error) error {
 	if errors.Is(err, fs.ErrNotExist) {
 		return nil
 	}
--- a/internal/wal/report.go
+++ b/internal/wal/report.go
@@ -7,8 +7,8 @@
 	"onyxroad.dev/onyxroad/internal/disk"
 )
 
-// Words says in plain words what reading a folder found, and what it means for messages.
-func (r *Report) Words() string {
+// Summary says in plain words what reading a folder found, and what it means for messages.
+func (r *Report) Summary() string {
 	var b strings.Builder
 	say := func(format string, args ...any) { fmt.Fprintf(&b, format+"\n", args...) }
 	switch r.Format {
@@ -39,7 +39,7 @@
 	for _, n := range r.Missing {
 		say("%s is missing, and it was on disk once.", n)
 	}
-	if r.Sound() {
+	if r.Intact() {
 		say("Nothing that was promised is lost.")
 	} else {
 		say("Messages that were taken on in the part that can't be read are lost. Of those that were held before it, each may " +
@@ -54,25 +54,25 @@
 	if err != nil {
 		return nil, nil, fmt.Errorf("wal: %w", err)
 	}
-	if inSegments(names) {
-		c, err := readChain(d, names, newStampedState())
+	if isSegmented(names) {
+		c, err := readSegmentFolder(d, names, newRawTimesState())
 		if err != nil {
 			return nil, nil, err
 		}
 		return &c.Report, c.messages(), nil
 	}
-	data, err := d.ReadFile(name)
+	data, err := d.ReadFile(logName)
 	if err != nil {
-		return &Report{}, nil, ignoreAbsent(err)
+		return &Report{}, nil, ignoreNotExist(err)
 	}
-	s := newStampedState()
+	s := newRawTimesState()
 	good, damaged := s.replay(data)
-	r := &Report{Format: 1, Bytes: int64(len(data)), Files: []string{name}}
+	r := &Report{Format: 1, Bytes: int64(len(data)), Files: []string{logName}}
 	if damaged {
-		r.Holes = append(r.Holes, Hole{File: name})
+		r.Holes = append(r.Holes, Hole{File: logName})
 	}
 	if good < int64(len(data)) {
-		r.Holes = append(r.Holes, Hole{File: name, From: good, To: int64(len(data)), Torn: true})
+		r.Holes = append(r.Holes, Hole{File: logName, From: good, To: int64(len(data)), Torn: true})
 	}
 	return r, s.messages(), nil
 }
--- a/internal/wal/segments_test.go
+++ b/internal/wal/segments_test.go
@@ -16,44 +16,44 @@
 	"onyxroad.dev/onyxroad/internal/disk/crashdisk"
 )
 
-// inSegs opens a folder in segments, synced or not.
-func inSegs(t *testing.T, d disk.FS, power bool) (*Log, Recovery) {
+// openSegmented opens a folder in segments, synced or not.
+func openSegmented(t *testing.T, d disk.FS, power bool) (*Log, Recovery) {
 	t.Helper()
-	l, found, err := OpenWith(Options{FS: d, Limit: roomy, Name: "n3", Format: Format, Power: power})
+	l, found, err := OpenWith(Options{FS: d, Limit: ampleLimit, Name: "n3", Format: SegmentFormat, SyncWrites: power})
 	must(t, err)
 	return l, found
 }
 
-// small is a small log with a bit of everything; its process is killed, or ends in order.
-func small(t *testing.T, power, closed bool) *crashdisk.Disk {
+// smallLog is a smallLog log with a bit of everything; its process is killed, or ends in order.
+func smallLog(t *testing.T, power, closed bool) *crashdisk.Disk {
 	t.Helper()
 	d := crashdisk.New()
-	l, _ := inSegs(t, d, power)
+	l, _ := openSegmented(t, d, power)
 	one, two, three := message(1), message(2), message(3)
 	must(t, l.Accept(one, two))
-	must(t, l.Sent(Send{one, Attempt{Host: "s-1", Zone: 1, At: noon}}, Send{two, Attempt{Host: "s-2", At: noon}}))
+	must(t, l.RecordSends(Send{one, Attempt{Host: "s-1", Zone: 1, At: noon}}, Send{two, Attempt{Host: "s-2", At: noon}}))
 	l.NeverRan(two, 0)
 	must(t, l.Close())
-	l, _ = inSegs(t, d, power)
+	l, _ = openSegmented(t, d, power)
 	must(t, l.Accept(three))
 	one = l.live[1]
-	l.Decide(one, Final{})
+	l.SetFinal(one, Final{})
 	must(t, l.Flush())
-	must(t, l.Sent(Send{three, Attempt{Host: "s-3", At: noon}}))
+	must(t, l.RecordSends(Send{three, Attempt{Host: "s-3", At: noon}}))
 	if closed {
 		must(t, l.Close())
 		return d
 	}
-	killed := d.Copy()
+	killed := d.AfterKill()
 	must(t, l.Close())
 	return killed
 }
 
-// TestEveryFlippedBitIsDetectedOrHarmless flips every single bit of a small log.
-func TestEveryFlippedBitIsDetectedOrHarmless(t *testing.T) {
+// TestBitFlipsAreDetectedOrRepaired flips every single bit of a small log.
+func TestBitFlipsAreDetectedOrRepaired(t *testing.T) {
 	for _, closed := range []bool{true, false} {
 		for _, power := range []bool{true, false} {
-			d := small(t, power, closed)
+			d := smallLog(t, power, closed)
 			_, want, err := Check(d)
 			must(t, err)
 			names, err := d.Names()
@@ -65,8 +65,8 @@
 					continue // the guard
 				}
 				for bit := range len(data) * 8 {
-					bad := d.Copy()
-					must(t, bad.Flip(n, bit))
+					bad := d.AfterKill()
+					must(t, bad.FlipBit(n, bit))
 					flips++
 					r, got, err := Check(bad)
 					if err != nil {
@@ -76,7 +76,7 @@
 					if r.Repaired > 0 && same {
 						mended++
 					}
-					if !same && r.Sound() {
+					if !same && r.Intact() {
 						t.Errorf("closed %v, power %v, %s, bit %d: not told, and %v for %v", closed, power, n, bit, got, want)
 					}
 				}
@@ -91,24 +91,24 @@
 // TestDamageInTheMiddle loses a sector that was on disk.
 func TestDamageInTheMiddle(t *testing.T) {
 	d := crashdisk.New()
-	l, _ := inSegs(t, d, true)
+	l, _ := openSegmented(t, d, true)
 	one, two, three := message(1), message(2), message(3)
 	one.Body = bytes.Repeat([]byte{1}, 2000)
 	must(t, l.Accept(one))
 	must(t, l.Accept(two))
-	must(t, l.Sent(Send{two, Attempt{Host: "s-1", At: noon}}))
+	must(t, l.RecordSends(Send{two, Attempt{Host: "s-1", At: noon}}))
 	must(t, l.Accept(three))
 	must(t, l.Close())
-	name := genName(segPrefix, 1)
+	name := genFileName(segPrefix, 1)
 	f, err := d.Open(name)
 	must(t, err)
 	_, err = f.WriteAt(make([]byte, disk.Sector), 1024)
 	must(t, err)
 	must(t, f.Sync())
-	l, found := inSegs(t, d, true)
+	l, found := openSegmented(t, d, true)
 	defer l.Close()
-	if got := ids(found); got != "2 3 " || found.Report.Sound() {
-		t.Fatalf("found %q: %s", got, found.Report.Words())
+	if got := foundIDs(found); got != "2 3 " || found.Report.Intact() {
+		t.Fatalf("found %q: %s", got, found.Report.Summary())
 	}
 	// What came after the damage is whole; nothing stood before it.
 	if found.Messages[0].Doubt || found.Messages[1].Doubt || len(found.Messages[0].MayRun) != 1 {
@@ -116,40 +116,40 @@
 	}
 	names, err := d.Names()
 	must(t, err)
-	if !slices.ContainsFunc(names, func(n string) bool { return strings.HasPrefix(n, setAside+name) }) ||
+	if !slices.ContainsFunc(names, func(n string) bool { return strings.HasPrefix(n, quarantinePrefix+name) }) ||
 		!slices.ContainsFunc(names, func(n string) bool { return strings.HasSuffix(n, ".txt") }) {
 		t.Errorf("not set aside: %v", names)
 	}
 }
 
-// TestADamagedSendIsDoubted loses the record of a send.
-func TestADamagedSendIsDoubted(t *testing.T) {
+// TestDamagedSendMarksMessageInDoubt loses the record of a send.
+func TestDamagedSendMarksMessageInDoubt(t *testing.T) {
 	d := crashdisk.New()
-	l, _ := inSegs(t, d, false)
+	l, _ := openSegmented(t, d, false)
 	one, two := message(1), message(2)
 	must(t, l.Accept(one))
-	from := l.keep.(*segments).used
-	must(t, l.Sent(Send{one, Attempt{Host: strings.Repeat("s", 100), At: noon}}))
+	from := l.backend.(*segmentedLog).used
+	must(t, l.RecordSends(Send{one, Attempt{Host: strings.Repeat("s", 100), At: noon}}))
 	must(t, l.Accept(two))
-	f, err := d.Open(genName(segPrefix, 1))
+	f, err := d.Open(genFileName(segPrefix, 1))
 	must(t, err)
 	_, err = f.WriteAt(make([]byte, 60), from+20)
 	must(t, err)
-	_, found := inSegs(t, d, false)
-	if got := ids(found); got != "1 2 " || !found.Messages[0].Doubt || found.Messages[1].Doubt {
+	_, found := openSegmented(t, d, false)
+	if got := foundIDs(found); got != "1 2 " || !found.Messages[0].Doubt || found.Messages[1].Doubt {
 		t.Errorf("found %q, %+v", got, found.Messages)
 	}
 }
 
-func TestFromOneFileAndBack(t *testing.T) {
+func TestConvertToSegmentsAndBack(t *testing.T) {
 	dir := t.TempDir()
-	l, _ := open(t, dir, roomy)
+	l, _ := open(t, dir, ampleLimit)
 	must(t, l.Accept(message(1), message(2)))
-	must(t, l.Sent(Send{l.live[1], Attempt{Host: "s-1", At: noon}}))
+	must(t, l.RecordSends(Send{l.live[1], Attempt{Host: "s-1", At: noon}}))
 	must(t, l.Close())
-	l, found, err := OpenWith(Options{Dir: dir, Limit: roomy, Format: Format, Power: true})
+	l, found, err := OpenWith(Options{Dir: dir, Limit: ampleLimit, Format: SegmentFormat, SyncWrites: true})
 	must(t, err)
-	if got := ids(found); got != "1 2 " || len(found.Messages[0].MayRun) != 1 {
+	if got := foundIDs(found); got != "1 2 " || len(found.Messages[0].MayRun) != 1 {
 		t.Fatalf("found %q", got)
 	}
 	must(t, l.Accept(message(3)))
@@ -159,73 +159,73 @@
 		t.Error("an older version starts, and finds nothing")
 	}
 	for range 2 {
-		l, found = open(t, dir, roomy)
-		if got := ids(found); got != "1 2 3 " || len(found.Messages[0].MayRun) != 1 {
+		l, found = open(t, dir, ampleLimit)
+		if got := foundIDs(found); got != "1 2 3 " || len(found.Messages[0].MayRun) != 1 {
 			t.Fatalf("back in one file: %q", got)
 		}
 		must(t, l.Close())
 	}
 	names, err := disk.Dir(dir).Names()
 	must(t, err)
-	if !slices.Equal(names, []string{name}) {
+	if !slices.Equal(names, []string{logName}) {
 		t.Errorf("left behind: %v", names)
 	}
 }
 
-// TestEachStepBetweenTheFormats has the power fail at every step of the way to segments and back.
-func TestEachStepBetweenTheFormats(t *testing.T) {
+// TestPowerLossDuringConversion has the power fail at every step of the way to segments and back.
+func TestPowerLossDuringConversion(t *testing.T) {
 	check := func(d *crashdisk.Disk, when string) {
-		for _, format := range []int{1, Format} {
-			x := d.Copy()
-			l, found, err := OpenWith(Options{FS: x, Limit: roomy, Format: format})
-			if err != nil || ids(found) != "1 2 " {
-				t.Fatalf("%s, format %d: %q, %v in %s", when, format, ids(found), err, x.Text())
+		for _, format := range []int{1, SegmentFormat} {
+			x := d.AfterKill()
+			l, found, err := OpenWith(Options{FS: x, Limit: ampleLimit, Format: format})
+			if err != nil || foundIDs(found) != "1 2 " {
+				t.Fatalf("%s, format %d: %q, %v in %s", when, format, foundIDs(found), err, x.Listing())
 			}
 			must(t, l.Close())
 		}
 	}
 	d := crashdisk.New()
-	l, _, err := OpenWith(Options{FS: d, Limit: roomy})
+	l, _, err := OpenWith(Options{FS: d, Limit: ampleLimit})
 	must(t, err)
 	must(t, l.Accept(message(1), message(2)))
 	must(t, l.Close())
-	d = d.Copy() // it is on disk
+	d = d.AfterKill() // it is on disk
 	states := 0
-	for _, format := range []int{Format, 1, Format} {
+	for _, format := range []int{SegmentFormat, 1, SegmentFormat} {
 		d.After = func(op, name string) {
-			for i := range uint64(1) << min(d.Pieces(), 10) {
+			for i := range uint64(1) << min(d.PendingPieces(), 10) {
 				states++
-				check(d.Crash(crashdisk.Number(i)), op+" "+name)
+				check(d.Crash(crashdisk.KeepBits(i)), op+" "+name)
 			}
 		}
-		l, found, err := OpenWith(Options{FS: d, Limit: roomy, Format: format, Power: format == Format})
+		l, found, err := OpenWith(Options{FS: d, Limit: ampleLimit, Format: format, SyncWrites: format == SegmentFormat})
 		must(t, err)
-		if ids(found) != "1 2 " {
-			t.Fatalf("format %d: found %q", format, ids(found))
+		if foundIDs(found) != "1 2 " {
+			t.Fatalf("format %d: found %q", format, foundIDs(found))
 		}
 		d.After = nil
 		must(t, l.Close())
-		d = d.Copy()
+		d = d.AfterKill()
 	}
 	if states < 50 {
 		t.Errorf("%d states alone", states)
 	}
 }
 
-func TestAnothersFolder(t *testing.T) {
+func TestForeignFolderIsRefused(t *testing.T) {
 	d := crashdisk.New()
-	l, _ := inSegs(t, d, false)
+	l, _ := openSegmented(t, d, false)
 	must(t, l.Close())
-	if _, _, err := OpenWith(Options{FS: d, Limit: roomy, Name: "n4", Format: Format}); !errors.Is(err, ErrOther) {
+	if _, _, err := OpenWith(Options{FS: d, Limit: ampleLimit, Name: "n4", Format: SegmentFormat}); !errors.Is(err, ErrForeignFolder) {
 		t.Errorf("another relay's folder: %v", err)
 	}
 }
 
-// TestAFailedSync has nothing more trusted to the file.
-func TestAFailedSync(t *testing.T) {
+// TestFailedSync has nothing more trusted to the file.
+func TestFailedSync(t *testing.T) {
 	d := crashdisk.New()
 	told := make(chan struct{}, 100)
-	l, _, err := OpenWith(Options{FS: d, Limit: roomy, Format: Format, Power: true, Told: func() { told <- struct{}{} }})
+	l, _, err := OpenWith(Options{FS: d, Limit: ampleLimit, Format: SegmentFormat, SyncWrites: true, Notify: func() { told <- struct{}{} }})
 	must(t, err)
 	one, two := message(1), message(2)
 	must(t, l.Accept(one, two))
@@ -237,43 +237,43 @@
 		}
 		return nil
 	}
-	must(t, l.Sent(Send{one, Attempt{Host: "s-1", At: noon}}))
+	must(t, l.RecordSends(Send{one, Attempt{Host: "s-1", At: noon}}))
 	<-told
 	if l.Durable() == l.Written() {
 		t.Error("a write whose sync failed counts as durable")
 	}
-	if err := l.Accept(message(3)); !errors.Is(err, ErrWorn) {
+	if err := l.Accept(message(3)); !errors.Is(err, ErrNeedsNewFile) {
 		t.Errorf("taken on after a failed sync: %v", err)
 	}
 	l.End(two)
-	if err := l.Flush(); !errors.Is(err, ErrWorn) {
+	if err := l.Flush(); !errors.Is(err, ErrNeedsNewFile) {
 		t.Errorf("written after a failed sync: %v", err)
 	}
-	if l.Tend() {
+	if l.TryRecover() {
 		t.Error("the disk is still broken")
 	}
 	<-told
 	d.Fail = nil
-	s := l.keep.(*segments)
-	s.tried = time.Time{} // its pause is over
-	if l.Tend() {
+	s := l.backend.(*segmentedLog)
+	s.lastFailedTry = time.Time{} // its pause is over
+	if l.TryRecover() {
 		t.Error("before its snapshot is there")
 	}
 	<-told
-	if !l.Tend() || l.Durable() != l.Written()-1 && l.Durable() != l.Written() {
+	if !l.TryRecover() || l.Durable() != l.Written()-1 && l.Durable() != l.Written() {
 		t.Errorf("not whole again: %d of %d", l.Durable(), l.Written())
 	}
 	must(t, l.Accept(message(4)))
 	must(t, l.Close())
-	_, found := inSegs(t, d.Crash(func() bool { return false }), true)
-	if got := ids(found); got != "1 4 " || len(found.Messages[0].MayRun) != 1 {
+	_, found := openSegmented(t, d.Crash(func() bool { return false }), true)
+	if got := foundIDs(found); got != "1 4 " || len(found.Messages[0].MayRun) != 1 {
 		t.Errorf("found %q, %+v", got, found.Messages)
 	}
 }
 
-// TestAFullDisk starts, and has what is held end.
-func TestAFullDisk(t *testing.T) {
-	d := small(t, false, true)
+// TestStartOnFullDisk starts, and has what is held end.
+func TestStartOnFullDisk(t *testing.T) {
+	d := smallLog(t, false, true)
 	full := errors.New("no space left on device")
 	d.Fail = func(op, _ string) error {
 		if op == "open" || op == "write" || op == "reserve" {
@@ -281,85 +281,85 @@
 		}
 		return nil
 	}
-	l, found := inSegs(t, d, false)
-	if got := ids(found); got != "1 2 3 " {
+	l, found := openSegmented(t, d, false)
+	if got := foundIDs(found); got != "1 2 3 " {
 		t.Fatalf("found %q", got)
 	}
-	if err := l.Accept(message(4)); !errors.Is(err, ErrWorn) {
+	if err := l.Accept(message(4)); !errors.Is(err, ErrNeedsNewFile) {
 		t.Errorf("taken on: %v", err)
 	}
 	l.End(l.live[1])
 	d.Fail = nil
-	l.keep.(*segments).tried = time.Time{}
-	if !l.Tend() {
+	l.backend.(*segmentedLog).lastFailedTry = time.Time{}
+	if !l.TryRecover() {
 		t.Fatal("there is room again")
 	}
 	must(t, l.Accept(message(4)))
 	must(t, l.Close())
-	if _, found := inSegs(t, d, false); ids(found) != "2 3 4 " {
-		t.Errorf("found %q", ids(found))
+	if _, found := openSegmented(t, d, false); foundIDs(found) != "2 3 4 " {
+		t.Errorf("found %q", foundIDs(found))
 	}
 }
 
 func FuzzFolder(f *testing.F) {
 	d := crashdisk.New()
-	l, _, err := OpenWith(Options{FS: d, Limit: roomy, Name: "n3", Format: Format})
+	l, _, err := OpenWith(Options{FS: d, Limit: ampleLimit, Name: "n3", Format: SegmentFormat})
 	if err != nil {
 		f.Fatal(err)
 	}
 	l.Accept(message(1), message(2))
 	l.Close()
-	seg, _ := d.ReadFile(genName(segPrefix, 1))
-	snap, _ := d.ReadFile(genName(snapPrefix, 1))
+	seg, _ := d.ReadFile(genFileName(segPrefix, 1))
+	snap, _ := d.ReadFile(genFileName(snapPrefix, 1))
 	f.Add(snap, seg, []byte{})
 	f.Add(snap[:20], seg[:100], seg)
 	f.Add([]byte{}, []byte{}, []byte{})
 	f.Fuzz(func(t *testing.T, snap, seg, next []byte) {
 		d := crashdisk.New()
 		must(t, d.Guard(guardName, guardFile))
-		for n, data := range map[string][]byte{genName(snapPrefix, 1): snap, genName(segPrefix, 1): seg, genName(segPrefix, 2): next} {
+		for n, data := range map[string][]byte{genFileName(snapPrefix, 1): snap, genFileName(segPrefix, 1): seg, genFileName(segPrefix, 2): next} {
 			file, err := d.Open(n)
 			must(t, err)
 			file.WriteAt(data, 0)
 		}
 		r, ms, err := Check(d)
 		must(t, err)
-		r.Words()
-		l, found, err := OpenWith(Options{FS: d, Limit: roomy, Format: Format})
+		r.Summary()
+		l, found, err := OpenWith(Options{FS: d, Limit: ampleLimit, Format: SegmentFormat})
 		must(t, err)
 		if len(found.Messages) != len(ms) {
 			t.Fatalf("a start finds %d messages, a check %d", len(found.Messages), len(ms))
 		}
 		must(t, l.Accept(&Message{ID: 1 << 31, Trace: "last"}))
 		must(t, l.Close())
-		_, again, err := OpenWith(Options{FS: d, Limit: roomy, Format: Format})
-		if err != nil || !again.Report.Sound() || len(again.Messages) < len(ms) {
-			t.Fatalf("%d messages after %d, %v: %s", len(again.Messages), len(ms), err, again.Report.Words())
+		_, again, err := OpenWith(Options{FS: d, Limit: ampleLimit, Format: SegmentFormat})
+		if err != nil || !again.Report.Intact() || len(again.Messages) < len(ms) {
+			t.Fatalf("%d messages after %d, %v: %s", len(again.Messages), len(ms), err, again.Report.Summary())
 		}
 	})
 }
 
 func FuzzSnapshot(f *testing.F) {
-	d := small(&testing.T{}, false, true)
-	data, _ := d.ReadFile(genName(snapPrefix, 2))
+	d := smallLog(&testing.T{}, false, true)
+	data, _ := d.ReadFile(genFileName(snapPrefix, 2))
 	f.Add(data)
 	f.Add(data[:len(data)-9])
 	f.Fuzz(func(t *testing.T, data []byte) {
-		s := &snapshot{}
-		whole := s.read(map[string][]byte{genName(snapPrefix, 2): data}, 2)
+		s := &snapshotFile{}
+		whole := s.read(map[string][]byte{genFileName(snapPrefix, 2): data}, 2)
 		if whole != (len(s.Holes) == 0) {
 			t.Errorf("whole %v, holes %v", whole, s.Holes)
 		}
 	})
 }
 
-// TestReclaim has another process open the log, in either format, and not go on with it.
-func TestReclaim(t *testing.T) {
-	for _, mine := range []int{1, Format} {
-		for _, other := range []int{1, Format} {
+// TestReclaimAfterOtherProcess has another process open the log, in either format, and not go on with it.
+func TestReclaimAfterOtherProcess(t *testing.T) {
+	for _, mine := range []int{1, SegmentFormat} {
+		for _, other := range []int{1, SegmentFormat} {
 			d := crashdisk.New()
 			open := func(format int) (*Log, Recovery) {
-				l, found, err := OpenWith(Options{FS: d, Limit: roomy, Format: format, Power: format == Format, Name: "n3"})
+				l, found, err := OpenWith(Options{FS: d, Limit: ampleLimit, Format: format, SyncWrites: format == SegmentFormat, Name: "n3"})
 				must(t, err)
 				return l, found
 			}
@@ -367,27 +367,27 @@
 			one, two := message(1), message(2)
 			must(t, l.Accept(one, two))
 			x, found := open(other)
-			if ids(found) != "1 2 " {
-				t.Fatalf("%d to %d: %q", mine, other, ids(found))
+			if foundIDs(found) != "1 2 " {
+				t.Fatalf("%d to %d: %q", mine, other, foundIDs(found))
 			}
 			must(t, x.Close())
 			must(t, l.Reclaim())
-			must(t, l.Sent(Send{one, Attempt{Host: "s-1", At: noon}}))
+			must(t, l.RecordSends(Send{one, Attempt{Host: "s-1", At: noon}}))
 			l.End(two)
 			must(t, l.Accept(message(3)))
 			must(t, l.Close())
-			d = d.Copy()
+			d = d.AfterKill()
 			x, found = open(mine)
-			if ids(found) != "1 3 " || len(found.Messages[0].MayRun) != 1 {
-				t.Errorf("%d, and %d between: %q in %s", mine, other, ids(found), d.Text())
+			if foundIDs(found) != "1 3 " || len(found.Messages[0].MayRun) != 1 {
+				t.Errorf("%d, and %d between: %q in %s", mine, other, foundIDs(found), d.Listing())
 			}
 			must(t, x.Close())
 		}
 	}
 }
 
-// TestTheDiskLimitIsKeptInSegments counts everything that the folder holds, at every change.
-func TestTheDiskLimitIsKeptInSegments(t *testing.T) {
+// TestSegmentedLogKeepsDiskLimit counts everything that the folder holds, at every change.
+func TestSegmentedLogKeepsDiskLimit(t *testing.T) {
 	const limit = 60_000
 	for _, power := range []bool{false, true} {
 		d := crashdisk.New()
@@ -397,7 +397,7 @@
 			sum := int64(0)
 			for _, n := range names {
 				data, _ := d.ReadFile(n)
-				sum += sectors(int64(len(data)))
+				sum += roundUpToSector(int64(len(data)))
 			}
 			most = max(most, sum)
 		}
@@ -405,7 +405,7 @@
 		after := d.After
 		d.After = func(op, name string) { mu.Lock(); defer mu.Unlock(); after(op, name) }
 		told := make(chan struct{}, 1)
-		l, _, err := OpenWith(Options{FS: d, Limit: limit, Format: Format, Power: power, Told: func() {
+		l, _, err := OpenWith(Options{FS: d, Limit: limit, Format: SegmentFormat, SyncWrites: power, Notify: func() {
 			select {
 			case told <- struct{}{}:
 			default:
@@ -434,7 +434,7 @@
 		if most > limit || most < limit/4 {
 			t.Errorf("power %v: %d bytes on disk at most, %d allowed", power, most, limit)
 		}
-		if _, found := inSegs(t, d, power); len(found.Messages) != len(held) {
+		if _, found := openSegmented(t, d, power); len(found.Messages) != len(held) {
 			t.Errorf("power %v: %d held, %d found", power, len(held), len(found.Messages))
 		}
 	}
--- a/internal/wal/single.go
+++ b/internal/wal/single.go
@@ -15,24 +15,24 @@
 // The log in one file.
 
 const (
-	magic     = 0xC7A1
-	headBytes = 10 // magic, length, checksum
+	magic             = 0xC7A1
+	recordHeaderBytes = 10 // magic, length, checksum
 )
 
-// single keeps a log in one file.
-type single struct {
-	d     disk.FS
+// singleFileLog keeps a log in one file.
+type singleFileLog struct {
+	fs    disk.FS
 	limit int64
 	file  disk.File // nil: it could not be opened yet
 	used  int64     // of the file, all of it good
-	// stray is how many bytes behind that may hold records which were not written, or a torn one. They go before anything is
+	// strayBytes is how many bytes behind that may hold records which were not written, or a torn one. They go before anything is
 	// appended: a later record that covers a part of them would have the others read.
-	stray   int64
-	written uint64 // writes, and recoveries from failed ones
-	failed  error  // why the last write failed; nil if it did not
+	strayBytes int64
+	written    uint64 // writes, and recoveries from failed ones
+	failed     error  // why the last write failed; nil if it did not
 	// replacement is a file that a compaction has written, of which it is not known whether it has taken the log's name.
 	replacement *replacement
-	told        func()
+	notify      func()
 }
 
 // replacement is a file that may have taken the place of the log's.
@@ -41,48 +41,48 @@
 	used int64
 }
 
-// retryAfter is the pause before the log looks whether a disk that has failed it is well again.
-const retryAfter = 20 * time.Millisecond
+// retryDelay is the pause before the log looks whether a disk that has failed it is well again.
+const retryDelay = 20 * time.Millisecond
 
 // openSingle reads the log in one file, or begins it.
 func (l *Log) openSingle() (Recovery, error) {
 	// A crash in mid-compaction leaves the old file whole and a part of the new one.
 	_ = l.FS.Remove(tempName) // the next compaction writes over it
-	data, err := l.FS.ReadFile(name)
+	data, err := l.FS.ReadFile(logName)
 	if err != nil && !errors.Is(err, fs.ErrNotExist) {
 		return Recovery{}, fmt.Errorf("wal: %w", err)
 	}
 	good, damaged := l.replay(data)
 	// What follows a torn record could not be told from it: the tail goes before anything is appended.
-	s := &single{d: l.FS, limit: l.Limit, used: good, stray: int64(len(data)) - good, told: l.Told}
-	if s.failed = s.mend(); s.failed != nil {
+	s := &singleFileLog{fs: l.FS, limit: l.Limit, used: good, strayBytes: int64(len(data)) - good, notify: l.Notify}
+	if s.failed = s.restore(); s.failed != nil {
 		s.retryLater()
 	}
-	l.keep, l.anchored = s, l.resumed
+	l.backend, l.clockWritten = s, l.timelineResumed
 	return Recovery{Messages: l.messages(), Damaged: damaged, times: l.times}, nil
 }
 
-func (s *single) size() int64 { return s.used }
+func (s *singleFileLog) size() int64 { return s.used }
 
-func (s *single) framed(payloads [][]byte) (n int64) {
+func (s *singleFileLog) encodedSize(payloads [][]byte) (n int64) {
 	for _, p := range payloads {
-		n += headBytes + int64(len(p))
+		n += recordHeaderBytes + int64(len(p))
 	}
 	return n
 }
 
-func (s *single) fit() error                       { return nil }
-func (s *single) marks() (written, durable uint64) { return s.written, s.written }
-func (s *single) worn() bool                       { return s.file == nil || s.replacement != nil }
-func (s *single) forStart(int64) int64             { return 0 }
-func (s *single) failure() error                   { return s.failed }
+func (s *singleFileLog) ensureRoom() error                       { return nil }
+func (s *singleFileLog) writeNumbers() (written, durable uint64) { return s.written, s.written }
+func (s *singleFileLog) needsNewFile() bool                      { return s.file == nil || s.replacement != nil }
+func (s *singleFileLog) startReserve(int64) int64                { return 0 }
+func (s *singleFileLog) failure() error                          { return s.failed }
 
-// tend goes on after a failed write, if the disk lets it.
-func (s *single) tend(func() [][]byte) bool {
+// tryRecover goes on after a failed write, if the disk lets it.
+func (s *singleFileLog) tryRecover(func() [][]byte) bool {
 	if s.failed == nil {
 		return true
 	}
-	if err := s.mend(); err != nil {
+	if err := s.restore(); err != nil {
 		s.failed = err
 		s.retryLater()
 		return false
@@ -91,46 +91,46 @@
 	return true
 }
 
-func (s *single) goOn() { s.written++ }
+func (s *singleFileLog) pendingFlushed() { s.written++ }
 
 // retryLater has the log's owner look again after a while.
-func (s *single) retryLater() {
-	if s.told != nil {
-		time.AfterFunc(retryAfter, s.told)
+func (s *singleFileLog) retryLater() {
+	if s.notify != nil {
+		time.AfterFunc(retryDelay, s.notify)
 	}
 }
 
-// mend brings the file into the state that the log takes it to be in.
-func (s *single) mend() error {
+// restore brings the file into the state that the log takes it to be in.
+func (s *singleFileLog) restore() error {
 	if s.replacement != nil {
-		if err := s.settleReplacement(); err != nil {
+		if err := s.resolveReplacement(); err != nil {
 			return err
 		}
 	}
 	if s.file == nil {
-		f, err := s.d.Open(name)
+		f, err := s.fs.Open(logName)
 		if err != nil {
 			return fmt.Errorf("wal: %w", err)
 		}
 		s.file = f
 	}
-	return s.clean()
+	return s.dropStray()
 }
 
-// clean takes away what stands behind the good part of the file.
-func (s *single) clean() error {
-	if s.stray == 0 {
+// dropStray takes away what stands behind the good part of the file.
+func (s *singleFileLog) dropStray() error {
+	if s.strayBytes == 0 {
 		return nil
 	}
-	if err := erase(s.file, s.used, s.used+s.stray); err != nil {
+	if err := eraseTail(s.file, s.used, s.used+s.strayBytes); err != nil {
 		return fmt.Errorf("wal: drop what was not written: %w", err)
 	}
-	s.stray = 0
+	s.strayBytes = 0
 	return nil
 }
 
-// erase takes away the bytes of a file from an offset to its end. Zeros do as well where it can't be cut: no record begins so.
-func erase(f disk.File, from, to int64) error {
+// eraseTail takes away the bytes of a file from an offset to its end. Zeros do as well where it can't be cut: no record begins so.
+func eraseTail(f disk.File, from, to int64) error {
 	if f.Truncate(from) == nil {
 		return nil
 	}
@@ -140,43 +140,43 @@
 
 // reclaim has the one file stand again where another process has put segments in its place. One that keeps a single file
 // has changed nothing of it.
-func (s *single) reclaim(names []string, l *Log) error {
-	if !inSegments(names) {
+func (s *singleFileLog) reclaim(names []string, l *Log) error {
+	if !isSegmented(names) {
 		return nil
 	}
-	if err := toSingle(s.d, &chain{state: l.state}, names); err != nil {
+	if err := writeSingle(s.fs, &segmentFolder{state: l.state}, names); err != nil {
 		return err
 	}
-	f, err := s.d.Open(name)
+	f, err := s.fs.Open(logName)
 	if err != nil {
 		return err
 	}
-	data, err := s.d.ReadFile(name)
+	data, err := s.fs.ReadFile(logName)
 	if err != nil {
 		return errors.Join(err, f.Close())
 	}
 	s.replacement = &replacement{f, int64(len(data))}
-	s.adopt()
+	s.useReplacement()
 	return nil
 }
 
-func (s *single) append(payloads [][]byte) error {
+func (s *singleFileLog) append(payloads [][]byte) error {
 	var buf []byte
 	for _, p := range payloads {
 		buf = appendRecord(buf, p)
 	}
-	if s.worn() {
-		return errors.Join(ErrWorn, s.failed)
+	if s.needsNewFile() {
+		return errors.Join(ErrNeedsNewFile, s.failed)
 	}
-	if err := s.clean(); err != nil {
+	if err := s.dropStray(); err != nil {
 		return s.fail(err)
 	}
 	if _, err := s.file.WriteAt(buf, s.used); err != nil {
 		// All of it may have been written: it must neither stand before later records nor be read by the next start.
-		s.stray = int64(len(buf))
+		s.strayBytes = int64(len(buf))
 		err = s.fail(fmt.Errorf("wal: %w", err))
-		if cleanErr := s.clean(); cleanErr != nil && !errors.Is(err, fs.ErrClosed) { // a closed file has taken nothing
-			err = errors.Join(ErrUnclear, err, cleanErr)
+		if cleanErr := s.dropStray(); cleanErr != nil && !errors.Is(err, fs.ErrClosed) { // a closed file has taken nothing
+			err = errors.Join(ErrIndeterminate, err, cleanErr)
 		}
 		return err
 	}
@@ -187,24 +187,24 @@
 }
 
 // fail notes why a write failed.
-func (s *single) fail(err error) error {
+func (s *singleFileLog) fail(err error) error {
 	s.failed = err
 	s.retryLater()
-	return errors.Join(ErrWorn, err)
+	return errors.Join(ErrNeedsNewFile, err)
 }
 
-func (s *single) compact(live [][]byte) error {
+func (s *singleFileLog) compact(live [][]byte) error {
 	var buf []byte
 	for _, p := range live {
 		buf = appendRecord(buf, p)
 	}
-	if s.worn() {
-		return ErrWorn
+	if s.needsNewFile() {
+		return ErrNeedsNewFile
 	}
 	if s.used+int64(len(buf))+4*disk.Sector > s.limit {
 		return ErrFull
 	}
-	f, err := s.d.Open(tempName)
+	f, err := s.fs.Open(tempName)
 	if err != nil {
 		return fmt.Errorf("wal: compact: %w", err)
 	}
@@ -212,16 +212,16 @@
 		_, err = f.WriteAt(buf, 0)
 	}
 	if err != nil {
-		return errors.Join(fmt.Errorf("wal: compact: %w", err), f.Close(), s.d.Remove(tempName))
+		return errors.Join(fmt.Errorf("wal: compact: %w", err), f.Close(), s.fs.Remove(tempName))
 	}
 	s.replacement = &replacement{f, int64(len(buf))}
-	renameErr := s.d.Rename(tempName, name) // a crash leaves the one or the other, whole
+	renameErr := s.fs.Rename(tempName, logName) // a crash leaves the one or the other, whole
 	if renameErr == nil {
-		s.adopt()
+		s.useReplacement()
 		return nil
 	}
 	renameErr = fmt.Errorf("wal: compact: %w", renameErr)
-	if err := s.settleReplacement(); err != nil {
+	if err := s.resolveReplacement(); err != nil {
 		return s.fail(errors.Join(renameErr, err))
 	}
 	if s.file == f {
@@ -230,35 +230,35 @@
 	return renameErr
 }
 
-// adopt has the replacement be the log's file.
-func (s *single) adopt() {
+// useReplacement has the replacement be the log's file.
+func (s *singleFileLog) useReplacement() {
 	if s.file != nil {
 		s.file.Close()
 	}
-	s.file, s.used, s.stray, s.replacement = s.replacement.file, s.replacement.used, 0, nil
+	s.file, s.used, s.strayBytes, s.replacement = s.replacement.file, s.replacement.used, 0, nil
 }
 
-// settleReplacement finds out whether the replacement has taken the log's name, though its rename told of an error.
-func (s *single) settleReplacement() error {
-	names, err := s.d.Names()
+// resolveReplacement finds out whether the replacement has taken the log's name, though its rename told of an error.
+func (s *singleFileLog) resolveReplacement() error {
+	names, err := s.fs.Names()
 	if err != nil {
 		return fmt.Errorf("wal: which file is the log's: %w", err)
 	}
 	if !slices.Contains(names, tempName) {
-		s.adopt()
+		s.useReplacement()
 		return nil
 	}
 	s.replacement.file.Close()
 	s.replacement = nil
-	_ = s.d.Remove(tempName) // the next compaction writes over it
+	_ = s.fs.Remove(tempName) // the next compaction writes over it
 	return nil
 }
 
-func (s *single) close() error {
+func (s *singleFileLog) close() error {
 	if s.file == nil {
 		return s.failed
 	}
-	return errors.Join(s.clean(), s.file.Close())
+	return errors.Join(s.dropStray(), s.file.Close())
 }
 
 // replay applies the records in data. It passes over what it cannot read and returns the end of the last good
@@ -290,14 +290,14 @@
 
 // readRecord reads the record at the start of data; n is 0 if there is no whole one.
 func readRecord(data []byte) (rec record, body []byte, n int) {
-	if len(data) < headBytes || binary.LittleEndian.Uint16(data) != magic {
+	if len(data) < recordHeaderBytes || binary.LittleEndian.Uint16(data) != magic {
 		return rec, nil, 0
 	}
 	size := int64(binary.LittleEndian.Uint32(data[2:]))
-	if size > mostBytes || size > int64(len(data)-headBytes) {
+	if size > maxRecordBytes || size > int64(len(data)-recordHeaderBytes) {
 		return rec, nil, 0
 	}
-	p := data[headBytes : headBytes+size]
+	p := data[recordHeaderBytes : recordHeaderBytes+size]
 	if crc32.ChecksumIEEE(p) != binary.LittleEndian.Uint32(data[6:]) {
 		return rec, nil, 0
 	}
@@ -305,5 +305,5 @@
 	if !ok {
 		return rec, nil, 0
 	}
-	return rec, body, headBytes + int(size)
+	return rec, body, recordHeaderBytes + int(size)
 }
--- a/internal/wal/sync.go
+++ b/internal/wal/sync.go
@@ -11,62 +11,62 @@
 
 // What goes on beside the log's owner: syncs and snapshots, and how the log goes on after one has failed.
 
-// renew writes a snapshot beside whatever goes on. anew tells that the log waits for it.
-func (s *segments) renew(gen uint64, live [][]byte, anew bool) {
+// snapshotInBackground writes a snapshot beside whatever goes on. anew tells that the log waits for it.
+func (s *segmentedLog) snapshotInBackground(gen uint64, live [][]byte, anew bool) {
 	s.mu.Lock()
-	s.renewing = true
+	s.snapshotting = true
 	s.mu.Unlock()
-	s.ended.Go(func() {
-		err := s.snapshot(gen, live)
+	s.background.Go(func() {
+		err := s.writeSnapshot(gen, live)
 		s.mu.Lock()
-		s.renewing = false
+		s.snapshotting = false
 		if err != nil {
-			s.tried = clock.Now()
+			s.lastFailedTry = clock.Now()
 		} else if anew {
-			s.renewed = gen
+			s.recoveryGen = gen
 		}
 		s.mu.Unlock()
-		s.Told()
+		s.Notify()
 	})
 }
 
-// tend goes on after a failure: it has a snapshot written, and then begins a new segment. live is asked for what the
+// tryRecover goes on after a failure: it has a snapshot written, and then begins a new segment. live is asked for what the
 // snapshot shall hold; true tells that the log may be written again.
-func (s *segments) tend(live func() [][]byte) bool {
+func (s *segmentedLog) tryRecover(live func() [][]byte) bool {
 	s.mu.Lock()
-	failed, renewing, renewed, tried := s.failed, s.renewing, s.renewed, s.tried
+	failed, renewing, renewed, tried := s.failed, s.snapshotting, s.recoveryGen, s.lastFailedTry
 	s.mu.Unlock()
 	switch {
 	case failed == nil:
 		return true
 	case renewing:
 	case renewed > 0:
-		if s.begin(renewed, nil) != nil {
+		if s.beginSegment(renewed, nil) != nil {
 			s.mu.Lock()
-			s.renewed = 0 // its snapshot is older than what follows: another one
+			s.recoveryGen = 0 // its snapshot is older than what follows: another one
 			s.mu.Unlock()
 			return false
 		}
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		for _, d := range s.dirty {
+		for _, d := range s.unsynced {
 			d.file.Close()
 		}
-		s.dirty, s.failed, s.renewed, s.since = nil, nil, 0, time.Time{}
+		s.unsynced, s.failed, s.recoveryGen, s.unsyncedSince = nil, nil, 0, time.Time{}
 		s.written++ // a snapshot is a write as well
 		s.durable = s.written
 		return true
-	case clock.Since(tried) >= renewAfter:
-		if s.guard() != nil {
+	case clock.Since(tried) >= recoveryRetryInterval:
+		if s.writeGuard() != nil {
 			s.mu.Lock()
-			s.tried = clock.Now()
+			s.lastFailedTry = clock.Now()
 			s.mu.Unlock()
 			return false
 		}
 		gen := s.gen + 1
-		if !s.Power {
-			s.tried = clock.Now()
-			if s.snapshot(gen, live()) == nil && s.begin(gen, nil) == nil {
+		if !s.SyncWrites {
+			s.lastFailedTry = clock.Now()
+			if s.writeSnapshot(gen, live()) == nil && s.beginSegment(gen, nil) == nil {
 				s.failed = nil
 				s.written++
 				s.durable = s.written
@@ -74,24 +74,24 @@
 			}
 			return false
 		}
-		s.renew(gen, live(), true)
+		s.snapshotInBackground(gen, live(), true)
 	}
 	return false
 }
 
-// syncs is the goroutine that brings to disk what was written. One sync serves all writes that came before it.
-func (s *segments) syncs() {
+// syncLoop is the goroutine that brings to disk what was written. One sync serves all writes that came before it.
+func (s *segmentedLog) syncLoop() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for {
-		for (len(s.dirty) == 0 || s.failed != nil) && !s.closing {
+		for (len(s.unsynced) == 0 || s.failed != nil) && !s.closing {
 			s.wake.Wait()
 		}
-		if len(s.dirty) == 0 || s.failed != nil {
+		if len(s.unsynced) == 0 || s.failed != nil {
 			return
 		}
-		todo, target, began, names := slices.Clone(s.dirty), s.written, clock.Now(), s.names
-		s.names = false
+		todo, target, began, names := slices.Clone(s.unsynced), s.written, clock.Now(), s.dirUnsynced
+		s.dirUnsynced = false
 		s.mu.Unlock()
 		var err error
 		for _, d := range todo { // the older first: what stands in the later one counts only with it
@@ -104,58 +104,58 @@
 		}
 		s.mu.Lock()
 		if err != nil {
-			s.failed, s.tried = fmt.Errorf("wal: sync: %w", err), time.Time{}
+			s.failed, s.lastFailedTry = fmt.Errorf("wal: sync: %w", err), time.Time{}
 		} else {
-			s.synced(todo, target, began)
+			s.markSynced(todo, target, began)
 		}
 		s.mu.Unlock()
-		s.Told()
+		s.Notify()
 		s.mu.Lock()
 	}
 }
 
-// synced notes what is on disk now; with mu held.
-func (s *segments) synced(todo []dirty, target uint64, began time.Time) {
+// markSynced notes what is on disk now; with mu held.
+func (s *segmentedLog) markSynced(todo []unsyncedSegment, target uint64, began time.Time) {
 	s.durable = target
 	for i, d := range todo {
 		if d.file == s.file {
-			s.kept = d.size
+			s.syncedBytes = d.size
 		}
-		if s.dirty[i].size > d.size {
+		if s.unsynced[i].size > d.size {
 			continue // written to since
 		}
-		if s.dirty[i].over {
+		if s.unsynced[i].complete {
 			d.file.Close()
 		}
-		s.dirty[i].file = nil
+		s.unsynced[i].file = nil
 	}
-	s.dirty = slices.DeleteFunc(s.dirty, func(d dirty) bool { return d.file == nil })
-	s.since = time.Time{}
+	s.unsynced = slices.DeleteFunc(s.unsynced, func(d unsyncedSegment) bool { return d.file == nil })
+	s.unsyncedSince = time.Time{}
 	if s.written > s.durable {
-		s.since = began // at the latest
+		s.unsyncedSince = began // at the latest
 	}
 }
 
 // close has what was written on disk, and tells the next reader so.
-func (s *segments) close() error {
+func (s *segmentedLog) close() error {
 	var err error
-	if !s.worn() {
+	if !s.needsNewFile() {
 		err = s.append([][]byte{payload(record{Kind: recSeal}, nil)})
 	}
 	s.mu.Lock()
 	s.closing = true
 	s.wake.Signal()
 	s.mu.Unlock()
-	s.ended.Wait()
+	s.background.Wait()
 	if s.file == nil {
 		return err
 	}
 	if s.failed != nil {
 		return errors.Join(err, s.failed, s.file.Close())
 	}
-	if err == nil && s.Power {
+	if err == nil && s.SyncWrites {
 		// A last frame that vouches for all before it: from here on whatever can't be read there is damage.
-		s.closed = true
+		s.sealed = true
 		if err = s.append([][]byte{payload(record{Kind: recSeal}, nil)}); err == nil {
 			err = s.file.Sync()
 		}
@@ -163,7 +163,7 @@
 	return errors.Join(err, s.file.Close())
 }
 
-func (s *segments) marks() (written, durable uint64) {
+func (s *segmentedLog) writeNumbers() (written, durable uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.written, s.durable
--- a/internal/wal/times.go
+++ b/internal/wal/times.go
@@ -11,20 +11,20 @@
 
 func newState() state { return state{live: map[uint32]*Message{}, times: clock.NewTimeline()} }
 
-// newStampedState is for a reader that shows the times as they stand in the log.
-func newStampedState() state { return state{live: map[uint32]*Message{}, stamped: true} }
+// newRawTimesState is for a reader that shows the times as they stand in the log.
+func newRawTimesState() state { return state{live: map[uint32]*Message{}, rawTimes: true} }
 
-// resume has what is read from here on go by the timeline of an earlier process. Where that can't be gone on with, a new
+// resumeTimeline has what is read from here on go by the timeline of an earlier process. Where that can't be gone on with, a new
 // one begins, and what is read is taken for times of the wall clock.
-func (s *state) resume(a *clock.Anchor) {
-	if s.stamped {
+func (s *state) resumeTimeline(a *clock.Anchor) {
+	if s.rawTimes {
 		return
 	}
 	t, ok := clock.ResumeTimeline(*a)
 	if !ok {
 		t = clock.NewTimeline()
 	}
-	s.times, s.resumed = t, ok
+	s.times, s.timelineResumed = t, ok
 }
 
 // localize puts the times of a message that was read into those of this process.
@@ -35,8 +35,8 @@
 	}
 }
 
-// accepted is the record of a message with all that is known of it.
-func (s *state) accepted(m *Message) []byte {
+// acceptPayload is the record of a message with all that is known of it.
+func (s *state) acceptPayload(m *Message) []byte {
 	stamped := *m
 	stamped.Deadline = s.times.Stamp(m.Deadline)
 	stamped.MayRun = make([]Attempt, len(m.MayRun))
@@ -63,9 +63,9 @@
 	return nil
 }
 
-// anchor is what has to be written before anything that goes by the timeline; nothing if it stands there already.
-func (l *Log) anchor() [][]byte {
-	if l.anchored || l.headed {
+// missingClockRecord is what has to be written before anything that goes by the timeline; nothing if it stands there already.
+func (l *Log) missingClockRecord() [][]byte {
+	if l.clockWritten || l.clockInHeaders {
 		return nil
 	}
 	return l.clockRecord()
@@ -73,7 +73,9 @@
 
 // Timeline tells whether the log goes on with the times of an earlier process, and by how much the wall clock has been stepped
 // since that one began them.
-func (l *Log) Timeline() (resumed bool, stepped time.Duration) { return l.resumed, l.times.Stepped() }
+func (l *Log) Timeline() (resumed bool, stepped time.Duration) {
+	return l.timelineResumed, l.times.Stepped()
+}
 
 // Stamp is the time on the log's timeline of a moment of this process. Local is the way back.
 func (l *Log) Stamp(at time.Time) time.Time { return l.times.Stamp(at) }
--- a/internal/wal/times_test.go
+++ b/internal/wal/times_test.go
@@ -9,20 +9,20 @@
 	"onyxroad.dev/onyxroad/internal/clock/wallstep"
 )
 
-// steps are of the wall clock, in seconds.
-var steps = []int64{-3600, -5, 5, 3600}
+// wallSteps are of the wall clock, in seconds.
+var wallSteps = []int64{-3600, -5, 5, 3600}
 
 // Whatever the wall clock does while the log runs, or between two processes, a message has the time that it had, and a send
 // is as old as it is.
-func TestTimesOutlastAStepOfTheWallClock(t *testing.T) {
+func TestTimesSurviveWallClockSteps(t *testing.T) {
 	const left, age, slack = 20 * time.Second, 3 * time.Second, 2 * time.Second
-	for _, format := range []int{1, Format} {
-		for _, before := range append(steps, 0) {
-			for _, between := range append(steps, 0) {
+	for _, format := range []int{1, SegmentFormat} {
+		for _, before := range append(wallSteps, 0) {
+			for _, between := range append(wallSteps, 0) {
 				t.Run(fmt.Sprintf("format %d, %+d s, %+d s", format, before, between), func(t *testing.T) {
 					var wall wallstep.Clock
 					defer wall.Use()()
-					o := Options{Dir: t.TempDir(), Limit: roomy, Format: format, Name: "n3"}
+					o := Options{Dir: t.TempDir(), Limit: ampleLimit, Format: format, Name: "n3"}
 					l, _, err := OpenWith(o)
 					must(t, err)
 					first, second := message(1), message(2)
@@ -31,7 +31,7 @@
 					wall.Step(before)
 					second.Deadline = clock.Now().Add(left)
 					must(t, l.Accept(second))
-					must(t, l.Sent(Send{first, Attempt{Host: "s-1", At: clock.Now().Add(-age)}}))
+					must(t, l.RecordSends(Send{first, Attempt{Host: "s-1", At: clock.Now().Add(-age)}}))
 					wall.Step(between)
 					for restart := range 3 { // the last one finds what a compaction has written
 						l, found, err := OpenWith(o)
--- a/internal/wal/wal.go
+++ b/internal/wal/wal.go
@@ -25,12 +25,12 @@
 // ErrFull tells that the log has no room for new work. Ends and outcomes still find room.
 var ErrFull = errors.New("wal: no room for new work")
 
-// ErrHeld tells that another process has the log.
-var ErrHeld = errors.New("wal: held by another process")
+// ErrLocked tells that another process has the log.
+var ErrLocked = errors.New("wal: held by another process")
 
-// ErrUnclear tells that what was to be written may stand in the log all the same, and can't be taken away now: should the process
+// ErrIndeterminate tells that what was to be written may stand in the log all the same, and can't be taken away now: should the process
 // end before it is, the next one finds it.
-var ErrUnclear = errors.New("wal: what was not written may stand in the log")
+var ErrIndeterminate = errors.New("wal: what was not written may stand in the log")
 
 // Message is a message that was taken on, with what the log knows of its fate.
 type Message struct {
@@ -112,20 +112,20 @@
 	recFinal
 	recEnd
 	recWithdrawn
-	recHead       // of a file of a folder in segments
-	recFoot       // of a snapshot: so many messages
-	recSeal       // the segment ends here
-	recClock      // the times of what follows
-	recCompleted  // ends of messages that are no more in the log
-	recTurnedAway // requests that were not taken on
+	recHeader    // of a file of a folder in segments
+	recFooter    // of a snapshot: so many messages
+	recSeal      // the segment ends here
+	recClock     // the times of what follows
+	recCompleted // ends of messages that are no more in the log
+	recRejected  // requests that were not taken on
 )
 
 const (
-	name     = "wal.log"
+	logName  = "wal.log"
 	tempName = "wal.tmp"
 	lockName = "wal.lock"
 
-	mostBytes = 1 << 20 // of a record: a message's is far smaller
+	maxRecordBytes = 1 << 20 // of a record: a message's is far smaller
 
 	// Shares of the disk limit. While the log is compacted the old and the new file stand side by side, and
 	// both must fit: liveShare + compactShare stays clear of 1 by more than a batch.
@@ -141,59 +141,59 @@
 	Attempt *Attempt      `json:",omitempty"`
 	N       int           `json:",omitempty"`
 	Final   *Final        `json:",omitempty"`
-	Head    *head         `json:",omitempty"`
+	Head    *fileHeader   `json:",omitempty"`
 	Clock   *clock.Anchor `json:",omitempty"`
 }
 
 // Options is how a log is kept. Only Dir and Limit are needed.
 type Options struct {
-	Dir   string
-	Limit int64   // bytes on disk
-	FS    disk.FS // the folder's files; none: the operating system's
-	Name  string  // the relay's; a folder in segments of another one is refused, unless Also is its name. Empty: any
-	Also  string  // another name under which the folder is this relay's
-	Adopt bool    // or this is set
+	Dir          string
+	Limit        int64   // bytes on disk
+	FS           disk.FS // the folder's files; none: the operating system's
+	Name         string  // the relay's; a folder in segments of another one is refused, unless Also is its name. Empty: any
+	PreviousName string  // another name under which the folder is this relay's
+	AdoptForeign bool    // or this is set
 	// Format is 1, one file, or 2, segments; none: 1.
 	Format int
-	// Power has writes synced, and Durable tell how far. It needs segments.
-	Power bool
-	// Told is called, from any goroutine, whenever Durable has grown or a sync has failed.
-	Told func()
+	// SyncWrites has writes synced, and Durable tell how far. It needs segments.
+	SyncWrites bool
+	// Notify is called, from any goroutine, whenever Durable has grown or a sync has failed.
+	Notify func()
 }
 
 // Log is an open log. It is not safe for concurrent use.
 type Log struct {
 	Options
 	state
-	keep     keeper
-	notes    [][]byte // payloads of outcomes and ends not yet written
-	anchored bool     // the file that is written says by which timeline
-	headed   bool     // each file says so in its head
+	backend        backend
+	pending        [][]byte // payloads of outcomes and ends not yet written
+	clockWritten   bool     // the file that is written says by which timeline
+	clockInHeaders bool     // each file says so in its head
 }
 
-// keeper is how a log is kept.
-type keeper interface {
+// backend is how a log is kept.
+type backend interface {
 	// size is what it takes on disk, in bytes.
 	size() int64
-	// framed is what payloads would add to it.
-	framed(payloads [][]byte) int64
-	// forStart is the room that is kept from what is appended where live messages take so many bytes: the next start needs it.
-	forStart(live int64) int64
+	// encodedSize is what payloads would add to it.
+	encodedSize(payloads [][]byte) int64
+	// startReserve is the room that is kept from what is appended where live messages take so many bytes: the next start needs it.
+	startReserve(live int64) int64
 	// append appends payloads in one write, all or none.
 	append(payloads [][]byte) error
 	// compact puts the live messages in the place of all that was appended.
 	compact(live [][]byte) error
-	// marks tell the number of the last write, and of the last that is durable.
-	marks() (written, durable uint64)
-	// worn tells that nothing can be appended until tend has had a new file begun.
-	worn() bool
-	tend(live func() [][]byte) bool
-	// goOn has what waits for a write that failed go on: all that was noted has been written.
-	goOn()
+	// writeNumbers tell the number of the last write, and of the last that is durable.
+	writeNumbers() (written, durable uint64)
+	// needsNewFile tells that nothing can be appended until tend has had a new file begun.
+	needsNewFile() bool
+	tryRecover(live func() [][]byte) bool
+	// pendingFlushed has what waits for a write that failed go on: all that was noted has been written.
+	pendingFlushed()
 	failure() error
 	reclaim(names []string, l *Log) error
-	// fit tells, before new work is taken on, that outcomes and ends of what is held will find room.
-	fit() error
+	// ensureRoom tells, before new work is taken on, that outcomes and ends of what is held will find room.
+	ensureRoom() error
 	close() error
 }
 
@@ -209,10 +209,10 @@
 	if err != nil {
 		return nil, fmt.Errorf("wal: %w", err)
 	}
-	if err := disk.Uninterrupted(func() error { return syscall.Flock(int(f.Fd()), syscall.LOCK_EX|syscall.LOCK_NB) }); err != nil {
+	if err := disk.RetryOnEINTR(func() error { return syscall.Flock(int(f.Fd()), syscall.LOCK_EX|syscall.LOCK_NB) }); err != nil {
 		f.Close()
 		if errors.Is(err, syscall.EWOULDBLOCK) {
-			return nil, ErrHeld
+			return nil, ErrLocked
 		}
 		return nil, fmt.Errorf("wal: lock: %w", err)
 	}
@@ -234,72 +234,72 @@
 	if err != nil {
 		return nil, Recovery{}, fmt.Errorf("wal: %w", err)
 	}
-	switch guarded := inSegments(names); {
-	case o.Format == Format:
+	switch guarded := isSegmented(names); {
+	case o.Format == SegmentFormat:
 		found, err := l.openSegments(names, guarded)
-		l.pruneCompleted()
+		l.pruneCompletions()
 		return l, found, err
 	case guarded:
-		if err := l.leaveSegments(names); err != nil {
+		if err := l.convertToSingle(names); err != nil {
 			return nil, Recovery{}, err
 		}
 	}
 	found, err := l.openSingle()
-	l.pruneCompleted()
+	l.pruneCompletions()
 	return l, found, err
 }
 
 // Close writes what is noted and closes the files.
-func (l *Log) Close() error { return errors.Join(l.Flush(), l.keep.close()) }
+func (l *Log) Close() error { return errors.Join(l.Flush(), l.backend.close()) }
 
 // Written is the number of the last write.
 func (l *Log) Written() uint64 {
-	n, _ := l.keep.marks()
+	n, _ := l.backend.writeNumbers()
 	return n
 }
 
 // Durable is the number of the last write that is as durable as the log is to be. Without Power every one is.
 func (l *Log) Durable() uint64 {
-	_, n := l.keep.marks()
+	_, n := l.backend.writeNumbers()
 	return n
 }
 
-// Tend goes on after the disk has failed the log, once it can. In segments a new file is begun with all that is live, and nothing
+// TryRecover goes on after the disk has failed the log, once it can. In segments a new file is begun with all that is live, and nothing
 // more is trusted to the one before; a single file is put in order. False tells that the log still waits for that.
-func (l *Log) Tend() bool {
-	if l.keep.failure() == nil {
+func (l *Log) TryRecover() bool {
+	if l.backend.failure() == nil {
 		return true
 	}
-	ok := l.keep.tend(func() [][]byte {
-		l.notes = nil // they are in the state
+	ok := l.backend.tryRecover(func() [][]byte {
+		l.pending = nil // they are in the state
 		return l.snapshot()
 	})
 	if !ok || l.Flush() != nil {
 		return false
 	}
-	l.keep.goOn()
+	l.backend.pendingFlushed()
 	return true
 }
 
 // Failure is why the log waits for a new file; nil if it does not.
-func (l *Log) Failure() error { return l.keep.failure() }
+func (l *Log) Failure() error { return l.backend.failure() }
 
 // Reclaim puts the live messages down anew after another process may have opened the log, and not gone on with it.
 func (l *Log) Reclaim() error {
 	names, err := l.FS.Names()
 	if err == nil {
-		err = l.keep.reclaim(names, l)
+		err = l.backend.reclaim(names, l)
 	}
 	if err != nil {
 		return fmt.Errorf("wal: reclaim: %w", err)
 	}
-	l.notes = nil // they are in the state
+	l.pending = nil // they are in the state
 	return nil
 }
 
 // Rename has the folder bear another name from the next start on. It comes right before Close, and needs segments.
 func (l *Log) Rename(name string) error {
-	if s, ok := l.keep.(*segments); ok {
+	if s, ok := l.backend.(*segmentedLog); ok {
 		s.Name = name
 	}
 	return l.compact()
@@ -320,25 +320,25 @@
 	return rec.Message, nil
 }
 
-// Fill is the part of the room for new work that is taken.
-func (l *Log) Fill() float64 { return float64(l.bytes) / max(1, float64(l.share(liveShare))) }
+// FillRatio is the part of the room for new work that is taken.
+func (l *Log) FillRatio() float64 { return float64(l.bytes) / max(1, float64(l.share(liveShare))) }
 
 // Size is what the log takes on disk, in bytes.
-func (l *Log) Size() int64 { return l.keep.size() }
+func (l *Log) Size() int64 { return l.backend.size() }
 
-// Owes tells whether m has no end yet.
-func (l *Log) Owes(m *Message) bool { return l.live[m.ID] != nil }
+// IsLive tells whether m has no end yet.
+func (l *Log) IsLive(m *Message) bool { return l.live[m.ID] != nil }
 
 // Accept records that ms are taken on, all or none. With ErrFull nothing of them is in the log.
 func (l *Log) Accept(ms ...*Message) error {
-	if err := l.keep.fit(); err != nil {
+	if err := l.backend.ensureRoom(); err != nil {
 		return err
 	}
 	var buf [][]byte
 	for _, m := range ms {
-		buf = append(buf, l.accepted(m))
+		buf = append(buf, l.acceptPayload(m))
 	}
-	if l.bytes+l.keep.framed(buf) > l.share(liveShare) {
+	if l.bytes+l.backend.encodedSize(buf) > l.share(liveShare) {
 		return ErrFull
 	}
 	if err := l.write(buf); err != nil {
@@ -346,13 +346,13 @@
 	}
 	for _, m := range ms {
 		l.live[m.ID] = m
-		l.bytes += cost(m)
+		l.bytes += estimatedSize(m)
 	}
 	return nil
 }
 
-// Sent records attempts before their first byte, all or none.
-func (l *Log) Sent(sends ...Send) error {
+// RecordSends records attempts before their first byte, all or none.
+func (l *Log) RecordSends(sends ...Send) error {
 	var buf [][]byte
 	for _, s := range sends {
 		stamped := s.Attempt
@@ -363,9 +363,9 @@
 		return err
 	}
 	for _, s := range sends {
-		l.bytes -= cost(s.Message)
-		s.Message.sent(s.Attempt)
-		l.bytes += cost(s.Message)
+		l.bytes -= estimatedSize(s.Message)
+		s.Message.addAttempt(s.Attempt)
+		l.bytes += estimatedSize(s.Message)
 	}
 	return nil
 }
@@ -376,19 +376,19 @@
 	if l.live[m.ID] == nil {
 		return
 	}
-	l.bytes -= cost(m)
-	m.neverRan(n)
-	l.bytes += cost(m)
-	l.notes = append(l.notes, payload(record{Kind: recOutcome, ID: m.ID, N: n}, nil))
+	l.bytes -= estimatedSize(m)
+	m.removeAttempt(n)
+	l.bytes += estimatedSize(m)
+	l.pending = append(l.pending, payload(record{Kind: recOutcome, ID: m.ID, N: n}, nil))
 }
 
-// Decide notes the notice that will end m.
-func (l *Log) Decide(m *Message, f Final) {
+// SetFinal notes the notice that will end m.
+func (l *Log) SetFinal(m *Message, f Final) {
 	if l.live[m.ID] == nil {
 		return
 	}
 	m.Final = &f
-	l.notes = append(l.notes, payload(record{Kind: recFinal, ID: m.ID, Final: &f}, nil))
+	l.pending = append(l.pending, payload(record{Kind: recFinal, ID: m.ID, Final: &f}, nil))
 }
 
 // Withdraw notes that nothing is owed for m but to remember what may have run, until End.
@@ -397,7 +397,7 @@
 		return
 	}
 	m.Withdrawn = true
-	l.notes = append(l.notes, payload(record{Kind: recWithdrawn, ID: m.ID}, nil))
+	l.pending = append(l.pending, payload(record{Kind: recWithdrawn, ID: m.ID}, nil))
 }
 
 // End notes that nothing more is owed for m here, and that its trace id may come again: what has become of it is not known to its
@@ -411,13 +411,13 @@
 // end takes m out of the log. how is 0 if its end is not remembered.
 func (l *Log) end(m *Message, how Completion) {
 	delete(l.live, m.ID)
-	l.bytes -= cost(m)
-	l.notes = append(l.notes, payload(record{Kind: recEnd, ID: m.ID, N: int(how)}, nil))
+	l.bytes -= estimatedSize(m)
+	l.pending = append(l.pending, payload(record{Kind: recEnd, ID: m.ID, N: int(how)}, nil))
 }
 
 // Flush writes what is noted. After an error the notes are kept for the next write.
 func (l *Log) Flush() error {
-	if len(l.notes) == 0 {
+	if len(l.pending) == 0 {
 		return nil
 	}
 	return l.write(nil)
@@ -425,53 +425,53 @@
 
 // write appends the notes and buf in one write. Only buf is given up on an error.
 func (l *Log) write(buf [][]byte) error {
-	if l.keep.worn() {
-		if len(l.notes)+len(buf) == 0 {
+	if l.backend.needsNewFile() {
+		if len(l.pending)+len(buf) == 0 {
 			return nil
 		}
-		return ErrWorn
+		return ErrNeedsNewFile
 	}
-	all := slices.Concat(l.anchor(), l.notes, buf)
-	if l.keep.size()+l.keep.framed(all) > l.share(compactShare) {
+	all := slices.Concat(l.missingClockRecord(), l.pending, buf)
+	if l.backend.size()+l.backend.encodedSize(all) > l.share(compactShare) {
 		// The notes are in the state that a compaction writes, so they need no records of their own. Where it
 		// fails, the room beyond the share is left.
 		if err := l.compact(); err == nil {
 			all = buf
 		}
 	}
-	if len(l.notes)+len(buf) == 0 {
+	if len(l.pending)+len(buf) == 0 {
 		return nil
 	}
-	if l.keep.size()+l.keep.framed(all)+l.keep.forStart(l.bytes+l.rememberedBytes()) > l.Limit-2*disk.Sector {
+	if l.backend.size()+l.backend.encodedSize(all)+l.backend.startReserve(l.bytes+l.completionsSize()) > l.Limit-2*disk.Sector {
 		return ErrFull
 	}
-	if err := l.keep.append(all); err != nil {
+	if err := l.backend.append(all); err != nil {
 		return err
 	}
-	l.notes, l.anchored = l.notes[:0], true
+	l.pending, l.clockWritten = l.pending[:0], true
 	return nil
 }
 
 // compact puts the live messages alone in the place of the log.
 func (l *Log) compact() error {
-	if err := l.keep.compact(l.snapshot()); err != nil {
+	if err := l.backend.compact(l.snapshot()); err != nil {
 		return err
 	}
-	l.notes, l.bytes, l.anchored = l.notes[:0], 0, true
+	l.pending, l.bytes, l.clockWritten = l.pending[:0], 0, true
 	for _, m := range l.live {
-		l.bytes += cost(m)
+		l.bytes += estimatedSize(m)
 	}
 	return nil
 }
 
 // snapshot is the live messages as records.
 func (l *Log) snapshot() (all [][]byte) {
-	if !l.headed {
+	if !l.clockInHeaders {
 		all = l.clockRecord()
 	}
-	all = append(all, l.remembered()...)
+	all = append(all, l.completionRecords()...)
 	for _, m := range l.messages() {
-		all = append(all, l.accepted(m))
+		all = append(all, l.acceptPayload(m))
 	}
 	return all
 }
@@ -488,8 +488,8 @@
 	return ms
 }
 
-// cost is about what m takes in a new file.
-func cost(m *Message) int64 {
+// estimatedSize is about what m takes in a new file.
+func estimatedSize(m *Message) int64 {
 	n := 280 + len(m.Body) + len(m.Trace) + len(m.Key) + len(m.Order)
 	for _, a := range m.MayRun {
 		n += 80 + len(a.Host)
@@ -497,12 +497,12 @@
 	return int64(n)
 }
 
-func (m *Message) sent(a Attempt) {
+func (m *Message) addAttempt(a Attempt) {
 	m.Attempts = max(m.Attempts, a.N+1)
 	m.MayRun = append(m.MayRun, a)
 }
 
-func (m *Message) neverRan(n int) {
+func (m *Message) removeAttempt(n int) {
 	m.MayRun = slices.DeleteFunc(m.MayRun, func(a Attempt) bool { return a.N == n })
 }
 
@@ -511,31 +511,31 @@
 	m := s.live[rec.ID]
 	switch {
 	case rec.Kind == recClock && rec.Clock != nil:
-		s.resume(rec.Clock)
+		s.resumeTimeline(rec.Clock)
 		return
 	case rec.Kind == recCompleted:
-		s.applyCompleted(&s.completed, body)
+		s.applyCompletions(&s.completed, body)
 		return
-	case rec.Kind == recTurnedAway:
-		s.applyCompleted(&s.turnedAway, body)
+	case rec.Kind == recRejected:
+		s.applyCompletions(&s.rejected, body)
 		return
 	case rec.Kind == recAccept && rec.Message != nil:
 		m = rec.Message
 		m.ID, m.Body = rec.ID, slices.Clone(body)
 		s.localize(m)
 		s.live[m.ID] = m
-		s.bytes += cost(m)
+		s.bytes += estimatedSize(m)
 		return
 	case m == nil:
 		return // its first record is unreadable
 	}
-	s.bytes -= cost(m)
+	s.bytes -= estimatedSize(m)
 	switch {
 	case rec.Kind == recSend && rec.Attempt != nil:
 		rec.Attempt.At = s.times.Local(rec.Attempt.At)
-		m.sent(*rec.Attempt)
+		m.addAttempt(*rec.Attempt)
 	case rec.Kind == recOutcome:
-		m.neverRan(rec.N)
+		m.removeAttempt(rec.N)
 	case rec.Kind == recFinal && rec.Final != nil:
 		m.Final = rec.Final
 	case rec.Kind == recWithdrawn:
@@ -543,9 +543,9 @@
 	case rec.Kind == recEnd:
 		delete(s.live, m.ID)
 		if rec.N > 0 {
-			s.complete(m, Completion(rec.N))
+			s.rememberCompletion(m, Completion(rec.N))
 		}
 		return
 	}
-	s.bytes += cost(m)
+	s.bytes += estimatedSize(m)
 }
--- a/internal/wal/wal_test.go
+++ b/internal/wal/wal_test.go
@@ -13,7 +13,7 @@
 	"onyxroad.dev/onyxroad/internal/disk"
 )
 
-const roomy = 3_000_000
+const ampleLimit = 3_000_000
 
 var noon = time.Date(2026, 11, 29, 12, 0, 0, 0, time.UTC)
 
@@ -23,7 +23,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { l.keep.close() })
+	t.Cleanup(func() { l.backend.close() })
 	return l, found
 }
 
@@ -41,8 +41,8 @@
 	}
 }
 
-// ids lists what was found.
-func ids(found Recovery) string {
+// foundIDs lists what was found.
+func foundIDs(found Recovery) string {
 	text := ""
 	for _, m := range found.Messages {
 		text += fmt.Sprint(m.ID, " ")
@@ -50,8 +50,8 @@
 	return text
 }
 
-// onDisk is what the folder takes, each file in whole disk.Sectors.
-func onDisk(t *testing.T, dir string) int64 {
+// diskUsage is what the folder takes, each file in whole disk.Sectors.
+func diskUsage(t *testing.T, dir string) int64 {
 	t.Helper()
 	entries, err := os.ReadDir(dir)
 	must(t, err)
@@ -64,23 +64,23 @@
 	return sum
 }
 
-func TestWhatIsUnfinishedComesBack(t *testing.T) {
+func TestUnfinishedMessagesSurviveKill(t *testing.T) {
 	dir := t.TempDir()
-	l, _ := open(t, dir, roomy)
+	l, _ := open(t, dir, ampleLimit)
 	delivered, refused, pending, taken := message(1), message(2), message(3), message(4)
 	must(t, l.Accept(delivered, refused, pending, taken))
 	out := Attempt{N: 0, Host: "s-1", Zone: 1, At: noon}
-	must(t, l.Sent(Send{delivered, out}, Send{pending, out}))
+	must(t, l.RecordSends(Send{delivered, out}, Send{pending, out}))
 	l.NeverRan(pending, 0)
 	second := Attempt{N: 1, Host: "s-2", Zone: 1, At: noon.Add(time.Second)}
-	must(t, l.Sent(Send{pending, second}))
+	must(t, l.RecordSends(Send{pending, second}))
 	l.End(delivered)
-	l.Decide(refused, Final{Deferred: true, Again: 700 * time.Millisecond})
+	l.SetFinal(refused, Final{Deferred: true, Again: 700 * time.Millisecond})
 	must(t, l.Flush())
 
 	// No Close: the process was killed.
-	_, found := open(t, dir, roomy)
-	if got := ids(found); got != "2 3 4 " || found.Damaged {
+	_, found := open(t, dir, ampleLimit)
+	if got := foundIDs(found); got != "2 3 4 " || found.Damaged {
 		t.Fatalf("found %q, damaged %v", got, found.Damaged)
 	}
 	r, p, k := found.Messages[0], found.Messages[1], found.Messages[2]
@@ -98,58 +98,58 @@
 	}
 }
 
-func TestATornTailIsDropped(t *testing.T) {
+func TestTornTailIsDropped(t *testing.T) {
 	whole := t.TempDir()
-	l, _ := open(t, whole, roomy)
+	l, _ := open(t, whole, ampleLimit)
 	must(t, l.Accept(message(1)))
-	keep := l.keep.size()
+	keep := l.backend.size()
 	must(t, l.Accept(message(2)))
-	data, err := os.ReadFile(filepath.Join(whole, name))
+	data, err := os.ReadFile(filepath.Join(whole, logName))
 	must(t, err)
 	for cut := keep; cut < int64(len(data)); cut++ {
 		dir := t.TempDir()
-		must(t, os.WriteFile(filepath.Join(dir, name), data[:cut], 0o600))
-		l, found := open(t, dir, roomy)
-		if got := ids(found); got != "1 " || found.Damaged {
+		must(t, os.WriteFile(filepath.Join(dir, logName), data[:cut], 0o600))
+		l, found := open(t, dir, ampleLimit)
+		if got := foundIDs(found); got != "1 " || found.Damaged {
 			t.Fatalf("cut at %d: found %q, damaged %v", cut, got, found.Damaged)
 		}
 		must(t, l.Accept(message(3)))
-		if _, found := open(t, dir, roomy); ids(found) != "1 3 " {
-			t.Fatalf("cut at %d: appended after it, found %q", cut, ids(found))
+		if _, found := open(t, dir, ampleLimit); foundIDs(found) != "1 3 " {
+			t.Fatalf("cut at %d: appended after it, found %q", cut, foundIDs(found))
 		}
 	}
 }
 
-func TestADamagedRecordHidesNoOther(t *testing.T) {
+func TestDamagedRecordDoesNotHideOthers(t *testing.T) {
 	dir := t.TempDir()
-	l, _ := open(t, dir, roomy)
+	l, _ := open(t, dir, ampleLimit)
 	must(t, l.Accept(message(1)))
-	first := l.keep.size()
+	first := l.backend.size()
 	must(t, l.Accept(message(2)))
-	second := l.keep.size()
+	second := l.backend.size()
 	must(t, l.Accept(message(3)))
-	data, err := os.ReadFile(filepath.Join(dir, name))
+	data, err := os.ReadFile(filepath.Join(dir, logName))
 	must(t, err)
 	for at := first; at < second; at++ {
 		bad := bytes.Clone(data)
 		bad[at] ^= 0x55
 		dir := t.TempDir()
-		must(t, os.WriteFile(filepath.Join(dir, name), bad, 0o600))
-		if _, found := open(t, dir, roomy); ids(found) != "1 3 " || !found.Damaged {
-			t.Fatalf("byte %d damaged: found %q, damaged %v", at, ids(found), found.Damaged)
+		must(t, os.WriteFile(filepath.Join(dir, logName), bad, 0o600))
+		if _, found := open(t, dir, ampleLimit); foundIDs(found) != "1 3 " || !found.Damaged {
+			t.Fatalf("byte %d damaged: found %q, damaged %v", at, foundIDs(found), found.Damaged)
 		}
 	}
 }
 
-func TestNoContentStopsTheStart(t *testing.T) {
+func TestStartWithArbitraryContent(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
 	source := t.TempDir()
-	l, _ := open(t, source, roomy)
+	l, _ := open(t, source, ampleLimit)
 	for i := range uint32(20) {
 		must(t, l.Accept(message(i)))
-		must(t, l.Sent(Send{l.live[i], Attempt{Host: "s-1", At: noon}}))
+		must(t, l.RecordSends(Send{l.live[i], Attempt{Host: "s-1", At: noon}}))
 	}
-	data, err := os.ReadFile(filepath.Join(source, name))
+	data, err := os.ReadFile(filepath.Join(source, logName))
 	must(t, err)
 	for range 300 {
 		bad := bytes.Clone(data)
@@ -157,19 +157,19 @@
 			bad[rng.IntN(len(bad))] = byte(rng.Uint32())
 		}
 		dir := t.TempDir()
-		must(t, os.WriteFile(filepath.Join(dir, name), bad[:rng.IntN(len(bad))], 0o600))
-		l, found := open(t, dir, roomy)
+		must(t, os.WriteFile(filepath.Join(dir, logName), bad[:rng.IntN(len(bad))], 0o600))
+		l, found := open(t, dir, ampleLimit)
 		before := len(found.Messages)
 		must(t, l.Accept(message(1000)))
-		if _, found := open(t, dir, roomy); len(found.Messages) != before+1 {
+		if _, found := open(t, dir, ampleLimit); len(found.Messages) != before+1 {
 			t.Fatalf("%d messages found, then %d with one more", before, len(found.Messages))
 		}
-		l.keep.close()
+		l.backend.close()
 	}
 }
 
 // The old and the new file stand side by side during a compaction: neither may grow past its share.
-func TestTheDiskLimitIsKept(t *testing.T) {
+func TestSingleFileLogKeepsDiskLimit(t *testing.T) {
 	const limit = 100_000
 	dir := t.TempDir()
 	l, _ := open(t, dir, limit)
@@ -177,22 +177,22 @@
 	var held []*Message
 	for i := range uint32(4000) {
 		m := message(i)
-		before := l.keep.size()
+		before := l.backend.size()
 		must(t, l.Accept(m))
-		must(t, l.Sent(Send{m, Attempt{Host: "s-5be2a07c", At: noon}}))
+		must(t, l.RecordSends(Send{m, Attempt{Host: "s-5be2a07c", At: noon}}))
 		if held = append(held, m); len(held) > 20 {
 			l.End(held[0])
 			held = held[1:]
 			must(t, l.Flush())
 		}
-		if l.keep.size() < before {
+		if l.backend.size() < before {
 			compactions++
 			// before is what the old file held when the new one stood beside it.
-			if sum := before + l.keep.size() + 4*disk.Sector; sum > limit {
+			if sum := before + l.backend.size() + 4*disk.Sector; sum > limit {
 				t.Fatalf("%d bytes on disk during a compaction", sum)
 			}
 		}
-		if got := onDisk(t, dir); got > limit*6/10 {
+		if got := diskUsage(t, dir); got > limit*6/10 {
 			t.Fatalf("%d bytes on disk", got)
 		}
 	}
@@ -204,22 +204,22 @@
 	}
 }
 
-func TestACrashInMidCompactionLosesNothing(t *testing.T) {
+func TestCrashDuringCompactionLosesNothing(t *testing.T) {
 	dir := t.TempDir()
-	l, _ := open(t, dir, roomy)
+	l, _ := open(t, dir, ampleLimit)
 	must(t, l.Accept(message(1), message(2)))
-	data, err := os.ReadFile(filepath.Join(dir, name))
+	data, err := os.ReadFile(filepath.Join(dir, logName))
 	must(t, err)
 	must(t, os.WriteFile(filepath.Join(dir, tempName), data[:len(data)/2], 0o600))
-	if _, found := open(t, dir, roomy); ids(found) != "1 2 " {
-		t.Errorf("found %q", ids(found))
+	if _, found := open(t, dir, ampleLimit); foundIDs(found) != "1 2 " {
+		t.Errorf("found %q", foundIDs(found))
 	}
 	if _, err := os.Stat(filepath.Join(dir, tempName)); !errors.Is(err, os.ErrNotExist) {
 		t.Errorf("the unfinished file is still there: %v", err)
 	}
 }
 
-func TestAFullLogRefusesNewWorkOnly(t *testing.T) {
+func TestFullLogRefusesOnlyNewWork(t *testing.T) {
 	const limit = 50_000
 	dir := t.TempDir()
 	l, _ := open(t, dir, limit)
@@ -237,7 +237,7 @@
 	}
 	for round := range 4 { // what is held can be sent, again and again, and ended
 		for _, m := range held {
-			must(t, l.Sent(Send{m, Attempt{N: round, Host: "s-5be2a07c", At: noon}}))
+			must(t, l.RecordSends(Send{m, Attempt{N: round, Host: "s-5be2a07c", At: noon}}))
 			l.NeverRan(m, round)
 		}
 	}
@@ -246,48 +246,48 @@
 		must(t, l.Flush())
 	}
 	must(t, l.Accept(message(9999)))
-	if _, found := open(t, dir, limit); ids(found) != "9999 " {
-		t.Errorf("found %q", ids(found))
+	if _, found := open(t, dir, limit); foundIDs(found) != "9999 " {
+		t.Errorf("found %q", foundIDs(found))
 	}
-	if got := onDisk(t, dir); got > limit {
+	if got := diskUsage(t, dir); got > limit {
 		t.Errorf("%d bytes on disk", got)
 	}
 }
 
-// badFile takes no writes.
-type badFile struct{ *os.File }
+// unwritableFile takes no writes.
+type unwritableFile struct{ *os.File }
 
-func (badFile) Reserve(int64, int64) error { return nil }
+func (unwritableFile) Reserve(int64, int64) error { return nil }
 
-func TestAFailedWriteLeavesNoTrace(t *testing.T) {
+func TestFailedWriteLeavesNoRecord(t *testing.T) {
 	dir := t.TempDir()
-	l, _ := open(t, dir, roomy)
+	l, _ := open(t, dir, ampleLimit)
 	one, two := message(1), message(2)
 	must(t, l.Accept(one, two))
-	good := l.keep.(*single).file
-	bad, err := os.Open(filepath.Join(dir, name)) // takes no writes, as a full disk
+	good := l.backend.(*singleFileLog).file
+	bad, err := os.Open(filepath.Join(dir, logName)) // takes no writes, as a full disk
 	must(t, err)
 	defer bad.Close()
-	l.keep.(*single).file = badFile{bad}
+	l.backend.(*singleFileLog).file = unwritableFile{bad}
 	if err := l.Accept(message(3)); err == nil {
 		t.Error("taken on without a record")
 	}
-	if err := l.Sent(Send{one, Attempt{Host: "s-1", At: noon}}); err == nil || one.Attempts != 0 {
+	if err := l.RecordSends(Send{one, Attempt{Host: "s-1", At: noon}}); err == nil || one.Attempts != 0 {
 		t.Errorf("sent without a record: %v", err)
 	}
 	l.End(two)
 	if err := l.Flush(); err == nil {
 		t.Error("an end counts as written")
 	}
-	l.keep.(*single).file = good
+	l.backend.(*singleFileLog).file = good
 	must(t, l.Flush()) // the end was kept
 	must(t, l.Accept(message(4)))
-	if _, found := open(t, dir, roomy); ids(found) != "1 4 " {
-		t.Errorf("found %q", ids(found))
+	if _, found := open(t, dir, ampleLimit); foundIDs(found) != "1 4 " {
+		t.Errorf("found %q", foundIDs(found))
 	}
 }
 
-func TestTheCostCoversTheRecord(t *testing.T) {
+func TestEstimatedSizeCoversRecord(t *testing.T) {
 	m := message(1)
 	m.Body = make([]byte, 500)
 	m.Attempts = 8
@@ -295,8 +295,8 @@
 	for n := range 4 {
 		m.MayRun = append(m.MayRun, Attempt{N: n, Host: "s-5be2a07c", Zone: 1, At: noon.Add(time.Nanosecond)})
 	}
-	if got := len(appendRecord(nil, payload(record{Kind: recAccept, ID: 1, Message: m}, m.Body))); int64(got) > cost(m) {
-		t.Errorf("a record of %d bytes counts as %d", got, cost(m))
+	if got := len(appendRecord(nil, payload(record{Kind: recAccept, ID: 1, Message: m}, m.Body))); int64(got) > estimatedSize(m) {
+		t.Errorf("a record of %d bytes counts as %d", got, estimatedSize(m))
 	}
 }
 
