--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -1,10 +1,10 @@
-// Package clock is the one way by which a relay reads time.
+// Package clock is how a relay reads the time.
 //
-// Within a process every span is measured between two readings of Now, which carry the monotonic clock: a step of the
-// wall clock changes none of them. What outlasts the process is kept on a Timeline, which goes by the machine's monotonic
-// clock until the machine is booted anew, and so is not moved by such a step either.
+// Within a process, durations are measured between two results of Now, which carry a monotonic reading: a step of the wall clock
+// does not change them. Times that outlast the process are kept on a Timeline, which follows the machine's monotonic clock until the
+// machine reboots and so is not moved by such a step either.
 //
-// Tests and builds with the tag testbed put another source in the place of the system's clock, see SetSource.
+// Tests and builds with the tag testbed replace the system clock, see SetSource.
 package clock
 
 import (
@@ -12,10 +12,10 @@
 	"time"
 )
 
-// source is nil for the system's clock.
+// source is nil for the system clock.
 var source atomic.Pointer[func() time.Time]
 
-// Now is the present moment, by the wall clock and by the monotonic one.
+// Now returns the current time, with wall clock and monotonic readings.
 func Now() time.Time {
 	if read := source.Load(); read != nil {
 		return (*read)()
@@ -23,14 +23,14 @@
 	return time.Now()
 }
 
-// Since is the time that has passed since t.
+// Since returns the time elapsed since t.
 func Since(t time.Time) time.Duration { return Now().Sub(t) }
 
-// Until is the time that is left until t.
+// Until returns the time left until t.
 func Until(t time.Time) time.Duration { return t.Sub(Now()) }
 
-// SetSource has Now read another clock until restore is called. It is for tests and for the testbed's builds alone. The readings
-// have to carry the monotonic clock.
+// SetSource makes Now use another clock until restore is called. Only tests and testbed builds use it. The times that read returns must
+// have a monotonic reading.
 func SetSource(read func() time.Time) (restore func()) {
 	before := source.Swap(&read)
 	return func() { source.Store(before) }
--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -10,7 +10,7 @@
 	"testing"
 )
 
-// What a relay links reads time by this package alone: a reading that goes past it can't be stepped by a test.
+// Everything that a relay links must read the time through this package: tests can't step the clock of other readings.
 func TestOnlyThisPackageReadsTheSystemClock(t *testing.T) {
 	const module = "onyxroad.dev/onyxroad/"
 	out, err := exec.Command("go", "list", "-deps", "-f", "{{.ImportPath}}\t{{.Dir}}", module+"cmd/cherrytrestle").Output()
@@ -34,7 +34,7 @@
 	}
 }
 
-// checkNoSystemClock reports each use of the functions of package time that read the system's clock.
+// checkNoSystemClock reports each use of a function of package time that reads the system clock.
 func checkNoSystemClock(t *testing.T, file string) {
 	t.Helper()
 	fset := token.NewFileSet()
@@ -49,7 +49,7 @@
 		}
 		from, ok := selector.X.(*ast.Ident)
 		if ok && from.Name == "time" && (selector.Sel.Name == "Now" || selector.Sel.Name == "Since" || selector.Sel.Name == "Until") {
-			t.Errorf("%s: time.%s goes past package clock", fset.Position(n.Pos()), selector.Sel.Name)
+			t.Errorf("%s: time.%s reads the system clock, use package clock", fset.Position(n.Pos()), selector.Sel.Name)
 		}
 		return true
 	})
--- a/internal/clock/clock_testbed.go
+++ b/internal/clock/clock_testbed.go
@@ -9,7 +9,7 @@
 	"onyxroad.dev/onyxroad/internal/faultfile"
 )
 
-// The wall clock is off by what the testbed's file says; the monotonic one runs on.
+// The wall clock is offset by the value in the testbed's fault file; the monotonic clock is not affected.
 func init() {
 	if f := faultfile.Named(); f != nil {
 		SetSource(func() time.Time { return wallshift.Shift(time.Now(), f.Now().Wall) })
--- a/internal/clock/timeline.go
+++ b/internal/clock/timeline.go
@@ -12,18 +12,18 @@
 
 const bootIDPath = "/proc/sys/kernel/random/boot_id"
 
-// maxReadSkew is more than two clocks differ by because they are not read in the same moment.
+// maxReadSkew is more than two clocks differ because they are not read at the same instant.
 const maxReadSkew = time.Millisecond
 
 const maxReadAttempts = 5
 
-// Machine is a reading of what all processes of a machine share.
+// Machine is a reading of the monotonic clock that all processes of a machine share.
 type Machine struct {
-	Boot      string        `json:",omitempty"` // the id of this boot; empty: it can't be read
-	Monotonic time.Duration // of the machine's monotonic clock
+	Boot      string        `json:",omitempty"` // boot id; empty if it can't be read
+	Monotonic time.Duration // time on the monotonic clock
 }
 
-// ReadMachine reads the machine's monotonic clock. ok is false where that is not possible.
+// ReadMachine reads the machine's monotonic clock. ok is false if that is not possible.
 func ReadMachine() (m Machine, ok bool) {
 	var reading unix.Timespec
 	if unix.ClockGettime(unix.CLOCK_MONOTONIC, &reading) != nil {
@@ -33,7 +33,7 @@
 	return m, m.Monotonic > 0
 }
 
-// bootID is read once: it stays for as long as the process.
+// bootID reads the boot id once: it does not change during a process.
 var bootID = sync.OnceValue(func() string {
 	id, err := os.ReadFile(bootIDPath)
 	if err != nil {
@@ -42,7 +42,7 @@
 	return strings.TrimSpace(string(id))
 })
 
-// readClocks reads the machine's clock and this process's as near to one moment as can be had.
+// readClocks reads the machine's clock and this process's clock as close to the same instant as possible.
 func readClocks() (m Machine, local time.Time, ok bool) {
 	smallestSkew := time.Duration(math.MaxInt64)
 	for range maxReadAttempts {
@@ -59,25 +59,25 @@
 	return m, local, ok
 }
 
-// Follows tells whether m was read after earlier, and without a boot between the two, so that the clock ran on.
+// Follows reports whether m was read after earlier and without a reboot in between, so that the clock kept running.
 func (m Machine) Follows(earlier Machine) bool {
 	return m.Boot == earlier.Boot && m.Monotonic >= earlier.Monotonic && earlier.Monotonic > 0
 }
 
-// Anchor says which moment of the machine's monotonic clock bears which time on a timeline.
+// Anchor ties a reading of the machine's monotonic clock to a time on a timeline.
 type Anchor struct {
 	Machine
 	Time time.Time
 }
 
-// Timeline converts between the times of a process and those that outlast it. The zero Timeline changes nothing.
+// Timeline converts between times of this process and times that outlast it. The zero Timeline converts nothing.
 type Timeline struct {
 	anchor Anchor
-	local  time.Time // a moment of this process
-	stamp  time.Time // the same one on the timeline
+	local  time.Time // a time of this process
+	stamp  time.Time // the same instant on the timeline
 }
 
-// NewTimeline begins a timeline, which starts out from the wall clock.
+// NewTimeline begins a timeline that starts at the wall clock's time.
 func NewTimeline() Timeline {
 	m, local, ok := readClocks()
 	t := Timeline{local: local, stamp: local.Round(0).UTC()}
@@ -87,8 +87,8 @@
 	return t
 }
 
-// ResumeTimeline goes on with the timeline of an earlier process. ok is false where nothing tells how much time has passed
-// since: the machine was booted anew, or its monotonic clock can't be read. The wall clock is all there is to go by then.
+// ResumeTimeline continues the timeline of an earlier process. ok is false if it is unknown how much time has passed since, because the
+// machine has rebooted or its monotonic clock can't be read. Only the wall clock is left then.
 func ResumeTimeline(a Anchor) (t Timeline, ok bool) {
 	m, local, readable := readClocks()
 	if !readable || !m.Follows(a.Machine) {
@@ -96,18 +96,18 @@
 	}
 	stamp := a.Time.Add(m.Monotonic - a.Monotonic)
 	if wall := local.Round(0).UTC(); stamp.Sub(wall).Abs() < maxReadSkew {
-		stamp = wall // the clock has not been stepped
+		stamp = wall // the wall clock has not been stepped
 	}
 	return Timeline{anchor: a, local: local, stamp: stamp}, true
 }
 
-// Anchor is what another process needs to go on with this timeline; ok is false if there is nothing it could go by.
+// Anchor returns what another process needs to resume this timeline; ok is false if it can't be resumed.
 func (t Timeline) Anchor() (a Anchor, ok bool) { return t.anchor, t.anchor.Monotonic > 0 }
 
-// Stepped is by how much the wall clock has moved away from the timeline, as of when this process took it up.
+// Stepped returns by how much the wall clock differed from the timeline when this process began or resumed it.
 func (t Timeline) Stepped() time.Duration { return t.local.Round(0).Sub(t.stamp) }
 
-// Stamp is the time on the timeline of a moment of this process.
+// Stamp converts a time of this process to the timeline.
 func (t Timeline) Stamp(at time.Time) time.Time {
 	if t.local.IsZero() || at.IsZero() {
 		return at
@@ -115,7 +115,7 @@
 	return t.stamp.Add(at.Sub(t.local))
 }
 
-// Local is the moment of this process that bears a time on the timeline.
+// Local converts a time on the timeline to one of this process.
 func (t Timeline) Local(stamp time.Time) time.Time {
 	if t.local.IsZero() || stamp.IsZero() {
 		return stamp
--- a/internal/clock/wallstep/wallstep.go
+++ b/internal/clock/wallstep/wallstep.go
@@ -1,4 +1,4 @@
-// Package wallstep has the wall clock step under a test, while the monotonic clock runs on.
+// Package wallstep lets a test step the wall clock while the monotonic clock runs on.
 package wallstep
 
 import (
@@ -9,10 +9,10 @@
 	"onyxroad.dev/onyxroad/internal/clock/wallshift"
 )
 
-// Clock is the system's clock with a wall clock that a test can step.
+// Clock is the system clock with a wall clock that a test can step.
 type Clock struct{ seconds atomic.Int64 }
 
-// Use has package clock read c until restore is called.
+// Use makes package clock read c until restore is called.
 func (c *Clock) Use() (restore func()) {
 	return clock.SetSource(func() time.Time { return wallshift.Shift(time.Now(), c.seconds.Load()) })
 }
--- a/internal/disk/crashdisk/crashdisk.go
+++ b/internal/disk/crashdisk/crashdisk.go
@@ -1,8 +1,8 @@
-// Package crashdisk is a folder in memory that knows what a loss of power would leave of it: for every write, change of a
-// size, new name, rename and removal since the last sync, that it came to the disk or did not, in any order, writes torn at
-// sectors. It is harsher than any file system: those keep at least the order of names.
+// Package crashdisk emulates a directory in memory and what a power loss would leave of it: each write, size change, created name,
+// rename and removal since the last sync may or may not have reached the disk, in any order, with writes torn at sectors. That is
+// harsher than any file system: those at least keep the order of names.
 //
-// It also fails on demand, as a disk that is full, read-only, slow or broken does.
+// It also fails on demand, like a disk that is full, read-only, slow or broken.
 package crashdisk
 
 import (
@@ -17,22 +17,22 @@
 	"onyxroad.dev/onyxroad/internal/disk"
 )
 
-// Disk is such a folder.
+// Disk is an emulated directory.
 type Disk struct {
 	mu            sync.Mutex
 	visible       map[string]*inode // as the process sees them
 	durable       map[string]*inode // as they are on disk
-	unsyncedNames []nameChange      // since the last sync of the folder
-	// Fail is asked before every operation that changes anything, and may fail it: "write", "reserve", "sync", "open",
-	// "rename", "remove", "guard", "syncdir". A write that fails may have written a part.
+	unsyncedNames []nameChange      // since the last SyncDir
+	// Fail, if set, is called before every operation that changes something and may make it fail. The operations are "write",
+	// "reserve", "sync", "open", "rename", "remove", "guard" and "syncdir". A failing write may have written a part.
 	Fail func(op, name string) error
-	// After is told of every operation that changes something, once it is done.
+	// After, if set, is called after every operation that changes something.
 	After func(op, name string)
 }
 
-// nameChange is a change of the folder: some name goes, some name comes.
+// nameChange is a change of the directory: a name is removed, added, or both.
 type nameChange struct {
-	from, to string // "": none
+	from, to string // "" if none
 	node     *inode
 }
 
@@ -47,10 +47,10 @@
 type write struct {
 	off  int64
 	data []byte
-	size int64 // -1: no change of the size alone
+	size int64 // -1 for a write of data
 }
 
-// New returns an empty folder.
+// New returns an empty directory.
 func New() *Disk { return &Disk{visible: map[string]*inode{}, durable: map[string]*inode{}} }
 
 func (d *Disk) fail(op, name string) error {
@@ -172,7 +172,7 @@
 	return nil
 }
 
-// BeginSyncDir begins a sync of the folder. What has changed by now is on disk once done is called.
+// BeginSyncDir begins a sync of the directory. Changes made before this call are on disk once done has been called.
 func (d *Disk) BeginSyncDir() (done func()) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -184,7 +184,7 @@
 	}
 }
 
-// File is one of its files.
+// File is a file of a Disk.
 type File struct {
 	d    *Disk
 	n    *inode
@@ -194,7 +194,7 @@
 func (f *File) WriteAt(p []byte, off int64) (int, error) {
 	err := f.d.fail("write", f.name)
 	if err != nil {
-		p = p[:len(p)/2] // a part of it
+		p = p[:len(p)/2] // a failing write writes its first half
 	}
 	f.d.mu.Lock()
 	f.n.data = writeAt(f.n.data, p, off)
@@ -233,7 +233,7 @@
 	return nil
 }
 
-// BeginSync begins a sync. What was written by now is on disk once done is called; what comes meanwhile need not be.
+// BeginSync begins a sync. Data written before this call is on disk once done has been called; later data need not be.
 func (f *File) BeginSync() (done func()) {
 	f.d.mu.Lock()
 	defer f.d.mu.Unlock()
@@ -262,8 +262,8 @@
 	return append(slices.Clip(data), make([]byte, size-int64(len(data)))...)
 }
 
-// PendingPieces is how many things may each have come to the disk or not: 2 to their number is the number of states in which a
-// loss of power now may leave the folder.
+// PendingPieces returns the number of changes that may each have reached the disk or not. A power loss now may leave the directory
+// in 2 to that power states.
 func (d *Disk) PendingPieces() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -276,7 +276,7 @@
 	return n
 }
 
-// inodes lists the files, each once, in the order of their names on disk, then seen; with mu held.
+// inodes lists the files, each once, ordered by their names on disk and then by their visible names. The caller must hold mu.
 func (d *Disk) inodes() (all []*inode) {
 	seen := map[*inode]bool{}
 	add := func(n *inode) {
@@ -296,7 +296,7 @@
 	return all
 }
 
-// splitAtSectors splits a write at sectors.
+// splitAtSectors splits a write at sector boundaries.
 func splitAtSectors(w write) (all []write) {
 	if w.data == nil {
 		return []write{w}
@@ -309,7 +309,7 @@
 	return all
 }
 
-// Crash returns the folder as it is after a loss of power, where keep is asked of each piece whether it came to the disk.
+// Crash returns the directory after a power loss. keep decides for each pending change whether it reached the disk.
 func (d *Disk) Crash(keep func() bool) *Disk {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -349,14 +349,14 @@
 	return x
 }
 
-// KeepRandom is a keep for Crash that draws, with a bias that is drawn too: from nearly nothing to nearly all.
+// KeepRandom returns a keep function for Crash that decides at random, with a random bias from nearly nothing to nearly everything.
 func KeepRandom(rng *rand.Rand) func() bool {
 	p := [...]float64{0.03, 0.3, 0.5, 0.7, 0.97}[rng.IntN(5)]
 	return func() bool { return rng.Float64() < p }
 }
 
-// KeepBits is a keep for Crash that takes the bits of a number, the lowest first: with every number below 2 to the number of
-// pieces it gives every state.
+// KeepBits returns a keep function for Crash that uses the bits of n, lowest first. All n below 2 to the power of PendingPieces yield
+// every state.
 func KeepBits(n uint64) func() bool {
 	return func() bool {
 		bit := n&1 == 1
@@ -365,7 +365,7 @@
 	}
 }
 
-// AfterKill returns the folder as the process sees it, all of it on disk: what is left of it after SIGKILL.
+// AfterKill returns the directory as the process sees it, with everything on disk: what remains after SIGKILL.
 func (d *Disk) AfterKill() *Disk { return d.Crash(func() bool { return true }) }
 
 // FlipBit flips a bit of a file on disk.
@@ -381,7 +381,7 @@
 	return nil
 }
 
-// Listing lists the files with their sizes.
+// Listing returns the files with their sizes.
 func (d *Disk) Listing() string {
 	names, _ := d.Names()
 	var b strings.Builder
--- a/internal/disk/crashdisk/read.go
+++ b/internal/disk/crashdisk/read.go
@@ -7,7 +7,7 @@
 	"onyxroad.dev/onyxroad/internal/disk"
 )
 
-// OpenRead opens a file to be read in parts.
+// OpenRead opens a file for reading in parts.
 func (d *Disk) OpenRead(name string) (disk.Reader, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/disk/disk.go
+++ b/internal/disk/disk.go
@@ -1,9 +1,9 @@
-// Package disk is the file layer under a state folder: the few operations that the log and its snapshots need, all in one
-// folder. What stands behind it may be the operating system, or an emulation that knows what a loss of power would leave.
+// Package disk is the file system interface under a state folder: the few operations that the log and its snapshots need, all in one
+// directory. It is implemented by the operating system, or by an emulation that knows what a power loss would leave.
 //
-// What it promises after a loss of power is what the operating system promises and no more: what was written to a file is
-// there once Sync has returned, and a name that was made, changed or removed stays so once SyncDir has returned. Everything
-// else may be there or not, in any order, and a write may be torn at 512 bytes.
+// After a power loss it guarantees what the operating system guarantees and no more: data written to a file is there once Sync has
+// returned, and a created, renamed or removed name stays so once SyncDir has returned. Anything else may or may not be there, in any
+// order, and a write may be torn at 512 bytes.
 package disk
 
 import (
@@ -16,42 +16,42 @@
 	"golang.org/x/sys/unix"
 )
 
-// Sector is the most that a write leaves whole or not at all, in bytes.
+// Sector is the size in bytes of the largest write that is atomic.
 const Sector = 512
 
-// FS is a folder. Names are plain, without a separator.
+// FS is a directory. Names are plain, without a separator.
 type FS interface {
-	// Open opens a file to be written, which it makes if there is none.
+	// Open opens a file for writing and creates it if it does not exist.
 	Open(name string) (File, error)
-	// ReadFile returns a file's bytes; an error that is fs.ErrNotExist if there is no such file.
+	// ReadFile returns a file's content. The error is fs.ErrNotExist if there is no such file.
 	ReadFile(name string) ([]byte, error)
-	// Names lists what the folder holds in its order; a folder's name ends in a slash.
+	// Names lists the entries of the directory in its order; the name of a subdirectory ends in a slash.
 	Names() ([]string, error)
 	Rename(from, to string) error
-	// Remove removes a file, or a folder with what is in it. It is no error if there is none.
+	// Remove removes a file, or a subdirectory with its content. It is no error if there is none.
 	Remove(name string) error
-	// Guard makes a folder with one empty file in it.
+	// Guard creates a subdirectory that contains one empty file, so that os.Remove of the name fails.
 	Guard(name, file string) error
 	SyncDir() error
 }
 
-// File is a file that is open to be written.
+// File is a file that is open for writing.
 type File interface {
 	WriteAt(p []byte, off int64) (int, error)
 	Truncate(size int64) error
-	// Reserve has room on the disk for bytes from off on, without a change of the file's size. Where the file system
-	// can't, it does nothing.
+	// Reserve allocates disk space for bytes from off on without changing the file's size. It does nothing if the file
+	// system can't.
 	Reserve(off, bytes int64) error
 	Sync() error
 	Close() error
 }
 
-// Dir is a folder of the operating system's.
+// Dir is a directory of the operating system.
 type Dir string
 
 func (d Dir) path(name string) string { return filepath.Join(string(d), name) }
 
-// Open opens a file that none but this user may read.
+// Open opens a file that only this user may read.
 func (d Dir) Open(name string) (File, error) {
 	f, err := os.OpenFile(d.path(name), os.O_RDWR|os.O_CREATE, 0o600)
 	if err != nil {
@@ -97,7 +97,8 @@
 	return syncDir(d.path(name))
 }
 
-// Replace puts a file in its place whole, or leaves what was there: written beside, synced, renamed, with the folder synced.
+// Replace atomically replaces a file: it writes a temporary file, syncs it, renames it and syncs the directory. On failure the
+// previous file remains.
 func Replace(fs FS, name string, data []byte) error {
 	temp := name + ".tmp"
 	f, err := fs.Open(temp)
@@ -128,14 +129,14 @@
 	}
 	defer f.Close()
 	if err := f.Sync(); err != nil {
-		return fmt.Errorf("disk: sync the folder: %w", err)
+		return fmt.Errorf("disk: sync the directory: %w", err)
 	}
 	return nil
 }
 
 type file struct{ *os.File }
 
-// RetryOnEINTR makes a call of the system again for as long as a signal interrupts it.
+// RetryOnEINTR repeats a system call as long as a signal interrupts it.
 func RetryOnEINTR(call func() error) error {
 	for {
 		if err := call(); err != unix.EINTR {
--- a/internal/disk/faultdisk/faultdisk.go
+++ b/internal/disk/faultdisk/faultdisk.go
@@ -1,5 +1,5 @@
-// Package faultdisk is a folder whose calls fail as a test, or the testbed, wants it. A call that fails may have had its effect
-// in whole, in part, or not at all, as the system's calls may. No program that serves links it.
+// Package faultdisk wraps a directory so that its calls fail as a test, or the testbed, demands. Like a failing system call, a failing
+// call may have taken effect in full, in part or not at all. No production program links it.
 package faultdisk
 
 import (
@@ -9,17 +9,17 @@
 // Extent is how much of its effect a failing call has had.
 type Extent int
 
-// The reaches.
+// Extents.
 const (
 	None Extent = iota
-	Part        // of a write: its first half; of any other call: nothing
+	Part        // the first half of a write; nothing of any other call
 	Full
 )
 
 // Op is a kind of call.
 type Op string
 
-// The kinds of call.
+// Kinds of call.
 const (
 	Open     Op = "open"
 	Read     Op = "read"
@@ -34,34 +34,34 @@
 	SyncDir  Op = "syncdir"
 )
 
-// MutatingOps are the calls that change the folder, all but those that read it.
+// MutatingOps are all calls that change the directory.
 var MutatingOps = []Op{Open, Write, Truncate, Reserve, Sync, Rename, Remove, Guard, SyncDir}
 
-// Fault is how a call fails. The zero Fault lets it succeed.
+// Fault is how a call fails. With the zero Fault it succeeds.
 type Fault struct {
 	Err    error
 	Extent Extent
 }
 
-// Disk is such a folder. Fail is asked before each call.
+// Disk is a directory with faults. Fail is asked before each call.
 type Disk struct {
 	disk.FS
 	Fail func(op Op, name string) Fault
 }
 
-// do makes a call that has its effect whole or not at all.
+// do makes a call that takes effect in full or not at all.
 func (d *Disk) do(op Op, name string, call func() error) error {
 	fault := d.Fail(op, name)
 	if fault.Err == nil {
 		return call()
 	}
 	if fault.Extent == Full {
-		call() // whatever comes of it, the caller sees the fault
+		call() // whether it succeeds or not, the caller sees the fault
 	}
 	return fault.Err
 }
 
-// Open opens a file to be written.
+// Open opens a file for writing.
 func (d *Disk) Open(name string) (f disk.File, err error) {
 	err = d.do(Open, name, func() error {
 		f, err = d.FS.Open(name)
@@ -76,7 +76,7 @@
 	return &file{f, d, name}, nil
 }
 
-// ReadFile returns a file's bytes.
+// ReadFile returns a file's content.
 func (d *Disk) ReadFile(name string) (data []byte, err error) {
 	err = d.do(Read, name, func() error {
 		data, err = d.FS.ReadFile(name)
@@ -85,7 +85,7 @@
 	return data, err
 }
 
-// Names lists what the folder holds.
+// Names lists the entries of the directory.
 func (d *Disk) Names() (names []string, err error) {
 	err = d.do(Names, "", func() error {
 		names, err = d.FS.Names()
@@ -99,17 +99,17 @@
 	return d.do(Rename, to, func() error { return d.FS.Rename(from, to) })
 }
 
-// Remove removes a file, or a folder with what is in it.
+// Remove removes a file, or a subdirectory with its content.
 func (d *Disk) Remove(name string) error {
 	return d.do(Remove, name, func() error { return d.FS.Remove(name) })
 }
 
-// Guard makes a folder with one empty file in it.
+// Guard creates a subdirectory that contains one empty file.
 func (d *Disk) Guard(name, inside string) error {
 	return d.do(Guard, name, func() error { return d.FS.Guard(name, inside) })
 }
 
-// SyncDir brings the folder's names to the disk.
+// SyncDir syncs the names in the directory.
 func (d *Disk) SyncDir() error { return d.do(SyncDir, "", d.FS.SyncDir) }
 
 type file struct {
--- a/internal/disk/prefixed.go
+++ b/internal/disk/prefixed.go
@@ -5,17 +5,17 @@
 	"strings"
 )
 
-// Prefixed is a view of a folder: the files whose names begin with a prefix, without it. Two users of one folder, or of one
-// emulated disk that shall crash under both at once, keep apart by it.
+// Prefixed is a view of a directory: the files whose names begin with a prefix, shown without it. It separates two users of one
+// directory, or of one emulated disk that is to crash under both at once.
 type Prefixed struct {
 	FS
 	Prefix string
 }
 
-// Open opens a file to be written.
+// Open opens a file for writing.
 func (p Prefixed) Open(name string) (File, error) { return p.FS.Open(p.Prefix + name) }
 
-// OpenRead opens a file to be read in parts, if the folder can.
+// OpenRead opens a file for reading in parts, if the directory supports it.
 func (p Prefixed) OpenRead(name string) (Reader, error) {
 	o, ok := p.FS.(ReadOpener)
 	if !ok {
@@ -24,7 +24,7 @@
 	return o.OpenRead(p.Prefix + name)
 }
 
-// ReadFile returns a file's bytes.
+// ReadFile returns a file's content.
 func (p Prefixed) ReadFile(name string) ([]byte, error) { return p.FS.ReadFile(p.Prefix + name) }
 
 // Names lists the files of the view.
@@ -44,5 +44,5 @@
 // Remove removes a file.
 func (p Prefixed) Remove(name string) error { return p.FS.Remove(p.Prefix + name) }
 
-// Guard makes a folder with one empty file in it.
+// Guard creates a subdirectory that contains one empty file.
 func (p Prefixed) Guard(name, file string) error { return p.FS.Guard(p.Prefix+name, file) }
--- a/internal/disk/read.go
+++ b/internal/disk/read.go
@@ -5,22 +5,22 @@
 	"os"
 )
 
-// ReadOpener is a folder whose files can be read in parts, which not every user of a folder needs.
+// ReadOpener is a directory whose files can be read in parts, which not every user of an FS needs.
 type ReadOpener interface {
-	// OpenRead opens a file to be read; an error that is fs.ErrNotExist if there is no such file. What is open can be read
-	// on after its name has gone.
+	// OpenRead opens a file for reading. The error is fs.ErrNotExist if there is no such file. An open file can still be read after
+	// its name was removed.
 	OpenRead(name string) (Reader, error)
 }
 
-// Reader is a file that is open to be read.
+// Reader is a file that is open for reading.
 type Reader interface {
 	io.ReaderAt
 	io.Closer
-	// Size is the file's size now, in bytes.
+	// Size returns the file's current size in bytes.
 	Size() (int64, error)
 }
 
-// OpenRead opens a file to be read.
+// OpenRead opens a file for reading.
 func (d Dir) OpenRead(name string) (Reader, error) {
 	f, err := os.Open(d.path(name))
 	if err != nil {
--- a/internal/disk/tracedisk/tracedisk.go
+++ b/internal/disk/tracedisk/tracedisk.go
@@ -1,6 +1,6 @@
-// Package tracedisk is a folder of the operating system's whose every change is written down, so that a testbed which kills
-// the process can work out what a loss of power would have left. It also fails and tarries as a file that the testbed
-// writes tells it to. Only builds for the testbed have it.
+// Package tracedisk wraps a directory of the operating system and records every change to a trace, so that a testbed which kills the
+// process can compute what a power loss would have left. It also fails or delays calls as a file written by the testbed tells it. Only
+// testbed builds include it.
 package tracedisk
 
 import (
@@ -19,17 +19,17 @@
 	"onyxroad.dev/onyxroad/internal/disk/crashdisk"
 )
 
-// EnvTrace names the variable that names the trace. A file of that name with ".faults" behind it tells what goes wrong: words
-// "full" (writes fail), "broken" (syncs fail), "slow=50ms" (each sync takes so long).
+// EnvTrace is the environment variable that holds the path of the trace. A file with that path and the suffix ".faults" lists the
+// active faults as words: "full" (writes fail), "broken" (syncs fail), "slow=50ms" (each sync takes that long).
 const EnvTrace = "TESTBED_DISK_TRACE"
 
-// BacklogSuffix stands behind the trace's name in that of the backlog's folder.
+// BacklogSuffix is appended to the trace's path for the trace of the backlog's directory.
 const BacklogSuffix = ".backlog"
 
-// EnvSync names the variable that, where there is no trace, says how long a sync takes.
+// EnvSync is the environment variable that, without a trace, sets how long a sync takes.
 const EnvSync = "TESTBED_DISK_SYNC"
 
-// DelayedSync is a folder whose syncs take a time of their own, and sync nothing.
+// DelayedSync is a directory whose syncs only wait for a fixed time and sync nothing.
 type DelayedSync struct {
 	disk.Dir
 	Delay time.Duration
@@ -56,7 +56,7 @@
 	return nil
 }
 
-// Change is one change of the folder.
+// Change is one change of the directory.
 type Change struct {
 	Op   string // "open", "write", "truncate", "sync", "rename", "remove", "guard", "syncdir"
 	Name string
@@ -65,7 +65,7 @@
 	Data []byte
 }
 
-// Disk is such a folder.
+// Disk is a directory that records its changes.
 type Disk struct {
 	disk.Dir
 	faultsPath string
@@ -74,7 +74,7 @@
 	out *gob.Encoder
 }
 
-// Open returns a folder whose changes go to a trace, which is begun anew.
+// Open returns a directory that records its changes to a new trace.
 func Open(d disk.Dir, trace string) (*Disk, error) {
 	f, err := os.OpenFile(trace, os.O_WRONLY|os.O_CREATE|os.O_TRUNC, 0o600)
 	if err != nil {
@@ -83,14 +83,15 @@
 	return &Disk{Dir: d, faultsPath: trace + ".faults", out: gob.NewEncoder(f)}, nil
 }
 
-// record writes a change down. It is called under mu, around the change itself: the order of the trace is that of the changes.
+// record appends a change to the trace. It is called under mu, together with the change itself, so that the trace has the order of the
+// changes.
 func (d *Disk) record(c Change) {
 	if err := d.out.Encode(c); err != nil {
 		panic(fmt.Sprintf("tracedisk: %v", err)) // a trace with a gap proves nothing
 	}
 }
 
-// activeFaults is what goes wrong now.
+// activeFaults reads which faults are active now.
 func (d *Disk) activeFaults() (full, broken bool, slow time.Duration) {
 	text, err := os.ReadFile(d.faultsPath)
 	if err != nil {
@@ -105,7 +106,7 @@
 	return full, broken, slow
 }
 
-// do makes a change and writes it down, unless the disk is full.
+// do makes a change and records it, unless the disk is full.
 func (d *Disk) do(c Change, make func() error) error {
 	if full, _, _ := d.activeFaults(); full && c.Op != "remove" && c.Op != "syncdir" {
 		return fmt.Errorf("tracedisk: %s %s: %w", c.Op, c.Name, syscall.ENOSPC)
@@ -143,10 +144,10 @@
 	return d.do(Change{Op: "guard", Name: name, To: inside}, func() error { return d.Dir.Guard(name, inside) })
 }
 
-// SyncDir syncs nothing: the trace decides what a loss of power leaves, and the operating system's disk is not asked.
+// SyncDir syncs nothing: the trace determines what a power loss leaves, and the operating system's disk is not involved.
 func (d *Disk) SyncDir() error { return d.sync(Change{Op: "syncdir"}) }
 
-// sync notes which changes are on disk: those that were written down when it began.
+// sync records a sync, which covers the changes recorded before it began.
 func (d *Disk) sync(c Change) error {
 	_, broken, slow := d.activeFaults()
 	d.mu.Lock()
@@ -189,8 +190,8 @@
 
 func (f *file) Sync() error { return f.d.sync(Change{Op: "sync", Name: f.name}) }
 
-// Replay works out what a trace has made of a folder, beginning with what the folder held before. What keep says of each
-// piece that was never synced decides on it.
+// Replay computes what a trace and a final power loss leave of a directory, given its content before. keep decides for each change that
+// was never synced whether it reached the disk.
 func Replay(before map[string][]byte, trace string, keep func() bool) (*crashdisk.Disk, error) {
 	f, err := os.Open(trace)
 	if err != nil {
@@ -209,12 +210,12 @@
 		}
 		file.WriteAt(data, 0)
 	}
-	d = d.AfterKill() // it is all on disk
+	d = d.AfterKill() // all of it is on disk
 	r := replayState{d: d, files: map[string]*crashdisk.File{}, finishSync: map[string]func(){}}
 	for in := gob.NewDecoder(f); ; {
 		var c Change
 		if err := in.Decode(&c); errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) {
-			return d.Crash(keep), nil // killed while it wrote the trace
+			return d.Crash(keep), nil // the process was killed while it wrote the trace
 		} else if err != nil {
 			return nil, fmt.Errorf("tracedisk: %w", err)
 		}
@@ -224,11 +225,11 @@
 	}
 }
 
-// replayState is a trace on its way through a folder in memory.
+// replayState is the emulated directory to which a trace is being applied.
 type replayState struct {
 	d          *crashdisk.Disk
 	files      map[string]*crashdisk.File
-	finishSync map[string]func() // of syncs that have begun
+	finishSync map[string]func() // ends the syncs that have begun
 }
 
 func (r *replayState) apply(c Change) error {
--- a/internal/program/files_testbed.go
+++ b/internal/program/files_testbed.go
@@ -16,12 +16,12 @@
 	if f := faultfile.Named(); f != nil {
 		return f.Disk(disk.Dir(dir)), nil
 	}
-	if trace := os.Getenv(tracedisk.Env); trace != "" {
+	if trace := os.Getenv(tracedisk.EnvTrace); trace != "" {
 		return tracedisk.Open(disk.Dir(dir), trace)
 	}
 	if text := os.Getenv(tracedisk.EnvSync); text != "" {
 		d, err := time.ParseDuration(text)
-		return tracedisk.Timed{Dir: disk.Dir(dir), Sync: d}, err
+		return tracedisk.DelayedSync{Dir: disk.Dir(dir), Delay: d}, err
 	}
 	return disk.Dir(dir), nil
 }
@@ -31,8 +31,8 @@
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return nil, err
 	}
-	if trace := os.Getenv(tracedisk.Env); trace != "" {
-		return tracedisk.Open(disk.Dir(dir), trace+tracedisk.Backlog)
+	if trace := os.Getenv(tracedisk.EnvTrace); trace != "" {
+		return tracedisk.Open(disk.Dir(dir), trace+tracedisk.BacklogSuffix)
 	}
 	return nil, nil
 }
--- a/internal/recovery/recovery.go
+++ b/internal/recovery/recovery.go
@@ -1,6 +1,5 @@
-// Package recovery is what an operator has to do with a stopped relay's state folder: check it, show what stands in it, and
-// put it in order. Reading changes nothing; repairing goes the way that a start goes, so that a repair which is cut off
-// leaves what a start that is cut off leaves.
+// Package recovery lets an operator work on a stopped relay's state folder: check it, list its messages, and repair it. Reading changes
+// nothing. Repairing takes the same steps as a start, so that an interrupted repair leaves what an interrupted start leaves.
 package recovery
 
 import (
@@ -16,24 +15,24 @@
 	"onyxroad.dev/onyxroad/internal/wal"
 )
 
-// ErrRelayRunning tells that a relay has the folder.
-var ErrRelayRunning = errors.New("a relay has the folder: stop it first")
+// ErrRelayRunning means that a relay is using the folder.
+var ErrRelayRunning = errors.New("a relay is using the folder: stop it first")
 
-// Folder is what stands in a state folder.
+// Folder describes a state folder.
 type Folder struct {
 	Dir      string
 	Log      *wal.Report
 	Messages []Message
-	Excluded []string  // endpoints out by hand
-	Partners time.Time // when what is known of partners was put down; zero: never
-	Bytes    int64     // in whole sectors
+	Excluded []string  // endpoints excluded by an operator
+	Partners time.Time // when the partners' state was last saved; zero if never
+	Bytes    int64     // on disk, in whole sectors
 }
 
-// Message is a message that is held, as an operator wants to see it.
+// Message describes a message held in the log.
 type Message struct {
 	ID       uint32
 	Trace    string
-	Class    int // by its place in the settings
+	Class    int // index in the settings
 	Dest     int
 	Deadline time.Time
 	Attempts int
@@ -41,18 +40,18 @@
 	State    string // "held", "ended", "withdrawn", "in doubt"
 }
 
-// lock takes the folder's lock, so that no relay begins meanwhile.
+// lock takes the folder's lock so that no relay starts meanwhile.
 func lock(dir string) (unlock func(), err error) {
 	info, err := os.Stat(dir)
 	if err != nil {
 		return nil, fmt.Errorf("recovery: %w", err)
 	}
 	if !info.IsDir() {
-		return nil, fmt.Errorf("recovery: %s is not a folder", dir)
+		return nil, fmt.Errorf("recovery: %s is not a directory", dir)
 	}
 	f, err := wal.LockExisting(dir)
 	if errors.Is(err, fs.ErrNotExist) {
-		return func() {}, nil // no relay was ever here, and none is to be seen by a check
+		return func() {}, nil // no relay has used this folder, and a check must not create a lock file
 	}
 	if errors.Is(err, wal.ErrLocked) {
 		return nil, ErrRelayRunning
@@ -63,7 +62,7 @@
 	return func() { f.Close() }, nil
 }
 
-// Read reads a folder and changes nothing.
+// Read reads a folder without changing it.
 func Read(dir string) (*Folder, error) {
 	unlock, err := lock(dir)
 	if err != nil {
@@ -80,17 +79,17 @@
 	}
 	f := &Folder{Dir: dir, Log: r}
 	for _, m := range ms {
-		one := Message{ID: m.ID, Trace: m.Trace, Class: m.Class, Dest: m.Dest, Deadline: m.Deadline, Attempts: m.Attempts,
+		listed := Message{ID: m.ID, Trace: m.Trace, Class: m.Class, Dest: m.Dest, Deadline: m.Deadline, Attempts: m.Attempts,
 			MayRun: len(m.MayRun), State: "held"}
 		switch {
 		case m.Withdrawn:
-			one.State = "withdrawn"
+			listed.State = "withdrawn"
 		case m.Final != nil:
-			one.State = "ended"
+			listed.State = "ended"
 		case m.Doubt:
-			one.State = "in doubt"
+			listed.State = "in doubt"
 		}
-		f.Messages = append(f.Messages, one)
+		f.Messages = append(f.Messages, listed)
 	}
 	if text, err := os.ReadFile(filepath.Join(dir, "excluded.json")); err == nil {
 		if err := json.Unmarshal(text, &f.Excluded); err != nil {
@@ -112,8 +111,8 @@
 	})
 }
 
-// Repair puts a folder in order as a start would, in the given format (0: the one that it has), and returns what it held
-// before. Adopt gives it to another relay: that one must never have served beside the relay whose folder it was.
+// Repair repairs a folder as a start would, in the given format (0 keeps the present one), and returns what it held before. A non-empty
+// adopt assigns the folder to another relay, which must never have served at the same time as the relay that owned it.
 func Repair(dir string, format int, adopt string, limit int64) (*Folder, error) {
 	lockFile, err := wal.Lock(dir)
 	if errors.Is(err, wal.ErrLocked) {
--- a/internal/wal/completed.go
+++ b/internal/wal/completed.go
@@ -9,21 +9,21 @@
 	"onyxroad.dev/onyxroad/internal/clock"
 )
 
-// The log remembers which messages have ended, by their trace ids: an id that comes again must not be sent again, by this process
-// or a later one. A message's record of its end says how it ended, so that remembering it appends nothing. A snapshot has the
-// remembered ends packed, completedBytes each.
+// The log remembers the trace ids of messages that have ended, so that neither this process nor a later one sends them again when the
+// id is submitted again. The record of a message's end says how it ended, so remembering it needs no extra record. A snapshot contains
+// the remembered ends in packed form, completionBytes each.
 
 // Completion is how a message ended.
 type Completion uint8
 
-// The ways to end.
+// Ways to end. The values are stored: they must not change.
 const (
-	Delivered Completion = iota + 1 // an endpoint has taken it
-	Refused                         // its client was told that handing it in again is harmless
-	Failed                          // not delivered, and it may have run
+	Delivered Completion = iota + 1 // accepted by an endpoint
+	Refused                         // the client was told that it may safely submit the message again
+	Failed                          // not delivered, and may have run
 )
 
-// CompletionOf is how a message ends by its notice.
+// CompletionOf returns the completion of a message that ends with the given notice.
 func CompletionOf(f Final) Completion {
 	if f.Deferred {
 		return Refused
@@ -32,24 +32,25 @@
 }
 
 const (
-	// completionRetention is how long an end is remembered, from the message's deadline on, as far as there is room.
+	// completionRetention is how long after the message's deadline an end is remembered, if there is room.
 	completionRetention = 15 * time.Minute
 	// completionShare is the part of the disk limit that remembered ends may take.
 	completionShare = 0.03
-	// rejectionShare is the part that requests may take which were never taken on: a flood of them must not have ends forgotten.
+	// rejectionShare is the part that requests which were never accepted may take. It is separate so that a flood of them does
+	// not displace the ends of messages.
 	rejectionShare = 0.005
 	minCompletions = 64 // of either, on the smallest disk
 
 	digestBytes          = 12
 	completionBytes      = digestBytes + 4 + 1 // digest, expiry, completion
-	completionsPerRecord = 2048                // ends in a record
+	completionsPerRecord = 2048
 
-	// maxPendingWithRejections bounds what refusals add to the notes while the log can't write them.
+	// maxPendingWithRejections is the number of pending records above which rejections add no more of them, while the log can't
+	// be written.
 	maxPendingWithRejections = 4096
 )
 
-// traceDigest stands for a trace id, whatever its length. Ids of different messages have the same one with a probability that
-// is of no concern, even where somebody looks for such ids.
+// traceDigest is a fixed-size hash of a trace id. Collisions are negligible, even if somebody searches for them.
 type traceDigest [digestBytes]byte
 
 func digestOf(trace string) (d traceDigest) {
@@ -64,14 +65,14 @@
 	how    Completion
 }
 
-// completionSet are the ends that are remembered.
+// completionSet is a bounded set of remembered ends.
 type completionSet struct {
 	entries map[traceDigest]completedEntry
-	order   []traceDigest // the oldest first
-	evicted int64         // forgotten for want of room
+	order   []traceDigest // oldest first
+	evicted int64         // number removed before their expiry for lack of room
 }
 
-// put remembers an end. One that is remembered already is not forgotten earlier for it, and a delivery stays one.
+// put adds an end. If the id is present already, its expiry never moves earlier and Delivered is not replaced.
 func (c *completionSet) put(d traceDigest, end completedEntry) {
 	if c.entries == nil {
 		c.entries = map[traceDigest]completedEntry{}
@@ -87,12 +88,12 @@
 	c.entries[d] = end
 }
 
-// prune forgets what has expired by now, and the oldest where there are more than most.
-func (c *completionSet) prune(now uint32, most int) {
+// prune removes expired ends, and the oldest ones in excess of limit.
+func (c *completionSet) prune(now uint32, limit int) {
 	for len(c.order) > 0 {
 		oldest := c.order[0]
 		expired := c.entries[oldest].expiry <= now
-		if !expired && len(c.order) <= most {
+		if !expired && len(c.order) <= limit {
 			return
 		}
 		if !expired {
@@ -103,10 +104,10 @@
 	}
 }
 
-// size is about what the ends take in a snapshot.
+// size returns roughly how many bytes the set takes in a snapshot.
 func (c *completionSet) size() int64 { return int64(len(c.order)) * completionBytes }
 
-// records are the ends as records of a snapshot, of a kind.
+// records returns the set as snapshot records of the given kind.
 func (c *completionSet) records(kind byte) (all [][]byte) {
 	var packed []byte
 	flush := func() {
@@ -131,37 +132,37 @@
 	return append(buf, byte(end.how))
 }
 
-// completionRecords is all that is completionRecords as records of a snapshot.
+// completionRecords returns all remembered ends and rejections as snapshot records.
 func (s *state) completionRecords() [][]byte {
 	return slices.Concat(s.completed.records(recCompleted), s.rejected.records(recRejected))
 }
 
-// completionsSize is about what that takes.
+// completionsSize returns roughly how many bytes these records take.
 func (s *state) completionsSize() int64 { return s.completed.size() + s.rejected.size() }
 
-// applyCompletions takes a record of remembered ends that was read.
+// applyCompletions adds the remembered ends of a record that was read.
 func (s *state) applyCompletions(to *completionSet, packed []byte) {
 	for ; len(packed) >= completionBytes; packed = packed[completionBytes:] {
 		end := completedEntry{expiry: binary.LittleEndian.Uint32(packed[digestBytes:]), how: Completion(packed[completionBytes-1])}
 		if !s.timelineResumed && !s.rawTimes {
-			// The times are another timeline's: nothing tells how long ago it ended.
+			// The expiry is on another timeline: it is unknown how long ago the message ended.
 			end.expiry = max(end.expiry, s.expiry(clock.Now()))
 		}
 		to.put(traceDigest(packed[:digestBytes]), end)
 	}
 }
 
-// expiry is when the end of a message with a deadline may be forgotten.
+// expiry returns when the end of a message with the given deadline may be forgotten.
 func (s *state) expiry(deadline time.Time) uint32 {
 	return uint32(s.times.Stamp(deadline).Add(completionRetention).Unix())
 }
 
-// rememberCompletion remembers the end of m.
+// rememberCompletion adds the end of m.
 func (s *state) rememberCompletion(m *Message, how Completion) {
 	s.completed.put(digestOf(m.Trace), completedEntry{s.expiry(m.Deadline), how})
 }
 
-// Complete notes how m has ended: nothing more is owed for it, and its trace id is remembered.
+// Complete records how m ended: nothing more is owed for it, and its trace id is remembered.
 func (l *Log) Complete(m *Message, how Completion) {
 	if l.live[m.ID] == nil {
 		return
@@ -171,12 +172,13 @@
 	l.pruneCompletions()
 }
 
-// RememberCompletion notes the end of a message that is not in the log.
+// RememberCompletion records the end of a message that is not in the log.
 func (l *Log) RememberCompletion(trace string, deadline time.Time, how Completion) {
 	l.recordCompletion(&l.completed, recCompleted, trace, deadline, how)
 }
 
-// RememberRejection notes that a request is not taken on. Where the log has long written nothing, this process alone remembers it.
+// RememberRejection records that a request is not accepted. If the log has been unable to write for long, only this process
+// remembers it.
 func (l *Log) RememberRejection(trace string, deadline time.Time, how Completion) {
 	if len(l.pending) >= maxPendingWithRejections {
 		l.rejected.put(digestOf(trace), completedEntry{l.expiry(deadline), how})
@@ -193,7 +195,7 @@
 	l.pruneCompletions()
 }
 
-// Completed tells how the message with a trace id has ended, or the request that was turned away; false if none is remembered.
+// Completed returns how the message or rejected request with a trace id ended; false if its end is not remembered.
 func (l *Log) Completed(trace string) (Completion, bool) {
 	d := digestOf(trace)
 	end, ok := l.completed.entries[d]
@@ -203,14 +205,14 @@
 	return end.how, ok
 }
 
-// CompletionStats is how many ends are remembered, and how many were forgotten before their time for want of room.
+// CompletionStats returns how many ends are remembered, and how many were removed before their expiry for lack of room.
 func (l *Log) CompletionStats() (now int, evicted int64) {
 	return len(l.completed.order), l.completed.evicted
 }
 
 func (l *Log) pruneCompletions() {
 	now := uint32(l.times.Stamp(clock.Now()).Unix())
-	most := func(share float64) int { return max(minCompletions, int(l.share(share)/completionBytes)) }
-	l.completed.prune(now, most(completionShare))
-	l.rejected.prune(now, most(rejectionShare))
+	limit := func(share float64) int { return max(minCompletions, int(l.share(share)/completionBytes)) }
+	l.completed.prune(now, limit(completionShare))
+	l.rejected.prune(now, limit(rejectionShare))
 }
--- a/internal/wal/completed_test.go
+++ b/internal/wal/completed_test.go
@@ -11,7 +11,7 @@
 	"onyxroad.dev/onyxroad/internal/disk/crashdisk"
 )
 
-// The ways in which a log is kept.
+// logVariants are all ways to store a log.
 var logVariants = []Options{{}, {Format: SegmentFormat}, {Format: SegmentFormat, SyncWrites: true}}
 
 func (o Options) onDisk(d disk.FS, limit int64) Options {
@@ -26,7 +26,7 @@
 	return l
 }
 
-// completeNew takes a message on and ends it.
+// completeNew accepts a message and completes it.
 func completeNew(t *testing.T, l *Log, id uint32, how Completion) *Message {
 	t.Helper()
 	m := message(id)
@@ -48,9 +48,9 @@
 					all = append(all, completeNew(t, l, uint32(id+1), how))
 				}
 				l.RememberCompletion("elsewhere", time.Now().Add(time.Minute), Refused)
-				moved := message(9)
-				must(t, l.Accept(moved))
-				l.End(moved)
+				elsewhere := message(9)
+				must(t, l.Accept(elsewhere))
+				l.End(elsewhere)
 				check := func(when string) {
 					t.Helper()
 					for id, how := range []Completion{Delivered, Refused, Failed} {
@@ -59,10 +59,10 @@
 						}
 					}
 					if got, ok := l.Completed("elsewhere"); !ok || got != Refused {
-						t.Errorf("%s: the one that was not in the log ended as %v, %v", when, got, ok)
+						t.Errorf("%s: the message that was not in the log ended as %v, %v", when, got, ok)
 					}
-					if _, ok := l.Completed(moved.Trace); ok {
-						t.Errorf("%s: one that lies elsewhere counts as ended", when)
+					if _, ok := l.Completed(elsewhere.Trace); ok {
+						t.Errorf("%s: a message kept elsewhere counts as ended", when)
 					}
 				}
 				check("at first")
@@ -98,7 +98,7 @@
 				t.Errorf("%d remembered, %d evicted; want %d", n, evicted, most)
 			}
 			if _, ok := l.Completed(message(ends).Trace); !ok {
-				t.Error("the last end is forgotten")
+				t.Error("the last end is not remembered")
 			}
 			must(t, l.compact())
 			l.Close()
@@ -112,10 +112,10 @@
 	l.RememberCompletion("old", time.Now().Add(-completionRetention-time.Minute), Delivered)
 	l.RememberCompletion("new", time.Now(), Delivered)
 	if _, ok := l.Completed("old"); ok {
-		t.Error("remembered for too long")
+		t.Error("remembered after its expiry")
 	}
 	if _, ok := l.Completed("new"); !ok {
-		t.Error("forgotten too early")
+		t.Error("forgotten before its expiry")
 	}
 }
 
@@ -130,27 +130,27 @@
 		}
 	}
 	if len(l.pending) > maxPendingWithRejections {
-		t.Errorf("%d notes wait", len(l.pending))
+		t.Errorf("%d pending records", len(l.pending))
 	}
 	if _, ok := l.Completed(fmt.Sprint(3*maxPendingWithRejections - 1)); !ok {
-		t.Error("the last refusal is forgotten")
+		t.Error("the last rejection is not remembered")
 	}
 	d.Fail = nil
 	waitForRecovery(t, l)
 	l.Close()
 }
 
-// waitForRecovery waits until the log goes on.
+// waitForRecovery waits until the log can be written again.
 func waitForRecovery(t *testing.T, l *Log) {
 	t.Helper()
 	for end := time.Now().Add(10 * time.Second); !l.TryRecover(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal("the log does not go on")
+			t.Fatal("the log did not recover")
 		}
 	}
 }
 
-// maxCompletionMemory is what an end that is remembered may take of memory.
+// maxCompletionMemory is the most memory in bytes that a remembered end may take.
 const maxCompletionMemory = 100
 
 func TestCompletionMemorySize(t *testing.T) {
@@ -175,8 +175,8 @@
 
 func TestCompletionsDoNotSlowStart(t *testing.T) {
 	const (
-		ends     = 16 * 255 // of 16 s at the target of the page of capacity
-		moreMost = 50 * time.Millisecond
+		ends     = 16 * 255 // 16 s at the capacity page's target rate
+		maxDelay = 50 * time.Millisecond
 	)
 	for i, o := range logVariants {
 		start := func(ends int) time.Duration {
@@ -197,7 +197,7 @@
 			l.Close()
 			return took
 		}
-		if with, without := start(ends), start(0); with > without+moreMost {
+		if with, without := start(ends), start(0); with > without+maxDelay {
 			t.Errorf("format %d: %v with the ends, %v without", i, with, without)
 		} else {
 			t.Logf("format %d: %v with the ends, %v without", i, with, without)
@@ -205,13 +205,13 @@
 	}
 }
 
-// BenchmarkCompletion is what a message costs the log from its acceptance to its end, remembered or not.
+// BenchmarkCompletion measures what a message costs the log from its acceptance to its end, remembered or not.
 func BenchmarkCompletion(b *testing.B) {
 	for name, end := range map[string]func(*Log, *Message){
 		"forgotten": (*Log).End,
 		"remembered": func(l *Log, m *Message) {
-			l.Completed(m.Trace) // as it is handed in
-			l.Completed(m.Trace) // as it is sent
+			l.Completed(m.Trace) // on submission
+			l.Completed(m.Trace) // on sending
 			l.Complete(m, Delivered)
 		},
 	} {
--- a/internal/wal/crash_test.go
+++ b/internal/wal/crash_test.go
@@ -14,9 +14,9 @@
 	"onyxroad.dev/onyxroad/internal/disk/crashdisk"
 )
 
-// A crashTester has a log live through a drawn history, as a relay would: effects are let out only once they are durable. At
-// every change of the disk it has the power fail, in every state that may leave or in drawn ones, and checks what a start
-// makes of each.
+// crashTester runs a log through a random history as a relay would: effects become visible only once they are durable. At every change
+// of the disk it emulates a power loss, in every state that this may leave or in random ones, and checks what a start recovers from
+// each.
 type crashTester struct {
 	t        *testing.T
 	rng      *rand.Rand
@@ -26,17 +26,17 @@
 	states   *atomic.Int64
 	limit    int64
 
-	syncGate sync.RWMutex // held by the driver: no sync comes to its end
+	syncGate sync.RWMutex // while the tester holds it, no sync completes
 
-	mu                  sync.Mutex // guards what follows: promises are made while no state is looked at
+	mu                  sync.Mutex // guards what follows: promises are not recorded while a state is being checked
 	stateRNG            *rand.Rand
-	accepted            map[uint32]*Message // acknowledged
-	mayRun              map[uint32][]int    // attempts whose first byte may have left
+	accepted            map[uint32]*Message // acknowledged to the client
+	mayRun              map[uint32][]int    // attempts whose first byte may have been sent
 	neverRan            map[uint32][]int    // attempts that are known not to have run
-	final               map[uint32]Final    // notices that were told
+	final               map[uint32]Final    // notices that the client was given
 	ended               map[uint32]bool
-	completed           []*Message // whose ends are to be remembered, the last ones
-	crashDuringRecovery bool       // crashes in mid-recovery are tried too
+	completed           []*Message // the latest ones whose ends must be remembered
+	crashDuringRecovery bool       // also crash during recovery
 	finished            bool
 }
 
@@ -48,7 +48,7 @@
 	x.disk.Fail = func(op, _ string) error {
 		if op == "sync" {
 			x.syncGate.RLock()
-			x.syncGate.RUnlock() //lint:ignore SA2001 it waits until the gate opens
+			x.syncGate.RUnlock() //lint:ignore SA2001 waits until the gate opens
 		}
 		return nil
 	}
@@ -70,7 +70,7 @@
 	x.log = l
 }
 
-// waitIdle waits until all that was written is durable and no snapshot is under way.
+// waitIdle waits until everything written is durable and no snapshot is being written.
 func (x *crashTester) waitIdle() {
 	s := x.log.backend.(*segmentedLog)
 	for {
@@ -84,7 +84,7 @@
 	}
 }
 
-// checkPowerLoss looks at what a loss of power now would leave.
+// checkPowerLoss checks what a power loss at this point would leave.
 func (x *crashTester) checkPowerLoss(when string) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -104,7 +104,7 @@
 	x.check(x.disk.AfterKill(), when, false)
 }
 
-// check has a start read a folder, and perhaps lose power in the middle of that.
+// check has a start read a folder, and optionally lose power during that.
 func (x *crashTester) check(d *crashdisk.Disk, when string, deep bool) {
 	x.states.Add(1)
 	text := d.Listing()
@@ -112,7 +112,7 @@
 		first, draw := true, x.stateRNG
 		d.After = func(string, string) {
 			for range 2 {
-				x.check(d.Crash(crashdisk.KeepRandom(draw)), when+", then in mid-recovery", false)
+				x.check(d.Crash(crashdisk.KeepRandom(draw)), when+", then during recovery", false)
 			}
 			first = false
 		}
@@ -120,7 +120,7 @@
 	}
 	l, found, err := OpenWith(Options{FS: d, Limit: x.limit, Name: "n3", Format: SegmentFormat, SyncWrites: true})
 	if err != nil {
-		x.t.Errorf("%s, %s: no start: %v", when, text, err)
+		x.t.Errorf("%s, %s: the start failed: %v", when, text, err)
 		return
 	}
 	d.After = nil
@@ -133,16 +133,16 @@
 		live[m.ID] = m
 		for _, n := range x.mayRun[m.ID] {
 			if !slices.Contains(x.neverRan[m.ID], n) && !slices.ContainsFunc(m.MayRun, func(a Attempt) bool { return a.N == n }) {
-				x.t.Errorf("%s, %s: message %d may have run in attempt %d, and nothing tells: %+v", when, text, m.ID, n, m.MayRun)
+				x.t.Errorf("%s, %s: message %d may have run in attempt %d, which was not recovered: %+v", when, text, m.ID, n, m.MayRun)
 			}
 		}
 		if m.Attempts < len(x.mayRun[m.ID]) {
-			x.t.Errorf("%s: message %d: %d attempts, %d told", when, m.ID, len(x.mayRun[m.ID]), m.Attempts)
+			x.t.Errorf("%s: message %d: %d attempts, %d recovered", when, m.ID, len(x.mayRun[m.ID]), m.Attempts)
 		}
 	}
 	for _, m := range x.completed {
 		if _, ok := l.Completed(m.Trace); !ok {
-			x.t.Errorf("%s, %s: the end of message %d is forgotten", when, text, m.ID)
+			x.t.Errorf("%s, %s: the end of message %d was not recovered", when, text, m.ID)
 		}
 	}
 	for id, m := range x.accepted {
@@ -150,19 +150,19 @@
 		switch {
 		case x.ended[id]:
 		case got == nil:
-			x.t.Errorf("%s, %s: message %d was taken on, and is lost", when, text, id)
+			x.t.Errorf("%s, %s: message %d was accepted and is lost", when, text, id)
 		case got.Trace != m.Trace || !bytes.Equal(got.Body, m.Body):
-			x.t.Errorf("%s: message %d is another one: %+v", when, id, got)
+			x.t.Errorf("%s: message %d has other content: %+v", when, id, got)
 		case got.Final == nil && x.final[id] != Final{}:
-			x.t.Errorf("%s, %s: message %d was told of its end, and is open", when, text, id)
+			x.t.Errorf("%s, %s: message %d has no final notice although its client was given one", when, text, id)
 		}
 	}
 }
 
-// live lists the messages that are held, by number.
+// live returns the live messages in the order of their ids.
 func (x *crashTester) live() []*Message { return x.log.messages() }
 
-// step does one thing, or several between two syncs.
+// step does one operation, or several between two syncs.
 func (x *crashTester) step(next *uint32) {
 	held := x.rng.IntN(3) == 0
 	if held {
@@ -264,7 +264,7 @@
 	x.log.End(m)
 }
 
-// TestPowerLossKeepsDurableState has the power fail in over 100,000 states of drawn histories.
+// TestPowerLossKeepsDurableState emulates a power loss in over 100,000 states of random histories.
 func TestPowerLossKeepsDurableState(t *testing.T) {
 	var states atomic.Int64
 	t.Run("histories", func(t *testing.T) {
@@ -278,7 +278,7 @@
 					switch {
 					case t.Failed():
 						return
-					case i%20 == 13: // the process is killed, and starts again
+					case i%20 == 13: // the process is killed and restarted
 						x.waitIdle()
 						x.log.Close()
 						x.open()
@@ -302,6 +302,6 @@
 	})
 	t.Logf("%d states", states.Load())
 	if states.Load() < 100_000 {
-		t.Errorf("%d states alone", states.Load())
+		t.Errorf("only %d states", states.Load())
 	}
 }
--- a/internal/wal/faults_test.go
+++ b/internal/wal/faults_test.go
@@ -11,12 +11,12 @@
 	"onyxroad.dev/onyxroad/internal/disk/faultdisk"
 )
 
-// failingDisk is a folder whose calls of some kinds fail while it is sick.
+// failingDisk is a directory whose calls of some kinds fail.
 type failingDisk struct {
 	*faultdisk.Disk
 	ops    []faultdisk.Op
 	extent faultdisk.Extent
-	times  int // calls that still fail; -1: all
+	times  int // number of calls that still fail; -1 for all
 }
 
 func newFailingDisk(dir string) *failingDisk {
@@ -31,8 +31,8 @@
 	return f
 }
 
-func (f *failingDisk) fail(times int, reach faultdisk.Extent, ops ...faultdisk.Op) {
-	f.ops, f.extent, f.times = ops, reach, times
+func (f *failingDisk) fail(times int, extent faultdisk.Extent, ops ...faultdisk.Op) {
+	f.ops, f.extent, f.times = ops, extent, times
 }
 
 func (f *failingDisk) options(format int) Options {
@@ -44,48 +44,48 @@
 	extents = []faultdisk.Extent{faultdisk.None, faultdisk.Part, faultdisk.Full}
 )
 
-// A client that was told of a refusal hands its message in anew: it must not come back from the log as well. Where nothing can
-// be made of the failed write, the error says so. What was taken on before and after it stays, undamaged.
+// If Accept fails, the client submits its message again, so the failed write must not be recovered as a second copy. If the write can't
+// be undone, the error must say so. Messages accepted before and after it must stay undamaged.
 func TestFailedAcceptIsNotRecovered(t *testing.T) {
 	for _, format := range formats {
-		for _, reach := range extents {
+		for _, extent := range extents {
 			for _, cleanup := range []bool{true, false} {
 				for _, later := range []int{0, 1, 2} {
-					name := fmt.Sprintf("format %d, reach %d, cleaned up %v, %d later", format, reach, cleanup, later)
+					name := fmt.Sprintf("format %d, extent %d, cleaned up %v, %d later", format, extent, cleanup, later)
 					t.Run(name, func(t *testing.T) {
 						dir := t.TempDir()
 						f := newFailingDisk(dir)
 						l, _, err := OpenWith(f.options(format))
 						must(t, err)
 						must(t, l.Accept(message(1), message(2)))
-						sick := []faultdisk.Op{faultdisk.Write}
+						ops := []faultdisk.Op{faultdisk.Write}
 						if !cleanup {
-							sick = faultdisk.MutatingOps
+							ops = faultdisk.MutatingOps
 						}
 						times := -1
 						if cleanup {
 							times = 1
 						}
-						f.fail(times, reach, sick...)
+						f.fail(times, extent, ops...)
 						err = l.Accept(message(3), message(4), message(5))
 						if err == nil {
-							t.Fatal("taken on though the write failed")
+							t.Fatal("accepted although the write failed")
 						}
-						unclear := errors.Is(err, ErrIndeterminate)
-						if unclear && cleanup {
-							t.Errorf("unclear though it could be cleaned up: %v", err)
+						indeterminate := errors.Is(err, ErrIndeterminate)
+						if indeterminate && cleanup {
+							t.Errorf("indeterminate although it could be cleaned up: %v", err)
 						}
 						f.fail(0, 0)
 						want := "1 2 "
 						for k := range later {
 							id := uint32(6 + k)
 							m := message(id)
-							m.Key = "" // shorter than what it may stand over
+							m.Key = "" // shorter than the failed record that it may overwrite
 							m.Body = nil
 							acceptAfterRecovery(t, l, m)
 							want += fmt.Sprint(id, " ")
 						}
-						if !unclear || later > 0 {
+						if !indeterminate || later > 0 {
 							_, found, err := OpenWith(newFailingDisk(dir).options(format))
 							must(t, err)
 							if got := foundIDs(found); got != want || found.Damaged || found.Report != nil && !found.Report.Intact() {
@@ -99,7 +99,7 @@
 	}
 }
 
-// acceptAfterRecovery takes a message on, once the log has found that the disk is well again.
+// acceptAfterRecovery accepts a message once the log has found the disk working again.
 func acceptAfterRecovery(t *testing.T, l *Log, m *Message) {
 	t.Helper()
 	var err error
@@ -113,7 +113,7 @@
 	t.Fatal(err)
 }
 
-// skipRetryInterval lets the pause pass between two attempts to go on.
+// skipRetryInterval makes the pause between two recovery attempts look elapsed.
 func skipRetryInterval(l *Log) {
 	if s, ok := l.backend.(*segmentedLog); ok {
 		s.mu.Lock()
@@ -122,15 +122,15 @@
 	}
 }
 
-// No call of a start that changes the folder may refuse it, whichever fails: what was owed is read, and new work is taken on
-// once the disk is well again.
+// A failing call that changes the folder must not make a start fail: the messages held are read, and new work is accepted once the
+// disk works again.
 func TestStartWithFailingDisk(t *testing.T) {
 	for _, format := range formats {
 		for _, torn := range []bool{false, true} {
-			for _, reach := range extents {
+			for _, extent := range extents {
 				for times := 1; times <= 6; times++ {
 					for _, empty := range []bool{false, true} {
-						name := fmt.Sprintf("format %d, torn %v, reach %d, the first %d calls, empty %v", format, torn, reach, times, empty)
+						name := fmt.Sprintf("format %d, torn %v, extent %d, the first %d calls, empty %v", format, torn, extent, times, empty)
 						t.Run(name, func(t *testing.T) {
 							dir := t.TempDir()
 							want := ""
@@ -145,10 +145,10 @@
 								}
 							}
 							f := newFailingDisk(dir)
-							f.fail(times, reach, faultdisk.MutatingOps...)
+							f.fail(times, extent, faultdisk.MutatingOps...)
 							l, found, err := OpenWith(f.options(format))
 							if err != nil {
-								t.Fatalf("refused: %v", err)
+								t.Fatalf("the start failed: %v", err)
 							}
 							if got := foundIDs(found); got != want || found.Damaged {
 								t.Errorf("found %q, damaged %v; want %q", got, found.Damaged, want)
@@ -167,7 +167,7 @@
 	}
 }
 
-// appendTornRecord leaves half a record at the end of the file that is written.
+// appendTornRecord writes half a record at the end of the current file.
 func appendTornRecord(t *testing.T, f *failingDisk, format int) {
 	t.Helper()
 	names, err := f.Names()
@@ -189,19 +189,19 @@
 	must(t, errors.Join(err, file.Close()))
 }
 
-// A compaction that fails, and may have had its effect, leaves a log that is read and written in one place.
+// A failed compaction may have taken effect: afterwards the log must still be read and written in one place.
 func TestFailedCompactionLosesNothing(t *testing.T) {
 	for _, format := range formats {
 		for _, op := range faultdisk.MutatingOps {
-			for _, reach := range extents {
+			for _, extent := range extents {
 				for _, times := range []int{1, 2, 3, -1} {
-					t.Run(fmt.Sprintf("format %d, %s, reach %d, %d times", format, op, reach, times), func(t *testing.T) {
+					t.Run(fmt.Sprintf("format %d, %s, extent %d, %d times", format, op, extent, times), func(t *testing.T) {
 						dir := t.TempDir()
 						f := newFailingDisk(dir)
 						l, _, err := OpenWith(f.options(format))
 						must(t, err)
 						must(t, l.Accept(message(1), message(2)))
-						f.fail(times, reach, op)
+						f.fail(times, extent, op)
 						l.compact()
 						f.fail(0, 0)
 						acceptAfterRecovery(t, l, message(3))
--- a/internal/wal/frame.go
+++ b/internal/wal/frame.go
@@ -8,24 +8,24 @@
 	"sync"
 )
 
-// A file of segments or of a snapshot is a row of frames: the payload's length, how much of the file was known to be on
-// disk when the frame was written, a checksum, the payload. The checksum covers the file's generation and the frame's place
-// in it too, so that neither a stale sector nor one at a wrong place passes for a record, whatever length it claims.
+// A segment or snapshot file is a sequence of frames: the payload's length, how many bytes of the file were known to be on disk when
+// the frame was written, a checksum, and the payload. The checksum also covers the file's generation and the frame's offset, so that
+// neither a stale sector nor a misplaced one is taken for a record, whatever length it claims.
 
 const frameHeaderBytes = 12
 
-// castagnoli is made when it is first used: a relay without segments shall not pay for it at its start.
+// castagnoli is built on first use, so that a relay without segments does not pay for it at its start.
 var castagnoli = sync.OnceValue(func() *crc32.Table { return crc32.MakeTable(crc32.Castagnoli) })
 
-// frame is one that was read.
+// frame is a frame that was read.
 type frame struct {
 	payload  []byte
-	durable  int64 // bytes of the file that were on disk before it was written
-	size     int   // its own, in bytes
-	repaired bool  // a single bit of it had flipped
+	durable  int64 // bytes of the file that were on disk before the frame was written
+	size     int   // of the frame, in bytes
+	repaired bool  // a single flipped bit was corrected
 }
 
-// appendFrame appends a frame that will stand at offset at of the file with this salt.
+// appendFrame appends a frame for offset at of the file with the given salt.
 func appendFrame(buf []byte, salt uint64, at, durable int64, payload []byte) []byte {
 	var head [frameHeaderBytes]byte
 	binary.LittleEndian.PutUint32(head[:], uint32(len(payload)))
@@ -43,7 +43,7 @@
 	return crc32.Update(crc32.Update(sum, table, head), table, payload)
 }
 
-// readFrame reads the frame at the start of rest, which is at offset at of its file; ok is false if there is no whole one.
+// readFrame reads the frame at the start of rest, which is at offset at of its file; ok is false if there is no complete one.
 func readFrame(rest []byte, salt uint64, at int64) (f frame, ok bool) {
 	if len(rest) < frameHeaderBytes {
 		return f, false
@@ -60,8 +60,8 @@
 	return frame{payload: payload, durable: durable, size: frameHeaderBytes + int(n)}, true
 }
 
-// repairFrame reads the frame at the start of rest where a single bit of it has flipped. A frame that is torn does not look so: the
-// chance that what is left of one is one bit from a checksum that fits is about its bits in 2^32.
+// repairFrame reads the frame at the start of rest if a single bit of it has flipped. A torn frame is not mistaken for one: the chance
+// that its remains are one bit away from a matching checksum is about its number of bits in 2^32.
 func repairFrame(rest []byte, salt uint64, at int64) (f frame, ok bool) {
 	if len(rest) < frameHeaderBytes {
 		return f, false
@@ -73,7 +73,7 @@
 		f.repaired = ok
 		return ok
 	}
-	for off := range 4 { // the length: all else depends on it
+	for off := range 4 { // the length first: it decides which bytes the checksum covers
 		for bit := range 8 {
 			n := binary.LittleEndian.Uint32(rest) ^ 1<<(8*off+bit)
 			if n == 0 || n > maxRecordBytes || int(n) > len(rest)-frameHeaderBytes {
@@ -95,13 +95,13 @@
 		try(n, 8+bit/8, 1<<(bit%8))
 		return f, ok
 	}
-	// A flipped bit changes the checksum by what depends on its distance from the end alone.
+	// How a flipped bit changes the checksum depends only on its distance from the end.
 	var bitSyndromes [8]uint32
 	table := castagnoli()
 	for bit := range bitSyndromes {
 		bitSyndromes[bit] = table[1<<bit]
 	}
-	for k := int(n) - 1; k >= -4; k-- { // the payload, and before it what is known to be on disk
+	for k := int(n) - 1; k >= -4; k-- { // the payload, and before it the durable length
 		for bit := range bitSyndromes {
 			if bitSyndromes[bit] == syndrome {
 				off := frameHeaderBytes + k
--- a/internal/wal/read.go
+++ b/internal/wal/read.go
@@ -15,93 +15,93 @@
 	"onyxroad.dev/onyxroad/internal/disk"
 )
 
-// The folder in segments:
+// Files of a segmented folder:
 //
-//	snap-G   what was live when generation G began, whole; written beside, synced, renamed
-//	seg-G    what happened since, until generation G+1 began
-//	wal.tmp/ stands as long as the folder is kept so: a version that knows one file alone refuses to start on it
+// snap-G   a complete snapshot of the live messages when generation G began; written to a temporary file, synced, renamed
+// seg-G    records since then, until generation G+1 began
+// wal.tmp/ exists as long as the folder is segmented: a version that only knows single files refuses to start on it
 //
-// What counts is the newest snapshot that is whole and every segment from its generation on. A start begins a new
-// generation with a snapshot of what it has read, so that nothing is ever cut or written over. While the log runs, a new
-// segment is begun first, and the files before it go once its snapshot is there.
+// The log consists of the newest complete snapshot and every segment from its generation on. A start begins a new generation with
+// a snapshot of what it has read, so that no existing file is truncated or overwritten. While the log runs, a new segment is begun
+// first, and earlier files are removed once its snapshot exists.
 
 const (
 	snapPrefix       = "snap-"
 	segPrefix        = "seg-"
 	snapTemp         = "snap.tmp"
-	guardName        = tempName // what a version of before removes first, and can't
+	guardName        = tempName // older versions remove this file first, which fails for a directory that is not empty
 	guardFile        = "kept-in-segments-by-a-newer-version"
-	quarantinePrefix = "damaged-" // and the file's name, and where in it
+	quarantinePrefix = "damaged-" // followed by the file's name and the offset in it
 	snapSalt         = 1 << 63
 
-	// SegmentFormat is the version of the folder in segments.
+	// SegmentFormat is the format number of a segmented folder.
 	SegmentFormat = 2
 )
 
-// fileHeader is the first record of a file.
+// fileHeader is the first record of a segment or snapshot.
 type fileHeader struct {
 	Format int
 	Name   string // of the relay
 	Gen    uint64
-	Began  time.Time // when it was written
-	// Of a segment: the one before it since the same snapshot, with its bytes in all and those that were on disk by then.
-	// 0 if there is none.
+	Began  time.Time // when the file was created
+	// Only in a segment that continues another one since the same snapshot: the generation of that one, its size, and how many of
+	// its bytes were on disk at that time.
 	Prev uint64 `json:",omitempty"`
 	Good int64  `json:",omitempty"`
 	Kept int64  `json:",omitempty"`
-	// Clock is the timeline of the times in the file, Began among them; none: the wall clock.
+	// Clock is the timeline of the times in the file, including Began; nil means the wall clock.
 	Clock *clock.Anchor `json:",omitempty"`
 }
 
-// Hole is bytes that could not be read.
+// Hole is a range of bytes that could not be read.
 type Hole struct {
 	File     string
 	From, To int64
-	// Torn tells that nothing which was promised can have stood there: it is the end of what was being written.
+	// Torn means that it is the end of an unfinished write, which nobody was promised.
 	Torn bool
 	data []byte
 }
 
-// Report is what reading a folder found. Only what is not Sound may have changed what becomes of messages.
+// Report describes a folder that was read. If Intact returns true, nothing that was found changes what becomes of messages.
 type Report struct {
-	Format     int // 0: an empty folder
+	Format     int // 0 for an empty folder
 	Name       string
 	Generation uint64
-	Began      time.Time // the newest file
-	Files      []string  // that count, in their order
-	Spare      []string  // that do not
+	Began      time.Time // creation time of the newest file
+	Files      []string  // files that make up the log, in order
+	Spare      []string  // files that are no longer needed
 	Records    int
 	Bytes      int64
-	Repaired   int // records with one flipped bit, which was flipped back
+	Repaired   int // records with one flipped bit, which was corrected
 	Holes      []Hole
-	Missing    []string // files that must have been there
+	Missing    []string // files that must have existed
 }
 
-// Intact tells whether everything that was promised has been read.
+// Intact reports whether all data that was promised to be durable has been read.
 func (r *Report) Intact() bool {
 	return len(r.Missing) == 0 && !slices.ContainsFunc(r.Holes, func(h Hole) bool { return !h.Torn })
 }
 
-// ErrForeignFolder tells that the folder is another relay's.
+// ErrForeignFolder means that the folder belongs to another relay.
 var ErrForeignFolder = errors.New("wal: another relay's folder")
 
-// state is what a folder tells of messages.
+// state is the content of a log: its live messages and the remembered ends.
 type state struct {
 	live            map[uint32]*Message
-	bytes           int64 // of the live messages, about
+	bytes           int64 // estimated size of the live messages
 	completed       completionSet
 	rejected        completionSet
 	times           clock.Timeline
-	timelineResumed bool // times go on with those of an earlier process
-	rawTimes        bool // times are left as they stand in the log
+	timelineResumed bool // times continues the timeline of an earlier process
+	rawTimes        bool // times are returned as they are stored
 }
 
-// segmentFolder is what reading a folder in segments leaves to go on from.
+// segmentFolder is the result of reading a segmented folder.
 type segmentFolder struct {
 	state
 	Report
-	snapshotGen uint64 // the snapshot's generation
-	newestGen   uint64 // newest generation seen, in any file
+	snapshotGen uint64 // of the snapshot that was read; 0 if there is none
+	newestGen   uint64 // the newest generation of any file
 }
 
 func genFileName(prefix string, gen uint64) string { return fmt.Sprintf("%s%08x", prefix, gen) }
@@ -115,19 +115,19 @@
 	return gen, err == nil && gen > 0 && genFileName(prefix, gen) == name
 }
 
-// isSegmented tells whether the folder is kept in segments: it is guarded, and its first snapshot was finished.
+// isSegmented reports whether the folder is segmented: it has the guard, and its first snapshot was finished.
 func isSegmented(names []string) bool {
 	return slices.Contains(names, guardName+"/") && slices.ContainsFunc(names, isSegmentedFile)
 }
 
-// isSegmentedFile tells whether a file is one of a folder in segments.
+// isSegmentedFile reports whether name is that of a segment or snapshot.
 func isSegmentedFile(name string) bool {
 	_, snap := parseGeneration(snapPrefix, name)
 	_, seg := parseGeneration(segPrefix, name)
 	return snap || seg
 }
 
-// readSegmentFolder reads a folder in segments. It changes nothing.
+// readSegmentFolder reads a segmented folder without changing it.
 func readSegmentFolder(d disk.FS, names []string, s state) (*segmentFolder, error) {
 	c := &segmentFolder{state: s, Report: Report{Format: SegmentFormat}}
 	data := map[string][]byte{}
@@ -140,7 +140,7 @@
 		}
 		content, err := d.ReadFile(n)
 		if errors.Is(err, fs.ErrNotExist) {
-			continue // a folder of that name, or gone by now
+			continue // a directory, or removed in the meantime
 		} else if err != nil {
 			return nil, fmt.Errorf("wal: read %s: %w", n, err)
 		}
@@ -164,9 +164,9 @@
 		}
 	}
 	if from == 0 && len(snaps) > 0 {
-		from = snaps[len(snaps)-1] // the best there is
+		from = snaps[len(snaps)-1] // no snapshot is complete: use the newest one as far as it can be read
 	}
-	// An older snapshot does as well where all that happened up to the newer one is there.
+	// An older snapshot is as good as the newest one if every segment between the two exists.
 	if len(snaps) > 0 {
 		for gen := from; gen < snaps[len(snaps)-1]; gen++ {
 			if !slices.Contains(segs, gen) {
@@ -188,13 +188,13 @@
 			c.markDoubt()
 		}
 	}
-	var row []*segmentFile
+	var segments []*segmentFile
 	for _, gen := range segs {
 		if gen >= from {
-			row = append(row, readSegment(data[genFileName(segPrefix, gen)], gen))
+			segments = append(segments, readSegment(data[genFileName(segPrefix, gen)], gen))
 		}
 	}
-	c.applySegments(row)
+	c.applySegments(segments)
 	for _, n := range names {
 		if _, ok := data[n]; ok && !slices.Contains(c.Files, n) {
 			c.Spare = append(c.Spare, n)
@@ -206,7 +206,7 @@
 
 func roundUpToSector(n int64) int64 { return (n + disk.Sector - 1) / disk.Sector * disk.Sector }
 
-// merge adds to a report what reading one file found.
+// merge adds the report of a single file.
 func (r *Report) merge(of *Report) {
 	r.Records += of.Records
 	r.Bytes += of.Bytes
@@ -221,7 +221,7 @@
 	}
 }
 
-// entry is a record that was read.
+// entry is a record that was read, with its position in the file.
 type entry struct {
 	rec     record
 	body    []byte
@@ -229,7 +229,7 @@
 	durable int64
 }
 
-// readEntries reads every frame that can be read. A damaged one hides none behind it.
+// readEntries returns every readable record of a file. A damaged record does not hide later ones.
 func (r *Report) readEntries(file string, data []byte, salt uint64) (all []entry) {
 	hole := int64(-1)
 	for at := int64(0); at < int64(len(data)); {
@@ -265,14 +265,14 @@
 	return all
 }
 
-// snapshotFile is a snapshotFile's file.
+// snapshotFile is the content of a snapshot.
 type snapshotFile struct {
 	Report
 	entries []entry
 	clock   *clock.Anchor
 }
 
-// read reads a snapshot; false if it is not whole.
+// read reads a snapshot and reports whether it is complete.
 func (s *snapshotFile) read(data map[string][]byte, gen uint64) bool {
 	name := genFileName(snapPrefix, gen)
 	all := s.readEntries(name, data[name], gen|snapSalt)
@@ -295,15 +295,15 @@
 	return whole
 }
 
-// segmentFile is a segmentFile's file.
+// segmentFile is the content of a segment.
 type segmentFile struct {
 	Report
 	gen           uint64
 	head          *fileHeader // nil if it can't be read
 	entries       []entry
 	size          int64
-	durableBytes  int64 // bytes that are known to have been on disk by what stands in the segment itself
-	promisedBytes int64 // by all that is known
+	durableBytes  int64 // that were on disk according to the segment itself
+	promisedBytes int64 // that were on disk according to all segments
 }
 
 func readSegment(data []byte, gen uint64) *segmentFile {
@@ -319,26 +319,27 @@
 	return s
 }
 
-// applySegments takes the records of the applySegments that follow the snapshot, in their order.
-func (c *segmentFolder) applySegments(row []*segmentFile) {
-	for i := len(row) - 1; i >= 0; i-- {
-		s := row[i]
+// applySegments applies the records of the segments that follow the snapshot, in order.
+func (c *segmentFolder) applySegments(segments []*segmentFile) {
+	for i := len(segments) - 1; i >= 0; i-- {
+		s := segments[i]
 		s.promisedBytes = s.durableBytes
-		if i+1 == len(row) || row[i+1].head == nil || row[i+1].head.Prev != s.gen {
+		if i+1 == len(segments) || segments[i+1].head == nil || segments[i+1].head.Prev != s.gen {
 			continue
 		}
-		// One that follows was begun when so much of this one was on disk, and is synced after it.
-		next := row[i+1]
+		// The next segment's header says how many bytes of this one were on disk by then, and a sync of the next segment syncs
+		// all of this one first.
+		next := segments[i+1]
 		s.promisedBytes = max(s.promisedBytes, next.head.Kept)
 		if next.promisedBytes > 0 {
 			s.promisedBytes = max(s.promisedBytes, next.head.Good)
 		}
 	}
 	last := uint64(0)
-	for _, s := range row {
+	for _, s := range segments {
 		if len(s.entries) == 0 && s.promisedBytes == 0 {
 			c.addTornTail(s, 0)
-			return // its first write never came to the disk: nothing of it or behind it was promised
+			return // its first write never reached the disk: neither it nor later segments were promised
 		}
 		if h := s.head; h != nil && h.Prev > 0 && h.Prev != last && h.Kept > 0 && h.Prev >= c.snapshotGen {
 			c.Missing = append(c.Missing, genFileName(segPrefix, h.Prev))
@@ -351,14 +352,15 @@
 	}
 }
 
-// addTornTail notes where a segment ends whose last write did not come to the disk whole.
+// addTornTail adds a hole for an unfinished last write at the end of a segment.
 func (c *segmentFolder) addTornTail(s *segmentFile, at int64) {
 	if s.size > at {
 		c.Holes = append(c.Holes, Hole{File: genFileName(segPrefix, s.gen), From: at, To: s.size, Torn: true})
 	}
 }
 
-// applySegment takes a applySegment's records; false if it ends before its file does, so that nothing behind it counts.
+// applySegment applies a segment's records. It returns false if the segment ends in a torn write, so that later segments are
+// ignored.
 func (c *segmentFolder) applySegment(s *segmentFile) bool {
 	name := genFileName(segPrefix, s.gen)
 	c.Files = append(c.Files, name)
@@ -402,18 +404,18 @@
 	return true
 }
 
-// markDoubt marks what is live: what it has sent may be missing.
+// markDoubt marks all live messages: attempts may be missing from them.
 func (s *state) markDoubt() {
 	for _, m := range s.live {
 		m.Doubt = true
 	}
 }
 
-// payload is a record as it stands in a file: the length of its readable part, that, and the body.
+// payload encodes a record: the length of its JSON part, the JSON part and the body.
 func payload(rec record, body []byte) []byte {
 	text, err := json.Marshal(rec)
 	if err != nil {
-		panic(err) // plain fields only: cannot fail
+		panic(err) // can't fail: the record has plain fields only
 	}
 	buf := make([]byte, 0, binary.MaxVarintLen32+len(text)+len(body))
 	buf = binary.AppendUvarint(buf, uint64(len(text)))
@@ -432,7 +434,7 @@
 	return rec, p[text:], true
 }
 
-// ignoreNotExist passes on every error but that there is no such file.
+// ignoreNotExist returns every error except that the file does not exist.
 func ignoreNotExist(err error) error {
 	if errors.Is(err, fs.ErrNotExist) {
 		return nil
--- a/internal/wal/report.go
+++ b/internal/wal/report.go
@@ -7,48 +7,48 @@
 	"onyxroad.dev/onyxroad/internal/disk"
 )
 
-// Summary says in plain words what reading a folder found, and what it means for messages.
+// Summary describes what reading the folder found and what it means for messages, for an operator.
 func (r *Report) Summary() string {
 	var b strings.Builder
 	say := func(format string, args ...any) { fmt.Fprintf(&b, format+"\n", args...) }
 	switch r.Format {
 	case 0:
-		say("The folder is empty: a relay that starts on it owes nothing.")
+		say("The folder is empty: a relay that starts on it has no messages to deliver.")
 		return b.String()
 	case 1:
-		say("The folder is kept in one file (format 1), %d bytes.", r.Bytes)
+		say("The log is a single file (format 1) of %d bytes.", r.Bytes)
 	default:
-		say("The folder is kept in segments (format %d) by relay %q; generation %d, %d records in %d bytes, in %s.", r.Format, r.Name,
+		say("The log is kept in segments (format %d) by relay %q; generation %d, %d records in %d bytes, in %s.", r.Format, r.Name,
 			r.Generation, r.Records, r.Bytes, strings.Join(r.Files, ", "))
 	}
 	for _, n := range r.Spare {
-		say("%s no longer counts; the next start takes it away.", n)
+		say("%s is no longer needed; the next start removes it.", n)
 	}
 	if r.Repaired > 0 {
-		say("%d records had one flipped bit, which the checksum names: read as they were written. Nothing is lost, but the disk "+
-			"loses bits.", r.Repaired)
+		say("%d records had one flipped bit, which the checksum locates and which was corrected. Nothing is lost, but the disk "+
+			"corrupts data.", r.Repaired)
 	}
 	for _, h := range r.Holes {
 		if h.Torn {
-			say("%s ends with %d bytes of a write that was never finished. Nobody was promised what stood in them.", h.File,
+			say("%s ends with %d bytes of an unfinished write. Nothing in them was promised.", h.File,
 				h.To-h.From)
 		} else {
-			say("%s: bytes %d to %d can't be read, and they were on disk once.", h.File, h.From, h.To)
+			say("%s: bytes %d to %d can't be read, although they had reached the disk.", h.File, h.From, h.To)
 		}
 	}
 	for _, n := range r.Missing {
-		say("%s is missing, and it was on disk once.", n)
+		say("%s is missing, although it had reached the disk.", n)
 	}
 	if r.Intact() {
 		say("Nothing that was promised is lost.")
 	} else {
-		say("Messages that were taken on in the part that can't be read are lost. Of those that were held before it, each may " +
-			"have run: what may never run twice is not sent again and ends as undeliverable, what is safe to repeat is sent.")
+		say("Messages accepted in the unreadable part are lost. Each message held before it may " +
+			"have run: those that must not run twice are not sent again and end as undeliverable, those that are safe to repeat are sent.")
 	}
 	return b.String()
 }
 
-// Check reads a folder as a start would, and changes nothing. The caller has its lock, or knows that nobody writes.
+// Check reads a folder as a start would, and changes nothing. The caller must hold its lock or know that no process writes to it.
 func Check(d disk.FS) (*Report, []*Message, error) {
 	names, err := d.Names()
 	if err != nil {
--- a/internal/wal/segments.go
+++ b/internal/wal/segments.go
@@ -13,52 +13,52 @@
 )
 
 var (
-	// ErrNeedsNewFile tells that the log waits for a new file, since the one before can't be trusted or written any more. Nothing is
-	// in the log of what was to be written.
-	ErrNeedsNewFile = errors.New("wal: waits for a new file")
-	// ErrSlow tells that the disk is behind with what was written: new work would wait too long for its answer.
+	// ErrNeedsNewFile means that the current file can no longer be trusted or written, and that the log waits for a new one. Nothing
+	// that was to be written is in the log.
+	ErrNeedsNewFile = errors.New("wal: waiting for a new file")
+	// ErrSlow means that syncs are behind: new work would wait too long for its answer.
 	ErrSlow = errors.New("wal: the disk is behind")
 )
 
 const (
-	// maxReserve is the room on the disk that is had ahead of the log for outcomes and ends, in bytes.
+	// maxReserve is the disk space in bytes that is reserved ahead of the log for outcomes and ends.
 	maxReserve = 64 << 10
-	// maxSyncDelay is how long a write may have waited for its sync before new work is refused. A client waits 400 ms for its
-	// answer by the platform's protocol.
+	// maxSyncDelay is how long a write may wait for its sync before new work is refused. By the platform's protocol a client
+	// waits 400 ms for its answer.
 	maxSyncDelay = 150 * time.Millisecond
 	// recoveryRetryInterval is the pause between two attempts to begin a new file.
 	recoveryRetryInterval = 250 * time.Millisecond
-	// quarantineShare is the part of the disk limit that damaged bytes may take which were set aside.
+	// quarantineShare is the part of the disk limit that copies of damaged bytes may take.
 	quarantineShare = 1.0 / 16
 )
 
-// segmentedLog keeps a log in segmentedLog with snapshots.
+// segmentedLog stores a log as segments with snapshots.
 type segmentedLog struct {
 	Options
-	state       *state    // whose timeline the files go by
-	gen         uint64    // of the running segment
-	file        disk.File // the running segment; nil: none yet
-	used        int64     // bytes of it
-	reserved    int64     // bytes that it has on disk at least
-	quarantined int64     // bytes on disk of what was set aside
-	// needsGuard tells that the folder does not say yet that it is kept in segments. Nothing is written before it does.
+	state       *state    // whose timeline the files use
+	gen         uint64    // of the current segment
+	file        disk.File // the current segment; nil if there is none yet
+	used        int64     // bytes written to the current segment
+	reserved    int64     // bytes of disk space that the current segment has at least
+	quarantined int64     // bytes on disk of copies of damaged data
+	// needsGuard means that the folder is not yet marked as segmented. No segment or snapshot is written before it is.
 	needsGuard bool
 
 	mu            sync.Mutex
 	wake          sync.Cond
-	otherFiles    map[string]int64  // bytes on disk of the other files that stand
-	written       uint64            // writes so far
-	durable       uint64            // of these, what is on disk
-	syncedBytes   int64             // bytes of the running segment that are on disk
-	unsyncedSince time.Time         // the oldest write that isn't; zero: all are
-	unsynced      []unsyncedSegment // segments with such, oldest first
-	failed        error             // the sync that failed
-	snapshotting  bool              // a snapshot is being written
-	recoveryGen   uint64            // the generation whose snapshot was written since the failure
+	otherFiles    map[string]int64  // bytes on disk of all other files
+	written       uint64            // number of writes so far
+	durable       uint64            // how many of them are on disk
+	syncedBytes   int64             // bytes of the current segment that are on disk
+	unsyncedSince time.Time         // of the oldest unsynced write; zero if there is none
+	unsynced      []unsyncedSegment // oldest first
+	failed        error             // why a new file is needed
+	snapshotting  bool              // a snapshot is being written in the background
+	recoveryGen   uint64            // the generation whose snapshot was written since the failure; 0 if none
 	lastFailedTry time.Time         // when a snapshot last failed
 	dirUnsynced   bool              // a segment's name may not be on disk
 	closing       bool
-	sealed        bool // and all is on disk
+	sealed        bool // the final sync is done, so that every byte before the last seal is durable
 	background    sync.WaitGroup
 }
 
@@ -66,10 +66,10 @@
 type unsyncedSegment struct {
 	file     disk.File
 	size     int64
-	complete bool // nothing more is written to it
+	complete bool // no more writes follow
 }
 
-// openSegments reads a folder and begins a new generation in segments. A folder in one file is taken over.
+// openSegments reads a folder and begins a new generation of segments. A single-file log is converted.
 func (l *Log) openSegments(names []string, guarded bool) (Recovery, error) {
 	s := &segmentedLog{Options: l.Options, state: &l.state, otherFiles: map[string]int64{}}
 	s.wake.L = &s.mu
@@ -134,25 +134,25 @@
 		err = s.beginSegment(s.gen+1, nil)
 	}
 	if err != nil {
-		s.fail(err) // a full disk say: what was there still counts, and new work waits for a new file
+		s.fail(err) // for example a full disk: the existing files stay valid, and new work waits for a new file
 	}
 	return found, nil
 }
 
-// writeGuard marks a folder that was kept in one file before. From here on a version that knows one file alone does not start: it would
-// find none of what follows.
+// writeGuard marks a folder that held a single-file log as segmented. From then on a version that only knows single files refuses
+// to start: it would not see what is written later.
 func (s *segmentedLog) writeGuard() error {
 	if !s.needsGuard {
 		return nil
 	}
 	if err := errors.Join(s.FS.Guard(guardName, guardFile), s.syncDir()); err != nil {
-		return fmt.Errorf("wal: take over the folder: %w", err)
+		return fmt.Errorf("wal: mark the folder as segmented: %w", err)
 	}
 	s.needsGuard = false
 	return nil
 }
 
-// convertToSingle puts a folder in segments back into one file.
+// convertToSingle converts a segmented folder to a single file.
 func (l *Log) convertToSingle(names []string) error {
 	c, err := readSegmentFolder(l.FS, names, newState())
 	if err != nil {
@@ -161,10 +161,10 @@
 	return writeSingle(l.FS, c, names)
 }
 
-// writeSingle writes what a folder in segments tells into one file, and then takes the segments away. A crash at any point
-// leaves the one or the other, whole.
+// writeSingle writes the state of a segmented folder to a single file and then removes the segments. A crash at any point leaves
+// one of the two formats intact.
 func writeSingle(d disk.FS, c *segmentFolder, names []string) error {
-	const back = "wal.back"
+	const temp = "wal.back"
 	var buf []byte
 	for _, p := range c.clockRecord() {
 		buf = appendRecord(buf, p)
@@ -174,23 +174,23 @@
 	}
 	for _, m := range c.messages() {
 		if m.Doubt && m.Final == nil && !m.Withdrawn {
-			m.Final = &Final{} // one file has no doubt: what may have run may not be promised
+			m.Final = &Final{} // a single file can't record the doubt: end the message as one that may have run
 		}
 		buf = appendRecord(buf, c.acceptPayload(m))
 	}
-	f, err := d.Open(back)
+	f, err := d.Open(temp)
 	if err != nil {
-		return fmt.Errorf("wal: back to one file: %w", err)
+		return fmt.Errorf("wal: convert to a single file: %w", err)
 	}
 	if err = f.Truncate(0); err == nil {
 		_, err = f.WriteAt(buf, 0)
 	}
 	err = errors.Join(err, f.Sync(), f.Close())
 	if err == nil {
-		err = errors.Join(d.Rename(back, logName), d.SyncDir())
+		err = errors.Join(d.Rename(temp, logName), d.SyncDir())
 	}
 	if err == nil {
-		err = errors.Join(d.Remove(guardName), d.SyncDir()) // from here on the one file counts
+		err = errors.Join(d.Remove(guardName), d.SyncDir()) // from here on the single file is the log
 	}
 	for _, n := range names {
 		if err == nil && (isSegmentedFile(n) || n == snapTemp) {
@@ -198,12 +198,12 @@
 		}
 	}
 	if err != nil {
-		return fmt.Errorf("wal: back to one file: %w", err)
+		return fmt.Errorf("wal: convert to a single file: %w", err)
 	}
 	return nil
 }
 
-// quarantine keeps what could not be read, and a report of it in plain words, as far as there is room.
+// quarantine stores copies of unreadable bytes and a text report of them, as far as there is room.
 func (s *segmentedLog) quarantine(r *Report, names []string) {
 	room := int64(quarantineShare * float64(s.Limit))
 	for _, n := range names {
@@ -222,7 +222,7 @@
 		}
 		f, err := s.FS.Open(n)
 		if err != nil {
-			return // a full disk, or one that is read-only: the log says the same
+			return // a full or read-only disk: the log's own writes report the same
 		}
 		f.WriteAt(data, 0)
 		f.Close()
@@ -243,7 +243,7 @@
 	return s.FS.SyncDir()
 }
 
-// writeSnapshot writes what was live when generation gen began. Older files then go.
+// writeSnapshot writes the messages that were live when generation gen began, and then removes older files.
 func (s *segmentedLog) writeSnapshot(gen uint64, live [][]byte) error {
 	salt := gen | snapSalt
 	add := func(buf []byte, p []byte) []byte { return appendFrame(buf, salt, int64(len(buf)), 0, p) }
@@ -296,21 +296,21 @@
 	return nil
 }
 
-// discardSnapshot takes away a snapshot whose rename may have had its effect. While it stands, no segment before it counts: where
-// it can't be taken away, nothing more is written to them.
+// discardSnapshot removes a snapshot whose rename failed but may have taken effect. As long as it exists, earlier segments are
+// ignored: if it can't be removed, nothing more is written to them.
 func (s *segmentedLog) discardSnapshot(gen uint64, cause error) {
 	s.mu.Lock()
 	followed := gen <= s.gen
 	s.mu.Unlock()
 	if followed {
-		return // the segments that follow it count
+		return // its own segment exists already, and is read after it
 	}
 	if err := s.FS.Remove(genFileName(snapPrefix, gen)); err != nil {
 		s.fail(errors.Join(cause, err))
 	}
 }
 
-// setFileSize counts a file as taking so many bytes of the disk.
+// setFileSize records how many bytes of the disk a file takes; 0 if it does not exist.
 func (s *segmentedLog) setFileSize(name string, bytes int64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -319,7 +319,7 @@
 	}
 }
 
-// beginSegment begins the segment of a generation. prev is the one that it follows on; nil after a snapshot.
+// beginSegment begins the segment of a generation. prev describes the segment that it continues; nil after a snapshot.
 func (s *segmentedLog) beginSegment(gen uint64, prev *fileHeader) error {
 	n := genFileName(segPrefix, gen)
 	f, err := s.FS.Open(n)
@@ -342,7 +342,7 @@
 	if s.file != nil {
 		if old := genFileName(segPrefix, s.gen); prev != nil {
 			s.otherFiles[old] = roundUpToSector(s.used)
-		} else if err := s.FS.Remove(old); err != nil { // all that it told is in the snapshot
+		} else if err := s.FS.Remove(old); err != nil { // its content is in the snapshot
 			s.otherFiles[old] = roundUpToSector(s.used)
 		}
 		if i := len(s.unsynced) - 1; i >= 0 && s.unsynced[i].file == s.file {
@@ -372,10 +372,10 @@
 	return n
 }
 
-// startReserve is room for the snapshot that a start begins with.
+// startReserve returns the room for the snapshot that the next start begins with.
 func (s *segmentedLog) startReserve(live int64) int64 { return roundUpToSector(live) + 2*disk.Sector }
 
-// ensureRoom has room on the disk for what ends the work that is held.
+// ensureRoom reserves disk space for the records that end the messages held, and refuses new work while syncs are behind.
 func (s *segmentedLog) ensureRoom() error {
 	s.mu.Lock()
 	worn, since := s.failed != nil || s.file == nil, s.unsyncedSince
@@ -406,7 +406,7 @@
 	kept := s.syncedBytes
 	s.mu.Unlock()
 	if !s.SyncWrites || s.sealed {
-		kept = s.used // what was written is there for whoever reads it next
+		kept = s.used // without syncs, a completed write counts as durable
 	}
 	at := s.used
 	var buf []byte
@@ -439,8 +439,8 @@
 	return nil
 }
 
-// undoWrite takes away what a failed write may have left behind the good part of the segment. Where that fails as well, the segment
-// is given up.
+// undoWrite removes what a failed write may have left after the valid part of the segment. If that fails as well, the segment is
+// given up.
 func (s *segmentedLog) undoWrite(at, size int64, cause error) error {
 	if err := eraseTail(s.file, at, at+size); err != nil {
 		s.fail(cause)
@@ -448,12 +448,12 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.reserved = 0 // what was cut off was had with it
+	s.reserved = 0 // truncating the file also released its reserved space
 	return cause
 }
 
-// compact begins a new generation. Without Power, when it returns, the files before it are gone; with it they go once the
-// snapshot is on disk, and what is written meanwhile is as durable as before.
+// compact begins a new generation. Without SyncWrites the earlier files are gone when it returns. With SyncWrites they are removed
+// once the snapshot is on disk, and writes in the meantime are as durable as before.
 func (s *segmentedLog) compact(live [][]byte) error {
 	if s.needsNewFile() {
 		return ErrNeedsNewFile
@@ -463,13 +463,13 @@
 			return err
 		}
 		if err := s.beginSegment(s.gen+1, nil); err != nil {
-			s.fail(err) // the segment before it no longer counts
+			s.fail(err) // the snapshot supersedes the previous segment
 			return err
 		}
 		return nil
 	}
 	s.mu.Lock()
-	busy := s.snapshotting || clock.Since(s.lastFailedTry) < recoveryRetryInterval // one that fails must not leave segment after segment
+	busy := s.snapshotting || clock.Since(s.lastFailedTry) < recoveryRetryInterval // failing snapshots must not pile up segments
 	prev := fileHeader{Prev: s.gen, Good: s.used, Kept: s.syncedBytes}
 	s.mu.Unlock()
 	if busy {
@@ -494,7 +494,7 @@
 	return s.failed != nil || s.file == nil
 }
 
-func (s *segmentedLog) pendingFlushed() {} // the new file counts as a write
+func (s *segmentedLog) pendingFlushed() {} // beginning the new file already counts as a write
 
 func (s *segmentedLog) failure() error {
 	s.mu.Lock()
@@ -502,9 +502,9 @@
 	return s.failed
 }
 
-// reclaim begins a generation after every one that another process may have begun.
+// reclaim begins a generation later than any that another process may have begun.
 func (s *segmentedLog) reclaim(names []string, l *Log) error {
-	s.fail(errors.New("another process had the log"))
+	s.fail(errors.New("another process may have written the log"))
 	for _, n := range names {
 		for _, prefix := range []string{snapPrefix, segPrefix} {
 			if g, ok := parseGeneration(prefix, n); ok {
@@ -526,10 +526,10 @@
 		err = s.beginSegment(gen, nil)
 	}
 	if err == nil {
-		err = s.FS.Remove(logName) // of one that keeps a single file
+		err = s.FS.Remove(logName) // left by a process that uses a single file
 	}
 	if err != nil {
-		return err // it stays worn, and Tend tries again
+		return err // TryRecover tries again
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/wal/segments_test.go
+++ b/internal/wal/segments_test.go
@@ -16,7 +16,7 @@
 	"onyxroad.dev/onyxroad/internal/disk/crashdisk"
 )
 
-// openSegmented opens a folder in segments, synced or not.
+// openSegmented opens a segmented folder, synced or not.
 func openSegmented(t *testing.T, d disk.FS, power bool) (*Log, Recovery) {
 	t.Helper()
 	l, found, err := OpenWith(Options{FS: d, Limit: ampleLimit, Name: "n3", Format: SegmentFormat, SyncWrites: power})
@@ -24,7 +24,7 @@
 	return l, found
 }
 
-// smallLog is a smallLog log with a bit of everything; its process is killed, or ends in order.
+// smallLog returns a small log with records of several kinds. Its process was either killed or closed the log.
 func smallLog(t *testing.T, power, closed bool) *crashdisk.Disk {
 	t.Helper()
 	d := crashdisk.New()
@@ -49,7 +49,8 @@
 	return killed
 }
 
-// TestBitFlipsAreDetectedOrRepaired flips every single bit of a small log.
+// TestBitFlipsAreDetectedOrRepaired flips every single bit of a small log: each flip must be detected unless it is harmless, and most
+// are repaired.
 func TestBitFlipsAreDetectedOrRepaired(t *testing.T) {
 	for _, closed := range []bool{true, false} {
 		for _, power := range []bool{true, false} {
@@ -58,11 +59,11 @@
 			must(t, err)
 			names, err := d.Names()
 			must(t, err)
-			flips, mended := 0, 0
+			flips, repaired := 0, 0
 			for _, n := range names {
 				data, err := d.ReadFile(n)
 				if err != nil {
-					continue // the guard
+					continue // the guard directory
 				}
 				for bit := range len(data) * 8 {
 					bad := d.AfterKill()
@@ -74,21 +75,21 @@
 					}
 					same := reflect.DeepEqual(got, want)
 					if r.Repaired > 0 && same {
-						mended++
+						repaired++
 					}
 					if !same && r.Intact() {
-						t.Errorf("closed %v, power %v, %s, bit %d: not told, and %v for %v", closed, power, n, bit, got, want)
+						t.Errorf("closed %v, power %v, %s, bit %d: not detected, %v instead of %v", closed, power, n, bit, got, want)
 					}
 				}
 			}
-			if mended < flips*9/10 {
-				t.Errorf("closed %v, power %v: %d of %d flips read as they were written", closed, power, mended, flips)
+			if repaired < flips*9/10 {
+				t.Errorf("closed %v, power %v: %d of %d flips repaired", closed, power, repaired, flips)
 			}
 		}
 	}
 }
 
-// TestDamageInTheMiddle loses a sector that was on disk.
+// TestDamageInTheMiddle destroys a sector that was on disk.
 func TestDamageInTheMiddle(t *testing.T) {
 	d := crashdisk.New()
 	l, _ := openSegmented(t, d, true)
@@ -110,7 +111,7 @@
 	if got := foundIDs(found); got != "2 3 " || found.Report.Intact() {
 		t.Fatalf("found %q: %s", got, found.Report.Summary())
 	}
-	// What came after the damage is whole; nothing stood before it.
+	// The messages after the damage are complete, and there was none before it.
 	if found.Messages[0].Doubt || found.Messages[1].Doubt || len(found.Messages[0].MayRun) != 1 {
 		t.Errorf("%+v", found.Messages[0])
 	}
@@ -118,11 +119,11 @@
 	must(t, err)
 	if !slices.ContainsFunc(names, func(n string) bool { return strings.HasPrefix(n, quarantinePrefix+name) }) ||
 		!slices.ContainsFunc(names, func(n string) bool { return strings.HasSuffix(n, ".txt") }) {
-		t.Errorf("not set aside: %v", names)
+		t.Errorf("no copy of the damaged bytes: %v", names)
 	}
 }
 
-// TestDamagedSendMarksMessageInDoubt loses the record of a send.
+// TestDamagedSendMarksMessageInDoubt destroys the record of a send: the message may have run.
 func TestDamagedSendMarksMessageInDoubt(t *testing.T) {
 	d := crashdisk.New()
 	l, _ := openSegmented(t, d, false)
@@ -154,25 +155,25 @@
 	}
 	must(t, l.Accept(message(3)))
 	must(t, l.Close())
-	// A version that knows one file alone removes an unfinished one first, and can't.
+	// A version that only knows single files first removes this file, which must fail.
 	if err := os.Remove(filepath.Join(dir, tempName)); err == nil {
-		t.Error("an older version starts, and finds nothing")
+		t.Error("an older version would start and not see the messages")
 	}
 	for range 2 {
 		l, found = open(t, dir, ampleLimit)
 		if got := foundIDs(found); got != "1 2 3 " || len(found.Messages[0].MayRun) != 1 {
-			t.Fatalf("back in one file: %q", got)
+			t.Fatalf("converted to a single file: %q", got)
 		}
 		must(t, l.Close())
 	}
 	names, err := disk.Dir(dir).Names()
 	must(t, err)
 	if !slices.Equal(names, []string{logName}) {
-		t.Errorf("left behind: %v", names)
+		t.Errorf("remaining files: %v", names)
 	}
 }
 
-// TestPowerLossDuringConversion has the power fail at every step of the way to segments and back.
+// TestPowerLossDuringConversion emulates a power loss at every step of the conversion to segments and back.
 func TestPowerLossDuringConversion(t *testing.T) {
 	check := func(d *crashdisk.Disk, when string) {
 		for _, format := range []int{1, SegmentFormat} {
@@ -189,7 +190,7 @@
 	must(t, err)
 	must(t, l.Accept(message(1), message(2)))
 	must(t, l.Close())
-	d = d.AfterKill() // it is on disk
+	d = d.AfterKill() // everything is on disk
 	states := 0
 	for _, format := range []int{SegmentFormat, 1, SegmentFormat} {
 		d.After = func(op, name string) {
@@ -208,7 +209,7 @@
 		d = d.AfterKill()
 	}
 	if states < 50 {
-		t.Errorf("%d states alone", states)
+		t.Errorf("only %d states", states)
 	}
 }
 
@@ -221,7 +222,7 @@
 	}
 }
 
-// TestFailedSync has nothing more trusted to the file.
+// TestFailedSync checks that a file is no longer trusted or written after a sync of it has failed.
 func TestFailedSync(t *testing.T) {
 	d := crashdisk.New()
 	told := make(chan struct{}, 100)
@@ -243,25 +244,25 @@
 		t.Error("a write whose sync failed counts as durable")
 	}
 	if err := l.Accept(message(3)); !errors.Is(err, ErrNeedsNewFile) {
-		t.Errorf("taken on after a failed sync: %v", err)
+		t.Errorf("accepted after a failed sync: %v", err)
 	}
 	l.End(two)
 	if err := l.Flush(); !errors.Is(err, ErrNeedsNewFile) {
 		t.Errorf("written after a failed sync: %v", err)
 	}
 	if l.TryRecover() {
-		t.Error("the disk is still broken")
+		t.Error("recovered while the disk still fails")
 	}
 	<-told
 	d.Fail = nil
 	s := l.backend.(*segmentedLog)
-	s.lastFailedTry = time.Time{} // its pause is over
+	s.lastFailedTry = time.Time{} // the pause is over
 	if l.TryRecover() {
-		t.Error("before its snapshot is there")
+		t.Error("recovered before the snapshot was written")
 	}
 	<-told
 	if !l.TryRecover() || l.Durable() != l.Written()-1 && l.Durable() != l.Written() {
-		t.Errorf("not whole again: %d of %d", l.Durable(), l.Written())
+		t.Errorf("not recovered: %d of %d writes durable", l.Durable(), l.Written())
 	}
 	must(t, l.Accept(message(4)))
 	must(t, l.Close())
@@ -271,7 +272,7 @@
 	}
 }
 
-// TestStartOnFullDisk starts, and has what is held end.
+// TestStartOnFullDisk starts on a full disk: messages held are read, and new work is accepted once there is room.
 func TestStartOnFullDisk(t *testing.T) {
 	d := smallLog(t, false, true)
 	full := errors.New("no space left on device")
@@ -286,13 +287,13 @@
 		t.Fatalf("found %q", got)
 	}
 	if err := l.Accept(message(4)); !errors.Is(err, ErrNeedsNewFile) {
-		t.Errorf("taken on: %v", err)
+		t.Errorf("accepted: %v", err)
 	}
 	l.End(l.live[1])
 	d.Fail = nil
 	l.backend.(*segmentedLog).lastFailedTry = time.Time{}
 	if !l.TryRecover() {
-		t.Fatal("there is room again")
+		t.Fatal("not recovered although there is room again")
 	}
 	must(t, l.Accept(message(4)))
 	must(t, l.Close())
@@ -328,7 +329,7 @@
 		l, found, err := OpenWith(Options{FS: d, Limit: ampleLimit, Format: SegmentFormat})
 		must(t, err)
 		if len(found.Messages) != len(ms) {
-			t.Fatalf("a start finds %d messages, a check %d", len(found.Messages), len(ms))
+			t.Fatalf("a start found %d messages, Check %d", len(found.Messages), len(ms))
 		}
 		must(t, l.Accept(&Message{ID: 1 << 31, Trace: "last"}))
 		must(t, l.Close())
@@ -353,7 +354,7 @@
 	})
 }
 
-// TestReclaimAfterOtherProcess has another process open the log, in either format, and not go on with it.
+// TestReclaimAfterOtherProcess has another process open the log, in either format, without continuing it.
 func TestReclaimAfterOtherProcess(t *testing.T) {
 	for _, mine := range []int{1, SegmentFormat} {
 		for _, other := range []int{1, SegmentFormat} {
@@ -386,7 +387,7 @@
 	}
 }
 
-// TestSegmentedLogKeepsDiskLimit counts everything that the folder holds, at every change.
+// TestSegmentedLogKeepsDiskLimit adds up the size of all files at every change of the folder.
 func TestSegmentedLogKeepsDiskLimit(t *testing.T) {
 	const limit = 60_000
 	for _, power := range []bool{false, true} {
@@ -417,7 +418,7 @@
 			m := message(i + 1)
 			switch err := l.Accept(m); {
 			case errors.Is(err, ErrFull), errors.Is(err, ErrSlow):
-				<-told // a snapshot or a sync is under way
+				<-told // wait for the running snapshot or sync
 				continue
 			default:
 				must(t, err)
--- a/internal/wal/single.go
+++ b/internal/wal/single.go
@@ -12,48 +12,48 @@
 	"onyxroad.dev/onyxroad/internal/disk"
 )
 
-// The log in one file.
+// The log in a single file.
 
 const (
 	magic             = 0xC7A1
 	recordHeaderBytes = 10 // magic, length, checksum
 )
 
-// singleFileLog keeps a log in one file.
+// singleFileLog stores a log in a single file.
 type singleFileLog struct {
 	fs    disk.FS
 	limit int64
-	file  disk.File // nil: it could not be opened yet
-	used  int64     // of the file, all of it good
-	// strayBytes is how many bytes behind that may hold records which were not written, or a torn one. They go before anything is
-	// appended: a later record that covers a part of them would have the others read.
+	file  disk.File // nil until it could be opened
+	used  int64     // length of the valid part
+	// strayBytes is the number of bytes after the valid part that may hold records of a failed write, or a torn record. They are
+	// removed before the next append: a record that overwrote only a part of them would leave the rest to be read.
 	strayBytes int64
 	written    uint64 // writes, and recoveries from failed ones
 	failed     error  // why the last write failed; nil if it did not
-	// replacement is a file that a compaction has written, of which it is not known whether it has taken the log's name.
+	// replacement is a file written by a compaction, if it is unknown whether its rename to the log's name took effect.
 	replacement *replacement
 	notify      func()
 }
 
-// replacement is a file that may have taken the place of the log's.
+// replacement is a file that may have replaced the log's.
 type replacement struct {
 	file disk.File
 	used int64
 }
 
-// retryDelay is the pause before the log looks whether a disk that has failed it is well again.
+// retryDelay is the pause before the log checks whether a failed disk works again.
 const retryDelay = 20 * time.Millisecond
 
-// openSingle reads the log in one file, or begins it.
+// openSingle reads or creates a single-file log.
 func (l *Log) openSingle() (Recovery, error) {
-	// A crash in mid-compaction leaves the old file whole and a part of the new one.
-	_ = l.FS.Remove(tempName) // the next compaction writes over it
+	// A crash during a compaction leaves the old file complete and a part of the new one.
+	_ = l.FS.Remove(tempName) // on failure, the next compaction overwrites it
 	data, err := l.FS.ReadFile(logName)
 	if err != nil && !errors.Is(err, fs.ErrNotExist) {
 		return Recovery{}, fmt.Errorf("wal: %w", err)
 	}
 	good, damaged := l.replay(data)
-	// What follows a torn record could not be told from it: the tail goes before anything is appended.
+	// Remove the tail before anything is appended: later bytes could be read as a part of a torn record.
 	s := &singleFileLog{fs: l.FS, limit: l.Limit, used: good, strayBytes: int64(len(data)) - good, notify: l.Notify}
 	if s.failed = s.restore(); s.failed != nil {
 		s.retryLater()
@@ -77,7 +77,7 @@
 func (s *singleFileLog) startReserve(int64) int64                { return 0 }
 func (s *singleFileLog) failure() error                          { return s.failed }
 
-// tryRecover goes on after a failed write, if the disk lets it.
+// tryRecover repairs the file after a failed write, if the disk allows it.
 func (s *singleFileLog) tryRecover(func() [][]byte) bool {
 	if s.failed == nil {
 		return true
@@ -93,14 +93,14 @@
 
 func (s *singleFileLog) pendingFlushed() { s.written++ }
 
-// retryLater has the log's owner look again after a while.
+// retryLater has the log's owner try again after a pause.
 func (s *singleFileLog) retryLater() {
 	if s.notify != nil {
 		time.AfterFunc(retryDelay, s.notify)
 	}
 }
 
-// restore brings the file into the state that the log takes it to be in.
+// restore opens the file if necessary and brings it into the state that the fields describe.
 func (s *singleFileLog) restore() error {
 	if s.replacement != nil {
 		if err := s.resolveReplacement(); err != nil {
@@ -117,19 +117,20 @@
 	return s.dropStray()
 }
 
-// dropStray takes away what stands behind the good part of the file.
+// dropStray removes the bytes after the valid part of the file.
 func (s *singleFileLog) dropStray() error {
 	if s.strayBytes == 0 {
 		return nil
 	}
 	if err := eraseTail(s.file, s.used, s.used+s.strayBytes); err != nil {
-		return fmt.Errorf("wal: drop what was not written: %w", err)
+		return fmt.Errorf("wal: remove the rest of a failed write: %w", err)
 	}
 	s.strayBytes = 0
 	return nil
 }
 
-// eraseTail takes away the bytes of a file from an offset to its end. Zeros do as well where it can't be cut: no record begins so.
+// eraseTail removes the bytes of a file from an offset to its end. If it can't be truncated, it is filled with zeros, which no record
+// begins with.
 func eraseTail(f disk.File, from, to int64) error {
 	if f.Truncate(from) == nil {
 		return nil
@@ -138,8 +139,8 @@
 	return err
 }
 
-// reclaim has the one file stand again where another process has put segments in its place. One that keeps a single file
-// has changed nothing of it.
+// reclaim restores the single file if another process has replaced it with segments. Another process that uses a single file has left
+// it as it was.
 func (s *singleFileLog) reclaim(names []string, l *Log) error {
 	if !isSegmented(names) {
 		return nil
@@ -172,10 +173,10 @@
 		return s.fail(err)
 	}
 	if _, err := s.file.WriteAt(buf, s.used); err != nil {
-		// All of it may have been written: it must neither stand before later records nor be read by the next start.
+		// The data may have been written all the same: it must neither precede later records nor be read by the next start.
 		s.strayBytes = int64(len(buf))
 		err = s.fail(fmt.Errorf("wal: %w", err))
-		if cleanErr := s.dropStray(); cleanErr != nil && !errors.Is(err, fs.ErrClosed) { // a closed file has taken nothing
+		if cleanErr := s.dropStray(); cleanErr != nil && !errors.Is(err, fs.ErrClosed) { // nothing is written to a closed file
 			err = errors.Join(ErrIndeterminate, err, cleanErr)
 		}
 		return err
@@ -186,7 +187,7 @@
 	return nil
 }
 
-// fail notes why a write failed.
+// fail records why a write failed.
 func (s *singleFileLog) fail(err error) error {
 	s.failed = err
 	s.retryLater()
@@ -215,7 +216,7 @@
 		return errors.Join(fmt.Errorf("wal: compact: %w", err), f.Close(), s.fs.Remove(tempName))
 	}
 	s.replacement = &replacement{f, int64(len(buf))}
-	renameErr := s.fs.Rename(tempName, logName) // a crash leaves the one or the other, whole
+	renameErr := s.fs.Rename(tempName, logName) // a crash leaves either the old or the new file, complete
 	if renameErr == nil {
 		s.useReplacement()
 		return nil
@@ -225,12 +226,12 @@
 		return s.fail(errors.Join(renameErr, err))
 	}
 	if s.file == f {
-		return nil // it has taken the place all the same
+		return nil // the rename took effect despite the error
 	}
 	return renameErr
 }
 
-// useReplacement has the replacement be the log's file.
+// useReplacement makes the replacement the log's file.
 func (s *singleFileLog) useReplacement() {
 	if s.file != nil {
 		s.file.Close()
@@ -238,11 +239,11 @@
 	s.file, s.used, s.strayBytes, s.replacement = s.replacement.file, s.replacement.used, 0, nil
 }
 
-// resolveReplacement finds out whether the replacement has taken the log's name, though its rename told of an error.
+// resolveReplacement determines whether the replacement has the log's name, although its rename returned an error.
 func (s *singleFileLog) resolveReplacement() error {
 	names, err := s.fs.Names()
 	if err != nil {
-		return fmt.Errorf("wal: which file is the log's: %w", err)
+		return fmt.Errorf("wal: determine which file is the log: %w", err)
 	}
 	if !slices.Contains(names, tempName) {
 		s.useReplacement()
@@ -250,7 +251,7 @@
 	}
 	s.replacement.file.Close()
 	s.replacement = nil
-	_ = s.fs.Remove(tempName) // the next compaction writes over it
+	_ = s.fs.Remove(tempName) // on failure, the next compaction overwrites it
 	return nil
 }
 
@@ -261,13 +262,13 @@
 	return errors.Join(s.dropStray(), s.file.Close())
 }
 
-// replay applies the records in data. It passes over what it cannot read and returns the end of the last good
-// record, and whether unreadable bytes stood before it.
+// replay applies the records in data, skipping what it can't read. It returns the end of the last readable record, and whether there
+// were unreadable bytes before it.
 func (s *state) replay(data []byte) (good int64, damaged bool) {
 	for at := 0; at < len(data); {
 		rec, body, n := readRecord(data[at:])
 		if n == 0 {
-			at++ // look for the next record: a damaged one must not hide those behind it
+			at++ // search for the next record, so that a damaged one does not hide later ones
 			continue
 		}
 		if int64(at) != good {
@@ -288,7 +289,7 @@
 	return append(buf, payload...)
 }
 
-// readRecord reads the record at the start of data; n is 0 if there is no whole one.
+// readRecord reads the record at the start of data; n is 0 if there is no complete one.
 func readRecord(data []byte) (rec record, body []byte, n int) {
 	if len(data) < recordHeaderBytes || binary.LittleEndian.Uint16(data) != magic {
 		return rec, nil, 0
--- a/internal/wal/sync.go
+++ b/internal/wal/sync.go
@@ -9,10 +9,10 @@
 	"onyxroad.dev/onyxroad/internal/clock"
 )
 
-// What goes on beside the log's owner: syncs and snapshots, and how the log goes on after one has failed.
+// Background work of a segmented log: syncs and snapshots, and recovery after one has failed.
 
-// snapshotInBackground writes a snapshot beside whatever goes on. anew tells that the log waits for it.
-func (s *segmentedLog) snapshotInBackground(gen uint64, live [][]byte, anew bool) {
+// snapshotInBackground writes a snapshot in the background. forRecovery means that the log waits for it after a failure.
+func (s *segmentedLog) snapshotInBackground(gen uint64, live [][]byte, forRecovery bool) {
 	s.mu.Lock()
 	s.snapshotting = true
 	s.mu.Unlock()
@@ -22,7 +22,7 @@
 		s.snapshotting = false
 		if err != nil {
 			s.lastFailedTry = clock.Now()
-		} else if anew {
+		} else if forRecovery {
 			s.recoveryGen = gen
 		}
 		s.mu.Unlock()
@@ -30,8 +30,8 @@
 	})
 }
 
-// tryRecover goes on after a failure: it has a snapshot written, and then begins a new segment. live is asked for what the
-// snapshot shall hold; true tells that the log may be written again.
+// tryRecover resumes after a failure: it has a snapshot written and then begins a new segment. live returns the records for the
+// snapshot. The result is true once the log can be written again.
 func (s *segmentedLog) tryRecover(live func() [][]byte) bool {
 	s.mu.Lock()
 	failed, renewing, renewed, tried := s.failed, s.snapshotting, s.recoveryGen, s.lastFailedTry
@@ -43,7 +43,7 @@
 	case renewed > 0:
 		if s.beginSegment(renewed, nil) != nil {
 			s.mu.Lock()
-			s.recoveryGen = 0 // its snapshot is older than what follows: another one
+			s.recoveryGen = 0 // the snapshot may be out of date by the next attempt: write another
 			s.mu.Unlock()
 			return false
 		}
@@ -53,7 +53,7 @@
 			d.file.Close()
 		}
 		s.unsynced, s.failed, s.recoveryGen, s.unsyncedSince = nil, nil, 0, time.Time{}
-		s.written++ // a snapshot is a write as well
+		s.written++ // a snapshot counts as a write
 		s.durable = s.written
 		return true
 	case clock.Since(tried) >= recoveryRetryInterval:
@@ -79,7 +79,7 @@
 	return false
 }
 
-// syncLoop is the goroutine that brings to disk what was written. One sync serves all writes that came before it.
+// syncLoop runs in a goroutine and syncs what was written. One sync covers all writes before it.
 func (s *segmentedLog) syncLoop() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -94,7 +94,7 @@
 		s.dirUnsynced = false
 		s.mu.Unlock()
 		var err error
-		for _, d := range todo { // the older first: what stands in the later one counts only with it
+		for _, d := range todo { // oldest first: a later segment only counts together with the earlier ones
 			if err == nil {
 				err = d.file.Sync()
 			}
@@ -114,7 +114,7 @@
 	}
 }
 
-// markSynced notes what is on disk now; with mu held.
+// markSynced records what a sync has brought to disk. The caller must hold mu.
 func (s *segmentedLog) markSynced(todo []unsyncedSegment, target uint64, began time.Time) {
 	s.durable = target
 	for i, d := range todo {
@@ -122,7 +122,7 @@
 			s.syncedBytes = d.size
 		}
 		if s.unsynced[i].size > d.size {
-			continue // written to since
+			continue // written to during the sync
 		}
 		if s.unsynced[i].complete {
 			d.file.Close()
@@ -132,11 +132,11 @@
 	s.unsynced = slices.DeleteFunc(s.unsynced, func(d unsyncedSegment) bool { return d.file == nil })
 	s.unsyncedSince = time.Time{}
 	if s.written > s.durable {
-		s.unsyncedSince = began // at the latest
+		s.unsyncedSince = began // the remaining writes came after the sync began
 	}
 }
 
-// close has what was written on disk, and tells the next reader so.
+// close syncs everything that was written and records in the segment, for the next reader, that it is durable.
 func (s *segmentedLog) close() error {
 	var err error
 	if !s.needsNewFile() {
@@ -154,7 +154,7 @@
 		return errors.Join(err, s.failed, s.file.Close())
 	}
 	if err == nil && s.SyncWrites {
-		// A last frame that vouches for all before it: from here on whatever can't be read there is damage.
+		// A final frame states that all bytes before it are durable: whatever is unreadable there later is damage.
 		s.sealed = true
 		if err = s.append([][]byte{payload(record{Kind: recSeal}, nil)}); err == nil {
 			err = s.file.Sync()
--- a/internal/wal/times.go
+++ b/internal/wal/times.go
@@ -6,16 +6,16 @@
 	"onyxroad.dev/onyxroad/internal/clock"
 )
 
-// The times in a log stand on a timeline. The record that says which one comes before the first record that goes by it, and a
-// segment or a snapshot has it in its head. A log of before has none: its times are the wall clock's.
+// Times in a log are on a timeline. The record that names the timeline precedes the first record with a time; in a segment or
+// snapshot it is in the header. Logs of older versions have none: their times are those of the wall clock.
 
 func newState() state { return state{live: map[uint32]*Message{}, times: clock.NewTimeline()} }
 
-// newRawTimesState is for a reader that shows the times as they stand in the log.
+// newRawTimesState returns a state for readers that show times as they are stored.
 func newRawTimesState() state { return state{live: map[uint32]*Message{}, rawTimes: true} }
 
-// resumeTimeline has what is read from here on go by the timeline of an earlier process. Where that can't be gone on with, a new
-// one begins, and what is read is taken for times of the wall clock.
+// resumeTimeline makes the times of the records that follow refer to the timeline of an earlier process. If that timeline can't be
+// resumed, a new one begins and the stored times are taken as wall clock times.
 func (s *state) resumeTimeline(a *clock.Anchor) {
 	if s.rawTimes {
 		return
@@ -27,7 +27,7 @@
 	s.times, s.timelineResumed = t, ok
 }
 
-// localize puts the times of a message that was read into those of this process.
+// localize converts the times of a message that was read to those of this process.
 func (s *state) localize(m *Message) {
 	m.Deadline = s.times.Local(m.Deadline)
 	for i := range m.MayRun {
@@ -35,7 +35,7 @@
 	}
 }
 
-// acceptPayload is the record of a message with all that is known of it.
+// acceptPayload encodes a message with all its state as an accept record.
 func (s *state) acceptPayload(m *Message) []byte {
 	stamped := *m
 	stamped.Deadline = s.times.Stamp(m.Deadline)
@@ -47,7 +47,7 @@
 	return payload(record{Kind: recAccept, ID: m.ID, Message: &stamped}, m.Body)
 }
 
-// clockRecord is the record of the timeline; none if there is nothing that another process could go by.
+// clockRecord returns the record of the timeline, or none if another process could not resume it.
 func (s *state) clockRecord() [][]byte {
 	a := s.clockAnchor()
 	if a == nil {
@@ -63,7 +63,7 @@
 	return nil
 }
 
-// missingClockRecord is what has to be written before anything that goes by the timeline; nothing if it stands there already.
+// missingClockRecord returns the record of the timeline if the current file does not contain it yet.
 func (l *Log) missingClockRecord() [][]byte {
 	if l.clockWritten || l.clockInHeaders {
 		return nil
@@ -71,14 +71,14 @@
 	return l.clockRecord()
 }
 
-// Timeline tells whether the log goes on with the times of an earlier process, and by how much the wall clock has been stepped
-// since that one began them.
+// Timeline reports whether the log continues the timeline of an earlier process, and by how much the wall clock has been stepped
+// since that process began it.
 func (l *Log) Timeline() (resumed bool, stepped time.Duration) {
 	return l.timelineResumed, l.times.Stepped()
 }
 
-// Stamp is the time on the log's timeline of a moment of this process. Local is the way back.
+// Stamp converts a time of this process to the log's timeline. Local is the inverse.
 func (l *Log) Stamp(at time.Time) time.Time { return l.times.Stamp(at) }
 
-// Local is the moment of this process that bears a time on the log's timeline.
+// Local converts a time on the log's timeline to one of this process.
 func (l *Log) Local(stamp time.Time) time.Time { return l.times.Local(stamp) }
--- a/internal/wal/times_test.go
+++ b/internal/wal/times_test.go
@@ -9,11 +9,11 @@
 	"onyxroad.dev/onyxroad/internal/clock/wallstep"
 )
 
-// wallSteps are of the wall clock, in seconds.
+// wallSteps are steps of the wall clock in seconds.
 var wallSteps = []int64{-3600, -5, 5, 3600}
 
-// Whatever the wall clock does while the log runs, or between two processes, a message has the time that it had, and a send
-// is as old as it is.
+// A step of the wall clock while the log runs, or between two processes, must change neither the time left of a message nor the age of
+// a send.
 func TestTimesSurviveWallClockSteps(t *testing.T) {
 	const left, age, slack = 20 * time.Second, 3 * time.Second, 2 * time.Second
 	for _, format := range []int{1, SegmentFormat} {
@@ -33,7 +33,7 @@
 					must(t, l.Accept(second))
 					must(t, l.RecordSends(Send{first, Attempt{Host: "s-1", At: clock.Now().Add(-age)}}))
 					wall.Step(between)
-					for restart := range 3 { // the last one finds what a compaction has written
+					for restart := range 3 { // the last restart reads what a compaction wrote
 						l, found, err := OpenWith(o)
 						must(t, err)
 						if len(found.Messages) != 2 || len(found.Messages[0].MayRun) != 1 {
@@ -45,7 +45,7 @@
 							}
 						}
 						if got := clock.Since(found.Messages[0].MayRun[0].At); got < age || got > age+slack {
-							t.Errorf("restart %d: a send of %v ago is %v old", restart, age, got)
+							t.Errorf("restart %d: a send made %v ago is %v old", restart, age, got)
 						}
 						if latest := found.Latest(); latest.After(clock.Now()) {
 							t.Errorf("restart %d: the newest time is %v ahead", restart, clock.Until(latest))
--- a/internal/wal/wal.go
+++ b/internal/wal/wal.go
@@ -1,12 +1,12 @@
-// Package wal is the relay's write-ahead log: what it has taken on, what it has sent, and what has ended, in
-// the folder that outlasts the process. Times in it stand on a timeline of package clock, which a step of the wall clock
-// does not move: see times.go.
+// Package wal implements the relay's write-ahead log: accepted messages, send attempts and the ends of messages, stored in the state
+// folder so that they survive the process. Times are stored on a timeline of package clock, which a step of the wall clock does not
+// move; see times.go.
 //
-// It is kept in one of two ways. By default in one file: what was written survives SIGKILL without a sync, and only the
-// machine's loss loses it. With Options.Format 2 in segments, each with a snapshot before it, whose every byte is checked
-// when it is read; and with Options.Power so that what the log has told to be durable survives a loss of power too.
+// There are two storage formats. The default is a single file: data survives SIGKILL without a sync, and only the loss of the machine
+// loses it. With Options.Format 2 the log consists of segments, each preceded by a snapshot, and every byte is checked by a checksum
+// when it is read. With Options.SyncWrites in addition, whatever the log has reported as durable also survives a power loss.
 //
-// Either way reads what the other has left, and a crash on the way from one to the other loses nothing.
+// Each format reads what the other one has written, and a crash during a conversion loses nothing.
 package wal
 
 import (
@@ -22,43 +22,44 @@
 	"onyxroad.dev/onyxroad/internal/disk"
 )
 
-// ErrFull tells that the log has no room for new work. Ends and outcomes still find room.
+// ErrFull means that the log has no room for new work. Ends and outcomes can still be written.
 var ErrFull = errors.New("wal: no room for new work")
 
-// ErrLocked tells that another process has the log.
-var ErrLocked = errors.New("wal: held by another process")
+// ErrLocked means that another process holds the log's lock.
+var ErrLocked = errors.New("wal: locked by another process")
 
-// ErrIndeterminate tells that what was to be written may stand in the log all the same, and can't be taken away now: should the process
-// end before it is, the next one finds it.
-var ErrIndeterminate = errors.New("wal: what was not written may stand in the log")
+// ErrIndeterminate means that a failed write may nevertheless be in the log and can't be removed now: if this process ends before
+// it is removed, the next one reads it.
+var ErrIndeterminate = errors.New("wal: a failed write may still be in the log")
 
-// Message is a message that was taken on, with what the log knows of its fate.
+// Message is an accepted message and its state as recorded in the log.
 type Message struct {
-	ID       uint32 // the log's own number for it
-	Trace    string // the client's
+	ID       uint32 // assigned by the log's owner
+	Trace    string // the client's trace id
 	Key      string // idempotency key; "" if none
-	Order    string // what it is about, in a class that keeps order; "" if none
+	Order    string // ordering key, in a class that keeps order; "" if none
 	Class    int
 	Customer int
 	Dest     int
 	Deadline time.Time
-	// Rank orders what a destination is owed where a backlog is kept, in unix nanoseconds: least first. 0: without one.
+	// Rank is the message's position among those owed to a destination, where a backlog is kept: in Unix nanoseconds, lowest first. 0 if
+	// there is no backlog.
 	Rank int64  `json:",omitempty"`
 	Body []byte `json:"-"`
 
 	Attempts int       // sends so far
-	MayRun   []Attempt // those of them that have no outcome or one that does not prove that they never ran
+	MayRun   []Attempt // attempts without an outcome, or with one that does not prove that they never ran
 	Final    *Final    // the notice that ends it, once decided
 
-	// Withdrawn tells that nothing is owed, since its client left without an answer. It may have run, and should it
-	// be handed in once more, that must be known.
+	// Withdrawn means that nothing is owed, because the client left without an answer. The message may have run, which must be known if
+	// the client submits it again.
 	Withdrawn bool `json:",omitempty"`
 
-	// Doubt tells that a part of the log could not be read in which sends of it may have stood.
+	// Doubt means that an unreadable part of the log may have held attempts of this message.
 	Doubt bool `json:",omitempty"`
 }
 
-// Attempt is one send.
+// Attempt is one send to an endpoint.
 type Attempt struct {
 	N    int
 	Host string
@@ -66,30 +67,30 @@
 	At   time.Time
 }
 
-// Final is the notice that ends a message which was not delivered.
+// Final is the notice that ends an undelivered message.
 type Final struct {
-	Deferred bool // the client may safely come again
-	Again    time.Duration
+	Deferred bool          // the client may safely submit the message again
+	Again    time.Duration // how long the client should wait before that; 0 if it is not told
 }
 
-// Send is an attempt about to be made, and whose.
+// Send is an attempt that is about to be made, with its message.
 type Send struct {
 	Message *Message
 	Attempt Attempt
 }
 
-// Recovery is what Open found.
+// Recovery describes what Open read from the folder.
 type Recovery struct {
-	Messages []*Message // unfinished, in the order in which they were taken on
-	// Damaged tells that records before the last were unreadable: a message's sends may be missing from it.
+	Messages []*Message // unfinished ones, in the order in which they were accepted
+	// Damaged means that there were unreadable records before the last one: attempts may be missing from messages.
 	Damaged bool
-	// Report is what reading a folder for segments found; nil without them.
+	// Report describes a folder read for a segmented log; nil for a single file.
 	Report *Report
 
 	times clock.Timeline
 }
 
-// Latest is the newest time that stands in what was found; the zero time if there is none.
+// Latest returns the newest time found in the log, or the zero time if there is none.
 func (r *Recovery) Latest() (latest time.Time) {
 	if r.Report != nil {
 		latest = r.times.Local(r.Report.Began)
@@ -104,7 +105,7 @@
 	return latest
 }
 
-// The kinds of record.
+// Kinds of record. The values are stored: they must not change.
 const (
 	recAccept byte = iota + 1
 	recSend
@@ -112,12 +113,12 @@
 	recFinal
 	recEnd
 	recWithdrawn
-	recHeader    // of a file of a folder in segments
-	recFooter    // of a snapshot: so many messages
-	recSeal      // the segment ends here
-	recClock     // the times of what follows
-	recCompleted // ends of messages that are no more in the log
-	recRejected  // requests that were not taken on
+	recHeader    // first record of a segment or snapshot
+	recFooter    // last record of a snapshot, with the number of records in it
+	recSeal      // end of a segment that was closed in order
+	recClock     // timeline of the times in the records that follow
+	recCompleted // ends of messages that are no longer in the log
+	recRejected  // requests that were never accepted
 )
 
 const (
@@ -125,15 +126,15 @@
 	tempName = "wal.tmp"
 	lockName = "wal.lock"
 
-	maxRecordBytes = 1 << 20 // of a record: a message's is far smaller
+	maxRecordBytes = 1 << 20 // far above the size of any message
 
-	// Shares of the disk limit. While the log is compacted the old and the new file stand side by side, and
-	// both must fit: liveShare + compactShare stays clear of 1 by more than a batch.
+	// Shares of the disk limit. During a compaction the old and the new file exist side by side and both must fit, so
+	// liveShare + compactShare stays below 1 by more than one batch.
 	liveShare    = 0.36
 	compactShare = 0.5
 )
 
-// record is the readable part of every record; a body follows it raw.
+// record is the JSON part of a record; the message body follows it as raw bytes.
 type record struct {
 	Kind    byte
 	ID      uint32
@@ -145,19 +146,19 @@
 	Clock   *clock.Anchor `json:",omitempty"`
 }
 
-// Options is how a log is kept. Only Dir and Limit are needed.
+// Options configures a log. Only Dir and Limit are required.
 type Options struct {
 	Dir          string
 	Limit        int64   // bytes on disk
-	FS           disk.FS // the folder's files; none: the operating system's
-	Name         string  // the relay's; a folder in segments of another one is refused, unless Also is its name. Empty: any
-	PreviousName string  // another name under which the folder is this relay's
-	AdoptForeign bool    // or this is set
-	// Format is 1, one file, or 2, segments; none: 1.
+	FS           disk.FS // the folder's files; nil means the operating system's
+	Name         string  // the relay's name; a segmented folder of another relay is refused. Empty accepts any
+	PreviousName string  // another name that is accepted as this relay's
+	AdoptForeign bool    // accept a folder of any relay
+	// Format is 1 for a single file (the default) or 2 for segments.
 	Format int
-	// SyncWrites has writes synced, and Durable tell how far. It needs segments.
+	// SyncWrites syncs every write to disk; Durable reports how far. It requires segments.
 	SyncWrites bool
-	// Notify is called, from any goroutine, whenever Durable has grown or a sync has failed.
+	// Notify is called, from any goroutine, when Durable has advanced, a sync has failed or the log's owner should call TryRecover.
 	Notify func()
 }
 
@@ -166,42 +167,42 @@
 	Options
 	state
 	backend        backend
-	pending        [][]byte // payloads of outcomes and ends not yet written
-	clockWritten   bool     // the file that is written says by which timeline
-	clockInHeaders bool     // each file says so in its head
+	pending        [][]byte // payloads of outcomes and ends that are not yet written
+	clockWritten   bool     // the file being written already contains the timeline
+	clockInHeaders bool     // every file has the timeline in its header
 }
 
-// backend is how a log is kept.
+// backend stores a log in one of the formats.
 type backend interface {
-	// size is what it takes on disk, in bytes.
+	// size returns the bytes used on disk.
 	size() int64
-	// encodedSize is what payloads would add to it.
+	// encodedSize returns how many bytes the payloads would add.
 	encodedSize(payloads [][]byte) int64
-	// startReserve is the room that is kept from what is appended where live messages take so many bytes: the next start needs it.
+	// startReserve returns the bytes that appends must leave free for the next start, given the size of the live messages.
 	startReserve(live int64) int64
-	// append appends payloads in one write, all or none.
+	// append writes the payloads in one write, all or none.
 	append(payloads [][]byte) error
-	// compact puts the live messages in the place of all that was appended.
+	// compact replaces everything written so far with the live messages.
 	compact(live [][]byte) error
-	// writeNumbers tell the number of the last write, and of the last that is durable.
+	// writeNumbers returns the number of the last write and of the last durable write.
 	writeNumbers() (written, durable uint64)
-	// needsNewFile tells that nothing can be appended until tend has had a new file begun.
+	// needsNewFile reports whether appends are impossible until tryRecover has begun a new file.
 	needsNewFile() bool
 	tryRecover(live func() [][]byte) bool
-	// pendingFlushed has what waits for a write that failed go on: all that was noted has been written.
+	// pendingFlushed is called after a recovery once all pending records are written, so that whoever waits for a failed write goes on.
 	pendingFlushed()
 	failure() error
 	reclaim(names []string, l *Log) error
-	// ensureRoom tells, before new work is taken on, that outcomes and ends of what is held will find room.
+	// ensureRoom makes sure, before new work is accepted, that outcomes and ends of the messages held can still be written.
 	ensureRoom() error
 	close() error
 }
 
-// Lock takes the lock on the log in dir, which goes with the file returned, or with the process. Guards against two
-// writers: whoever opens the log holds it. ErrHeld tells that another does.
+// Lock takes the exclusive lock on the log in dir, which excludes a second writer. It is released when the returned file is closed or
+// the process ends. Whoever opens the log must hold it. The error is ErrLocked if another process does.
 func Lock(dir string) (*os.File, error) { return lock(dir, os.O_CREATE) }
 
-// LockExisting is Lock for whoever must change nothing: the error is fs.ErrNotExist where no log has ever been.
+// LockExisting is Lock for callers that must not create anything: the error is fs.ErrNotExist if there has never been a log.
 func LockExisting(dir string) (*os.File, error) { return lock(dir, 0) }
 
 func lock(dir string, flag int) (*os.File, error) {
@@ -219,12 +220,12 @@
 	return f, nil
 }
 
-// Open reads the log in dir, or begins one, that may take limit bytes of disk, in one file.
+// Open reads or creates the log in dir, in a single file of at most limit bytes on disk.
 func Open(dir string, limit int64) (*Log, Recovery, error) {
 	return OpenWith(Options{Dir: dir, Limit: limit})
 }
 
-// OpenWith reads the log of a folder, or begins one. The caller has its lock.
+// OpenWith reads or creates a log. The caller must hold its lock.
 func OpenWith(o Options) (*Log, Recovery, error) {
 	if o.FS == nil {
 		o.FS = disk.Dir(o.Dir)
@@ -249,29 +250,29 @@
 	return l, found, err
 }
 
-// Close writes what is noted and closes the files.
+// Close writes the pending records and closes the files.
 func (l *Log) Close() error { return errors.Join(l.Flush(), l.backend.close()) }
 
-// Written is the number of the last write.
+// Written returns the number of the last write.
 func (l *Log) Written() uint64 {
 	n, _ := l.backend.writeNumbers()
 	return n
 }
 
-// Durable is the number of the last write that is as durable as the log is to be. Without Power every one is.
+// Durable returns the number of the last write that has the configured durability. Without SyncWrites that is every write.
 func (l *Log) Durable() uint64 {
 	_, n := l.backend.writeNumbers()
 	return n
 }
 
-// TryRecover goes on after the disk has failed the log, once it can. In segments a new file is begun with all that is live, and nothing
-// more is trusted to the one before; a single file is put in order. False tells that the log still waits for that.
+// TryRecover resumes writing after a disk failure, once the disk allows it. A segmented log begins a new file with all live messages and
+// no longer trusts the previous one; a single file is repaired. It returns false while the log is still waiting.
 func (l *Log) TryRecover() bool {
 	if l.backend.failure() == nil {
 		return true
 	}
 	ok := l.backend.tryRecover(func() [][]byte {
-		l.pending = nil // they are in the state
+		l.pending = nil // the snapshot contains their effect
 		return l.snapshot()
 	})
 	if !ok || l.Flush() != nil {
@@ -281,10 +282,10 @@
 	return true
 }
 
-// Failure is why the log waits for a new file; nil if it does not.
+// Failure returns why the log waits for a new file, or nil if it does not.
 func (l *Log) Failure() error { return l.backend.failure() }
 
-// Reclaim puts the live messages down anew after another process may have opened the log, and not gone on with it.
+// Reclaim writes the live messages anew after another process may have opened the log without continuing it.
 func (l *Log) Reclaim() error {
 	names, err := l.FS.Names()
 	if err == nil {
@@ -293,11 +294,11 @@
 	if err != nil {
 		return fmt.Errorf("wal: reclaim: %w", err)
 	}
-	l.pending = nil // they are in the state
+	l.pending = nil // the snapshot contains their effect
 	return nil
 }
 
-// Rename has the folder bear another name from the next start on. It comes right before Close, and needs segments.
+// Rename gives the folder another relay's name for the next start. It must be called right before Close, and needs segments.
 func (l *Log) Rename(name string) error {
 	if s, ok := l.backend.(*segmentedLog); ok {
 		s.Name = name
@@ -305,31 +306,31 @@
 	return l.compact()
 }
 
-// Marshal is a message that has no attempts, for what keeps it beside the log. Unmarshal reads it.
+// Marshal encodes a message without attempts, for stores other than the log. Unmarshal decodes it.
 func Marshal(m *Message) []byte {
 	return payload(record{Kind: recAccept, ID: m.ID, Message: m}, m.Body)
 }
 
-// Unmarshal reads what Marshal has written.
+// Unmarshal decodes a message that Marshal encoded.
 func Unmarshal(data []byte) (*Message, error) {
 	rec, body, ok := parsePayload(data)
 	if !ok || rec.Kind != recAccept || rec.Message == nil {
-		return nil, errors.New("wal: no message")
+		return nil, errors.New("wal: the data does not encode a message")
 	}
 	rec.Message.ID, rec.Message.Body = rec.ID, slices.Clone(body)
 	return rec.Message, nil
 }
 
-// FillRatio is the part of the room for new work that is taken.
+// FillRatio returns the used fraction of the room for new work.
 func (l *Log) FillRatio() float64 { return float64(l.bytes) / max(1, float64(l.share(liveShare))) }
 
-// Size is what the log takes on disk, in bytes.
+// Size returns the bytes that the log uses on disk.
 func (l *Log) Size() int64 { return l.backend.size() }
 
-// IsLive tells whether m has no end yet.
+// IsLive reports whether m has no end yet.
 func (l *Log) IsLive(m *Message) bool { return l.live[m.ID] != nil }
 
-// Accept records that ms are taken on, all or none. With ErrFull nothing of them is in the log.
+// Accept records that messages are accepted, all or none. If it returns ErrFull, none of them is in the log.
 func (l *Log) Accept(ms ...*Message) error {
 	if err := l.backend.ensureRoom(); err != nil {
 		return err
@@ -351,7 +352,7 @@
 	return nil
 }
 
-// RecordSends records attempts before their first byte, all or none.
+// RecordSends records attempts before their first byte is sent, all or none.
 func (l *Log) RecordSends(sends ...Send) error {
 	var buf [][]byte
 	for _, s := range sends {
@@ -370,8 +371,8 @@
 	return nil
 }
 
-// NeverRan notes an outcome which proves that attempt n took no effect. Any other outcome changes nothing of
-// what a restart has to go by.
+// NeverRan records an outcome which proves that attempt n had no effect. Other outcomes need no record: they change nothing that a
+// restart depends on.
 func (l *Log) NeverRan(m *Message, n int) {
 	if l.live[m.ID] == nil {
 		return
@@ -382,7 +383,7 @@
 	l.pending = append(l.pending, payload(record{Kind: recOutcome, ID: m.ID, N: n}, nil))
 }
 
-// SetFinal notes the notice that will end m.
+// SetFinal records the notice that will end m.
 func (l *Log) SetFinal(m *Message, f Final) {
 	if l.live[m.ID] == nil {
 		return
@@ -391,7 +392,7 @@
 	l.pending = append(l.pending, payload(record{Kind: recFinal, ID: m.ID, Final: &f}, nil))
 }
 
-// Withdraw notes that nothing is owed for m but to remember what may have run, until End.
+// Withdraw records that nothing is owed for m any more. The log still remembers which attempts may have run, until End.
 func (l *Log) Withdraw(m *Message) {
 	if l.live[m.ID] == nil {
 		return
@@ -400,22 +401,22 @@
 	l.pending = append(l.pending, payload(record{Kind: recWithdrawn, ID: m.ID}, nil))
 }
 
-// End notes that nothing more is owed for m here, and that its trace id may come again: what has become of it is not known to its
-// client, or kept elsewhere. See Complete.
+// End records that m is no longer kept here and that its trace id may be submitted again: either the client does not know its outcome,
+// or the message is kept elsewhere. See Complete.
 func (l *Log) End(m *Message) {
 	if l.live[m.ID] != nil {
 		l.end(m, 0)
 	}
 }
 
-// end takes m out of the log. how is 0 if its end is not remembered.
+// end removes m from the log. how is 0 if its end is not remembered.
 func (l *Log) end(m *Message, how Completion) {
 	delete(l.live, m.ID)
 	l.bytes -= estimatedSize(m)
 	l.pending = append(l.pending, payload(record{Kind: recEnd, ID: m.ID, N: int(how)}, nil))
 }
 
-// Flush writes what is noted. After an error the notes are kept for the next write.
+// Flush writes the pending records. After an error they are kept for the next write.
 func (l *Log) Flush() error {
 	if len(l.pending) == 0 {
 		return nil
@@ -423,7 +424,7 @@
 	return l.write(nil)
 }
 
-// write appends the notes and buf in one write. Only buf is given up on an error.
+// write appends the pending records and buf in one write. If it fails, only buf is discarded.
 func (l *Log) write(buf [][]byte) error {
 	if l.backend.needsNewFile() {
 		if len(l.pending)+len(buf) == 0 {
@@ -433,8 +434,8 @@
 	}
 	all := slices.Concat(l.missingClockRecord(), l.pending, buf)
 	if l.backend.size()+l.backend.encodedSize(all) > l.share(compactShare) {
-		// The notes are in the state that a compaction writes, so they need no records of their own. Where it
-		// fails, the room beyond the share is left.
+		// A compaction writes the state, which already includes the pending records. If it fails, the room beyond compactShare
+		// is used.
 		if err := l.compact(); err == nil {
 			all = buf
 		}
@@ -452,7 +453,7 @@
 	return nil
 }
 
-// compact puts the live messages alone in the place of the log.
+// compact replaces the log with its live messages.
 func (l *Log) compact() error {
 	if err := l.backend.compact(l.snapshot()); err != nil {
 		return err
@@ -464,7 +465,7 @@
 	return nil
 }
 
-// snapshot is the live messages as records.
+// snapshot returns the live messages as records.
 func (l *Log) snapshot() (all [][]byte) {
 	if !l.clockInHeaders {
 		all = l.clockRecord()
@@ -478,7 +479,7 @@
 
 func (l *Log) share(x float64) int64 { return int64(x * float64(l.Limit)) }
 
-// messages are the live ones in the order in which they were taken on.
+// messages returns the live messages in the order in which they were accepted.
 func (s *state) messages() []*Message {
 	ms := make([]*Message, 0, len(s.live))
 	for _, m := range s.live {
@@ -488,7 +489,7 @@
 	return ms
 }
 
-// estimatedSize is about what m takes in a new file.
+// estimatedSize returns roughly how many bytes m takes in a new file.
 func estimatedSize(m *Message) int64 {
 	n := 280 + len(m.Body) + len(m.Trace) + len(m.Key) + len(m.Order)
 	for _, a := range m.MayRun {
@@ -506,7 +507,7 @@
 	m.MayRun = slices.DeleteFunc(m.MayRun, func(a Attempt) bool { return a.N == n })
 }
 
-// apply takes a record that was read.
+// apply updates the state with a record that was read.
 func (s *state) apply(rec record, body []byte) {
 	m := s.live[rec.ID]
 	switch {
@@ -527,7 +528,7 @@
 		s.bytes += estimatedSize(m)
 		return
 	case m == nil:
-		return // its first record is unreadable
+		return // the record that accepted it is unreadable
 	}
 	s.bytes -= estimatedSize(m)
 	switch {
--- a/internal/wal/wal_test.go
+++ b/internal/wal/wal_test.go
@@ -41,7 +41,7 @@
 	}
 }
 
-// foundIDs lists what was found.
+// foundIDs returns the ids of the messages found.
 func foundIDs(found Recovery) string {
 	text := ""
 	for _, m := range found.Messages {
@@ -50,7 +50,7 @@
 	return text
 }
 
-// diskUsage is what the folder takes, each file in whole disk.Sectors.
+// diskUsage returns the size of the folder, each file in whole disk.Sectors.
 func diskUsage(t *testing.T, dir string) int64 {
 	t.Helper()
 	entries, err := os.ReadDir(dir)
@@ -85,16 +85,16 @@
 	}
 	r, p, k := found.Messages[0], found.Messages[1], found.Messages[2]
 	if r.Final == nil || !r.Final.Deferred || r.Final.Again != 700*time.Millisecond {
-		t.Errorf("the notice decided on: %+v", r.Final)
+		t.Errorf("the final notice: %+v", r.Final)
 	}
-	// The refused attempt is used up but never ran; the one that was out may have.
+	// The first attempt counts but never ran; the second one may have.
 	if p.Attempts != 2 || len(p.MayRun) != 1 || p.MayRun[0].N != 1 || p.MayRun[0].Zone != 1 ||
 		!p.MayRun[0].At.Equal(second.At) {
-		t.Errorf("attempts of the one that was out: %d, %+v", p.Attempts, p.MayRun)
+		t.Errorf("attempts of the pending message: %d, %+v", p.Attempts, p.MayRun)
 	}
 	if k.Trace != taken.Trace || k.Key != taken.Key || k.Dest != 7 || k.Customer != 1 ||
 		!k.Deadline.Equal(taken.Deadline) || !bytes.Equal(k.Body, taken.Body) {
-		t.Errorf("taken on %+v, came back %+v", taken, k)
+		t.Errorf("accepted %+v, recovered %+v", taken, k)
 	}
 }
 
@@ -115,7 +115,7 @@
 		}
 		must(t, l.Accept(message(3)))
 		if _, found := open(t, dir, ampleLimit); foundIDs(found) != "1 3 " {
-			t.Fatalf("cut at %d: appended after it, found %q", cut, foundIDs(found))
+			t.Fatalf("cut at %d: found %q after an append", cut, foundIDs(found))
 		}
 	}
 }
@@ -168,7 +168,7 @@
 	}
 }
 
-// The old and the new file stand side by side during a compaction: neither may grow past its share.
+// During a compaction the old and the new file exist side by side: neither may exceed its share.
 func TestSingleFileLogKeepsDiskLimit(t *testing.T) {
 	const limit = 100_000
 	dir := t.TempDir()
@@ -187,7 +187,7 @@
 		}
 		if l.backend.size() < before {
 			compactions++
-			// before is what the old file held when the new one stood beside it.
+			// before is the size of the old file while the new one existed beside it.
 			if sum := before + l.backend.size() + 4*disk.Sector; sum > limit {
 				t.Fatalf("%d bytes on disk during a compaction", sum)
 			}
@@ -215,7 +215,7 @@
 		t.Errorf("found %q", foundIDs(found))
 	}
 	if _, err := os.Stat(filepath.Join(dir, tempName)); !errors.Is(err, os.ErrNotExist) {
-		t.Errorf("the unfinished file is still there: %v", err)
+		t.Errorf("the unfinished file still exists: %v", err)
 	}
 }
 
@@ -233,9 +233,9 @@
 		}
 	}
 	if !errors.Is(err, ErrFull) || len(held) < 5 {
-		t.Fatalf("%d taken on, then %v", len(held), err)
+		t.Fatalf("%d accepted, then %v", len(held), err)
 	}
-	for round := range 4 { // what is held can be sent, again and again, and ended
+	for round := range 4 { // held messages can be sent repeatedly, and ended
 		for _, m := range held {
 			must(t, l.RecordSends(Send{m, Attempt{N: round, Host: "s-5be2a07c", At: noon}}))
 			l.NeverRan(m, round)
@@ -254,7 +254,7 @@
 	}
 }
 
-// unwritableFile takes no writes.
+// unwritableFile rejects writes.
 type unwritableFile struct{ *os.File }
 
 func (unwritableFile) Reserve(int64, int64) error { return nil }
@@ -264,23 +264,23 @@
 	l, _ := open(t, dir, ampleLimit)
 	one, two := message(1), message(2)
 	must(t, l.Accept(one, two))
-	good := l.backend.(*singleFileLog).file
-	bad, err := os.Open(filepath.Join(dir, logName)) // takes no writes, as a full disk
+	writable := l.backend.(*singleFileLog).file
+	bad, err := os.Open(filepath.Join(dir, logName)) // read-only, so that writes fail as on a full disk
 	must(t, err)
 	defer bad.Close()
 	l.backend.(*singleFileLog).file = unwritableFile{bad}
 	if err := l.Accept(message(3)); err == nil {
-		t.Error("taken on without a record")
+		t.Error("accepted without a record")
 	}
 	if err := l.RecordSends(Send{one, Attempt{Host: "s-1", At: noon}}); err == nil || one.Attempts != 0 {
 		t.Errorf("sent without a record: %v", err)
 	}
 	l.End(two)
 	if err := l.Flush(); err == nil {
-		t.Error("an end counts as written")
+		t.Error("the flush of an end succeeded")
 	}
-	l.backend.(*singleFileLog).file = good
-	must(t, l.Flush()) // the end was kept
+	l.backend.(*singleFileLog).file = writable
+	must(t, l.Flush()) // the end was kept as pending
 	must(t, l.Accept(message(4)))
 	if _, found := open(t, dir, ampleLimit); foundIDs(found) != "1 4 " {
 		t.Errorf("found %q", foundIDs(found))
@@ -296,11 +296,11 @@
 		m.MayRun = append(m.MayRun, Attempt{N: n, Host: "s-5be2a07c", Zone: 1, At: noon.Add(time.Nanosecond)})
 	}
 	if got := len(appendRecord(nil, payload(record{Kind: recAccept, ID: 1, Message: m}, m.Body))); int64(got) > estimatedSize(m) {
-		t.Errorf("a record of %d bytes counts as %d", got, estimatedSize(m))
+		t.Errorf("a record of %d bytes is estimated at %d", got, estimatedSize(m))
 	}
 }
 
-// Whatever stands in the file, it is read to an end, and a record behind it is found.
+// FuzzReplay checks that arbitrary content is read to its end, and that a record appended to the valid part is found.
 func FuzzReplay(f *testing.F) {
 	whole := appendRecord(nil, payload(record{Kind: recAccept, ID: 1, Message: message(1)}, []byte("body")))
 	whole = appendRecord(whole, payload(record{Kind: recSend, ID: 1, Attempt: &Attempt{Host: "s-1"}}, nil))
