--- a/internal/disk/tracedisk/tracedisk.go
+++ b/internal/disk/tracedisk/tracedisk.go
@@ -1,6 +1,6 @@
-// Package tracedisk is a folder of the operating system's whose every change is written down, so that a testbed which kills
-// the process can work out what a loss of power would have left. It also fails and tarries as a file that the testbed
-// writes tells it to. Only builds for the testbed have it.
+// Package tracedisk wraps a directory of the operating system and records every change to a trace, so that a testbed which kills the
+// process can compute what a power loss would have left. It also fails or delays calls as a file written by the testbed tells it. Only
+// testbed builds include it.
 package tracedisk
 
 import (
@@ -19,44 +19,44 @@
 	"onyxroad.dev/onyxroad/internal/disk/crashdisk"
 )
 
-// Env names the variable that names the trace. A file of that name with ".faults" behind it tells what goes wrong: words
-// "full" (writes fail), "broken" (syncs fail), "slow=50ms" (each sync takes so long).
-const Env = "TESTBED_DISK_TRACE"
+// EnvTrace is the environment variable that holds the path of the trace. A file with that path and the suffix ".faults" lists the
+// active faults as words: "full" (writes fail), "broken" (syncs fail), "slow=50ms" (each sync takes that long).
+const EnvTrace = "TESTBED_DISK_TRACE"
 
-// Backlog stands behind the trace's name in that of the backlog's folder.
-const Backlog = ".backlog"
+// BacklogSuffix is appended to the trace's path for the trace of the backlog's directory.
+const BacklogSuffix = ".backlog"
 
-// EnvSync names the variable that, where there is no trace, says how long a sync takes.
+// EnvSync is the environment variable that, without a trace, sets how long a sync takes.
 const EnvSync = "TESTBED_DISK_SYNC"
 
-// Timed is a folder whose syncs take a time of their own, and sync nothing.
-type Timed struct {
+// DelayedSync is a directory whose syncs only wait for a fixed time and sync nothing.
+type DelayedSync struct {
 	disk.Dir
-	Sync time.Duration
+	Delay time.Duration
 }
 
 // Open opens a file.
-func (d Timed) Open(name string) (disk.File, error) {
+func (d DelayedSync) Open(name string) (disk.File, error) {
 	f, err := d.Dir.Open(name)
-	return timed{f, d.Sync}, err
+	return delayedSyncFile{f, d.Delay}, err
 }
 
-func (d Timed) SyncDir() error {
-	time.Sleep(d.Sync)
+func (d DelayedSync) SyncDir() error {
+	time.Sleep(d.Delay)
 	return nil
 }
 
-type timed struct {
+type delayedSyncFile struct {
 	disk.File
-	sync time.Duration
+	delay time.Duration
 }
 
-func (f timed) Sync() error {
-	time.Sleep(f.sync)
+func (f delayedSyncFile) Sync() error {
+	time.Sleep(f.delay)
 	return nil
 }
 
-// Change is one change of the folder.
+// Change is one change of the directory.
 type Change struct {
 	Op   string // "open", "write", "truncate", "sync", "rename", "remove", "guard", "syncdir"
 	Name string
@@ -65,34 +65,35 @@
 	Data []byte
 }
 
-// Disk is such a folder.
+// Disk is a directory that records its changes.
 type Disk struct {
 	disk.Dir
-	faults string
+	faultsPath string
 
 	mu  sync.Mutex
 	out *gob.Encoder
 }
 
-// Open returns a folder whose changes go to a trace, which is begun anew.
+// Open returns a directory that records its changes to a new trace.
 func Open(d disk.Dir, trace string) (*Disk, error) {
 	f, err := os.OpenFile(trace, os.O_WRONLY|os.O_CREATE|os.O_TRUNC, 0o600)
 	if err != nil {
 		return nil, fmt.Errorf("tracedisk: %w", err)
 	}
-	return &Disk{Dir: d, faults: trace + ".faults", out: gob.NewEncoder(f)}, nil
+	return &Disk{Dir: d, faultsPath: trace + ".faults", out: gob.NewEncoder(f)}, nil
 }
 
-// note writes a change down. It is called under mu, around the change itself: the order of the trace is that of the changes.
-func (d *Disk) note(c Change) {
+// record appends a change to the trace. It is called under mu, together with the change itself, so that the trace has the order of the
+// changes.
+func (d *Disk) record(c Change) {
 	if err := d.out.Encode(c); err != nil {
 		panic(fmt.Sprintf("tracedisk: %v", err)) // a trace with a gap proves nothing
 	}
 }
 
-// trouble is what goes wrong now.
-func (d *Disk) trouble() (full, broken bool, slow time.Duration) {
-	text, err := os.ReadFile(d.faults)
+// activeFaults reads which faults are active now.
+func (d *Disk) activeFaults() (full, broken bool, slow time.Duration) {
+	text, err := os.ReadFile(d.faultsPath)
 	if err != nil {
 		return false, false, 0
 	}
@@ -105,9 +106,9 @@
 	return full, broken, slow
 }
 
-// do makes a change and writes it down, unless the disk is full.
+// do makes a change and records it, unless the disk is full.
 func (d *Disk) do(c Change, make func() error) error {
-	if full, _, _ := d.trouble(); full && c.Op != "remove" && c.Op != "syncdir" {
+	if full, _, _ := d.activeFaults(); full && c.Op != "remove" && c.Op != "syncdir" {
 		return fmt.Errorf("tracedisk: %s %s: %w", c.Op, c.Name, syscall.ENOSPC)
 	}
 	d.mu.Lock()
@@ -115,7 +116,7 @@
 	if err := make(); err != nil {
 		return err
 	}
-	d.note(c)
+	d.record(c)
 	return nil
 }
 
@@ -143,14 +144,14 @@
 	return d.do(Change{Op: "guard", Name: name, To: inside}, func() error { return d.Dir.Guard(name, inside) })
 }
 
-// SyncDir syncs nothing: the trace decides what a loss of power leaves, and the operating system's disk is not asked.
+// SyncDir syncs nothing: the trace determines what a power loss leaves, and the operating system's disk is not involved.
 func (d *Disk) SyncDir() error { return d.sync(Change{Op: "syncdir"}) }
 
-// sync notes which changes are on disk: those that were written down when it began.
+// sync records a sync, which covers the changes recorded before it began.
 func (d *Disk) sync(c Change) error {
-	_, broken, slow := d.trouble()
+	_, broken, slow := d.activeFaults()
 	d.mu.Lock()
-	d.note(Change{Op: "begin-" + c.Op, Name: c.Name})
+	d.record(Change{Op: "begin-" + c.Op, Name: c.Name})
 	d.mu.Unlock()
 	time.Sleep(slow)
 	if broken {
@@ -158,7 +159,7 @@
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.note(c)
+	d.record(c)
 	return nil
 }
 
@@ -181,7 +182,7 @@
 }
 
 func (f *file) Reserve(off, bytes int64) error {
-	if full, _, _ := f.d.trouble(); full {
+	if full, _, _ := f.d.activeFaults(); full {
 		return syscall.ENOSPC
 	}
 	return f.File.Reserve(off, bytes)
@@ -189,8 +190,8 @@
 
 func (f *file) Sync() error { return f.d.sync(Change{Op: "sync", Name: f.name}) }
 
-// Replay works out what a trace has made of a folder, beginning with what the folder held before. What keep says of each
-// piece that was never synced decides on it.
+// Replay computes what a trace and a final power loss leave of a directory, given its content before. keep decides for each change that
+// was never synced whether it reached the disk.
 func Replay(before map[string][]byte, trace string, keep func() bool) (*crashdisk.Disk, error) {
 	f, err := os.Open(trace)
 	if err != nil {
@@ -209,12 +210,12 @@
 		}
 		file.WriteAt(data, 0)
 	}
-	d = d.Copy() // it is all on disk
-	r := replay{d: d, files: map[string]*crashdisk.File{}, ends: map[string]func(){}}
+	d = d.AfterKill() // all of it is on disk
+	r := replayState{d: d, files: map[string]*crashdisk.File{}, finishSync: map[string]func(){}}
 	for in := gob.NewDecoder(f); ; {
 		var c Change
 		if err := in.Decode(&c); errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) {
-			return d.Crash(keep), nil // killed while it wrote the trace
+			return d.Crash(keep), nil // the process was killed while it wrote the trace
 		} else if err != nil {
 			return nil, fmt.Errorf("tracedisk: %w", err)
 		}
@@ -224,14 +225,14 @@
 	}
 }
 
-// replay is a trace on its way through a folder in memory.
-type replay struct {
-	d     *crashdisk.Disk
-	files map[string]*crashdisk.File
-	ends  map[string]func() // of syncs that have begun
+// replayState is the emulated directory to which a trace is being applied.
+type replayState struct {
+	d          *crashdisk.Disk
+	files      map[string]*crashdisk.File
+	finishSync map[string]func() // ends the syncs that have begun
 }
 
-func (r *replay) apply(c Change) error {
+func (r *replayState) apply(c Change) error {
 	f := r.files[c.Name]
 	switch c.Op {
 	case "open":
@@ -246,11 +247,11 @@
 	case "truncate":
 		return f.Truncate(c.Off)
 	case "begin-sync":
-		r.ends[c.Name] = f.BeginSync()
+		r.finishSync[c.Name] = f.BeginSync()
 	case "begin-syncdir":
-		r.ends[""] = r.d.BeginSyncDir()
+		r.finishSync[""] = r.d.BeginSyncDir()
 	case "sync", "syncdir":
-		r.ends[c.Name]()
+		r.finishSync[c.Name]()
 	case "rename":
 		r.files[c.To] = f
 		return r.d.Rename(c.Name, c.To)
--- a/internal/wal/faults_test.go
+++ b/internal/wal/faults_test.go
@@ -11,84 +11,84 @@
 	"onyxroad.dev/onyxroad/internal/disk/faultdisk"
 )
 
-// faulty is a folder whose calls of some kinds fail while it is sick.
-type faulty struct {
+// failingDisk is a directory whose calls of some kinds fail.
+type failingDisk struct {
 	*faultdisk.Disk
-	sick  []faultdisk.Op
-	reach faultdisk.Reach
-	times int // calls that still fail; -1: all
+	ops    []faultdisk.Op
+	extent faultdisk.Extent
+	times  int // number of calls that still fail; -1 for all
 }
 
-func newFaulty(dir string) *faulty {
-	f := &faulty{}
+func newFailingDisk(dir string) *failingDisk {
+	f := &failingDisk{}
 	f.Disk = &faultdisk.Disk{FS: disk.Dir(dir), Fail: func(op faultdisk.Op, _ string) faultdisk.Fault {
-		if f.times == 0 || !slices.Contains(f.sick, op) {
+		if f.times == 0 || !slices.Contains(f.ops, op) {
 			return faultdisk.Fault{}
 		}
 		f.times--
-		return faultdisk.Fault{Err: syscall.EIO, Reach: f.reach}
+		return faultdisk.Fault{Err: syscall.EIO, Extent: f.extent}
 	}}
 	return f
 }
 
-func (f *faulty) fail(times int, reach faultdisk.Reach, ops ...faultdisk.Op) {
-	f.sick, f.reach, f.times = ops, reach, times
+func (f *failingDisk) fail(times int, extent faultdisk.Extent, ops ...faultdisk.Op) {
+	f.ops, f.extent, f.times = ops, extent, times
 }
 
-func (f *faulty) options(format int) Options {
-	return Options{FS: f, Limit: roomy, Format: format, Name: "n3"}
+func (f *failingDisk) options(format int) Options {
+	return Options{FS: f, Limit: ampleLimit, Format: format, Name: "n3"}
 }
 
 var (
-	formats = []int{1, Format}
-	reaches = []faultdisk.Reach{faultdisk.Nothing, faultdisk.Part, faultdisk.All}
+	formats = []int{1, SegmentFormat}
+	extents = []faultdisk.Extent{faultdisk.None, faultdisk.Part, faultdisk.Full}
 )
 
-// A client that was told of a refusal hands its message in anew: it must not come back from the log as well. Where nothing can
-// be made of the failed write, the error says so. What was taken on before and after it stays, undamaged.
-func TestAMessageWhoseWriteFailedDoesNotComeBack(t *testing.T) {
+// If Accept fails, the client submits its message again, so the failed write must not be recovered as a second copy. If the write can't
+// be undone, the error must say so. Messages accepted before and after it must stay undamaged.
+func TestFailedAcceptIsNotRecovered(t *testing.T) {
 	for _, format := range formats {
-		for _, reach := range reaches {
+		for _, extent := range extents {
 			for _, cleanup := range []bool{true, false} {
 				for _, later := range []int{0, 1, 2} {
-					name := fmt.Sprintf("format %d, reach %d, cleaned up %v, %d later", format, reach, cleanup, later)
+					name := fmt.Sprintf("format %d, extent %d, cleaned up %v, %d later", format, extent, cleanup, later)
 					t.Run(name, func(t *testing.T) {
 						dir := t.TempDir()
-						f := newFaulty(dir)
+						f := newFailingDisk(dir)
 						l, _, err := OpenWith(f.options(format))
 						must(t, err)
 						must(t, l.Accept(message(1), message(2)))
-						sick := []faultdisk.Op{faultdisk.Write}
+						ops := []faultdisk.Op{faultdisk.Write}
 						if !cleanup {
-							sick = faultdisk.Changing
+							ops = faultdisk.MutatingOps
 						}
 						times := -1
 						if cleanup {
 							times = 1
 						}
-						f.fail(times, reach, sick...)
+						f.fail(times, extent, ops...)
 						err = l.Accept(message(3), message(4), message(5))
 						if err == nil {
-							t.Fatal("taken on though the write failed")
+							t.Fatal("accepted although the write failed")
 						}
-						unclear := errors.Is(err, ErrUnclear)
-						if unclear && cleanup {
-							t.Errorf("unclear though it could be cleaned up: %v", err)
+						indeterminate := errors.Is(err, ErrIndeterminate)
+						if indeterminate && cleanup {
+							t.Errorf("indeterminate although it could be cleaned up: %v", err)
 						}
 						f.fail(0, 0)
 						want := "1 2 "
 						for k := range later {
 							id := uint32(6 + k)
 							m := message(id)
-							m.Key = "" // shorter than what it may stand over
+							m.Key = "" // shorter than the failed record that it may overwrite
 							m.Body = nil
-							eventuallyAccepted(t, l, m)
+							acceptAfterRecovery(t, l, m)
 							want += fmt.Sprint(id, " ")
 						}
-						if !unclear || later > 0 {
-							_, found, err := OpenWith(newFaulty(dir).options(format))
+						if !indeterminate || later > 0 {
+							_, found, err := OpenWith(newFailingDisk(dir).options(format))
 							must(t, err)
-							if got := ids(found); got != want || found.Damaged || found.Report != nil && !found.Report.Sound() {
+							if got := foundIDs(found); got != want || found.Damaged || found.Report != nil && !found.Report.Intact() {
 								t.Errorf("found %q, damaged %v, report %+v; want %q", got, found.Damaged, found.Report, want)
 							}
 						}
@@ -99,64 +99,64 @@
 	}
 }
 
-// eventuallyAccepted takes a message on, once the log has found that the disk is well again.
-func eventuallyAccepted(t *testing.T, l *Log, m *Message) {
+// acceptAfterRecovery accepts a message once the log has found the disk working again.
+func acceptAfterRecovery(t *testing.T, l *Log, m *Message) {
 	t.Helper()
 	var err error
 	for range 100 {
-		l.Tend()
+		l.TryRecover()
 		if err = l.Accept(m); err == nil {
 			return
 		}
-		backdate(l)
+		skipRetryInterval(l)
 	}
 	t.Fatal(err)
 }
 
-// backdate lets the pause pass between two attempts to go on.
-func backdate(l *Log) {
-	if s, ok := l.keep.(*segments); ok {
+// skipRetryInterval makes the pause between two recovery attempts look elapsed.
+func skipRetryInterval(l *Log) {
+	if s, ok := l.backend.(*segmentedLog); ok {
 		s.mu.Lock()
-		s.tried = s.tried.Add(-renewAfter)
+		s.lastFailedTry = s.lastFailedTry.Add(-recoveryRetryInterval)
 		s.mu.Unlock()
 	}
 }
 
-// No call of a start that changes the folder may refuse it, whichever fails: what was owed is read, and new work is taken on
-// once the disk is well again.
-func TestAStartOutlastsAFailingDisk(t *testing.T) {
+// A failing call that changes the folder must not make a start fail: the messages held are read, and new work is accepted once the
+// disk works again.
+func TestStartWithFailingDisk(t *testing.T) {
 	for _, format := range formats {
 		for _, torn := range []bool{false, true} {
-			for _, reach := range reaches {
+			for _, extent := range extents {
 				for times := 1; times <= 6; times++ {
 					for _, empty := range []bool{false, true} {
-						name := fmt.Sprintf("format %d, torn %v, reach %d, the first %d calls, empty %v", format, torn, reach, times, empty)
+						name := fmt.Sprintf("format %d, torn %v, extent %d, the first %d calls, empty %v", format, torn, extent, times, empty)
 						t.Run(name, func(t *testing.T) {
 							dir := t.TempDir()
 							want := ""
 							if !empty {
-								l, _, err := OpenWith(newFaulty(dir).options(format))
+								l, _, err := OpenWith(newFailingDisk(dir).options(format))
 								must(t, err)
 								must(t, l.Accept(message(1), message(2)))
 								want = "1 2 "
 								if torn {
-									f := newFaulty(dir)
-									tear(t, f, format)
+									f := newFailingDisk(dir)
+									appendTornRecord(t, f, format)
 								}
 							}
-							f := newFaulty(dir)
-							f.fail(times, reach, faultdisk.Changing...)
+							f := newFailingDisk(dir)
+							f.fail(times, extent, faultdisk.MutatingOps...)
 							l, found, err := OpenWith(f.options(format))
 							if err != nil {
-								t.Fatalf("refused: %v", err)
+								t.Fatalf("the start failed: %v", err)
 							}
-							if got := ids(found); got != want || found.Damaged {
+							if got := foundIDs(found); got != want || found.Damaged {
 								t.Errorf("found %q, damaged %v; want %q", got, found.Damaged, want)
 							}
-							eventuallyAccepted(t, l, message(9))
-							_, found, err = OpenWith(newFaulty(dir).options(format))
+							acceptAfterRecovery(t, l, message(9))
+							_, found, err = OpenWith(newFailingDisk(dir).options(format))
 							must(t, err)
-							if got := ids(found); got != want+"9 " || found.Damaged {
+							if got := foundIDs(found); got != want+"9 " || found.Damaged {
 								t.Errorf("at the next start: found %q, damaged %v", got, found.Damaged)
 							}
 						})
@@ -167,15 +167,15 @@
 	}
 }
 
-// tear leaves half a record at the end of the file that is written.
-func tear(t *testing.T, f *faulty, format int) {
+// appendTornRecord writes half a record at the end of the current file.
+func appendTornRecord(t *testing.T, f *failingDisk, format int) {
 	t.Helper()
 	names, err := f.Names()
 	must(t, err)
-	last := name
-	if format == Format {
+	last := logName
+	if format == SegmentFormat {
 		for _, n := range names {
-			if _, ok := generation(segPrefix, n); ok {
+			if _, ok := parseGeneration(segPrefix, n); ok {
 				last = n
 			}
 		}
@@ -189,27 +189,27 @@
 	must(t, errors.Join(err, file.Close()))
 }
 
-// A compaction that fails, and may have had its effect, leaves a log that is read and written in one place.
-func TestACompactionThatFailsLosesNothing(t *testing.T) {
+// A failed compaction may have taken effect: afterwards the log must still be read and written in one place.
+func TestFailedCompactionLosesNothing(t *testing.T) {
 	for _, format := range formats {
-		for _, op := range faultdisk.Changing {
-			for _, reach := range reaches {
+		for _, op := range faultdisk.MutatingOps {
+			for _, extent := range extents {
 				for _, times := range []int{1, 2, 3, -1} {
-					t.Run(fmt.Sprintf("format %d, %s, reach %d, %d times", format, op, reach, times), func(t *testing.T) {
+					t.Run(fmt.Sprintf("format %d, %s, extent %d, %d times", format, op, extent, times), func(t *testing.T) {
 						dir := t.TempDir()
-						f := newFaulty(dir)
+						f := newFailingDisk(dir)
 						l, _, err := OpenWith(f.options(format))
 						must(t, err)
 						must(t, l.Accept(message(1), message(2)))
-						f.fail(times, reach, op)
+						f.fail(times, extent, op)
 						l.compact()
 						f.fail(0, 0)
-						eventuallyAccepted(t, l, message(3))
+						acceptAfterRecovery(t, l, message(3))
 						l.End(l.live[1])
 						must(t, l.Flush())
-						_, found, err := OpenWith(newFaulty(dir).options(format))
+						_, found, err := OpenWith(newFailingDisk(dir).options(format))
 						must(t, err)
-						if got := ids(found); got != "2 3 " || found.Damaged {
+						if got := foundIDs(found); got != "2 3 " || found.Damaged {
 							t.Errorf("found %q, damaged %v", got, found.Damaged)
 						}
 					})
