--- a/cmd/cherrytrestle-fleet/main.go
+++ b/cmd/cherrytrestle-fleet/main.go
@@ -12,14 +12,14 @@
 )
 
 func main() {
-	program.Main(program.Parts{
+	program.Main(program.Components{
 		Join: gossip.Join,
 		Duties: func(c program.DutyConfig) relay.Duties {
 			return figures.New(figures.Config{Stewards: c.Stewards, Lease: c.Lease, Sum: c.Figures, Name: c.Name, Admin: c.Admin, Log: c.Log})
 		},
 		Backlog: func(c program.BacklogConfig) relay.Backlog {
-			o := backlog.Options{Dir: c.Dir, Limit: int64(c.DiskMB * 1e6), Power: c.Power, Name: c.Name, FS: c.FS, Log: c.Log}
-			return relay.Backlog{Window: c.Window, Share: c.Share, Open: func() (owed.Store, owed.Found, error) {
+			o := backlog.Options{Dir: c.Dir, Limit: int64(c.DiskMB * 1e6), Fsync: c.Fsync, Name: c.Name, FS: c.FS, Log: c.Log}
+			return relay.Backlog{Window: c.Window, Share: c.Share, Open: func() (owed.Store, owed.OpenReport, error) {
 				s, found, err := backlog.Open(o)
 				if err != nil {
 					return nil, found, err // no store that is nil
--- a/cmd/cherrytrestle-steward/main.go
+++ b/cmd/cherrytrestle-steward/main.go
@@ -17,8 +17,8 @@
 	"onyxroad.dev/onyxroad/internal/settings"
 )
 
-// errBroken ends the command with 1; what is wrong has been said.
-var errBroken = errors.New("broken")
+// errReported ends the command with 1; what is wrong has been said.
+var errReported = errors.New("broken")
 
 var cli struct {
 	Run     runCmd     `cmd:"" default:"withargs" help:"Run a steward until SIGTERM."`
@@ -37,7 +37,7 @@
 	cmd, err := parser.Parse(os.Args[1:])
 	parser.FatalIfErrorf(err)
 	switch err := cmd.Run(); {
-	case errors.Is(err, errBroken):
+	case errors.Is(err, errReported):
 		os.Exit(1)
 	case err != nil:
 		fmt.Fprintln(os.Stderr, "cherrytrestle-steward:", err)
@@ -45,18 +45,18 @@
 	}
 }
 
-// load reads the settings, which have to name a steward.
-func load(path string) (steward.Config, error) {
-	own, err := settings.Load(path)
+// loadConfig reads the settings, which have to name a steward.
+func loadConfig(path string) (steward.Config, error) {
+	fileSettings, err := settings.Load(path)
 	if err != nil {
 		return steward.Config{}, err
 	}
-	x := own.Steward
-	if x == nil {
+	section := fileSettings.Steward
+	if section == nil {
 		return steward.Config{}, errors.New("the settings have no [steward]")
 	}
-	return steward.Config{Name: x.Name, Fleet: x.Fleet, Listen: x.Listen, Advertise: x.Advertise, API: x.API,
-		AdvertiseAPI: x.AdvertiseAPI, Dir: x.Dir, Seeds: x.Seeds, Log: own.Logger()}, nil
+	return steward.Config{Name: section.Name, Fleet: section.Fleet, Listen: section.Listen, Advertise: section.Advertise, API: section.API,
+		AdvertiseAPI: section.AdvertiseAPI, Dir: section.Dir, Seeds: section.Seeds, Log: fileSettings.Logger()}, nil
 }
 
 type runCmd struct {
@@ -64,7 +64,7 @@
 }
 
 func (c *runCmd) Run() error {
-	cfg, err := load(c.Config)
+	cfg, err := loadConfig(c.Config)
 	if err != nil {
 		return err
 	}
@@ -96,22 +96,22 @@
 }
 
 func (c *recoverCmd) Run() error {
-	cfg, err := load(c.Config)
+	cfg, err := loadConfig(c.Config)
 	if err != nil {
 		return err
 	}
-	look := steward.Inspect
+	action := steward.Inspect
 	if c.Confirm {
-		look = steward.Recover
+		action = steward.Recover
 	}
-	found, err := look(cfg)
+	found, err := action(cfg)
 	if err != nil {
 		return err
 	}
 	fmt.Print(found.Words())
 	if !c.Confirm {
 		fmt.Println("Nothing was changed. With --confirm this is done.")
-		return errBroken
+		return errReported
 	}
 	fmt.Println("Done. Start this steward, then the others with emptied folders.")
 	return nil
--- a/cmd/cherrytrestle/main.go
+++ b/cmd/cherrytrestle/main.go
@@ -5,4 +5,4 @@
 
 import "onyxroad.dev/onyxroad/internal/program"
 
-func main() { program.Main(program.Parts{}) }
+func main() { program.Main(program.Components{}) }
--- a/cmd/drill/main.go
+++ b/cmd/drill/main.go
@@ -24,21 +24,21 @@
 	number int
 	sender *policy.Sender
 	events []policy.Event
-	busy   bool // has something in this batch
+	active bool // has something in this batch
 }
 
 func run(in io.Reader, out io.Writer) error {
 	r, w := wire.NewReader(in), wire.NewWriter(out)
 	instances := map[int]*instance{}
 	var b wire.Batch
-	var busy []*instance
+	var active []*instance
 	for {
 		if err := r.Next(&b); err == io.EOF {
 			return nil
 		} else if err != nil {
 			return err
 		}
-		busy = busy[:0]
+		active = active[:0]
 		for i := range b.Items {
 			it := &b.Items[i]
 			n := instances[it.Instance]
@@ -46,9 +46,9 @@
 				n = &instance{number: it.Instance}
 				instances[it.Instance] = n
 			}
-			if !n.busy {
-				n.busy = true
-				busy = append(busy, n)
+			if !n.active {
+				n.active = true
+				active = append(active, n)
 			}
 			switch it.Kind {
 			case wire.Start:
@@ -63,8 +63,8 @@
 				n.events = append(n.events, it.Event)
 			}
 		}
-		for _, n := range busy {
-			n.busy = false
+		for _, n := range active {
+			n.active = false
 			if n.sender != nil {
 				step(w, n, b.Now)
 			}
@@ -80,7 +80,7 @@
 func step(w *wire.Writer, n *instance, now time.Duration) {
 	defer func() {
 		if p := recover(); p != nil {
-			w.Die(n.number, fmt.Sprint(p))
+			w.Crashed(n.number, fmt.Sprint(p))
 			n.sender = nil
 		}
 	}()
--- a/internal/backlog/apply.go
+++ b/internal/backlog/apply.go
@@ -9,100 +9,100 @@
 	"github.com/cockroachdb/pebble/v2"
 )
 
-// perMessage is what a message takes on disk beside its record, at most: the keys that find it, with the engine's own.
-const perMessage = 160
+// indexOverhead is what a message takes on disk beside its record, at most: the keys that find it, with the engine's own.
+const indexOverhead = 160
 
-// retry is how long a folder that can't be written is left alone.
-const retry = 250 * time.Millisecond
+// reopenDelay is how long a folder that can't be written is left alone.
+const reopenDelay = 250 * time.Millisecond
 
 // Apply removes messages and puts others, all or none, and returns once that is as durable as Options say. A message that
 // is put under an id that is there takes its place; one that is removed and not there is no error. ErrFull and ErrDisk
 // leave the store as it was, ErrDisk perhaps not on disk.
 func (s *Store) Apply(put []Entry, remove []Ref) error {
 	for _, e := range put {
-		if err := check(e); err != nil {
+		if err := validate(e); err != nil {
 			return err
 		}
 	}
-	if err := s.ready(); err != nil {
+	if err := s.ensureWritable(); err != nil {
 		return err
 	}
 	if len(put) > 0 {
-		if need := bytesOf(put); s.Disk()+need+s.o.room() > s.o.Limit {
-			s.sweepIfWorth()
-			return fmt.Errorf("%w: %d bytes of %d taken, %d to be put", ErrFull, s.Disk(), s.o.Limit, need)
+		if need := encodedSize(put); s.DiskBytes()+need+s.opts.reserve() > s.opts.Limit {
+			s.compactIfWorthwhile()
+			return fmt.Errorf("%w: %d bytes of %d taken, %d to be put", ErrFull, s.DiskBytes(), s.opts.Limit, need)
 		}
 	}
-	s.door.RLock()
-	defer s.door.RUnlock()
+	s.dbMu.RLock()
+	defer s.dbMu.RUnlock()
 	c := s.newChange()
 	defer c.batch.Close()
-	for key, record := range s.orphans() {
-		if err := c.drop([]byte(key), record); err != nil {
-			return s.applied(err)
+	for key, record := range s.danglingKeys() {
+		if err := c.dropDangling([]byte(key), record); err != nil {
+			return s.applyError(err)
 		}
 	}
 	for _, r := range remove {
 		if err := c.remove(r); err != nil {
-			return s.applied(err)
+			return s.applyError(err)
 		}
 	}
 	for _, e := range put {
 		if err := c.put(e); err != nil {
-			return s.applied(err)
+			return s.applyError(err)
 		}
 	}
 	if c.batch.Empty() {
 		return nil
 	}
-	if err := c.finish(); err != nil {
-		return s.applied(err)
+	if err := c.writeCounters(); err != nil {
+		return s.applyError(err)
 	}
-	if err := s.applied(c.batch.Commit(pebble.Sync)); err != nil {
+	if err := s.applyError(c.batch.Commit(pebble.Sync)); err != nil {
 		return err
 	}
-	c.take()
+	c.publish()
 	return nil
 }
 
-// applied tells what came of a change: the disk's failure goes before whatever the engine made of it.
-func (s *Store) applied(err error) error {
+// applyError tells what came of a change: the disk's failure goes before whatever the engine made of it.
+func (s *Store) applyError(err error) error {
 	if failed := s.files.failed(); failed != nil {
 		return fmt.Errorf("%w: %w", ErrDisk, failed)
 	}
-	return s.explain(err)
+	return s.classify(err)
 }
 
-func bytesOf(all []Entry) (n int64) {
+func encodedSize(all []Entry) (n int64) {
 	for _, e := range all {
-		n += int64(recordHead + len(e.Trace) + len(e.Data) + perMessage)
+		n += int64(recordHeaderLen + len(e.Trace) + len(e.Data) + indexOverhead)
 	}
 	return n
 }
 
 // change is an Apply under way: a batch, and what it will make of the state in memory.
 type change struct {
-	s        *Store
-	batch    *pebble.Batch
-	queues   map[int]queue   // as they will be
-	fresh    map[uint32]*Ref // put by this change; nil: removed by it
-	highest  uint32
-	low      place
-	messages int
-	gone     int
-	buf      []byte
+	s           *Store
+	batch       *pebble.Batch
+	dests       map[int]destState // as they will be
+	pending     map[uint32]*Ref   // put by this change; nil: removed by it
+	highest     uint32
+	minDeadline position
+	messages    int
+	removed     int
+	buf         []byte
 }
 
 func (s *Store) newChange() *change {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return &change{s: s, batch: s.db.NewBatch(), queues: map[int]queue{}, fresh: map[uint32]*Ref{}, highest: s.highest,
-		low: s.low, messages: s.messages}
+	return &change{s: s, batch: s.db.NewBatch(), dests: map[int]destState{}, pending: map[uint32]*Ref{}, highest: s.highest,
+		minDeadline: s.minDeadline, messages: s.messages}
 }
 
-// queue is a destination's as the change will leave it.
-func (c *change) queue(dest int) queue {
-	if q, ok := c.queues[dest]; ok {
+// dest is a destination's as the change will leave it.
+func (c *change) dest(dest int) destState {
+	if q, ok := c.dests[dest]; ok {
 		return q
 	}
 	c.s.mu.Lock()
@@ -110,12 +110,12 @@
 	if q := c.s.dests[dest]; q != nil {
 		return *q
 	}
-	return queue{low: lastPlace}
+	return destState{minRank: maxPosition}
 }
 
-// known tells what the store has under an id as the change goes on. A record that can't be read is damaged.
-func (c *change) known(id uint32) (r Ref, ok, damaged bool) {
-	if r, ok := c.fresh[id]; ok {
+// lookup tells what the store has under an id as the change goes on. A record that can't be read is damaged.
+func (c *change) lookup(id uint32) (r Ref, ok, damaged bool) {
+	if r, ok := c.pending[id]; ok {
 		if r == nil {
 			return Ref{}, false, false
 		}
@@ -129,10 +129,10 @@
 }
 
 func (c *change) remove(r Ref) error {
-	have, ok, damaged := c.known(r.ID)
+	have, ok, damaged := c.lookup(r.ID)
 	switch {
 	case damaged:
-		if _, closer, err := c.s.db.Get(destKey(r.Dest, place{r.Rank, r.ID})); err != nil {
+		if _, closer, err := c.s.db.Get(destKey(r.Dest, position{r.Rank, r.ID})); err != nil {
 			return nil // it is known under no such rank: the index's own readers come upon it
 		} else if err := closer.Close(); err != nil {
 			return err
@@ -149,18 +149,18 @@
 			return err
 		}
 	}
-	c.fresh[have.ID] = nil
-	c.count(have.Dest, -1)
+	c.pending[have.ID] = nil
+	c.addToCount(have.Dest, -1)
 	return nil
 }
 
-// drop removes an index's key that finds no message, and the record that can't be read.
-func (c *change) drop(key []byte, record bool) error {
+// dropDangling removes an index's key that finds no message, and the record that can't be read.
+func (c *change) dropDangling(key []byte, record bool) error {
 	if key[0] == keyDest {
-		c.count(int(binary.BigEndian.Uint32(key[1:])), -1)
+		c.addToCount(int(binary.BigEndian.Uint32(key[1:])), -1)
 	}
-	if id := placeOf(key).id; record {
-		c.fresh[id] = nil
+	if id := decodePosition(key).id; record {
+		c.pending[id] = nil
 		if err := c.batch.Delete(messageKey(id), nil); err != nil {
 			return err
 		}
@@ -169,7 +169,7 @@
 }
 
 func (c *change) put(e Entry) error {
-	if have, ok, _ := c.known(e.ID); ok {
+	if have, ok, _ := c.lookup(e.ID); ok {
 		if err := c.remove(have); err != nil {
 			return err
 		}
@@ -183,34 +183,34 @@
 			return err
 		}
 	}
-	c.fresh[e.ID] = &e.Ref
-	c.count(e.Dest, 1)
-	q := c.queues[e.Dest]
-	if p := (place{e.Rank, e.ID}); p.less(q.low) {
-		q.low = p
-		c.queues[e.Dest] = q
+	c.pending[e.ID] = &e.Ref
+	c.addToCount(e.Dest, 1)
+	q := c.dests[e.Dest]
+	if p := (position{e.Rank, e.ID}); p.less(q.minRank) {
+		q.minRank = p
+		c.dests[e.Dest] = q
 	}
-	if p := (place{e.Deadline, e.ID}); p.less(c.low) {
-		c.low = p
+	if p := (position{e.Deadline, e.ID}); p.less(c.minDeadline) {
+		c.minDeadline = p
 	}
 	c.highest = max(c.highest, e.ID)
 	return nil
 }
 
-func (c *change) count(dest, n int) {
-	q := c.queue(dest)
+func (c *change) addToCount(dest, n int) {
+	q := c.dest(dest)
 	q.count += n
-	c.queues[dest] = q
+	c.dests[dest] = q
 	c.messages += n
-	c.gone += max(0, -n)
+	c.removed += max(0, -n)
 }
 
-// finish adds the counters to the batch.
-func (c *change) finish() error {
-	for dest, q := range c.queues {
+// writeCounters adds the counters to the batch.
+func (c *change) writeCounters() error {
+	for dest, q := range c.dests {
 		var err error
 		if q.count > 0 {
-			err = c.batch.Set(countKey(dest), appendPlace(binary.BigEndian.AppendUint64(nil, uint64(q.count)), q.low), nil)
+			err = c.batch.Set(countKey(dest), appendPosition(binary.BigEndian.AppendUint64(nil, uint64(q.count)), q.minRank), nil)
 		} else {
 			err = c.batch.Delete(countKey(dest), nil)
 		}
@@ -219,38 +219,38 @@
 		}
 	}
 	if c.messages == 0 {
-		c.highest, c.low = 0, lastPlace
+		c.highest, c.minDeadline = 0, maxPosition
 	}
-	return c.batch.Set([]byte{keyState}, appendPlace(binary.BigEndian.AppendUint32(nil, c.highest), c.low), nil)
+	return c.batch.Set([]byte{keyState}, appendPosition(binary.BigEndian.AppendUint32(nil, c.highest), c.minDeadline), nil)
 }
 
-// take has the state in memory follow a change that is on disk.
-func (c *change) take() {
+// publish has the state in memory follow a change that is on disk.
+func (c *change) publish() {
 	s := c.s
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for dest, q := range c.queues {
+	for dest, q := range c.dests {
 		switch have := s.dests[dest]; {
 		case q.count <= 0:
 			if have != nil {
 				delete(s.dests, dest)
-				s.sorted = nil
+				s.sortedDests = nil
 			}
 		case have != nil:
 			*have = q
 		default:
 			s.dests[dest] = &q
-			s.sorted = nil
+			s.sortedDests = nil
 		}
 	}
-	s.highest, s.low, s.messages = c.highest, c.low, c.messages
-	s.gone += c.gone
-	clear(s.drops)
+	s.highest, s.minDeadline, s.messages = c.highest, c.minDeadline, c.messages
+	s.removedSinceCompaction += c.removed
+	clear(s.dangling)
 }
 
-// orphans are the keys of indexes that find no message.
-func (s *Store) orphans() map[string]bool {
+// danglingKeys are the keys of indexes that find no message.
+func (s *Store) danglingKeys() map[string]bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return maps.Clone(s.drops)
+	return maps.Clone(s.dangling)
 }
--- a/internal/backlog/backlog.go
+++ b/internal/backlog/backlog.go
@@ -29,68 +29,68 @@
 	ErrDisk = errors.New("backlog: the disk fails")
 	// ErrDamaged tells that something on disk can't be read. The next Open mends it.
 	ErrDamaged = errors.New("backlog: damaged")
-	// ErrOther tells that the folder is another relay's.
-	ErrOther = errors.New("backlog: another relay's folder")
-	// ErrHeld tells that another process has the folder open.
-	ErrHeld = errors.New("backlog: the folder is in use")
+	// ErrWrongOwner tells that the folder is another relay's.
+	ErrWrongOwner = errors.New("backlog: another relay's folder")
+	// ErrLocked tells that another process has the folder open.
+	ErrLocked = errors.New("backlog: the folder is in use")
 	// ErrClosed tells that the store is closed.
 	ErrClosed = errors.New("backlog: closed")
 )
 
 // The words that the store shares with the relay.
 type (
-	Ref   = owed.Ref
-	Entry = owed.Entry
-	Found = owed.Found
+	Ref        = owed.Ref
+	Entry      = owed.Entry
+	OpenReport = owed.OpenReport
 )
 
 // Options says where and how a store keeps its messages.
 type Options struct {
 	Dir   string       // own folder, made if there is none
 	Limit int64        // bytes on disk, everything counted; DefaultLimit if 0
-	Power bool         // what Apply has returned for survives a loss of power too; else the process's end alone
+	Fsync bool         // what Apply has returned for survives a loss of power too; else the process's end alone
 	Name  string       // the relay's: a folder of another one is refused, unless Adopt
 	Adopt bool         // take over another relay's folder
 	FS    disk.FS      // the folder's files, which must be a disk.Opener too; nil: the operating system's
 	Log   *slog.Logger // nil: none
 
 	// Sizes of the engine's memory in bytes, and of its files; 0: defaults. For tests.
-	Cache, Buffer, File int64
+	CacheSize, MemTableSize, TableSize int64
 }
 
 // Store keeps messages on disk. Apply, First, Due, NextDue and Dests belong to one goroutine; the others to any.
 type Store struct {
-	o     Options
-	fs    folder
-	log   *slog.Logger
-	held  *os.File // the lock on the folder
-	usage *usage
-	gen   uint64    // of the engine's files
-	tried time.Time // when the folder was last opened anew
-	now   func() time.Time
+	opts       Options
+	fs         storeFS
+	log        *slog.Logger
+	lockFile   *os.File // the lock on the folder
+	usage      *diskUsage
+	generation uint64    // of the engine's files
+	lastReopen time.Time // when the folder was last opened anew
+	now        func() time.Time
 
-	door   sync.RWMutex // held for reading by whoever uses db
-	db     *pebble.DB   // nil: can't be opened
-	files  *files       // db's
-	cause  error        // why the folder can't be written
-	closed bool
+	dbMu     sync.RWMutex // held for reading by whoever uses db
+	db       *pebble.DB   // nil: can't be opened
+	files    *engineFS    // db's
+	writeErr error        // why the folder can't be written
+	closed   bool
 
-	mu       sync.Mutex
-	dests    map[int]*queue
-	sorted   []int // keys of dests, nil: not known
-	messages int
-	highest  uint32
-	low      place           // in the order of deadlines: nothing is before it
-	drops    map[string]bool // keys of indexes that find no message that can be read; true: its record goes too
-	gone     int             // messages removed since the last sweep; all there are after a start, which doesn't know
-	sweeping *sweep          // nil: none
-	damage   []string        // in plain words, since Open
+	mu                     sync.Mutex
+	dests                  map[int]*destState
+	sortedDests            []int // keys of dests, nil: not known
+	messages               int
+	highest                uint32
+	minDeadline            position        // in the order of deadlines: nothing is before it
+	dangling               map[string]bool // keys of indexes that find no message that can be read; true: its record goes too
+	removedSinceCompaction int             // messages removed since the last sweep; all there are after a start, which doesn't know
+	compaction             *compactionJob  // nil: none
+	damageNotes            []string        // in plain words, since Open
 }
 
-// queue is what is known of one destination.
-type queue struct {
-	count int
-	low   place // nothing is before it
+// destState is what is known of one destination.
+type destState struct {
+	count   int
+	minRank position // nothing is before it
 }
 
 // Len is how many messages there are.
@@ -114,14 +114,14 @@
 func (s *Store) Dests() iter.Seq2[int, int] {
 	return func(yield func(int, int) bool) {
 		s.mu.Lock()
-		if s.sorted == nil {
-			s.sorted = make([]int, 0, len(s.dests))
+		if s.sortedDests == nil {
+			s.sortedDests = make([]int, 0, len(s.dests))
 			for d := range s.dests {
-				s.sorted = append(s.sorted, d)
+				s.sortedDests = append(s.sortedDests, d)
 			}
-			slices.Sort(s.sorted)
+			slices.Sort(s.sortedDests)
 		}
-		all := s.sorted
+		all := s.sortedDests
 		s.mu.Unlock()
 		for _, d := range all {
 			if n := s.Count(d); n > 0 && !yield(d, n) {
@@ -131,5 +131,5 @@
 	}
 }
 
-// Disk is the bytes on disk, everything counted.
-func (s *Store) Disk() int64 { return s.usage.total.Load() }
+// DiskBytes is the bytes on disk, everything counted.
+func (s *Store) DiskBytes() int64 { return s.usage.total.Load() }
--- a/internal/backlog/crash_test.go
+++ b/internal/backlog/crash_test.go
@@ -13,40 +13,40 @@
 
 var crashStates = flag.Int("states", 1200, "states that a crash may leave to be drawn, in all")
 
-// history is a store's drawn life on a disk. At drawn changes of the disk it crashes, and what is left has to hold all that
+// crashRun is a store's drawn life on a disk. At drawn changes of the disk it crashes, and what is left has to hold all that
 // was applied, and of the change under way all or nothing.
-type history struct {
+type crashRun struct {
 	t     *testing.T
 	power bool // else the process alone ends
 
-	mu     sync.Mutex
-	rng    *rand.Rand // of the crashes
-	acked  model
-	put    []Entry // under way
-	remove []Ref
-	left   int // states to be drawn
-	seen   int
-	wrong  string
+	mu        sync.Mutex
+	rng       *rand.Rand // of the crashes
+	acked     model
+	put       []Entry // under way
+	remove    []Ref
+	remaining int // states to be drawn
+	checked   int
+	failure   string
 }
 
-// changed is told of a change of the disk.
-func (h *history) changed(d *crashdisk.Disk, deep bool, op string) {
+// afterChange is told of a change of the disk.
+func (h *crashRun) afterChange(d *crashdisk.Disk, deep bool, op string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if h.left <= 0 || h.wrong != "" || h.rng.IntN(12) > 0 {
+	if h.remaining <= 0 || h.failure != "" || h.rng.IntN(12) > 0 {
 		return
 	}
-	left := d.Copy
+	crash := d.Copy
 	if h.power {
-		left = func() *crashdisk.Disk { return d.Crash(crashdisk.Draw(h.rng)) }
+		crash = func() *crashdisk.Disk { return d.Crash(crashdisk.Draw(h.rng)) }
 	}
-	x := left()
+	x := crash()
 	before, after := h.acked, maps.Clone(h.acked)
 	after.apply(h.put, h.remove)
-	h.left--
-	h.seen++
+	h.remaining--
+	h.checked++
 	if !deep {
-		h.look(x, before, after, op)
+		h.checkReopen(x, before, after, op)
 		return
 	}
 	// The start itself crashes, once, at a change that is drawn.
@@ -63,40 +63,40 @@
 			again = x.Crash(crashdisk.Draw(rng))
 		}
 	}
-	h.look(x, before, after, op)
-	if again != nil && h.wrong == "" {
-		h.seen++
-		h.look(again, before, after, op+", and in the start after it")
+	h.checkReopen(x, before, after, op)
+	if again != nil && h.failure == "" {
+		h.checked++
+		h.checkReopen(again, before, after, op+", and in the start after it")
 	}
 }
 
-// look checks what a start makes of a disk.
-func (h *history) look(d *crashdisk.Disk, before, after model, when string) {
-	o := small(d)
-	o.Power = h.power
+// checkReopen checks what a start makes of a disk.
+func (h *crashRun) checkReopen(d *crashdisk.Disk, before, after model, when string) {
+	o := smallOptions(d)
+	o.Fsync = h.power
 	s, found, err := Open(o)
 	if err != nil {
-		h.wrong = fmt.Sprintf("%s: %v: %s", when, err, d.Text())
+		h.failure = fmt.Sprintf("%s: %v: %s", when, err, d.Text())
 		return
 	}
 	defer s.Close()
-	if found.Lost || found.Rebuilt || len(found.Aside) > 0 {
-		h.wrong = fmt.Sprintf("%s: found %+v: %s", when, found, d.Text())
+	if found.Lost || found.Rebuilt || len(found.Problems) > 0 {
+		h.failure = fmt.Sprintf("%s: found %+v: %s", when, found, d.Text())
 		return
 	}
-	if a, b := before.agrees(s), after.agrees(s); a != "" && b != "" {
-		h.wrong = fmt.Sprintf("%s: %s; or %s", when, a, b)
+	if a, b := before.diff(s), after.diff(s); a != "" && b != "" {
+		h.failure = fmt.Sprintf("%s: %s; or %s", when, a, b)
 	}
 }
 
-func (h *history) live(seed uint64, changes int) {
+func (h *crashRun) run(seed uint64, changes int) {
 	rng := rand.New(rand.NewPCG(seed, 7))
 	var d *crashdisk.Disk
 	open := func(on *crashdisk.Disk) *Store {
 		d = on
-		d.After = func(op, name string) { h.changed(on, seed%2 == 0, op+" "+name) }
-		o := small(d)
-		o.Power = h.power
+		d.After = func(op, name string) { h.afterChange(on, seed%2 == 0, op+" "+name) }
+		o := smallOptions(d)
+		o.Fsync = h.power
 		s, _, err := Open(o)
 		if err != nil {
 			h.t.Fatal(err)
@@ -126,12 +126,12 @@
 		h.acked = maps.Clone(h.acked)
 		h.acked.apply(put, remove)
 		h.put, h.remove = nil, nil
-		wrong, left := h.wrong, h.left
+		wrong, remaining := h.failure, h.remaining
 		h.mu.Unlock()
 		if wrong != "" {
 			h.t.Fatalf("seed %d, change %d: %s", seed, i, wrong)
 		}
-		if left <= 0 {
+		if remaining <= 0 {
 			break
 		}
 		if rng.IntN(25) == 0 { // the process ends and starts again
@@ -146,22 +146,22 @@
 		}
 	}
 	s.Close()
-	if h.wrong != "" {
-		h.t.Fatalf("seed %d: %s", seed, h.wrong)
+	if h.failure != "" {
+		h.t.Fatalf("seed %d: %s", seed, h.failure)
 	}
 }
 
-// TestNoCrashLosesOrBringsBack crashes drawn histories, by a loss of power and by the process's end.
-func TestNoCrashLosesOrBringsBack(t *testing.T) {
+// TestCrashConsistency crashes drawn histories, by a loss of power and by the process's end.
+func TestCrashConsistency(t *testing.T) {
 	const histories = 8
 	for _, power := range []bool{true, false} {
 		t.Run(map[bool]string{true: "power", false: "process"}[power], func(t *testing.T) {
 			seen := 0
 			for seed := range uint64(histories) {
-				h := &history{t: t, power: power, rng: rand.New(rand.NewPCG(seed, 3)), acked: model{},
-					left: *crashStates / 2 / histories}
-				h.live(seed, 100000)
-				seen += h.seen
+				h := &crashRun{t: t, power: power, rng: rand.New(rand.NewPCG(seed, 3)), acked: model{},
+					remaining: *crashStates / 2 / histories}
+				h.run(seed, 100000)
+				seen += h.checked
 			}
 			t.Logf("%d states", seen)
 		})
--- a/internal/backlog/damage_test.go
+++ b/internal/backlog/damage_test.go
@@ -12,10 +12,10 @@
 	"onyxroad.dev/onyxroad/internal/disk/crashdisk"
 )
 
-// filled makes a folder with tables and a log, as the process's end leaves it, with what it holds and all that it ever held.
-func filled(t *testing.T) (d *crashdisk.Disk, m, ever model) {
+// populatedDisk makes a folder with tables and a log, as the process's end leaves it, with what it holds and all that it ever held.
+func populatedDisk(t *testing.T) (d *crashdisk.Disk, m, ever model) {
 	live := crashdisk.New()
-	s, _ := mustOpen(t, small(live))
+	s, _ := mustOpen(t, smallOptions(live))
 	m, ever = model{}, model{}
 	rng := rand.New(rand.NewPCG(8, 8))
 	for id := uint32(1); id <= 600; id += 10 {
@@ -35,7 +35,7 @@
 		m.apply(put, remove)
 		ever.apply(put, nil)
 	}
-	if wrong := m.agrees(s); wrong != "" {
+	if wrong := m.diff(s); wrong != "" {
 		t.Fatal(wrong)
 	}
 	s.db.TestOnlyWaitForCleaning()
@@ -70,7 +70,7 @@
 			return nil, err
 		}
 		for i, e := range list {
-			if e.Dest != dest || i > 0 && !(place{list[i-1].Rank, list[i-1].ID}).less(place{e.Rank, e.ID}) {
+			if e.Dest != dest || i > 0 && !(position{list[i-1].Rank, list[i-1].ID}).less(position{e.Rank, e.ID}) {
 				return nil, fmt.Errorf("destination %d lists %v", dest, e.Ref)
 			}
 		}
@@ -88,11 +88,11 @@
 	return found, nil
 }
 
-// damagedFolder opens a damaged folder, reads all, works on it, and opens it again: whatever is there is as it was put, and by
+// checkDamaged opens a damaged folder, reads all, works on it, and opens it again: whatever is there is as it was put, and by
 // the second start all that the store says is in order. It returns how many messages are left and what was set aside.
-func damagedFolder(t *testing.T, d *crashdisk.Disk, m, ever model, logs bool, what string) (left int, found Found) {
+func checkDamaged(t *testing.T, d *crashdisk.Disk, m, ever model, logs bool, what string) (left int, found OpenReport) {
 	t.Helper()
-	s, first, err := Open(small(d))
+	s, firstReport, err := Open(smallOptions(d))
 	if err != nil {
 		t.Fatalf("%s: %v", what, err)
 	}
@@ -109,7 +109,7 @@
 	}
 	s.Close()
 	d = d.Copy()
-	s, again, err := Open(small(d))
+	s, secondReport, err := Open(smallOptions(d))
 	if err != nil {
 		t.Fatalf("%s: opened again: %v", what, err)
 	}
@@ -126,12 +126,12 @@
 			t.Fatalf("%s: message %d is back", what, id)
 		}
 	}
-	if r, err := s.Check(); err != nil || len(r.Wrong) > 0 || r.Messages != len(have) {
+	if r, err := s.Check(); err != nil || len(r.Problems) > 0 || r.Messages != len(have) {
 		t.Fatalf("%s: opened again, %d messages, the check says %+v, %v", what, len(have), r, err)
 	}
-	first.Aside = append(first.Aside, again.Aside...)
-	first.Rebuilt, first.Lost = first.Rebuilt || again.Rebuilt, first.Lost || again.Lost
-	return len(have) - 1, first
+	firstReport.Problems = append(firstReport.Problems, secondReport.Problems...)
+	firstReport.Rebuilt, firstReport.Lost = firstReport.Rebuilt || secondReport.Rebuilt, firstReport.Lost || secondReport.Lost
+	return len(have) - 1, firstReport
 }
 
 func values(m model) (all []Entry) {
@@ -145,19 +145,19 @@
 
 // TestFlippedBits flips a drawn bit of each file many times over.
 func TestFlippedBits(t *testing.T) {
-	whole, m, ever := filled(t)
-	names, _ := whole.Names()
+	intact, m, ever := populatedDisk(t)
+	names, _ := intact.Names()
 	rng := rand.New(rand.NewPCG(9, 9))
 	kinds := map[string][3]int{} // flips, those told, messages lost
 	for _, name := range names {
-		data, _ := whole.ReadFile(name)
+		data, _ := intact.ReadFile(name)
 		for range min(*bitFlips, len(data)) {
-			d, bit := whole.Copy(), rng.IntN(8*len(data))
+			d, bit := intact.Copy(), rng.IntN(8*len(data))
 			if err := d.Flip(name, bit); err != nil {
 				t.Fatal(err)
 			}
 			what := fmt.Sprintf("bit %d of %s", bit, name)
-			left, found := damagedFolder(t, d, m, ever, strings.HasSuffix(name, ".log"), what)
+			left, found := checkDamaged(t, d, m, ever, strings.HasSuffix(name, ".log"), what)
 			kind := name[strings.LastIndexAny(name, ".-")+1:]
 			if strings.Contains(name, "MANIFEST") || strings.Contains(name, "OPTIONS") {
 				kind = strings.Split(name, "-")[1]
@@ -167,7 +167,7 @@
 			}
 			k := kinds[kind]
 			k[0], k[2] = k[0]+1, k[2]+max(0, len(m)-left)
-			if len(found.Aside) > 0 || found.Rebuilt {
+			if len(found.Problems) > 0 || found.Rebuilt {
 				k[1]++
 			}
 			kinds[kind] = k
@@ -176,17 +176,17 @@
 	t.Logf("of %d messages; flips, those told, messages lost: %v", len(m), kinds)
 }
 
-// TestMissingAndCutFiles takes files away, and cuts them short.
-func TestMissingAndCutFiles(t *testing.T) {
-	whole, m, ever := filled(t)
-	names, _ := whole.Names()
+// TestMissingAndTruncatedFiles takes files away, and cuts them short.
+func TestMissingAndTruncatedFiles(t *testing.T) {
+	intact, m, ever := populatedDisk(t)
+	names, _ := intact.Names()
 	for _, name := range names {
-		data, _ := whole.ReadFile(name)
+		data, _ := intact.ReadFile(name)
 		for _, cut := range []int{-1, 0, len(data) / 2, len(data) - 1} {
 			if cut >= len(data) || cut == 0 && len(data) == 0 {
 				continue
 			}
-			d := whole.Copy()
+			d := intact.Copy()
 			what := fmt.Sprintf("%s taken away", name)
 			if cut < 0 {
 				d.Remove(name)
@@ -198,8 +198,8 @@
 				}
 				f.Truncate(int64(cut))
 			}
-			left, found := damagedFolder(t, d.Copy(), m, ever, strings.HasSuffix(name, ".log"), what)
-			if left < len(m) && len(found.Aside) == 0 && !strings.HasSuffix(name, ".log") {
+			left, found := checkDamaged(t, d.Copy(), m, ever, strings.HasSuffix(name, ".log"), what)
+			if left < len(m) && len(found.Problems) == 0 && !strings.HasSuffix(name, ".log") {
 				t.Errorf("%s: %d of %d messages are left, and nothing is told", what, left, len(m))
 			}
 			if found.Lost && strings.HasSuffix(name, ".sst") {
--- a/internal/backlog/engine.go
+++ b/internal/backlog/engine.go
@@ -13,46 +13,48 @@
 const DefaultLimit = 4 << 30
 
 const (
-	defaultCache  = 16 << 20 // blocks, indexes and filters that were read; 7 MB of it are filters at 5.5 million messages
-	defaultBuffer = 4 << 20  // one write buffer
-	buffers       = 4        // of them at most, before a write waits
-	defaultFile   = 8 << 20  // a table
-	openFiles     = 96       // descriptors that tables take at most; the log, the manifest and what is written add some 8
-	manifestBytes = 4 << 20  // of changes, before a new one is begun
-	compactions   = 1        // at a time
-	blockBytes    = 8 << 10
-	filterBits    = 10 // a key: one miss in a hundred reads a block
-	young         = 16 // write buffers' worth of tables that wait to be merged, before a write waits
-	baseFiles     = 4  // tables of the level that these are merged into
-	shareAside    = 16 // damaged files are kept up to the limit's 16th
-	shareBuffer   = 128
+	defaultCacheSize    = 16 << 20 // blocks, indexes and filters that were read; 7 MB of it are filters at 5.5 million messages
+	defaultMemTableSize = 4 << 20  // one write buffer
+	maxMemTables        = 4        // of them at most, before a write waits
+	defaultTableSize    = 8 << 20  // a table
+	maxOpenTables       = 96       // descriptors that tables take at most; the log, the manifest and what is written add some 8
+	manifestBytes       = 4 << 20  // of changes, before a new one is begun
+	maxCompactions      = 1        // at a time
+	blockBytes          = 8 << 10
+	filterBits          = 10 // a key: one miss in a hundred reads a block
+	maxL0Tables         = 16 // write buffers' worth of tables that wait to be merged, before a write waits
+	baseLevelTables     = 4  // tables of the level that these are merged into
+	damagedShare        = 16 // damaged files are kept up to the limit's 16th
+	bufferShare         = 128
 )
 
-func (o *Options) defaults() {
+func (o *Options) setDefaults() {
 	if o.Limit <= 0 {
 		o.Limit = DefaultLimit
 	}
 	if o.Log == nil {
 		o.Log = slog.New(slog.DiscardHandler)
 	}
-	if o.Cache <= 0 {
-		o.Cache = defaultCache
+	if o.CacheSize <= 0 {
+		o.CacheSize = defaultCacheSize
 	}
-	if o.Buffer <= 0 {
-		o.Buffer = max(64<<10, min(defaultBuffer, o.Limit/shareBuffer))
+	if o.MemTableSize <= 0 {
+		o.MemTableSize = max(64<<10, min(defaultMemTableSize, o.Limit/bufferShare))
 	}
-	if o.File <= 0 {
-		o.File = max(64<<10, min(defaultFile, o.Limit/shareBuffer))
+	if o.TableSize <= 0 {
+		o.TableSize = max(64<<10, min(defaultTableSize, o.Limit/bufferShare))
 	}
 }
 
-// room is the bytes that are kept free of what is put, for removals and for what the engine writes before it can give room
+// reserve is the bytes that are kept free of what is put, for removals and for what the engine writes before it can give reserve
 // back: its logs, those it keeps to be used again, and a compaction of all young tables beside its input. It is a quarter
 // of a small limit, and 150 MB of a large one.
-func (o *Options) room() int64 { return (young+2*buffers+1)*o.Buffer + (baseFiles+2)*o.File }
+func (o *Options) reserve() int64 {
+	return (maxL0Tables+2*maxMemTables+1)*o.MemTableSize + (baseLevelTables+2)*o.TableSize
+}
 
-// engine opens one generation of the engine's files.
-func (s *Store) engine(f *files, readOnly bool, corrupt func(path string, err error)) (db *pebble.DB, err error) {
+// openEngine opens one generation of the openEngine's files.
+func (s *Store) openEngine(f *engineFS, readOnly bool, onCorruption func(path string, err error)) (db *pebble.DB, err error) {
 	// Damage that the engine doesn't expect is no reason to end the process.
 	defer func() {
 		if r := recover(); r != nil {
@@ -63,15 +65,15 @@
 		FS:                          f,
 		Comparer:                    comparer,
 		FormatMajorVersion:          pebble.FormatValueSeparation,
-		CacheSize:                   s.o.Cache,
-		MemTableSize:                uint64(s.o.Buffer),
-		MemTableStopWritesThreshold: buffers,
+		CacheSize:                   s.opts.CacheSize,
+		MemTableSize:                uint64(s.opts.MemTableSize),
+		MemTableStopWritesThreshold: maxMemTables,
 		L0CompactionThreshold:       2,
-		L0StopWritesThreshold:       young,
-		LBaseMaxBytes:               baseFiles * s.o.File,
-		MaxOpenFiles:                openFiles,
+		L0StopWritesThreshold:       maxL0Tables,
+		LBaseMaxBytes:               baseLevelTables * s.opts.TableSize,
+		MaxOpenFiles:                maxOpenTables,
 		MaxManifestFileSize:         manifestBytes,
-		CompactionConcurrencyRange:  func() (int, int) { return 1, compactions },
+		CompactionConcurrencyRange:  func() (int, int) { return 1, maxCompactions },
 		DisableConsistencyCheck:     readOnly,
 		ReadOnly:                    readOnly,
 		Logger:                      logger{s.log},
@@ -79,13 +81,13 @@
 			BackgroundError: func(err error) { s.log.Debug("backlog: engine", "error", err) },
 			DataCorruption: func(i pebble.DataCorruptionInfo) {
 				if f.failed() == nil {
-					corrupt(i.Path, i.Details)
+					onCorruption(i.Path, i.Details)
 				}
 			},
 		},
 	}
 	for i := range o.TargetFileSizes {
-		o.TargetFileSizes[i] = s.o.File
+		o.TargetFileSizes[i] = s.opts.TableSize
 	}
 	for i := range o.Levels {
 		o.Levels[i].BlockSize = blockBytes
--- a/internal/backlog/fail_test.go
+++ b/internal/backlog/fail_test.go
@@ -14,9 +14,9 @@
 	"onyxroad.dev/onyxroad/internal/disk/crashdisk"
 )
 
-// TestAFailingDisk has the disk fail in the midst of drawn histories, in each of its ways, and come back. What was applied
+// TestFailingDisk has the disk fail in the midst of drawn histories, in each of its ways, and come back. What was applied
 // can be read while it fails, if it can be read at all, and what was refused is there whole or not at all.
-func TestAFailingDisk(t *testing.T) {
+func TestFailingDisk(t *testing.T) {
 	for _, power := range []bool{true, false} {
 		for _, fails := range []string{"write", "sync", "open", "remove", "syncdir", "write sync open remove syncdir rename"} {
 			t.Run(fmt.Sprintf("power %v %s", power, fails), func(t *testing.T) {
@@ -28,15 +28,15 @@
 
 func failingDisk(t *testing.T, power bool, fails string) {
 	d := crashdisk.New()
-	var broken atomic.Bool
+	var failing atomic.Bool
 	d.Fail = func(op, _ string) error {
-		if broken.Load() && strings.Contains(" "+fails+" ", " "+op+" ") {
+		if failing.Load() && strings.Contains(" "+fails+" ", " "+op+" ") {
 			return syscall.ENOSPC
 		}
 		return nil
 	}
-	o := small(d)
-	o.Power = power
+	o := smallOptions(d)
+	o.Fsync = power
 	s, _ := mustOpen(t, o)
 	now := time.Unix(1000, 0)
 	s.now = func() time.Time { return now }
@@ -45,14 +45,14 @@
 	refused := 0
 	for i := range 400 {
 		if rng.IntN(10) == 0 {
-			broken.Store(!broken.Load())
+			failing.Store(!failing.Load())
 		}
 		var put []Entry
 		for range rng.IntN(6) {
 			put = append(put, message(uint32(1+rng.IntN(60)), rng.IntN(4), int64(rng.IntN(30)), int64(rng.IntN(30)), i,
 				rng.IntN(3000)))
 		}
-		remove := m.draw(rng)
+		remove := m.drawRemovals(rng)
 		err := s.Apply(put, remove)
 		switch {
 		case err == nil:
@@ -70,43 +70,43 @@
 					t.Fatalf("change %d: message %d is %v, %v", i, id, got.Ref, ok)
 				}
 			}
-			broken.Store(false)
+			failing.Store(false)
 			if err := s.Apply(put, remove); !errors.Is(err, ErrDisk) && err != nil {
 				t.Fatalf("change %d: at once: %v", i, err)
 			}
-			now = now.Add(retry)
+			now = now.Add(reopenDelay)
 			if err := s.Apply(put, remove); err != nil {
 				t.Fatalf("change %d: the disk is back, and yet: %v", i, err)
 			}
 			m.apply(put, remove)
 		}
-		if i%20 == 0 && !broken.Load() {
-			if wrong := m.agrees(s); wrong != "" {
+		if i%20 == 0 && !failing.Load() {
+			if wrong := m.diff(s); wrong != "" {
 				t.Fatalf("change %d: %s", i, wrong)
 			}
 		}
 	}
-	broken.Store(false)
-	now = now.Add(retry)
+	failing.Store(false)
+	now = now.Add(reopenDelay)
 	if err := s.Apply(nil, nil); err != nil {
 		t.Fatal(err)
 	}
-	if wrong := m.agrees(s); wrong != "" {
+	if wrong := m.diff(s); wrong != "" {
 		t.Fatal(wrong)
 	}
 	if refused == 0 && (power || !strings.Contains(fails, "sync")) {
 		t.Error("nothing was refused")
 	}
 	s.Close()
-	left := d.Copy()
-	o.FS = left
+	copied := d.Copy()
+	o.FS = copied
 	s, found := mustOpen(t, o)
-	if wrong := m.agrees(s); wrong != "" || len(found.Aside) > 0 {
+	if wrong := m.diff(s); wrong != "" || len(found.Problems) > 0 {
 		t.Fatalf("after a start: %s, found %+v", wrong, found)
 	}
 }
 
-func (m model) draw(rng *rand.Rand) (refs []Ref) {
+func (m model) drawRemovals(rng *rand.Rand) (refs []Ref) {
 	for range rng.IntN(6) {
 		if e, ok := m[uint32(1+rng.IntN(60))]; ok {
 			refs = append(refs, e.Ref)
@@ -133,15 +133,15 @@
 func TestAFullStore(t *testing.T) {
 	const limit = 8 << 20
 	d := crashdisk.New()
-	o := small(d)
+	o := smallOptions(d)
 	o.Limit = limit
 	s, _ := mustOpen(t, o)
 	rng := rand.New(rand.NewPCG(6, 6))
 	m := model{}
-	next, full, most := uint32(1), 0, int64(0)
+	next, refusals, maxDisk := uint32(1), 0, int64(0)
 	for i := range 3000 {
-		if most = max(most, s.Disk()); most > limit {
-			t.Fatalf("change %d: %d bytes on disk of %d", i, s.Disk(), limit)
+		if maxDisk = max(maxDisk, s.DiskBytes()); maxDisk > limit {
+			t.Fatalf("change %d: %d bytes on disk of %d", i, s.DiskBytes(), limit)
 		}
 		var put []Entry
 		for range 16 {
@@ -160,7 +160,7 @@
 		if !errors.Is(err, ErrFull) {
 			t.Fatal(err)
 		}
-		full++
+		refusals++
 		dest := rng.IntN(7)
 		all, err := s.First(dest, 64)
 		if err != nil {
@@ -175,11 +175,11 @@
 		}
 		m.apply(nil, remove)
 	}
-	t.Logf("%d messages at the end, refused %d times, %d bytes on disk at most", len(m), full, most)
-	if full == 0 {
+	t.Logf("%d messages at the end, refused %d times, %d bytes on disk at most", len(m), refusals, maxDisk)
+	if refusals == 0 {
 		t.Error("it was never full")
 	}
-	if wrong := m.agrees(s); wrong != "" {
+	if wrong := m.diff(s); wrong != "" {
 		t.Fatal(wrong)
 	}
 	for dest := range 7 { // all goes, and the room comes back
@@ -201,25 +201,25 @@
 	err := s.Apply(last, nil)
 	for i := 0; i < 3 && errors.Is(err, ErrFull); i++ { // it begins to sweep, if no sweep goes on
 		s.mu.Lock()
-		w := s.sweeping
+		job := s.compaction
 		s.mu.Unlock()
-		if w != nil {
-			<-w.done
+		if job != nil {
+			<-job.done
 		}
 		s.db.TestOnlyWaitForCleaning()
 		err = s.Apply(last, nil)
 	}
 	if err != nil {
-		t.Fatalf("emptied, with %d bytes on disk: %v", s.Disk(), err)
+		t.Fatalf("emptied, with %d bytes on disk: %v", s.DiskBytes(), err)
 	}
 }
 
-// TestAViewOfAFolder has two stores share one disk, each with names of its own.
-func TestAViewOfAFolder(t *testing.T) {
+// TestPrefixedFolders has two stores share one disk, each with names of its own.
+func TestPrefixedFolders(t *testing.T) {
 	d := crashdisk.New()
 	var stores []*Store
 	for _, name := range []string{"a-", "b-"} {
-		o := small(d)
+		o := smallOptions(d)
 		o.FS = disk.Prefixed{FS: d, Prefix: name}
 		s, _ := mustOpen(t, o)
 		stores = append(stores, s)
@@ -230,7 +230,7 @@
 	if stores[0].Len() != 1 || stores[1].Len() != 0 {
 		t.Fatalf("%d and %d messages", stores[0].Len(), stores[1].Len())
 	}
-	o := small(d)
+	o := smallOptions(d)
 	o.FS = disk.Prefixed{FS: d.Copy(), Prefix: "a-"}
 	if s, _ := mustOpen(t, o); s.Len() != 1 {
 		t.Fatalf("%d messages after a crash of both", s.Len())
--- a/internal/backlog/keys.go
+++ b/internal/backlog/keys.go
@@ -32,9 +32,9 @@
 )
 
 const (
-	idBytes    = 4
-	hashBytes  = 8
-	tracePlace = 1 + hashBytes
+	idBytes        = 4
+	hashBytes      = 8
+	tracePrefixLen = 1 + hashBytes
 )
 
 // comparer is the order of bytes. All ids under one hash have one prefix, so that the engine's filter knows the hash.
@@ -42,44 +42,46 @@
 	c := *pebble.DefaultComparer
 	c.Name = "ivygauge.backlog.1"
 	c.Split = func(key []byte) int {
-		if len(key) > tracePlace && key[0] == keyTrace {
-			return tracePlace
+		if len(key) > tracePrefixLen && key[0] == keyTrace {
+			return tracePrefixLen
 		}
 		return len(key)
 	}
 	return &c
 }()
 
-// place is where a message stands in an order: a time and an id.
-type place struct {
+// position is where a message stands in an order: a time and an id.
+type position struct {
 	time int64
 	id   uint32
 }
 
-func (p place) less(q place) bool { return p.time < q.time || p.time == q.time && p.id < q.id }
+func (p position) less(q position) bool { return p.time < q.time || p.time == q.time && p.id < q.id }
 
-var lastPlace = place{math.MaxInt64, math.MaxUint32}
+var maxPosition = position{math.MaxInt64, math.MaxUint32}
 
-func ordered(v int64) uint64     { return uint64(v) ^ 1<<63 }
-func fromOrdered(v uint64) int64 { return int64(v ^ 1<<63) }
+func encodeOrdered(v int64) uint64 { return uint64(v) ^ 1<<63 }
+func decodeOrdered(v uint64) int64 { return int64(v ^ 1<<63) }
 
 func messageKey(id uint32) []byte { return binary.BigEndian.AppendUint32([]byte{keyMessage}, id) }
 
-func destKey(dest int, p place) []byte {
+func destKey(dest int, p position) []byte {
 	key := binary.BigEndian.AppendUint32(append(make([]byte, 0, 17), keyDest), uint32(dest))
-	return appendPlace(key, p)
+	return appendPosition(key, p)
 }
 
-func deadlineKey(p place) []byte { return appendPlace(append(make([]byte, 0, 13), keyDeadline), p) }
+func deadlineKey(p position) []byte {
+	return appendPosition(append(make([]byte, 0, 13), keyDeadline), p)
+}
 
-func appendPlace(key []byte, p place) []byte {
-	return binary.BigEndian.AppendUint32(binary.BigEndian.AppendUint64(key, ordered(p.time)), p.id)
+func appendPosition(key []byte, p position) []byte {
+	return binary.BigEndian.AppendUint32(binary.BigEndian.AppendUint64(key, encodeOrdered(p.time)), p.id)
 }
 
-// placeOf reads the place at the end of a key or value.
-func placeOf(key []byte) place {
+// decodePosition reads the place at the end of a key or value.
+func decodePosition(key []byte) position {
 	at := len(key) - 8 - idBytes
-	return place{fromOrdered(binary.BigEndian.Uint64(key[at:])), binary.BigEndian.Uint32(key[at+8:])}
+	return position{decodeOrdered(binary.BigEndian.Uint64(key[at:])), binary.BigEndian.Uint32(key[at+8:])}
 }
 
 // tracePrefix is what all keys under a trace's hash begin with.
@@ -95,12 +97,12 @@
 
 // indexKeys are the keys that find a message.
 func indexKeys(r Ref) [][]byte {
-	return [][]byte{destKey(r.Dest, place{r.Rank, r.ID}), deadlineKey(place{r.Deadline, r.ID}), traceKey(r.Trace, r.ID)}
+	return [][]byte{destKey(r.Dest, position{r.Rank, r.ID}), deadlineKey(position{r.Deadline, r.ID}), traceKey(r.Trace, r.ID)}
 }
 
 // A record is a checksum, the destination, the rank, the deadline, the trace's length, the trace, and the data. The
 // checksum covers the id too.
-const recordHead = hashBytes + 4 + 8 + 8 + 2
+const recordHeaderLen = hashBytes + 4 + 8 + 8 + 2
 
 func appendRecord(buf []byte, e Entry) []byte {
 	at := len(buf)
@@ -110,11 +112,11 @@
 	buf = binary.BigEndian.AppendUint64(buf, uint64(e.Deadline))
 	buf = binary.BigEndian.AppendUint16(buf, uint16(len(e.Trace)))
 	buf = append(append(buf, e.Trace...), e.Data...)
-	binary.BigEndian.PutUint64(buf[at:], recordSum(e.ID, buf[at+hashBytes:]))
+	binary.BigEndian.PutUint64(buf[at:], recordChecksum(e.ID, buf[at+hashBytes:]))
 	return buf
 }
 
-func recordSum(id uint32, rest []byte) uint64 {
+func recordChecksum(id uint32, rest []byte) uint64 {
 	var h xxhash.Digest
 	h.Reset()
 	h.Write(messageKey(id))
@@ -122,9 +124,9 @@
 	return h.Sum64()
 }
 
-// readRecord reads a record. The entry's data is a copy.
-func readRecord(id uint32, b []byte) (Entry, error) {
-	if len(b) < recordHead || recordSum(id, b[hashBytes:]) != binary.BigEndian.Uint64(b) {
+// decodeRecord reads a record. The entry's data is a copy.
+func decodeRecord(id uint32, b []byte) (Entry, error) {
+	if len(b) < recordHeaderLen || recordChecksum(id, b[hashBytes:]) != binary.BigEndian.Uint64(b) {
 		return Entry{}, fmt.Errorf("%w: the record of message %d has a wrong checksum", ErrDamaged, id)
 	}
 	b = b[hashBytes:]
@@ -138,8 +140,8 @@
 	return e, nil
 }
 
-// check tells whether a message can be kept.
-func check(e Entry) error {
+// validate tells whether a message can be kept.
+func validate(e Entry) error {
 	if e.Dest < 0 || int64(e.Dest) > math.MaxUint32 || len(e.Trace) > math.MaxUint16 {
 		return fmt.Errorf("backlog: message %d can't be kept: destination %d, trace of %d bytes", e.ID, e.Dest, len(e.Trace))
 	}
--- a/internal/backlog/model_test.go
+++ b/internal/backlog/model_test.go
@@ -13,12 +13,12 @@
 	"onyxroad.dev/onyxroad/internal/disk/crashdisk"
 )
 
-// small are options with which a test sees tables, compactions and limits after few messages.
-func small(d *crashdisk.Disk) Options {
-	return Options{FS: d, Name: "n3", Limit: 64 << 20, Cache: 1 << 20, Buffer: 64 << 10, File: 32 << 10}
+// smallOptions are options with which a test sees tables, compactions and limits after few messages.
+func smallOptions(d *crashdisk.Disk) Options {
+	return Options{FS: d, Name: "n3", Limit: 64 << 20, CacheSize: 1 << 20, MemTableSize: 64 << 10, TableSize: 32 << 10}
 }
 
-func mustOpen(t testing.TB, o Options) (*Store, Found) {
+func mustOpen(t testing.TB, o Options) (*Store, OpenReport) {
 	t.Helper()
 	s, found, err := Open(o)
 	if err != nil {
@@ -59,12 +59,12 @@
 	}
 }
 
-func same(a, b []Entry) bool {
+func equalEntries(a, b []Entry) bool {
 	return slices.EqualFunc(a, b, func(a, b Entry) bool { return a.Ref == b.Ref && bytes.Equal(a.Data, b.Data) })
 }
 
-// agrees tells where a store differs from the model, or "".
-func (m model) agrees(s *Store) string {
+// diff tells where a store differs from the model, or "".
+func (m model) diff(s *Store) string {
 	if s.Len() != len(m) {
 		return fmt.Sprintf("%d messages, not %d", s.Len(), len(m))
 	}
@@ -86,7 +86,7 @@
 		last = dest
 		delete(counts, dest)
 		want := m.sorted(func(e Entry) bool { return e.Dest == dest }, func(e Entry) int64 { return e.Rank })
-		if got, err := s.First(dest, n+1); err != nil || !same(got, want) {
+		if got, err := s.First(dest, n+1); err != nil || !equalEntries(got, want) {
 			return fmt.Sprintf("destination %d lists %d messages (%v), not %d", dest, len(got), err, len(want))
 		}
 	}
@@ -98,17 +98,17 @@
 	if err != nil || ok != (len(want) > 0) || ok && next != want[0].Deadline {
 		return fmt.Sprintf("the next deadline is %d (%v, %v)", next, ok, err)
 	}
-	if got, err := s.Due(1<<62, len(want)+1); err != nil || !same(got, want) {
+	if got, err := s.Due(1<<62, len(want)+1); err != nil || !equalEntries(got, want) {
 		return fmt.Sprintf("%d messages have a deadline (%v), not %d", len(got), err, len(want))
 	}
-	if r, err := s.Check(); err != nil || len(r.Wrong) > 0 || r.Messages != len(m) {
+	if r, err := s.Check(); err != nil || len(r.Problems) > 0 || r.Messages != len(m) {
 		return fmt.Sprintf("the check says %+v, %v", r, err)
 	}
 	return ""
 }
 
-// drawn draws a change of the model.
-func drawn(t *rapid.T, m model, version int) (put []Entry, remove []Ref) {
+// drawChange draws a change of the model.
+func drawChange(t *rapid.T, m model, version int) (put []Entry, remove []Ref) {
 	id := rapid.Uint32Range(1, 60)
 	for range rapid.IntRange(0, 6).Draw(t, "puts") {
 		e := message(id.Draw(t, "id"), rapid.IntRange(0, 4).Draw(t, "dest"), rapid.Int64Range(-3, 20).Draw(t, "rank"),
@@ -128,11 +128,11 @@
 	return put, remove
 }
 
-func TestAStoreDoesWhatAMapDoes(t *testing.T) {
+func TestStoreMatchesModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		d := crashdisk.New()
-		o := small(d)
-		o.Power = rapid.Bool().Draw(t, "power")
+		o := smallOptions(d)
+		o.Fsync = rapid.Bool().Draw(t, "power")
 		s, _, err := Open(o)
 		if err != nil {
 			t.Fatal(err)
@@ -141,14 +141,14 @@
 		m := model{}
 		version := 0
 		check := func() {
-			if wrong := m.agrees(s); wrong != "" {
+			if wrong := m.diff(s); wrong != "" {
 				t.Fatal(wrong)
 			}
 		}
 		t.Repeat(map[string]func(*rapid.T){
 			"apply": func(t *rapid.T) {
 				version++
-				put, remove := drawn(t, m, version)
+				put, remove := drawChange(t, m, version)
 				if err := s.Apply(put, remove); err != nil {
 					t.Fatal(err)
 				}
@@ -158,7 +158,7 @@
 				dest, n := rapid.IntRange(0, 4).Draw(t, "dest"), rapid.IntRange(0, 9).Draw(t, "n")
 				want := m.sorted(func(e Entry) bool { return e.Dest == dest }, func(e Entry) int64 { return e.Rank })
 				got, err := s.First(dest, n)
-				if err != nil || !same(got, want[:min(n, len(want))]) {
+				if err != nil || !equalEntries(got, want[:min(n, len(want))]) {
 					t.Fatalf("%d of destination %d: %v, %v", n, dest, got, err)
 				}
 			},
@@ -166,7 +166,7 @@
 				by, n := rapid.Int64Range(-5, 22).Draw(t, "by"), rapid.IntRange(0, 9).Draw(t, "n")
 				want := m.sorted(func(e Entry) bool { return e.Deadline <= by }, func(e Entry) int64 { return e.Deadline })
 				got, err := s.Due(by, n)
-				if err != nil || !same(got, want[:min(n, len(want))]) {
+				if err != nil || !equalEntries(got, want[:min(n, len(want))]) {
 					t.Fatalf("%d by %d: %v, %v", n, by, got, err)
 				}
 			},
@@ -174,11 +174,11 @@
 				o.FS = d.Copy()
 				s.Close()
 				d = o.FS.(*crashdisk.Disk)
-				var found Found
+				var found OpenReport
 				if s, found, err = Open(o); err != nil {
 					t.Fatal(err)
 				}
-				if len(found.Aside) > 0 || found.Rebuilt || found.Messages != len(m) {
+				if len(found.Problems) > 0 || found.Rebuilt || found.Messages != len(m) {
 					t.Fatalf("found %+v", found)
 				}
 				check()
@@ -188,14 +188,14 @@
 	})
 }
 
-func TestWhoseFolderItIs(t *testing.T) {
+func TestFolderOwner(t *testing.T) {
 	d := crashdisk.New()
-	s, _ := mustOpen(t, small(d))
+	s, _ := mustOpen(t, smallOptions(d))
 	if err := s.Apply([]Entry{message(1, 1, 1, 1, 1, 10)}, nil); err != nil {
 		t.Fatal(err)
 	}
 	s.Close()
-	o := small(d)
+	o := smallOptions(d)
 	o.Name = "n4"
 	if _, _, err := Open(o); err == nil {
 		t.Fatal("another relay's folder is opened")
@@ -207,10 +207,10 @@
 	}
 }
 
-func TestAFolderIsHeldByOne(t *testing.T) {
+func TestFolderLock(t *testing.T) {
 	o := Options{Dir: t.TempDir(), Name: "n3"}
 	s, _ := mustOpen(t, o)
-	if _, _, err := Open(o); err != ErrHeld {
+	if _, _, err := Open(o); err != ErrLocked {
 		t.Fatalf("opened twice: %v", err)
 	}
 	if err := s.Apply([]Entry{message(1, 1, 1, 1, 1, 10)}, nil); err != nil {
--- a/internal/backlog/open.go
+++ b/internal/backlog/open.go
@@ -27,11 +27,11 @@
 //	damaged-NAME   files that were set aside
 //	lock           held by the process that has the folder open
 const (
-	ownerName  = "owner"
-	mendName   = "mend"
-	lockName   = "lock"
-	asideStart = "damaged-"
-	format     = 1
+	ownerName     = "owner"
+	repairName    = "mend"
+	lockName      = "lock"
+	damagedPrefix = "damaged-"
+	ownerFormat   = 1
 )
 
 // owner is the folder's first file. Its checksum is of the others.
@@ -42,14 +42,14 @@
 	Sum    string
 }
 
-func (o owner) sum() string {
+func (o owner) checksum() string {
 	return strconv.FormatUint(xxhash.Sum64String(fmt.Sprintf("%d %s %d", o.Format, o.Name, o.Gen)), 16)
 }
 
-func prefixOf(gen uint64) string { return fmt.Sprintf("g%d-", gen) }
+func generationPrefix(gen uint64) string { return fmt.Sprintf("g%d-", gen) }
 
-// genOf tells the generation that a file's name belongs to.
-func genOf(name string) (gen uint64, ok bool) {
+// parseGeneration tells the generation that a file's name belongs to.
+func parseGeneration(name string) (gen uint64, ok bool) {
 	head, _, ok := strings.Cut(name, "-")
 	if !ok || !strings.HasPrefix(head, "g") {
 		return 0, false
@@ -60,12 +60,12 @@
 
 // Open opens a folder, or makes one. It refuses another relay's folder and one that is in use, and never one of its own for
 // damage: what can't be read is set aside and told.
-func Open(o Options) (s *Store, found Found, err error) {
-	o.defaults()
-	s = &Store{o: o, log: o.Log, now: clock.Now, usage: &usage{limit: o.Limit, sizes: map[string]int64{}}}
+func Open(o Options) (s *Store, found OpenReport, err error) {
+	o.setDefaults()
+	s = &Store{opts: o, log: o.Log, now: clock.Now, usage: &diskUsage{limit: o.Limit, sizes: map[string]int64{}}}
 	defer func() {
 		if err != nil {
-			s.release()
+			s.unlock()
 			s = nil
 		}
 	}()
@@ -73,7 +73,7 @@
 		if err := os.MkdirAll(o.Dir, 0o700); err != nil {
 			return s, found, fmt.Errorf("%w: %w", ErrDisk, err)
 		}
-		if s.held, err = lock(o.Dir); err != nil {
+		if s.lockFile, err = lockDir(o.Dir); err != nil {
 			return s, found, err
 		}
 	}
@@ -81,22 +81,22 @@
 		o.FS = disk.Dir(o.Dir)
 	}
 	var ok bool
-	if s.fs, ok = o.FS.(folder); !ok {
+	if s.fs, ok = o.FS.(storeFS); !ok {
 		return s, found, errors.New("backlog: the folder's files can't be read in parts")
 	}
-	mend, err := s.claim(&found)
+	mend, err := s.claimFolder(&found)
 	if err != nil {
 		return s, found, err
 	}
-	if err := s.start(mend, &found); err != nil {
+	if err := s.openOrRepair(mend, &found); err != nil {
 		return s, found, err
 	}
 	found.Messages, found.MaxID = s.messages, s.highest
 	return s, found, nil
 }
 
-// lock takes the lock on a folder, which goes with the file.
-func lock(dir string) (*os.File, error) {
+// lockDir takes the lockDir on a folder, which goes with the file.
+func lockDir(dir string) (*os.File, error) {
 	f, err := os.OpenFile(filepath.Join(dir, lockName), os.O_RDWR|os.O_CREATE, 0o600)
 	if err != nil {
 		return nil, fmt.Errorf("%w: %w", ErrDisk, err)
@@ -104,66 +104,66 @@
 	if err := syscall.Flock(int(f.Fd()), syscall.LOCK_EX|syscall.LOCK_NB); err != nil {
 		f.Close()
 		if errors.Is(err, syscall.EWOULDBLOCK) {
-			return nil, ErrHeld
+			return nil, ErrLocked
 		}
 		return nil, fmt.Errorf("%w: %w", ErrDisk, err)
 	}
 	return f, nil
 }
 
-// claim reads whose folder it is and what it holds, and makes it this relay's.
-func (s *Store) claim(found *Found) (mend bool, err error) {
+// claimFolder reads whose folder it is and what it holds, and makes it this relay's.
+func (s *Store) claimFolder(found *OpenReport) (mend bool, err error) {
 	names, err := s.fs.Names()
 	if err != nil {
 		return false, fmt.Errorf("%w: %w", ErrDisk, err)
 	}
 	var newest uint64
 	for _, name := range names {
-		if gen, ok := genOf(name); ok {
+		if gen, ok := parseGeneration(name); ok {
 			newest = max(newest, gen)
 		}
-		mend = mend || name == mendName
-		if err := s.measure(name); err != nil {
+		mend = mend || name == repairName
+		if err := s.trackSize(name); err != nil {
 			return false, fmt.Errorf("%w: %w", ErrDisk, err)
 		}
 	}
-	own := owner{Format: format, Name: s.o.Name, Gen: 1}
+	own := owner{Format: ownerFormat, Name: s.opts.Name, Gen: 1}
 	text, err := s.fs.ReadFile(ownerName)
-	var have owner
+	var stored owner
 	switch {
 	case errors.Is(err, fs.ErrNotExist) && newest == 0:
 	case err != nil && !errors.Is(err, fs.ErrNotExist):
 		return false, fmt.Errorf("%w: %w", ErrDisk, err)
-	case err != nil || json.Unmarshal(text, &have) != nil || have.sum() != have.Sum:
+	case err != nil || json.Unmarshal(text, &stored) != nil || stored.checksum() != stored.Sum:
 		own.Gen = max(1, newest)
-		found.Aside = append(found.Aside, "the file that tells whose folder it is can't be read: taken for this relay's")
-	case have.Format > format:
-		return false, fmt.Errorf("%w: format %d is newer than this version's %d", ErrOther, have.Format, format)
-	case have.Name != s.o.Name && !s.o.Adopt:
-		return false, fmt.Errorf("%w: of %q, not %q", ErrOther, have.Name, s.o.Name)
+		found.Problems = append(found.Problems, "the file that tells whose folder it is can't be read: taken for this relay's")
+	case stored.Format > ownerFormat:
+		return false, fmt.Errorf("%w: format %d is newer than this version's %d", ErrWrongOwner, stored.Format, ownerFormat)
+	case stored.Name != s.opts.Name && !s.opts.Adopt:
+		return false, fmt.Errorf("%w: of %q, not %q", ErrWrongOwner, stored.Name, s.opts.Name)
 	default:
-		own.Gen = have.Gen
+		own.Gen = stored.Gen
 	}
-	if s.gen = own.Gen; own.Gen != have.Gen || own.Name != have.Name {
-		if err := s.own(); err != nil {
+	if s.generation = own.Gen; own.Gen != stored.Gen || own.Name != stored.Name {
+		if err := s.writeOwner(); err != nil {
 			return false, err
 		}
 	}
 	for _, name := range names { // what a repair left half done, or didn't get to remove
-		if gen, ok := genOf(name); ok && gen != s.gen {
+		if gen, ok := parseGeneration(name); ok && gen != s.generation {
 			if err := s.fs.Remove(name); err != nil {
 				return false, fmt.Errorf("%w: %w", ErrDisk, err)
 			}
-			s.usage.drop(name)
+			s.usage.remove(name)
 		}
 	}
 	return mend, nil
 }
 
-// own writes the folder's first file.
-func (s *Store) own() error {
-	o := owner{Format: format, Name: s.o.Name, Gen: s.gen}
-	o.Sum = o.sum()
+// writeOwner writes the folder's first file.
+func (s *Store) writeOwner() error {
+	o := owner{Format: ownerFormat, Name: s.opts.Name, Gen: s.generation}
+	o.Sum = o.checksum()
 	text, err := json.Marshal(o)
 	if err == nil {
 		err = disk.Replace(s.fs, ownerName, append(text, '\n'))
@@ -171,11 +171,11 @@
 	if err != nil {
 		return fmt.Errorf("%w: %w", ErrDisk, err)
 	}
-	return s.measure(ownerName)
+	return s.trackSize(ownerName)
 }
 
-// measure takes a file's size into the count.
-func (s *Store) measure(name string) error {
+// trackSize takes a file's size into the count.
+func (s *Store) trackSize(name string) error {
 	r, err := s.fs.OpenRead(name)
 	if errors.Is(err, fs.ErrNotExist) || strings.HasSuffix(name, "/") {
 		return nil
@@ -190,64 +190,64 @@
 	return err
 }
 
-func (s *Store) newFiles() *files {
-	return &files{dir: s.fs, prefix: prefixOf(s.gen), power: s.o.Power, usage: s.usage}
+func (s *Store) newEngineFS() *engineFS {
+	return &engineFS{dir: s.fs, prefix: generationPrefix(s.generation), fsync: s.opts.Fsync, usage: s.usage}
 }
 
-// start opens the engine, or what a repair makes of it.
-func (s *Store) start(mend bool, found *Found) error {
-	if err := s.tidy(found); err != nil {
+// openOrRepair opens the engine, or what a repair makes of it.
+func (s *Store) openOrRepair(mend bool, found *OpenReport) error {
+	if err := s.repairManifest(found); err != nil {
 		return fmt.Errorf("%w: %w", ErrDisk, err)
 	}
 	if !mend {
-		err := s.reopen()
+		err := s.openForWriting()
 		if err == nil || errors.Is(err, ErrDisk) {
 			return err
 		}
-		if again := s.takeTwin(found); again == nil {
-			if again = s.reopen(); again == nil || errors.Is(again, ErrDisk) {
-				return again
+		if retryErr := s.promoteMirror(found); retryErr == nil {
+			if retryErr = s.openForWriting(); retryErr == nil || errors.Is(retryErr, ErrDisk) {
+				return retryErr
 			}
 		}
 		s.log.Warn("backlog: the folder is damaged", "error", err)
-		found.Aside = append(found.Aside, err.Error())
+		found.Problems = append(found.Problems, err.Error())
 	}
 	return s.repair(found)
 }
 
-// reopen opens the engine to be written, with door held or before anyone else knows the store.
-func (s *Store) reopen() error {
-	f := s.newFiles()
-	db, err := s.engine(f, false, s.corrupt)
+// openForWriting opens the engine to be written, with door held or before anyone else knows the store.
+func (s *Store) openForWriting() error {
+	f := s.newEngineFS()
+	db, err := s.openEngine(f, false, s.onCorruption)
 	if err == nil {
-		err = s.load(db)
+		err = s.loadCounters(db)
 	}
 	if failed := f.failed(); failed != nil {
 		err = fmt.Errorf("%w: %w", ErrDisk, failed)
 	}
 	if err != nil {
 		if db != nil {
-			f.end()
+			f.shutDown()
 			db.Close()
 		}
-		if errors.Is(err, ErrDisk) || damaged(err) {
+		if errors.Is(err, ErrDisk) || isDamage(err) {
 			return err
 		}
 		return fmt.Errorf("%w: %w", ErrDamaged, err)
 	}
-	s.db, s.files, s.cause = db, f, nil
+	s.db, s.files, s.writeErr = db, f, nil
 	return nil
 }
 
-// fallBack opens the engine to be read alone, where the disk has failed under it; with door held.
-func (s *Store) fallBack() {
-	s.cause = s.files.failed()
-	s.shut()
-	f := s.newFiles()
-	f.sealed = true
-	db, err := s.engine(f, true, s.corrupt)
+// reopenReadOnly opens the engine to be read alone, where the disk has failed under it; with door held.
+func (s *Store) reopenReadOnly() {
+	s.writeErr = s.files.failed()
+	s.closeEngine()
+	f := s.newEngineFS()
+	f.readOnly = true
+	db, err := s.openEngine(f, true, s.onCorruption)
 	if err == nil {
-		err = s.load(db)
+		err = s.loadCounters(db)
 	}
 	if err != nil {
 		if db != nil {
@@ -259,59 +259,59 @@
 	s.db, s.files = db, f
 }
 
-// shut ends the engine. All that was applied is in its log, so nothing is written any more.
-func (s *Store) shut() {
+// closeEngine ends the engine. All that was applied is in its log, so nothing is written any more.
+func (s *Store) closeEngine() {
 	if s.db == nil {
 		return
 	}
-	s.files.end()
-	s.endSweep()
+	s.files.shutDown()
+	s.stopCompaction()
 	if err := s.db.Close(); err != nil {
 		s.log.Debug("backlog: engine", "error", err)
 	}
 	s.db = nil
 }
 
-// ready has the store ready to be written, and opens the folder anew if the disk has failed.
-func (s *Store) ready() error {
-	s.door.Lock()
-	defer s.door.Unlock()
+// ensureWritable has the store ensureWritable to be written, and opens the folder anew if the disk has failed.
+func (s *Store) ensureWritable() error {
+	s.dbMu.Lock()
+	defer s.dbMu.Unlock()
 	if s.closed {
 		return ErrClosed
 	}
-	if s.db != nil && !s.files.sealed {
+	if s.db != nil && !s.files.readOnly {
 		if s.files.failed() == nil {
 			return nil
 		}
-		s.fallBack()
+		s.reopenReadOnly()
 	}
-	if now := s.now(); now.Sub(s.tried) < retry {
-		return fmt.Errorf("%w: %w", ErrDisk, s.cause)
+	if now := s.now(); now.Sub(s.lastReopen) < reopenDelay {
+		return fmt.Errorf("%w: %w", ErrDisk, s.writeErr)
 	} else {
-		s.tried = now
+		s.lastReopen = now
 	}
-	was := s.cause
-	s.shut()
-	err := s.reopen()
+	previousErr := s.writeErr
+	s.closeEngine()
+	err := s.openForWriting()
 	if err == nil {
 		s.log.Info("backlog: the disk is back")
 		return nil
 	}
-	s.files = s.newFiles()
-	s.files.stop(err)
-	s.fallBack()
+	s.files = s.newEngineFS()
+	s.files.fail(err)
+	s.reopenReadOnly()
 	if !errors.Is(err, ErrDisk) {
 		err = fmt.Errorf("%w: %w", ErrDisk, err)
 	}
-	if s.cause == nil {
-		s.cause = was
+	if s.writeErr == nil {
+		s.writeErr = previousErr
 	}
 	return err
 }
 
-// load reads the counters.
-func (s *Store) load(db *pebble.DB) error {
-	dests, messages := map[int]*queue{}, 0
+// loadCounters reads the counters.
+func (s *Store) loadCounters(db *pebble.DB) error {
+	dests, messages := map[int]*destState{}, 0
 	it, err := db.NewIter(&pebble.IterOptions{LowerBound: []byte{keyCount}, UpperBound: []byte{keyCount + 1}})
 	if err != nil {
 		return err
@@ -321,14 +321,14 @@
 		if len(key) != 5 || len(value) != 8+8+idBytes {
 			return errors.Join(fmt.Errorf("%w: a counter has %d bytes", ErrDamaged, len(value)), it.Close())
 		}
-		q := &queue{int(binary.BigEndian.Uint64(value)), placeOf(value)}
+		q := &destState{int(binary.BigEndian.Uint64(value)), decodePosition(value)}
 		dests[int(binary.BigEndian.Uint32(key[1:]))] = q
 		messages += q.count
 	}
 	if err := it.Close(); err != nil {
 		return err
 	}
-	highest, low := uint32(0), lastPlace
+	highest, low := uint32(0), maxPosition
 	value, closer, err := db.Get([]byte{keyState})
 	switch {
 	case errors.Is(err, pebble.ErrNotFound):
@@ -337,31 +337,31 @@
 	case len(value) != idBytes+8+idBytes:
 		return errors.Join(fmt.Errorf("%w: the state has %d bytes", ErrDamaged, len(value)), closer.Close())
 	default:
-		highest, low = binary.BigEndian.Uint32(value), placeOf(value)
+		highest, low = binary.BigEndian.Uint32(value), decodePosition(value)
 		if err := closer.Close(); err != nil {
 			return err
 		}
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.dests, s.sorted, s.messages, s.highest, s.low, s.drops = dests, nil, messages, highest, low, map[string]bool{}
-	s.gone = messages + 1
+	s.dests, s.sortedDests, s.messages, s.highest, s.minDeadline, s.dangling = dests, nil, messages, highest, low, map[string]bool{}
+	s.removedSinceCompaction = messages + 1
 	return nil
 }
 
 // Close ends the store. What was applied stays.
 func (s *Store) Close() error {
-	s.door.Lock()
-	defer s.door.Unlock()
+	s.dbMu.Lock()
+	defer s.dbMu.Unlock()
 	s.closed = true
-	s.shut()
-	s.release()
+	s.closeEngine()
+	s.unlock()
 	return nil
 }
 
-func (s *Store) release() {
-	if s.held != nil {
-		s.held.Close()
-		s.held = nil
+func (s *Store) unlock() {
+	if s.lockFile != nil {
+		s.lockFile.Close()
+		s.lockFile = nil
 	}
 }
--- a/internal/backlog/owed/owed.go
+++ b/internal/backlog/owed/owed.go
@@ -43,15 +43,15 @@
 	Count(dest int) int
 	// Dests lists the destinations that have messages, with how many, in ascending order.
 	Dests() iter.Seq2[int, int]
-	Disk() int64 // bytes
+	DiskBytes() int64 // bytes
 	Close() error
 }
 
-// Found is what a start made of the folder.
-type Found struct {
+// OpenReport is what a start made of the folder.
+type OpenReport struct {
 	Messages int
 	MaxID    uint32   // the highest id since the store was last empty
-	Aside    []string // what could not be read, in plain words
+	Problems []string // what could not be read, in plain words
 	Lost     bool     // nothing could be read: the files were set aside, and the store begun anew
 	Rebuilt  bool     // something could not be read: what could be was written anew
 }
--- a/internal/backlog/read.go
+++ b/internal/backlog/read.go
@@ -12,50 +12,50 @@
 	"github.com/cockroachdb/pebble/v2"
 )
 
-// view has use read the engine. Where the disk has failed meanwhile, the folder is opened anew first, to be read alone.
-func (s *Store) view(use func(db *pebble.DB) error) error {
+// withEngine has use read the engine. Where the disk has failed meanwhile, the folder is opened anew first, to be read alone.
+func (s *Store) withEngine(use func(db *pebble.DB) error) error {
 	for range 2 {
-		s.door.RLock()
+		s.dbMu.RLock()
 		if s.db == nil {
-			s.door.RUnlock()
-			return s.shutReason()
+			s.dbMu.RUnlock()
+			return s.unavailable()
 		}
 		err := use(s.db)
 		failed := s.files.failed()
-		s.door.RUnlock()
+		s.dbMu.RUnlock()
 		if failed == nil {
-			return s.explain(err)
+			return s.classify(err)
 		}
-		s.door.Lock()
+		s.dbMu.Lock()
 		if s.db != nil && s.files.failed() != nil && !s.closed {
-			s.fallBack()
+			s.reopenReadOnly()
 		}
-		s.door.Unlock()
+		s.dbMu.Unlock()
 	}
 	return fmt.Errorf("%w", ErrDisk)
 }
 
-func (s *Store) shutReason() error {
+func (s *Store) unavailable() error {
 	if s.closed {
 		return ErrClosed
 	}
 	return fmt.Errorf("%w: the folder can't be opened", ErrDisk)
 }
 
-// explain wraps an error of the engine: what is there and is wrong is damage, all else is the disk's failure.
-func (s *Store) explain(err error) error {
+// classify wraps an error of the engine: what is there and is wrong is damage, all else is the disk's failure.
+func (s *Store) classify(err error) error {
 	switch {
 	case err == nil || errors.Is(err, ErrDamaged) || errors.Is(err, ErrDisk):
 		return err
-	case !damaged(err):
+	case !isDamage(err):
 		return fmt.Errorf("%w: %w", ErrDisk, err)
 	}
-	s.mend()
+	s.requestRepair()
 	return fmt.Errorf("%w: %w", ErrDamaged, err)
 }
 
-// damaged tells an error that reading again can't change.
-func damaged(err error) bool {
+// isDamage tells an error that reading again can't change.
+func isDamage(err error) bool {
 	return errors.Is(err, ErrDamaged) || pebble.IsCorruptionError(err) || errors.Is(err, fs.ErrNotExist) ||
 		errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF)
 }
@@ -69,13 +69,13 @@
 		return Entry{}, false, err
 	}
 	defer closer.Close()
-	e, err = readRecord(id, b)
+	e, err = decodeRecord(id, b)
 	return e, err == nil, err
 }
 
 // Get returns a message.
 func (s *Store) Get(id uint32) (e Entry, ok bool, err error) {
-	err = s.view(func(db *pebble.DB) error {
+	err = s.withEngine(func(db *pebble.DB) error {
 		e, ok, err = get(db, id)
 		return err
 	})
@@ -84,19 +84,19 @@
 
 // Find returns the message that has a trace; the one of the least id, if there are more.
 func (s *Store) Find(trace string) (r Ref, ok bool, err error) {
-	err = s.view(func(db *pebble.DB) error {
+	err = s.withEngine(func(db *pebble.DB) error {
 		prefix := tracePrefix(trace)
-		it, err := db.NewIter(&pebble.IterOptions{LowerBound: prefix, UpperBound: after(prefix)})
+		it, err := db.NewIter(&pebble.IterOptions{LowerBound: prefix, UpperBound: prefixEnd(prefix)})
 		if err != nil {
 			return err
 		}
 		defer it.Close()
 		for good := it.SeekPrefixGE(prefix); good; good = it.Next() {
 			key := it.Key()
-			if len(key) != tracePlace+idBytes {
+			if len(key) != tracePrefixLen+idBytes {
 				continue
 			}
-			e, there, err := get(db, binary.BigEndian.Uint32(key[tracePlace:]))
+			e, there, err := get(db, binary.BigEndian.Uint32(key[tracePrefixLen:]))
 			if err != nil {
 				return err
 			}
@@ -110,8 +110,8 @@
 	return r, ok, err
 }
 
-// after is the least key that is greater than all that begin with prefix.
-func after(prefix []byte) []byte {
+// prefixEnd is the least key that is greater than all that begin with prefix.
+func prefixEnd(prefix []byte) []byte {
 	end := append([]byte(nil), prefix...)
 	for i := len(end) - 1; i >= 0; i-- {
 		if end[i]++; end[i] != 0 {
@@ -121,20 +121,20 @@
 	return nil
 }
 
-// row reads the messages that an index lists from a key to another, n at most, for as long as wanted says so. It returns
+// scanIndex reads the messages that an index lists from a key to another, n at most, for as long as wanted says so. It returns
 // the place of the first key there is, lastPlace if there is none. A message whose record can't be read is passed over and
 // noted, as is an entry of the index without a message.
-func (s *Store) row(from, to []byte, n int, wanted func(place) bool) (all []Entry, first place, err error) {
-	err = s.view(func(db *pebble.DB) error {
-		all, first = nil, lastPlace
+func (s *Store) scanIndex(from, to []byte, n int, wanted func(position) bool) (all []Entry, first position, err error) {
+	err = s.withEngine(func(db *pebble.DB) error {
+		all, first = nil, maxPosition
 		it, err := db.NewIter(&pebble.IterOptions{LowerBound: from, UpperBound: to})
 		if err != nil {
 			return err
 		}
 		defer it.Close()
 		for good := it.First(); good; good = it.Next() {
-			p := placeOf(it.Key())
-			if first == lastPlace {
+			p := decodePosition(it.Key())
+			if first == maxPosition {
 				first = p
 			}
 			if len(all) >= n || !wanted(p) {
@@ -142,12 +142,12 @@
 			}
 			e, ok, err := get(db, p.id)
 			switch {
-			case err != nil && (s.files.failed() != nil || !damaged(err)):
+			case err != nil && (s.files.failed() != nil || !isDamage(err)):
 				return err
 			case err != nil:
-				s.noteDrop(it.Key(), true, fmt.Sprintf("message %d can't be read: %v", p.id, err))
-			case !ok || !finds(it.Key(), e.Ref):
-				s.noteDrop(it.Key(), false, fmt.Sprintf("message %d is listed and not there", p.id))
+				s.noteDangling(it.Key(), true, fmt.Sprintf("message %d can't be read: %v", p.id, err))
+			case !ok || !isIndexKeyOf(it.Key(), e.Ref):
+				s.noteDangling(it.Key(), false, fmt.Sprintf("message %d is listed and not there", p.id))
 			default:
 				all = append(all, e)
 			}
@@ -165,14 +165,14 @@
 		s.mu.Unlock()
 		return nil, nil
 	}
-	low := q.low
+	low := q.minRank
 	s.mu.Unlock()
-	all, first, err := s.row(destKey(dest, low), after(destKey(dest, place{})[:5]), n, func(place) bool { return true })
+	all, first, err := s.scanIndex(destKey(dest, low), prefixEnd(destKey(dest, position{})[:5]), n, func(position) bool { return true })
 	if err != nil {
 		return nil, err
 	}
 	s.mu.Lock()
-	q.low = first
+	q.minRank = first
 	s.mu.Unlock()
 	return all, nil
 }
@@ -180,14 +180,14 @@
 // Due returns the messages whose deadline is by or before, soonest first, n at most. It reads no others.
 func (s *Store) Due(by int64, n int) ([]Entry, error) {
 	s.mu.Lock()
-	low := s.low
+	low := s.minDeadline
 	s.mu.Unlock()
-	all, first, err := s.row(deadlineKey(low), []byte{keyDeadline + 1}, n, func(p place) bool { return p.time <= by })
+	all, first, err := s.scanIndex(deadlineKey(low), []byte{keyDeadline + 1}, n, func(p position) bool { return p.time <= by })
 	if err != nil {
 		return nil, err
 	}
 	s.mu.Lock()
-	s.low = first
+	s.minDeadline = first
 	s.mu.Unlock()
 	return all, nil
 }
@@ -199,20 +199,20 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.low.time, s.low != lastPlace, nil
+	return s.minDeadline.time, s.minDeadline != maxPosition, nil
 }
 
-// finds tells whether a key of an index is that of a message.
-func finds(key []byte, r Ref) bool {
+// isIndexKeyOf tells whether a key of an index is that of a message.
+func isIndexKeyOf(key []byte, r Ref) bool {
 	return slices.ContainsFunc(indexKeys(r), func(k []byte) bool { return bytes.Equal(k, key) })
 }
 
-// noteDrop has the next Apply remove a key of an index.
-func (s *Store) noteDrop(key []byte, record bool, why string) {
+// noteDangling has the next Apply remove a key of an index.
+func (s *Store) noteDangling(key []byte, record bool, why string) {
 	s.mu.Lock()
-	_, ok := s.drops[string(key)]
+	_, ok := s.dangling[string(key)]
 	if !ok {
-		s.drops[string(key)] = record
+		s.dangling[string(key)] = record
 	}
 	s.mu.Unlock()
 	if !ok {
@@ -223,8 +223,8 @@
 func (s *Store) noteDamage(what string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if len(s.damage) < 100 {
-		s.damage = append(s.damage, what)
+	if len(s.damageNotes) < 100 {
+		s.damageNotes = append(s.damageNotes, what)
 	}
 	s.log.Warn("backlog: damage", "what", what)
 }
--- a/internal/backlog/repair.go
+++ b/internal/backlog/repair.go
@@ -16,57 +16,57 @@
 
 // repair writes a new generation of what can be read of the old one. It takes the disk for both while it goes on. A process
 // that ends in its midst leaves the old one as it was.
-func (s *Store) repair(found *Found) error {
-	old := s.newFiles()
-	old.sealed = true
-	bad := map[string]bool{} // files of the old generation to be set aside
-	from, logs, err := s.openDamaged(old, bad, found)
+func (s *Store) repair(found *OpenReport) error {
+	old := s.newEngineFS()
+	old.readOnly = true
+	damagedFiles := map[string]bool{} // files of the old generation to be set aside
+	from, logs, err := s.openDamaged(old, damagedFiles, found)
 	if err != nil {
 		found.Lost = true
-		found.Aside = append(found.Aside, fmt.Sprintf("nothing can be read, the store is begun anew: %v", err))
+		found.Problems = append(found.Problems, fmt.Sprintf("nothing can be read, the store is begun anew: %v", err))
 	}
 	names, err := s.fs.Names()
 	if err != nil {
 		return fmt.Errorf("%w: %w", ErrDisk, err)
 	}
-	s.gen++
+	s.generation++
 	if err := s.rewrite(from, logs, found); err != nil {
-		s.gen--
+		s.generation--
 		return err
 	}
-	if err := s.own(); err != nil {
+	if err := s.writeOwner(); err != nil {
 		return err
 	}
 	for _, name := range names {
-		gen, ours := genOf(name)
-		if !ours && name != mendName || ours && gen >= s.gen {
+		gen, ours := parseGeneration(name)
+		if !ours && name != repairName || ours && gen >= s.generation {
 			continue
 		}
-		if kept := ours && (found.Lost || bad[name]) && s.keep(name); kept {
-			found.Aside = append(found.Aside, asideStart+name)
+		if kept := ours && (found.Lost || damagedFiles[name]) && s.setAside(name); kept {
+			found.Problems = append(found.Problems, damagedPrefix+name)
 			continue
 		}
 		if err := s.fs.Remove(name); err != nil {
 			return fmt.Errorf("%w: %w", ErrDisk, err)
 		}
-		s.usage.drop(name)
+		s.usage.remove(name)
 	}
 	found.Rebuilt = true
-	return s.reopen()
+	return s.openForWriting()
 }
 
-// keep sets a damaged file aside, if there is room for it.
-func (s *Store) keep(name string) bool {
-	to := asideStart + name
+// setAside sets a damaged file aside, if there is room for it.
+func (s *Store) setAside(name string) bool {
+	to := damagedPrefix + name
 	s.usage.mu.Lock()
 	sum := s.usage.sizes[name]
 	for n, size := range s.usage.sizes {
-		if strings.HasPrefix(n, asideStart) {
+		if strings.HasPrefix(n, damagedPrefix) {
 			sum += size
 		}
 	}
 	s.usage.mu.Unlock()
-	if sum > s.o.Limit/shareAside || s.fs.Rename(name, to) != nil {
+	if sum > s.opts.Limit/damagedShare || s.fs.Rename(name, to) != nil {
 		return false
 	}
 	s.usage.rename(name, to)
@@ -76,11 +76,11 @@
 // openDamaged opens what can be opened of the engine's files, to be read alone: first all; then without the options, which
 // tell nothing that is needed; then without its newest logs, one more at a time. These are returned, to be read by
 // themselves: an old log that no longer counts stops no start, and is not among them.
-func (s *Store) openDamaged(f *files, bad map[string]bool, found *Found) (db *pebble.DB, logs []string, err error) {
+func (s *Store) openDamaged(f *engineFS, damagedFiles map[string]bool, found *OpenReport) (db *pebble.DB, logs []string, err error) {
 	corrupt := func(file string, _ error) {
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		bad[f.name(file)] = true
+		damagedFiles[f.name(file)] = true
 	}
 	names, err := f.List("")
 	if err != nil {
@@ -93,20 +93,20 @@
 		}
 	}
 	slices.Sort(all)
-	if db, err = s.engine(f, true, corrupt); err == nil {
+	if db, err = s.openEngine(f, true, corrupt); err == nil {
 		return db, nil, nil
 	}
-	found.Aside = append(found.Aside, err.Error())
+	found.Problems = append(found.Problems, err.Error())
 	for _, name := range names {
 		if strings.HasPrefix(name, "OPTIONS-") {
 			f.hide(name)
 		}
 	}
 	for {
-		if db, err = s.engine(f, true, corrupt); err == nil {
+		if db, err = s.openEngine(f, true, corrupt); err == nil {
 			slices.Reverse(logs)
 			if len(logs) > 0 {
-				bad[f.name(logs[0])] = true
+				damagedFiles[f.name(logs[0])] = true
 			}
 			return db, logs, nil
 		}
@@ -120,28 +120,28 @@
 }
 
 // rewrite fills the new generation.
-func (s *Store) rewrite(from *pebble.DB, logs []string, found *Found) (err error) {
+func (s *Store) rewrite(from *pebble.DB, logs []string, found *OpenReport) (err error) {
 	if from != nil {
 		defer from.Close()
 	}
-	f := s.newFiles()
-	to, err := s.engine(f, false, s.corrupt)
+	f := s.newEngineFS()
+	to, err := s.openEngine(f, false, s.onCorruption)
 	if err != nil {
 		return fmt.Errorf("%w: %w", ErrDisk, errors.Join(err, f.failed()))
 	}
 	defer func() {
-		f.end()
+		f.shutDown()
 		to.Close()
 	}()
 	if from != nil {
 		if err := s.copyMessages(from, to, found); err != nil {
 			return fmt.Errorf("%w: %w", ErrDisk, errors.Join(err, f.failed()))
 		}
-		if err := s.replay(logs, to, found); err != nil {
+		if err := s.replayLogs(logs, to, found); err != nil {
 			return fmt.Errorf("%w: %w", ErrDisk, errors.Join(err, f.failed()))
 		}
 	}
-	if err := recount(to); err != nil {
+	if err := rebuildCounters(to); err != nil {
 		return fmt.Errorf("%w: %w", ErrDisk, errors.Join(err, f.failed()))
 	}
 	if failed := f.failed(); failed != nil {
@@ -152,7 +152,7 @@
 
 // copyMessages copies the records that can be read, with keys that find them. What can't be read is a range of ids: it is
 // passed over whole, so that nothing that was removed comes back.
-func (s *Store) copyMessages(from, to *pebble.DB, found *Found) error {
+func (s *Store) copyMessages(from, to *pebble.DB, found *OpenReport) error {
 	const batch = 256
 	b := to.NewBatch()
 	commit := func() error {
@@ -163,7 +163,7 @@
 	}
 	defer func() { b.Close() }()
 	for next := uint64(0); next <= math.MaxUint32; {
-		last, err := scan(from, uint32(next), func(e Entry) error {
+		last, err := scanRecords(from, uint32(next), func(e Entry) error {
 			if err := b.Set(messageKey(e.ID), appendRecord(nil, e), nil); err != nil {
 				return err
 			}
@@ -184,8 +184,8 @@
 		if err == nil {
 			break
 		}
-		after := beyond(from, last)
-		found.Aside = append(found.Aside, fmt.Sprintf("messages %d to %d can't be read: %v", last, after-1, err))
+		after := nextReadable(from, last)
+		found.Problems = append(found.Problems, fmt.Sprintf("messages %d to %d can't be read: %v", last, after-1, err))
 		next = after
 	}
 	return commit()
@@ -194,8 +194,8 @@
 // writeError is a failure of whoever took what was read.
 type writeError struct{ error }
 
-// scan reads the records from an id on. It returns the first id that it could not read, with the error.
-func scan(db *pebble.DB, id uint32, take func(Entry) error) (uint32, error) {
+// scanRecords reads the records from an id on. It returns the first id that it could not read, with the error.
+func scanRecords(db *pebble.DB, id uint32, take func(Entry) error) (uint32, error) {
 	it, err := db.NewIter(&pebble.IterOptions{LowerBound: messageKey(id), UpperBound: []byte{keyMessage + 1}})
 	if err != nil {
 		return id, err
@@ -207,7 +207,7 @@
 		if err != nil {
 			return id, err
 		}
-		e, err := readRecord(id, value)
+		e, err := decodeRecord(id, value)
 		if err != nil {
 			return id, err
 		}
@@ -219,9 +219,9 @@
 	return id, it.Error()
 }
 
-// beyond finds the least id above one that can't be read from which on something can, or there is nothing: by steps that
+// nextReadable finds the least id above one that can't be read from which on something can, or there is nothing: by steps that
 // double, then by halves.
-func beyond(db *pebble.DB, id uint32) uint64 {
+func nextReadable(db *pebble.DB, id uint32) uint64 {
 	reads := func(id uint64) bool {
 		if id > math.MaxUint32 {
 			return true
@@ -252,13 +252,13 @@
 	return high
 }
 
-// replay applies what these logs of the old generation hold, each up to the first piece of it that can't be read.
-func (s *Store) replay(names []string, to *pebble.DB, found *Found) error {
+// replayLogs applies what these logs of the old generation hold, each up to the first piece of it that can't be read.
+func (s *Store) replayLogs(names []string, to *pebble.DB, found *OpenReport) error {
 	if len(names) == 0 {
 		return nil
 	}
-	old := s.newFiles()
-	old.prefix, old.sealed = prefixOf(s.gen-1), true
+	old := s.newEngineFS()
+	old.prefix, old.readOnly = generationPrefix(s.generation-1), true
 	logs, err := wal.Scan(wal.Dir{FS: old, Dirname: "/"})
 	if err != nil {
 		return err
@@ -273,7 +273,7 @@
 		if errors.As(err, &stop) {
 			return stop
 		} else if err != nil {
-			found.Aside = append(found.Aside, fmt.Sprintf("what follows in %s can't be read: %v", path.Base(file), err))
+			found.Problems = append(found.Problems, fmt.Sprintf("what follows in %s can't be read: %v", path.Base(file), err))
 		}
 	}
 	return nil
@@ -283,13 +283,13 @@
 	r := l.OpenForRead()
 	defer r.Close()
 	for {
-		one, _, err := r.NextRecord()
+		rec, _, err := r.NextRecord()
 		if errors.Is(err, io.EOF) {
 			return nil
 		} else if err != nil {
 			return err
 		}
-		data, err := io.ReadAll(one)
+		data, err := io.ReadAll(rec)
 		if err != nil {
 			return err
 		}
@@ -303,44 +303,44 @@
 	}
 }
 
-// recount writes the counters by what the indexes hold.
-func recount(db *pebble.DB) error {
+// rebuildCounters writes the counters by what the indexes hold.
+func rebuildCounters(db *pebble.DB) error {
 	b := db.NewBatch()
 	defer b.Close()
 	if err := b.DeleteRange([]byte{keyCount}, []byte{keyCount + 1}, nil); err != nil {
 		return err
 	}
-	err := eachDest(db, func(dest int, q queue) error {
-		return b.Set(countKey(dest), appendPlace(binary.BigEndian.AppendUint64(nil, uint64(q.count)), q.low), nil)
+	err := forEachDest(db, func(dest int, q destState) error {
+		return b.Set(countKey(dest), appendPosition(binary.BigEndian.AppendUint64(nil, uint64(q.count)), q.minRank), nil)
 	})
 	if err != nil {
 		return err
 	}
-	highest, low := uint32(0), lastPlace
+	highest, low := uint32(0), maxPosition
 	it, err := db.NewIter(&pebble.IterOptions{LowerBound: []byte{keyMessage}, UpperBound: []byte{keyMessage + 1}})
 	if err != nil {
 		return err
 	}
 	if it.Last() {
-		highest, low = binary.BigEndian.Uint32(it.Key()[1:]), place{math.MinInt64, 0}
+		highest, low = binary.BigEndian.Uint32(it.Key()[1:]), position{math.MinInt64, 0}
 	}
 	if err := it.Close(); err != nil {
 		return err
 	}
-	if err := b.Set([]byte{keyState}, appendPlace(binary.BigEndian.AppendUint32(nil, highest), low), nil); err != nil {
+	if err := b.Set([]byte{keyState}, appendPosition(binary.BigEndian.AppendUint32(nil, highest), low), nil); err != nil {
 		return err
 	}
 	return b.Commit(pebble.Sync)
 }
 
-// eachDest counts the index of destinations.
-func eachDest(db *pebble.DB, tell func(dest int, q queue) error) error {
+// forEachDest counts the index of destinations.
+func forEachDest(db *pebble.DB, tell func(dest int, q destState) error) error {
 	it, err := db.NewIter(&pebble.IterOptions{LowerBound: []byte{keyDest}, UpperBound: []byte{keyDest + 1}})
 	if err != nil {
 		return err
 	}
 	defer it.Close()
-	at, q := -1, queue{}
+	at, q := -1, destState{}
 	for good := it.First(); good; good = it.Next() {
 		if dest := int(binary.BigEndian.Uint32(it.Key()[1:])); dest != at {
 			if q.count > 0 {
@@ -348,7 +348,7 @@
 					return err
 				}
 			}
-			at, q = dest, queue{low: placeOf(it.Key())}
+			at, q = dest, destState{minRank: decodePosition(it.Key())}
 		}
 		q.count++
 	}
@@ -358,15 +358,15 @@
 	return tell(at, q)
 }
 
-// mend has the next start repair the folder.
-func (s *Store) mend() {
-	if f, err := s.fs.Open(mendName); err == nil {
+// requestRepair has the next start repair the folder.
+func (s *Store) requestRepair() {
+	if f, err := s.fs.Open(repairName); err == nil {
 		f.Close()
 	}
 }
 
-// corrupt is told by the engine of a file that it can't read.
-func (s *Store) corrupt(file string, err error) {
+// onCorruption is told by the engine of a file that it can't read.
+func (s *Store) onCorruption(file string, err error) {
 	s.noteDamage(fmt.Sprintf("%s can't be read: %v", path.Base(file), err))
-	s.mend()
+	s.requestRepair()
 }
--- a/internal/backlog/size_test.go
+++ b/internal/backlog/size_test.go
@@ -24,8 +24,8 @@
 	sizeDrain    = flag.Int("drain", 10_000, "messages that are removed, most urgent first")
 )
 
-// owing draws a message as a relay would keep it: 400 bytes, half of them random, handed in 4 ms after the one before.
-func owing(rng *rand.Rand, id uint32, dests int) Entry {
+// sampleEntry draws a message as a relay would keep it: 400 bytes, half of them random, handed in 4 ms after the one before.
+func sampleEntry(rng *rand.Rand, id uint32, dests int) Entry {
 	rank := 1_700_000_000_000_000_000 + int64(id)*4_000_000
 	data := make([]byte, 400)
 	for i := 0; i < 200; i++ {
@@ -39,16 +39,16 @@
 
 func sizeOptions(dir string) Options { return Options{Dir: dir, Name: "n3", Limit: 16 << 30} }
 
-// took keeps how long something took.
-type took []time.Duration
+// durations keeps how long something durations.
+type durations []time.Duration
 
-func (t *took) time(do func()) {
+func (t *durations) time(do func()) {
 	began := time.Now()
 	do()
 	*t = append(*t, time.Since(began))
 }
 
-func (t took) String() string {
+func (t durations) String() string {
 	slices.Sort(t)
 	if len(t) == 0 {
 		return "none"
@@ -60,8 +60,8 @@
 	return fmt.Sprintf("mean %v, median %v, p99 %v, most %v", sum/time.Duration(len(t)), t[len(t)/2], t[len(t)*99/100], t[len(t)-1])
 }
 
-// usedNow is the heap after a collection, what is resident and the most that was, and the processor time, all of this process.
-func usedNow() string {
+// resourceUsage is the heap after a collection, what is resident and the most that was, and the processor time, all of this process.
+func resourceUsage() string {
 	runtime.GC()
 	debug.FreeOSMemory()
 	var m runtime.MemStats
@@ -74,10 +74,10 @@
 		}
 	}
 	files, _ := os.ReadDir("/proc/self/fd")
-	return fmt.Sprintf("heap %d kB,%s, %d descriptors, processor time %v", m.HeapAlloc>>10, resident, len(files), processor())
+	return fmt.Sprintf("heap %d kB,%s, %d descriptors, processor time %v", m.HeapAlloc>>10, resident, len(files), cpuTime())
 }
 
-func processor() time.Duration {
+func cpuTime() time.Duration {
 	var r syscall.Rusage
 	syscall.Getrusage(syscall.RUSAGE_SELF, &r)
 	return time.Duration(r.Utime.Nano() + r.Stime.Nano())
@@ -104,12 +104,12 @@
 		return err
 	}
 	rng := rand.New(rand.NewPCG(uint64(found.MaxID), 9))
-	var applies took
-	began, cpu := time.Now(), processor()
+	var applies durations
+	began, cpu := time.Now(), cpuTime()
 	for id := found.MaxID + 1; s.Len() < *sizeMessages && time.Since(began) < *sizeFor; {
 		put := make([]Entry, 0, 256)
 		for range min(256, *sizeMessages-s.Len()) {
-			put = append(put, owing(rng, id, *sizeDests))
+			put = append(put, sampleEntry(rng, id, *sizeDests))
 			id++
 		}
 		applies.time(func() { err = s.Apply(put, nil) })
@@ -118,8 +118,8 @@
 		}
 	}
 	fmt.Printf("filled %d to %d in %v, processor time %v; Apply(256): %v\n", found.Messages, s.Len(),
-		time.Since(began).Round(time.Millisecond), processor()-cpu, applies)
-	fmt.Println("filling:", usedNow())
+		time.Since(began).Round(time.Millisecond), cpuTime()-cpu, applies)
+	fmt.Println("filling:", resourceUsage())
 	return nil
 }
 
@@ -137,19 +137,19 @@
 	if child.ProcessState.Sys().(syscall.WaitStatus).Signal() != syscall.SIGKILL {
 		t.Fatal(err)
 	}
-	before, cpu, began := usedNow(), processor(), time.Now()
+	before, cpu, began := resourceUsage(), cpuTime(), time.Now()
 	s, found := mustOpen(t, sizeOptions(dir))
 	t.Logf("before: %s", before)
 	t.Logf("open after a kill: %v, processor time %v; %d messages, %d bytes on disk each",
-		time.Since(began), processor()-cpu, found.Messages, s.Disk()/int64(max(1, found.Messages)))
-	t.Logf("open: %s", usedNow())
-	if len(found.Aside) > 0 || found.Messages == 0 {
+		time.Since(began), cpuTime()-cpu, found.Messages, s.DiskBytes()/int64(max(1, found.Messages)))
+	t.Logf("open: %s", resourceUsage())
+	if len(found.Problems) > 0 || found.Messages == 0 {
 		t.Fatalf("found %+v", found)
 	}
 	if found.Messages < *sizeMessages {
 		t.Skipf("%d messages of %d so far", found.Messages, *sizeMessages)
 	}
-	var hits, misses, firsts, dues, applies took
+	var hits, misses, firsts, dues, applies durations
 	rng := rand.New(rand.NewPCG(1, 1))
 	for range 2000 {
 		e, ok, err := s.Get(1 + rng.Uint32N(found.MaxID))
@@ -170,29 +170,29 @@
 	}
 	t.Logf("Find, there: %v", hits)
 	t.Logf("Find, not there: %v", misses)
-	t.Logf("read: %s", usedNow())
+	t.Logf("read: %s", resourceUsage())
 	now := int64(0)
 	drained := 0
 	for next := found.MaxID + 1; drained < *sizeDrain; {
-		var all []Entry
+		var entries []Entry
 		var err error
-		firsts.time(func() { all, err = s.First(rng.IntN(*sizeDests), 256) })
+		firsts.time(func() { entries, err = s.First(rng.IntN(*sizeDests), 256) })
 		if err != nil {
 			t.Fatal(err)
 		}
 		var remove []Ref
 		var put []Entry
-		for _, e := range all {
+		for _, e := range entries {
 			remove = append(remove, e.Ref)
-			put = append(put, owing(rng, next, *sizeDests))
+			put = append(put, sampleEntry(rng, next, *sizeDests))
 			next++
 		}
-		drained += len(all)
+		drained += len(entries)
 		applies.time(func() { err = s.Apply(put, remove) })
 		if err != nil {
 			t.Fatal(err)
 		}
-		dues.time(func() { all, err = s.Due(now, 256) })
+		dues.time(func() { entries, err = s.Due(now, 256) })
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -204,7 +204,7 @@
 	t.Logf("%d removed and put; First(256): %v", drained, firsts)
 	t.Logf("Apply(256 put, 256 removed): %v", applies)
 	t.Logf("Due(256): %v", dues)
-	t.Logf("%d messages, %d bytes on disk each; %s", s.Len(), s.Disk()/int64(s.Len()), usedNow())
+	t.Logf("%d messages, %d bytes on disk each; %s", s.Len(), s.DiskBytes()/int64(s.Len()), resourceUsage())
 	began = time.Now()
 	s.Close()
 	t.Logf("closed in %v", time.Since(began))
--- a/internal/backlog/sweep.go
+++ b/internal/backlog/sweep.go
@@ -7,37 +7,37 @@
 	"github.com/cockroachdb/pebble/v2"
 )
 
-// shareSwept is the share of what is owed that has to have gone before a full store is swept.
-const shareSwept = 8
+// compactionThreshold is the share of what is owed that has to have gone before a full store is swept.
+const compactionThreshold = 8
 
-// sweep is a compaction under way of all that is on disk.
-type sweep struct {
+// compactionJob is a compaction under way of all that is on disk.
+type compactionJob struct {
 	cancel context.CancelFunc
 	done   chan struct{}
 }
 
-// sweepIfWorth has the room of what was removed given back, where the store is full: the engine does so by itself only as more is
+// compactIfWorthwhile has the room of what was removed given back, where the store is full: the engine does so by itself only as more is
 // written, which a full store refuses. One goes on at a time, and none if little was removed since the last. It ends with
 // the engine.
-func (s *Store) sweepIfWorth() {
+func (s *Store) compactIfWorthwhile() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.gone*shareSwept <= s.messages || s.sweeping != nil {
+	if s.removedSinceCompaction*compactionThreshold <= s.messages || s.compaction != nil {
 		return
 	}
-	s.gone = 0
+	s.removedSinceCompaction = 0
 	ctx, cancel := context.WithCancel(context.Background())
-	w := &sweep{cancel, make(chan struct{})}
-	s.sweeping = w
+	job := &compactionJob{cancel, make(chan struct{})}
+	s.compaction = job
 	db := s.db
 	go func() {
-		defer close(w.done)
+		defer close(job.done)
 		if err := compactAll(ctx, db); err != nil {
 			s.log.Debug("backlog: a compaction was given up", "error", err)
 		}
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		s.sweeping = nil
+		s.compaction = nil
 	}()
 }
 
@@ -52,7 +52,7 @@
 		if len(level) == 0 {
 			continue
 		}
-		for i := baseFiles; i < len(level); i += baseFiles {
+		for i := baseLevelTables; i < len(level); i += baseLevelTables {
 			bounds = append(bounds, slices.Clone(level[i].Smallest.UserKey))
 		}
 		break
@@ -69,13 +69,13 @@
 	return nil
 }
 
-// endSweep has a sweep end, and waits for it.
-func (s *Store) endSweep() {
+// stopCompaction has a sweep end, and waits for it.
+func (s *Store) stopCompaction() {
 	s.mu.Lock()
-	w := s.sweeping
+	job := s.compaction
 	s.mu.Unlock()
-	if w != nil {
-		w.cancel()
-		<-w.done
+	if job != nil {
+		job.cancel()
+		<-job.done
 	}
 }
--- a/internal/clock/clock_testbed.go
+++ b/internal/clock/clock_testbed.go
@@ -11,7 +11,7 @@
 
 // The wall clock is off by what the testbed's file says; the monotonic one runs on.
 func init() {
-	if f := faultfile.Named(); f != nil {
-		SetSource(func() time.Time { return wallshift.Shift(time.Now(), f.Now().Wall) })
+	if f := faultfile.FromEnv(); f != nil {
+		SetSource(func() time.Time { return wallshift.Shift(time.Now(), f.Current().WallSeconds) })
 	}
 }
--- a/internal/faultfile/faultfile.go
+++ b/internal/faultfile/faultfile.go
@@ -21,8 +21,8 @@
 // Env names the variable that names the file.
 const Env = "IVYGAUGE_TESTBED_FAULTS"
 
-// poll is how often the file is read.
-const poll = 20 * time.Millisecond
+// pollInterval is how often the file is read.
+const pollInterval = 20 * time.Millisecond
 
 // Errnos are the errors that a rule may name.
 var Errnos = map[string]syscall.Errno{
@@ -42,9 +42,9 @@
 
 // Rules are what a file says.
 type Rules struct {
-	Wall  int64 // seconds by which the wall clock is off
-	Short int   // bytes that a read or write of a socket moves at most; 0: as many as there are
-	Rules []Rule
+	WallSeconds int64 // seconds by which the wall clock is off
+	MaxIO       int   // bytes that a read or write of a socket moves at most; 0: as many as there are
+	Rules       []Rule
 }
 
 // Parse reads rules. What it can't read it leaves out, and tells of.
@@ -58,9 +58,9 @@
 		switch {
 		case len(words) == 2 && words[0] == "wall":
 			number, err = strconv.ParseInt(words[1], 10, 64)
-			r.Wall = number
+			r.WallSeconds = number
 		case len(words) == 2 && words[0] == "short":
-			r.Short, err = strconv.Atoi(words[1])
+			r.MaxIO, err = strconv.Atoi(words[1])
 		case len(words) >= 3 && Errnos[words[1]] != 0:
 			rule := Rule{Call: words[0], Errno: Errnos[words[1]]}
 			if rule.Every, err = strconv.Atoi(words[2]); len(words) > 3 {
@@ -84,23 +84,23 @@
 	calls  map[string]int
 }
 
-// Named is the file that the environment names; nil if it names none.
-var Named = sync.OnceValue(func() *File {
+// FromEnv is the file that the environment names; nil if it names none.
+var FromEnv = sync.OnceValue(func() *File {
 	if path := os.Getenv(Env); path != "" {
 		return &File{path: path, calls: map[string]int{}}
 	}
 	return nil
 })
 
-// Now is what the file says now.
-func (f *File) Now() Rules {
+// Current is what the file says now.
+func (f *File) Current() Rules {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.now()
+	return f.reload()
 }
 
-func (f *File) now() Rules {
-	if now := time.Now(); f.readAt.IsZero() || now.Sub(f.readAt) >= poll {
+func (f *File) reload() Rules {
+	if now := time.Now(); f.readAt.IsZero() || now.Sub(f.readAt) >= pollInterval {
 		f.readAt = now
 		if text, err := os.ReadFile(f.path); err == nil {
 			f.rules, _ = Parse(string(text))
@@ -113,7 +113,7 @@
 func (f *File) Next(call string) Rule {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	for _, rule := range f.now().Rules {
+	for _, rule := range f.reload().Rules {
 		if rule.Call != call {
 			continue
 		}
--- a/internal/invariant/fatal.go
+++ b/internal/invariant/fatal.go
@@ -2,5 +2,5 @@
 
 package invariant
 
-// fatal is nil: a relay in service counts a violation and goes on.
-var fatal func(string)
+// violationHook is nil: a relay in service counts a violation and goes on.
+var violationHook func(string)
--- a/internal/invariant/fatal_testbed.go
+++ b/internal/invariant/fatal_testbed.go
@@ -2,5 +2,5 @@
 
 package invariant
 
-// fatal ends the process: the testbed's judge takes that for a crash, and the log's last line says why.
-var fatal = func(text string) { panic(text) }
+// violationHook ends the process: the testbed's judge takes that for a crash, and the log's last line says why.
+var violationHook = func(text string) { panic(text) }
--- a/internal/program/files.go
+++ b/internal/program/files.go
@@ -4,8 +4,8 @@
 
 import "onyxroad.dev/onyxroad/internal/disk"
 
-// files is the state folder.
-func files(dir string) (disk.FS, error) { return disk.Dir(dir), nil }
+// openStateDisk is the state folder.
+func openStateDisk(dir string) (disk.FS, error) { return disk.Dir(dir), nil }
 
-// backlogFiles is the backlog's folder; nil: the operating system's.
-func backlogFiles(string) (disk.FS, error) { return nil, nil }
+// openBacklogDisk is the backlog's folder; nil: the operating system's.
+func openBacklogDisk(string) (disk.FS, error) { return nil, nil }
--- a/internal/program/files_testbed.go
+++ b/internal/program/files_testbed.go
@@ -11,9 +11,9 @@
 	"onyxroad.dev/onyxroad/internal/faultfile"
 )
 
-// files is the state folder on the testbed's emulated disk, in a build that the testbed makes for itself.
-func files(dir string) (disk.FS, error) {
-	if f := faultfile.Named(); f != nil {
+// openStateDisk is the state folder on the testbed's emulated disk, in a build that the testbed makes for itself.
+func openStateDisk(dir string) (disk.FS, error) {
+	if f := faultfile.FromEnv(); f != nil {
 		return f.Disk(disk.Dir(dir)), nil
 	}
 	if trace := os.Getenv(tracedisk.Env); trace != "" {
@@ -26,8 +26,8 @@
 	return disk.Dir(dir), nil
 }
 
-// backlogFiles is the backlog's folder on the same emulated disk, with a trace of its own beside the other.
-func backlogFiles(dir string) (disk.FS, error) {
+// openBacklogDisk is the backlog's folder on the same emulated disk, with a trace of its own beside the other.
+func openBacklogDisk(dir string) (disk.FS, error) {
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return nil, err
 	}
--- a/internal/program/program.go
+++ b/internal/program/program.go
@@ -45,11 +45,11 @@
 Exit: 0 after SIGTERM, 1 if it could not start or go on, 2 for wrong use.
 `
 
-// Fleet is the program beside this one that has what membership and a backlog take.
-const Fleet = "cherrytrestle-fleet"
+// FleetProgram is the program beside this one that has what membership and a backlog take.
+const FleetProgram = "cherrytrestle-fleet"
 
-// Parts are what the program is given that only some relays need. None is in the program that starts Fleet in its place.
-type Parts struct {
+// Components are what the program is given that only some relays need. None is in the program that starts Fleet in its place.
+type Components struct {
 	Join    membership.Join                   // joins the fleet
 	Duties  func(DutyConfig) relay.Duties     // takes part in its duties
 	Backlog func(BacklogConfig) relay.Backlog // keeps what is owed beyond a window on disk
@@ -58,14 +58,14 @@
 // BacklogConfig is how a backlog is kept.
 type BacklogConfig struct {
 	settings.Backlog
-	Power bool
+	Fsync bool
 	Name  string // the relay's
 	FS    disk.FS
 	Log   *slog.Logger
 }
 
 // Main runs the program.
-func Main(parts Parts) {
+func Main(parts Components) {
 	set := flag.NewFlagSet("cherrytrestle", flag.ContinueOnError)
 	set.Usage = func() { fmt.Fprint(os.Stderr, usage) }
 	path := set.String("config", "", "")
@@ -98,51 +98,51 @@
 	Log      *slog.Logger
 }
 
-func run(path string, parts Parts) error {
+func run(path string, parts Components) error {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
 	reload := make(chan os.Signal, 1) // caught from the start: unhandled, SIGHUP ends the process
 	signal.Notify(reload, syscall.SIGHUP)
-	own, err := settings.Load(path)
+	fileSettings, err := settings.Load(path)
 	if err != nil {
 		return err
 	}
-	slog.SetDefault(own.Logger())
-	if own.Membership != nil && parts.Join == nil || own.Backlog != nil && parts.Backlog == nil {
-		return inPlace()
+	slog.SetDefault(fileSettings.Logger())
+	if fileSettings.Membership != nil && parts.Join == nil || fileSettings.Backlog != nil && parts.Backlog == nil {
+		return execFleetProgram()
 	}
 	cfg, err := relay.LoadConfigWithin(ctx, os.Getenv)
 	if err != nil {
 		return err
 	}
-	if st := own.State; st != nil {
-		cfg.Segments, cfg.Power = true, st.Power()
-		if st.Remembers() {
+	if st := fileSettings.State; st != nil {
+		cfg.Segments, cfg.Power = true, st.SurvivesPowerLoss()
+		if st.KeepsMemories() {
 			cfg.MemoriesEvery = time.Duration(st.MemoriesEvery)
 		}
 	}
-	if cfg.Disk, err = files(cfg.StateDir); err != nil {
+	if cfg.Disk, err = openStateDisk(cfg.StateDir); err != nil {
 		return err
 	}
-	if b := own.Backlog; b != nil {
-		if b.Dir, err = ownFolder(b.Dir, cfg.StateDir); err != nil {
+	if b := fileSettings.Backlog; b != nil {
+		if b.Dir, err = separateFolder(b.Dir, cfg.StateDir); err != nil {
 			return err
 		}
-		c := BacklogConfig{Backlog: *b, Power: cfg.Power, Name: cfg.Name, Log: slog.Default()}
-		if c.FS, err = backlogFiles(b.Dir); err != nil {
+		c := BacklogConfig{Backlog: *b, Fsync: cfg.Power, Name: cfg.Name, Log: slog.Default()}
+		if c.FS, err = openBacklogDisk(b.Dir); err != nil {
 			return err
 		}
-		made := parts.Backlog(c)
-		cfg.Backlog = &made
+		built := parts.Backlog(c)
+		cfg.Backlog = &built
 	}
-	if m := own.Membership; m != nil {
+	if m := fileSettings.Membership; m != nil {
 		cfg.Join, cfg.Membership = parts.Join, membership.Config{Fleet: m.Fleet, Name: cfg.Name, Bind: m.Bind, Advertise: m.Advertise,
 			Seeds: m.Seeds, Allow: m.Allow, Admin: cfg.Admin, Size: cfg.Settings.Senders, StateDir: cfg.StateDir, Version: version(), Log: slog.Default()}
 		if z := cfg.Settings.Zone; z >= 0 && z < len(cfg.Zones) {
 			cfg.Membership.Building = cfg.Zones[z]
 		}
 	}
-	if d := own.Duties; d != nil {
+	if d := fileSettings.Duties; d != nil {
 		cfg.Duties = parts.Duties(DutyConfig{Stewards: d.Stewards, Lease: time.Duration(d.Lease), Figures: d.Figures, Name: cfg.Name,
 			Admin: cfg.Admin, Log: slog.Default()})
 	}
@@ -168,8 +168,8 @@
 	return r.Run(ctx)
 }
 
-// ownFolder is a backlog's folder by its whole path; an error if it is the state folder, or one of the two is in the other.
-func ownFolder(dir, state string) (string, error) {
+// separateFolder is a backlog's folder by its whole path; an error if it is the state folder, or one of the two is in the other.
+func separateFolder(dir, state string) (string, error) {
 	dir, err := filepath.Abs(dir)
 	if err != nil {
 		return "", fmt.Errorf("backlog.dir: %w", err)
@@ -187,13 +187,13 @@
 	return dir, nil
 }
 
-// inPlace has the program that can be a member take this one's place: the same process, with the same arguments.
-func inPlace() error {
+// execFleetProgram has the program that can be a member take this one's place: the same process, with the same arguments.
+func execFleetProgram() error {
 	self, err := os.Executable()
 	if err != nil {
 		return fmt.Errorf("start: %w", err)
 	}
-	path := filepath.Join(filepath.Dir(self), Fleet)
+	path := filepath.Join(filepath.Dir(self), FleetProgram)
 	return fmt.Errorf("start: [membership] and [backlog] need %s: %w", path, syscall.Exec(path, os.Args, os.Environ()))
 }
 
--- a/internal/relay/admin.go
+++ b/internal/relay/admin.go
@@ -128,7 +128,7 @@
 			return answer{status: http.StatusMethodNotAllowed, text: "GET only"}
 		}
 		if path == "/api/telemetry" {
-			return answer{status: http.StatusOK, text: r.figures.String() + r.resubmitted.String() + r.fleet.figures() + r.guard.Figures()}
+			return answer{status: http.StatusOK, text: r.figures.String() + r.resubmitted.String() + r.fleet.figures() + r.guard.Metrics()}
 		}
 		if path == "/api/members" {
 			return r.members()
--- a/internal/relay/backlog.go
+++ b/internal/relay/backlog.go
@@ -47,7 +47,7 @@
 
 // Backlog says how a relay keeps one.
 type Backlog struct {
-	Open   func() (owed.Store, owed.Found, error)
+	Open   func() (owed.Store, owed.OpenReport, error)
 	Window int     // messages in memory that were never sent
 	Share  float64 // of these, for each destination
 }
@@ -102,8 +102,8 @@
 		window: newWindow(b.Window, b.Share, r.cfg.Settings.MaxHeld), Backlog: *b, relay: r, store: store,
 		ending: map[uint32]owed.Ref{}, shared: map[uint32]time.Time{}, oldest: kept.MaxID, next: 0,
 	}
-	if kept.Lost || kept.Rebuilt || len(kept.Aside) > 0 {
-		r.log.Error("the backlog was damaged", "messages", kept.Messages, "lost", kept.Lost, "aside", kept.Aside)
+	if kept.Lost || kept.Rebuilt || len(kept.Problems) > 0 {
+		r.log.Error("the backlog was damaged", "messages", kept.Messages, "lost", kept.Lost, "aside", kept.Problems)
 	}
 	o.start = func(j *job) {
 		o.runs.Go(func() {
@@ -134,7 +134,7 @@
 	for dest, n := range store.Dests() {
 		o.stored(dest, n)
 	}
-	o.bytes = store.Disk()
+	o.bytes = store.DiskBytes()
 	if o.disk > 0 {
 		r.log.Info("recovered the backlog", "messages", o.disk, "destinations", len(o.cells), "bytes", o.bytes)
 	}
--- a/internal/relay/backlog_test.go
+++ b/internal/relay/backlog_test.go
@@ -109,11 +109,11 @@
 	return maps.All(counts)
 }
 
-func (s *shelf) Disk() int64  { return int64(len(s.all)) }
-func (s *shelf) Close() error { return nil }
+func (s *shelf) DiskBytes() int64 { return int64(len(s.all)) }
+func (s *shelf) Close() error     { return nil }
 
-func (s *shelf) open() (owed.Store, owed.Found, error) {
-	found := owed.Found{Messages: len(s.all)}
+func (s *shelf) open() (owed.Store, owed.OpenReport, error) {
+	found := owed.OpenReport{Messages: len(s.all)}
 	for id := range s.all {
 		found.MaxID = max(found.MaxID, id)
 	}
--- a/internal/relay/carry.go
+++ b/internal/relay/carry.go
@@ -176,7 +176,7 @@
 
 // notify queues the notice that ends a message. recorded tells whether the log has that end.
 func (r *Relay) notify(m *message, recorded bool) {
-	r.guard.Ending(m.Trace, m.notified, recorded, clock.Until(m.Deadline))
+	r.guard.CheckEnd(m.Trace, m.notified, recorded, clock.Until(m.Deadline))
 	m.notified = true
 	r.changed(m, stateEnded, stateTold, reasonNotice, slog.Bool("recorded", recorded))
 	r.finals.add(newNotice(m.ID, m.Trace, *m.Final))
--- a/internal/relay/clients.go
+++ b/internal/relay/clients.go
@@ -321,7 +321,7 @@
 		late := !clock.Now().Before(by)
 		for c := range s.conns {
 			if late {
-				s.guard.Closing(c.RemoteAddr().String(), c.unanswered.Load() && c.phase == busy, 0)
+				s.guard.CheckClose(c.RemoteAddr().String(), c.unanswered.Load() && c.phase == busy, 0)
 				s.drop(c)
 			} else if c.phase == silent || c.phase == idle {
 				s.dismiss(c)
@@ -339,7 +339,7 @@
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		if !c.gone {
-			s.guard.Closing(c.RemoteAddr().String(), c.unanswered.Load(), 0)
+			s.guard.CheckClose(c.RemoteAddr().String(), c.unanswered.Load(), 0)
 		}
 		s.drop(c)
 	}()
@@ -394,7 +394,7 @@
 	}
 	last, err := s.reply(c, a, req.Close)
 	if err == nil && last && !req.Close {
-		s.guard.Closing(c.RemoteAddr().String(), false, c.r.Buffered())
+		s.guard.CheckClose(c.RemoteAddr().String(), false, c.r.Buffered())
 	}
 	return err == nil && !last
 }
--- a/internal/relay/config.go
+++ b/internal/relay/config.go
@@ -159,7 +159,7 @@
 	}
 	values := map[string]string{}
 	flatten(values, "", tree)
-	set, err := wire.Settings(values)
+	set, err := wire.PolicySettings(values)
 	if err != nil {
 		return Config{}, fmt.Errorf("settings: %w", err)
 	}
--- a/internal/relay/guards.go
+++ b/internal/relay/guards.go
@@ -17,7 +17,7 @@
 	now := clock.Now()
 	for _, a := range c.attempts {
 		_, completed := r.wal.Completed(a.m.Trace) // a message of its own under the id of one that has ended
-		r.guard.Sending(invariant.Send{
+		r.guard.CheckSend(invariant.Send{
 			Trace: a.m.Trace, Endpoint: c.route, Recorded: a.recorded(), Ended: a.m.ended || completed, EndOfSends: r.noSends,
 			Draining: r.outOfService.since(c.route, now), Left: a.m.Deadline.Sub(now),
 		})
@@ -37,12 +37,12 @@
 		return
 	}
 	class, earlier := r.cfg.Settings.Classes[a.m.Class], a.m.MayRun[first]
-	repeat := invariant.Repeat{Trace: a.m.Trace, Unsafe: class.Effect == policy.Unsafe, Age: now.Sub(earlier.At), Zone: earlier.Zone,
-		To: a.zone, Earliest: earlier.Host}
+	repeat := invariant.Repeat{Trace: a.m.Trace, Unsafe: class.Effect == policy.Unsafe, Age: now.Sub(earlier.At), FirstZone: earlier.Zone,
+		ToZone: a.zone, FirstEndpoint: earlier.Host}
 	if class.Effect == policy.Keyed {
 		repeat.Window, repeat.OneZone = class.Window, !class.GroupAll
 	}
-	r.guard.Repeating(repeat)
+	r.guard.CheckRepeat(repeat)
 }
 
 // outages are the endpoints that may get nothing new, with the moment since when.
@@ -83,9 +83,9 @@
 // checkBounds tells the guard of what the relay holds.
 func (r *Relay) checkBounds() {
 	sockets := r.cfg.Limits.Sockets
-	r.guard.Bound("connections of clients", int64(r.clients.held()), int64(sockets*9/20))
-	r.guard.Bound("connections to endpoints", int64(r.hosts.held()), int64(sockets*3/8))
-	r.guard.Bound("bytes of the log", r.wal.Size(), int64(r.cfg.Limits.DiskMB*1e6))
+	r.guard.CheckBound("connections of clients", int64(r.clients.held()), int64(sockets*9/20))
+	r.guard.CheckBound("connections to endpoints", int64(r.hosts.held()), int64(sockets*3/8))
+	r.guard.CheckBound("bytes of the log", r.wal.Size(), int64(r.cfg.Limits.DiskMB*1e6))
 }
 
 // held is how many connections there are.
--- a/internal/relay/hosts.go
+++ b/internal/relay/hosts.go
@@ -146,7 +146,7 @@
 	stop := context.AfterFunc(ctx, func() { conn.SetDeadline(longAgo) })
 	began := clock.Now()
 	for _, a := range c.attempts {
-		h.guard.InTime(a.m.Trace, c.route, a.m.Deadline.Sub(began))
+		h.guard.CheckDeadline(a.m.Trace, c.route, a.m.Deadline.Sub(began))
 	}
 	err := writeRequest(conn, req)
 	written := err == nil
--- a/internal/relay/job.go
+++ b/internal/relay/job.go
@@ -30,7 +30,7 @@
 
 // run does a job's reading and writing.
 func (j *job) run(s owed.Store) {
-	defer func() { j.bytes = s.Disk() }()
+	defer func() { j.bytes = s.DiskBytes() }()
 	if len(j.put)+len(j.remove) > 0 {
 		err := s.Apply(j.put, j.remove)
 		if errors.Is(err, owed.ErrFull) {
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -253,7 +253,7 @@
 
 	go r.clients.run(r.listener)
 	r.serving.Store(true)
-	r.guard.Ready(clock.Since(r.begun))
+	r.guard.CheckStart(clock.Since(r.begun))
 	r.fleet.become(membership.Serving)
 	var joining sync.WaitGroup
 	joining.Go(func() { r.joinFleet(talk) })
--- a/internal/relay/transient_test.go
+++ b/internal/relay/transient_test.go
@@ -44,7 +44,7 @@
 	return 0
 }
 
-func (f *failing) Most(n int) int { return n }
+func (f *failing) MaxBytes(n int) int { return n }
 
 // exhausted tells whether all calls that were to fail have.
 func (f *failing) exhausted() bool {
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -76,7 +76,7 @@
 	Share  float64 `toml:"share"`   // of the window, for each destination; 0.0625 by default
 }
 
-func (b *Backlog) check(s *Settings) (errs []error) {
+func (b *Backlog) validate(s *Settings) (errs []error) {
 	if b.Window == 0 {
 		b.Window = 4096
 	}
@@ -101,11 +101,11 @@
 	return errs
 }
 
-// Power tells whether messages outlast a loss of power.
-func (s *State) Power() bool { return s.Durability == "power" }
+// SurvivesPowerLoss tells whether messages outlast a loss of power.
+func (s *State) SurvivesPowerLoss() bool { return s.Durability == "power" }
 
-// Remembers tells whether what is known of partners is put down.
-func (s *State) Remembers() bool { return s.Memories == nil || *s.Memories }
+// KeepsMemories tells whether what is known of partners is put down.
+func (s *State) KeepsMemories() bool { return s.Memories == nil || *s.Memories }
 
 // Duration is a time written as in Go, "250ms" say.
 type Duration time.Duration
@@ -138,16 +138,16 @@
 func Parse(path string, data []byte) (s Settings, err error) {
 	d := toml.NewDecoder(bytes.NewReader(data)).DisallowUnknownFields()
 	if err := d.Decode(&s); err != nil {
-		return Settings{}, fmt.Errorf("%s%w", path, Located(err))
+		return Settings{}, fmt.Errorf("%s%w", path, WithPosition(err))
 	}
-	if err := s.check(); err != nil {
+	if err := s.validate(); err != nil {
 		return Settings{}, fmt.Errorf("%s: %w", path, err)
 	}
 	return s, nil
 }
 
-// Located puts line and key before what the library says of an error.
-func Located(err error) error {
+// WithPosition puts line and key before what the library says of an error.
+func WithPosition(err error) error {
 	var strict *toml.StrictMissingError
 	if errors.As(err, &strict) && len(strict.Errors) > 0 {
 		e := strict.Errors[0]
@@ -162,8 +162,8 @@
 	return fmt.Errorf(": %w", err)
 }
 
-// check tells what makes no sense, and fills in what is left out.
-func (s *Settings) check() error {
+// validate tells what makes no sense, and fills in what is left out.
+func (s *Settings) validate() error {
 	var errs []error
 	switch s.LogFormat {
 	case "", "text", "json":
@@ -180,7 +180,7 @@
 		}
 		if st.MemoriesEvery == 0 {
 			st.MemoriesEvery = Duration(time.Second)
-		} else if !st.Remembers() {
+		} else if !st.KeepsMemories() {
 			errs = append(errs, errors.New("state.memories_every: without memories nothing is put down"))
 		}
 		if every := time.Duration(st.MemoriesEvery); every < 100*time.Millisecond || every > time.Minute {
@@ -188,7 +188,7 @@
 		}
 	}
 	if s.Backlog != nil {
-		errs = append(errs, s.Backlog.check(s)...)
+		errs = append(errs, s.Backlog.validate(s)...)
 	}
 	if m := s.Membership; m != nil {
 		if m.Fleet == "" {
@@ -199,7 +199,7 @@
 				if key == "advertise" && a == "" {
 					continue
 				}
-				errs = append(errs, addresses("membership."+key, a)...)
+				errs = append(errs, checkAddresses("membership."+key, a)...)
 			}
 		}
 	}
@@ -207,7 +207,7 @@
 		if len(d.Stewards) == 0 {
 			errs = append(errs, errors.New("duties.stewards: name one at least"))
 		}
-		errs = append(errs, addresses("duties.stewards", d.Stewards...)...)
+		errs = append(errs, checkAddresses("duties.stewards", d.Stewards...)...)
 		if d.Lease == 0 {
 			d.Lease = Duration(3 * time.Second)
 		}
@@ -219,7 +219,7 @@
 		}
 	}
 	if x := s.Steward; x != nil {
-		errs = append(errs, x.check()...)
+		errs = append(errs, x.validate()...)
 		if s.State != nil || s.Membership != nil || s.Duties != nil || s.Backlog != nil {
 			errs = append(errs, errors.New("steward: a steward is no relay: [state], [backlog], [membership] and [duties] belong in another file"))
 		}
@@ -227,28 +227,28 @@
 	return errors.Join(errs...)
 }
 
-func (x *Steward) check() (errs []error) {
-	for key, text := range map[string]string{"name": x.Name, "fleet": x.Fleet} {
-		if text == "" || strings.ContainsAny(text, ",/ ") {
-			errs = append(errs, fmt.Errorf("steward.%s: %q is none", key, text))
+func (x *Steward) validate() (errs []error) {
+	for key, value := range map[string]string{"name": x.Name, "fleet": x.Fleet} {
+		if value == "" || strings.ContainsAny(value, ",/ ") {
+			errs = append(errs, fmt.Errorf("steward.%s: %q is none", key, value))
 		}
 	}
 	if x.Dir == "" {
 		errs = append(errs, errors.New("steward.dir: the steward needs a folder"))
 	}
-	errs = append(errs, addresses("steward.listen", x.Listen)...)
-	errs = append(errs, addresses("steward.api", x.API)...)
-	errs = append(errs, addresses("steward.seeds", x.Seeds...)...)
+	errs = append(errs, checkAddresses("steward.listen", x.Listen)...)
+	errs = append(errs, checkAddresses("steward.api", x.API)...)
+	errs = append(errs, checkAddresses("steward.seeds", x.Seeds...)...)
 	for key, a := range map[string]string{"advertise": x.Advertise, "advertise_api": x.AdvertiseAPI} {
 		if a != "" {
-			errs = append(errs, addresses("steward."+key, a)...)
+			errs = append(errs, checkAddresses("steward."+key, a)...)
 		}
 	}
 	return errs
 }
 
-// addresses tells which are none.
-func addresses(key string, all ...string) (errs []error) {
+// checkAddresses tells which are none.
+func checkAddresses(key string, all ...string) (errs []error) {
 	for _, a := range all {
 		if _, err := netip.ParseAddrPort(a); err != nil {
 			errs = append(errs, fmt.Errorf("%s: %q is not an IP address with a port", key, a))
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -8,10 +8,10 @@
 
 func TestParse(t *testing.T) {
 	s, err := Parse("x.toml", []byte("log_level = \"warn\"\n[state]\ndurability = \"power\"\nmemories_every = \"250ms\"\n"))
-	if err != nil || !s.State.Power() || !s.State.Remembers() || time.Duration(s.State.MemoriesEvery) != 250*time.Millisecond {
+	if err != nil || !s.State.SurvivesPowerLoss() || !s.State.KeepsMemories() || time.Duration(s.State.MemoriesEvery) != 250*time.Millisecond {
 		t.Errorf("%+v, %v", s.State, err)
 	}
-	if s, err := Parse("x.toml", []byte("[state]\n")); err != nil || s.State.Power() || s.State.MemoriesEvery == 0 {
+	if s, err := Parse("x.toml", []byte("[state]\n")); err != nil || s.State.SurvivesPowerLoss() || s.State.MemoriesEvery == 0 {
 		t.Errorf("%+v, %v", s.State, err)
 	}
 	for text, says := range map[string]string{
--- a/internal/sockets/sockets.go
+++ b/internal/sockets/sockets.go
@@ -28,8 +28,8 @@
 type Faults interface {
 	// Fail is asked before each call; 0 lets it be made.
 	Fail(Call) syscall.Errno
-	// Most is how many of n bytes a read or a write moves at once.
-	Most(n int) int
+	// MaxBytes is how many of n bytes a read or a write moves at once.
+	MaxBytes(n int) int
 }
 
 // faults is nil where none are to be had.
@@ -41,8 +41,8 @@
 	return func() { faults.Store(before) }
 }
 
-// fail is the error of a call, as package net tells it; nil lets it be made.
-func fail(call Call, op string) error {
+// injectedError is the error of a call, as package net tells it; nil lets it be made.
+func injectedError(call Call, op string) error {
 	f := faults.Load()
 	if f == nil {
 		return nil
@@ -56,7 +56,7 @@
 // ListenTCP listens on an address.
 func ListenTCP(addr string) (*net.TCPListener, error) {
 	for _, call := range []Call{Socket, Listen} {
-		if err := fail(call, "listen"); err != nil {
+		if err := injectedError(call, "listen"); err != nil {
 			return nil, err
 		}
 	}
@@ -69,7 +69,7 @@
 
 // ListenUnix listens at a path, which stays when the listener is closed.
 func ListenUnix(path string) (*net.UnixListener, error) {
-	if err := fail(Listen, "listen"); err != nil {
+	if err := injectedError(Listen, "listen"); err != nil {
 		return nil, err
 	}
 	l, err := net.ListenUnix("unix", &net.UnixAddr{Name: path, Net: "unix"})
@@ -81,7 +81,7 @@
 
 // DialUnix connects to a listener at a path.
 func DialUnix(path string) (*net.UnixConn, error) {
-	if err := fail(Connect, "dial"); err != nil {
+	if err := injectedError(Connect, "dial"); err != nil {
 		return nil, err
 	}
 	return net.DialUnix("unix", nil, &net.UnixAddr{Name: path, Net: "unix"})
@@ -90,14 +90,14 @@
 // AcceptFrom accepts a listener's next connection.
 func AcceptFrom(l net.Listener) (net.Conn, error) {
 	// The system looks for room for a connection before it looks for one: where that fails, all stay in the queue.
-	if err := fail(Accept, "accept"); err != nil {
+	if err := injectedError(Accept, "accept"); err != nil {
 		return nil, err
 	}
 	c, err := l.Accept()
 	if err != nil {
 		return nil, err
 	}
-	return wrap(c), nil
+	return withFaults(c), nil
 }
 
 // Dialer connects to endpoints and to discovery.
@@ -111,7 +111,7 @@
 // DialContext connects to an address.
 func (d *Dialer) DialContext(ctx context.Context, network, addr string) (net.Conn, error) {
 	for _, call := range []Call{Socket, Connect} {
-		if err := fail(call, "dial"); err != nil {
+		if err := injectedError(call, "dial"); err != nil {
 			return nil, err
 		}
 	}
@@ -119,30 +119,30 @@
 	if err != nil {
 		return nil, err
 	}
-	return wrap(c), nil
+	return withFaults(c), nil
 }
 
-// wrap has a connection's reads and writes fail; the connection itself where no faults are to be had.
-func wrap(c net.Conn) net.Conn {
+// withFaults has a connection's reads and writes fail; the connection itself where no faults are to be had.
+func withFaults(c net.Conn) net.Conn {
 	f := faults.Load()
 	if f == nil {
 		return c
 	}
 	if tcp, ok := c.(*net.TCPConn); ok {
-		return &conn{TCPConn: tcp, faults: *f}
+		return &faultyConn{TCPConn: tcp, faults: *f}
 	}
 	return c
 }
 
-// conn is a connection whose reads and writes may fail, and may be short. One that has failed is broken.
-type conn struct {
+// faultyConn is a connection whose reads and writes may fail, and may be short. One that has failed is broken.
+type faultyConn struct {
 	*net.TCPConn
 	faults Faults
 	broken atomic.Pointer[net.OpError]
 }
 
-// check is asked before each read and write.
-func (c *conn) check(call Call) error {
+// injectFault is asked before each read and write.
+func (c *faultyConn) injectFault(call Call) error {
 	if err := c.broken.Load(); err != nil {
 		return err
 	}
@@ -157,20 +157,20 @@
 	return err
 }
 
-func (c *conn) Read(b []byte) (int, error) {
-	if err := c.check(Read); err != nil {
+func (c *faultyConn) Read(b []byte) (int, error) {
+	if err := c.injectFault(Read); err != nil {
 		return 0, err
 	}
-	return c.TCPConn.Read(b[:c.faults.Most(len(b))])
+	return c.TCPConn.Read(b[:c.faults.MaxBytes(len(b))])
 }
 
 // Write writes all of b, as package net does where the system's writes are short.
-func (c *conn) Write(b []byte) (written int, err error) {
+func (c *faultyConn) Write(b []byte) (written int, err error) {
 	for len(b) > 0 {
-		if err := c.check(Write); err != nil {
+		if err := c.injectFault(Write); err != nil {
 			return written, err
 		}
-		n, err := c.TCPConn.Write(b[:c.faults.Most(len(b))])
+		n, err := c.TCPConn.Write(b[:c.faults.MaxBytes(len(b))])
 		written += n
 		if err != nil {
 			return written, err
--- a/internal/sockets/sockets_testbed.go
+++ b/internal/sockets/sockets_testbed.go
@@ -9,18 +9,18 @@
 )
 
 func init() {
-	if f := faultfile.Named(); f != nil {
-		SetFaults(fromFile{f})
+	if f := faultfile.FromEnv(); f != nil {
+		SetFaults(fileFaults{f})
 	}
 }
 
-// fromFile has calls fail as the testbed's file says.
-type fromFile struct{ *faultfile.File }
+// fileFaults has calls fail as the testbed's file says.
+type fileFaults struct{ *faultfile.File }
 
-func (f fromFile) Fail(call Call) syscall.Errno { return f.Next(string(call)).Errno }
+func (f fileFaults) Fail(call Call) syscall.Errno { return f.Next(string(call)).Errno }
 
-func (f fromFile) Most(n int) int {
-	if most := f.Now().Short; most > 0 {
+func (f fileFaults) MaxBytes(n int) int {
+	if most := f.Current().MaxIO; most > 0 {
 		return min(n, most)
 	}
 	return n
--- a/internal/testbed/experiment/experiment.go
+++ b/internal/testbed/experiment/experiment.go
@@ -280,7 +280,7 @@
 	x.Name = strings.TrimSuffix(filepath.Base(path), ".toml")
 	d := toml.NewDecoder(bytes.NewReader(data)).DisallowUnknownFields()
 	if err := d.Decode(x); err != nil {
-		return nil, fmt.Errorf("%s%w", path, settings.Located(err))
+		return nil, fmt.Errorf("%s%w", path, settings.WithPosition(err))
 	}
 	if err := x.check(); err != nil {
 		return nil, fmt.Errorf("%s: %w", path, err)
--- a/internal/testbed/scale/capacity/target.go
+++ b/internal/testbed/scale/capacity/target.go
@@ -76,7 +76,7 @@
 func ParseTarget(path string, data []byte) (Target, error) {
 	var file map[string]map[string]Quantity
 	if err := toml.NewDecoder(bytes.NewReader(data)).DisallowUnknownFields().Decode(&file); err != nil {
-		return nil, fmt.Errorf("%s%w", path, settings.Located(err))
+		return nil, fmt.Errorf("%s%w", path, settings.WithPosition(err))
 	}
 	lines, sections := keyLines(data)
 	known := map[string]bool{}
--- a/internal/testbed/scale/relayslope/owed.go
+++ b/internal/testbed/scale/relayslope/owed.go
@@ -39,7 +39,7 @@
 		return nil
 	}
 	o := backlog.Options{Dir: s.Dir, Limit: s.Limit, Name: name}
-	return &relay.Backlog{Window: s.Window, Share: s.Share, Open: func() (owed.Store, owed.Found, error) {
+	return &relay.Backlog{Window: s.Window, Share: s.Share, Open: func() (owed.Store, owed.OpenReport, error) {
 		store, found, err := backlog.Open(o)
 		if err != nil {
 			return nil, found, err
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -9,31 +9,31 @@
 	"onyxroad.dev/onyxroad/policy"
 )
 
-// pairs are the path=value pairs of a CONFIGURE line.
-type pairs struct {
+// settingValues are the path=value settingValues of a CONFIGURE line.
+type settingValues struct {
 	values map[string]string
 	err    error
 }
 
-func parseSettings(text string) (policy.Settings, *schema, error) {
-	p := &pairs{values: map[string]string{}}
+func parseSettings(text string) (policy.Settings, *reportSchema, error) {
+	p := &settingValues{values: map[string]string{}}
 	for _, f := range strings.Fields(text) {
 		k, v, ok := strings.Cut(f, "=")
 		if !ok {
-			return policy.Settings{}, nil, fmt.Errorf("bad setting %q", clip(f))
+			return policy.Settings{}, nil, fmt.Errorf("bad setting %q", truncate(f))
 		}
 		if v != "-" {
 			p.values[k] = v
 		}
 	}
-	set, err := Settings(p.values)
-	return set, p.schema(), err
+	set, err := PolicySettings(p.values)
+	return set, p.reportSchema(), err
 }
 
-// Settings maps the settings, by their paths, to the decision module's. The real relay's configuration holds the
+// PolicySettings maps the settings, by their paths, to the decision module's. The real relay's configuration holds the
 // same ones as JSON and comes through here too: what a setting means is said once.
-func Settings(values map[string]string) (policy.Settings, error) {
-	p := &pairs{values: values}
+func PolicySettings(values map[string]string) (policy.Settings, error) {
+	p := &settingValues{values: values}
 	set := policy.Settings{
 		Senders:        p.integer("fleet_size"),
 		Zone:           p.integer("zone"),
@@ -43,51 +43,51 @@
 		RoughWeights:   p.values["weight_kind"] == "rough",
 		NoWeights:      p.values["weight_kind"] == "none",
 		AskList:        p.values["membership_mode"] == "ask",
-		ColdShare:      p.number("rules.cold_from"),
-		WarmWithin:     p.ms("rules.warm_within_ms"),
-		OverloadFactor: p.number("rules.overload_factor"),
-		OverloadWindow: p.ms("rules.fall_ms"),
-		OrderPause:     p.ms("rules.order_pause_ms"),
+		ColdShare:      p.float("rules.cold_from"),
+		WarmWithin:     p.duration("rules.warm_within_ms"),
+		OverloadFactor: p.float("rules.overload_factor"),
+		OverloadWindow: p.duration("rules.fall_ms"),
+		OrderPause:     p.duration("rules.order_pause_ms"),
 	}
 	if p.boolean("bounds.retry_after") {
-		set.MaxRetryAfter = p.ms("bounds.max_retry_after_ms")
+		set.MaxRetryAfter = p.duration("bounds.max_retry_after_ms")
 	}
 	for _, x := range p.list("extra.carriage") {
-		set.Carriage = append(set.Carriage, p.parse("extra.carriage", x))
+		set.Carriage = append(set.Carriage, p.parseFloat("extra.carriage", x))
 	}
 	for i := range p.count("services") {
 		set.Classes = append(set.Classes, p.class(fmt.Sprintf("services.%d.", i)))
 	}
 	for i := range p.count("realms") {
 		set.Customers = append(set.Customers, policy.Customer{
-			Quota: p.number(fmt.Sprintf("realms.%d.quota_per_s", i)),
+			Quota: p.float(fmt.Sprintf("realms.%d.quota_per_s", i)),
 		})
 	}
-	per, apart := p.list("extra.per_call"), p.list("extra.separate_routes")
-	for i := range max(len(p.list("kinds")), len(per), len(apart)) {
+	per, separate := p.list("extra.per_call"), p.list("extra.separate_routes")
+	for i := range max(len(p.list("kinds")), len(per), len(separate)) {
 		k := policy.Kind{PerCall: 1}
 		if i < len(per) {
-			k.PerCall = int(p.parse("extra.per_call", per[i]))
+			k.PerCall = int(p.parseFloat("extra.per_call", per[i]))
 		}
-		if i < len(apart) {
-			k.Separate = apart[i] == "true"
+		if i < len(separate) {
+			k.Separate = separate[i] == "true"
 		}
 		set.Kinds = append(set.Kinds, k)
 	}
 	return set, p.err
 }
 
-func (p *pairs) class(at string) policy.Class {
+func (p *settingValues) class(at string) policy.Class {
 	c := policy.Class{
 		GroupAll: p.values[at+"group"] == "all",
-		Window:   p.ms(at + "repeat_window_ms"),
+		Window:   p.duration(at + "repeat_window_ms"),
 		Ordered:  p.boolean(at + "by_arrival"),
-		Aim:      p.ms(at + "goal_time_ms"),
-		GiveUp:   p.ms(at + "give_up_ms"),
+		Aim:      p.duration(at + "goal_time_ms"),
+		GiveUp:   p.duration(at + "give_up_ms"),
 		Value:    1,
 	}
 	if _, ok := p.values[at+"value"]; ok {
-		c.Value = p.number(at + "value")
+		c.Value = p.float(at + "value")
 	}
 	switch p.values[at+"semantics"] {
 	case "read_like":
@@ -100,9 +100,9 @@
 	return c
 }
 
-// schema finds which reported values tell of a limit.
-func (p *pairs) schema() *schema {
-	sc := &schema{}
+// reportSchema finds which reported values tell of a limit.
+func (p *settingValues) reportSchema() *reportSchema {
+	sc := &reportSchema{}
 	for _, name := range p.list("stats.fields") {
 		switch name {
 		case "x0":
@@ -114,7 +114,7 @@
 	return sc
 }
 
-func (p *pairs) parse(key, value string) float64 {
+func (p *settingValues) parseFloat(key, value string) float64 {
 	x, err := strconv.ParseFloat(value, 64)
 	if err != nil && p.err == nil {
 		p.err = fmt.Errorf("bad setting %s", key)
@@ -122,24 +122,26 @@
 	return x
 }
 
-func (p *pairs) number(key string) float64 {
+func (p *settingValues) float(key string) float64 {
 	if v, ok := p.values[key]; ok {
-		return p.parse(key, v)
+		return p.parseFloat(key, v)
 	}
 	return 0
 }
 
-func (p *pairs) integer(key string) int { return int(p.number(key)) }
+func (p *settingValues) integer(key string) int { return int(p.float(key)) }
 
-func (p *pairs) count(path string) int { return min(1000, p.integer(path+".count")) }
+func (p *settingValues) count(path string) int { return min(1000, p.integer(path+".count")) }
 
-func (p *pairs) ms(key string) time.Duration {
-	return time.Duration(p.number(key)*1000) * time.Microsecond
+func (p *settingValues) duration(key string) time.Duration {
+	return time.Duration(p.float(key)*1000) * time.Microsecond
 }
 
-func (p *pairs) boolean(key string) bool { return p.values[key] == "true" || p.values[key] == "1" }
+func (p *settingValues) boolean(key string) bool {
+	return p.values[key] == "true" || p.values[key] == "1"
+}
 
-func (p *pairs) list(key string) []string {
+func (p *settingValues) list(key string) []string {
 	if p.values[key] == "" {
 		return nil
 	}
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -42,21 +42,21 @@
 
 // Reader reads batches.
 type Reader struct {
-	in    *bufio.Reader
-	line  int
-	lists map[int][]policy.Listing
-	cells map[int]*schema
-	pool  struct{ number, left int }
-	buf   []byte
+	in      *bufio.Reader
+	line    int
+	lists   map[int][]policy.Listing
+	schemas map[int]*reportSchema
+	pool    struct{ number, left int }
+	buf     []byte
 }
 
-// schema is what an instance's settings say of its events.
-type schema struct{ left, limit string }
+// reportSchema is what an instance's settings say of its events.
+type reportSchema struct{ left, limit string }
 
 // NewReader returns a Reader of in.
 func NewReader(in io.Reader) *Reader {
 	return &Reader{
-		in: bufio.NewReaderSize(in, 1<<16), lists: map[int][]policy.Listing{}, cells: map[int]*schema{},
+		in: bufio.NewReaderSize(in, 1<<16), lists: map[int][]policy.Listing{}, schemas: map[int]*reportSchema{},
 	}
 }
 
@@ -84,7 +84,7 @@
 			err = f.err
 		}
 		if err != nil {
-			return fmt.Errorf("line %d: %v: %q", r.line, err, clip(text))
+			return fmt.Errorf("line %d: %v: %q", r.line, err, truncate(text))
 		}
 		if done {
 			return nil
@@ -92,7 +92,7 @@
 	}
 }
 
-func clip(s string) string {
+func truncate(s string) string {
 	if len(s) > 120 {
 		return s[:120] + "..."
 	}
@@ -154,7 +154,7 @@
 		it.Seed = f.unsigned()
 		set, sc, err := parseSettings(f.rest())
 		it.Settings = set
-		r.cells[it.Instance] = sc
+		r.schemas[it.Instance] = sc
 		b.Items = append(b.Items, it)
 		return false, err
 	case "RETIRE":
@@ -162,7 +162,7 @@
 		return false, f.end()
 	}
 	it := Item{Kind: Event, Instance: f.integer()}
-	sc := r.cells[it.Instance]
+	sc := r.schemas[it.Instance]
 	if sc == nil {
 		return false, fmt.Errorf("no such instance")
 	}
@@ -174,7 +174,7 @@
 }
 
 // parseEvent fills e; known is false for an event that no decision uses.
-func (r *Reader) parseEvent(name string, f *fields, e *policy.Event, sc *schema) (known bool, err error) {
+func (r *Reader) parseEvent(name string, f *fields, e *policy.Event, sc *reportSchema) (known bool, err error) {
 	switch name {
 	case "KNOCK":
 		e.Kind = policy.Taken
@@ -263,9 +263,9 @@
 
 // fields splits a line; the first error sticks.
 type fields struct {
-	text string
-	err  error
-	over bool
+	text      string
+	err       error
+	exhausted bool
 }
 
 func (f *fields) fail(what string) {
@@ -275,12 +275,12 @@
 }
 
 func (f *fields) word() string {
-	if f.over {
+	if f.exhausted {
 		f.fail("line: too few values")
 		return ""
 	}
 	w, rest, more := strings.Cut(f.text, " ")
-	f.text, f.over = rest, !more
+	f.text, f.exhausted = rest, !more
 	if w == "" {
 		f.fail("line: an empty value")
 	}
@@ -288,7 +288,7 @@
 }
 
 func (f *fields) rest() string {
-	f.over = true
+	f.exhausted = true
 	return f.text
 }
 
@@ -380,7 +380,7 @@
 }
 
 // report reads name:value pairs; names that the settings do not explain are passed over.
-func (f *fields) report(sc *schema) policy.Report {
+func (f *fields) report(sc *reportSchema) policy.Report {
 	var rep policy.Report
 	text := f.optional()
 	for text != "" {
@@ -416,26 +416,26 @@
 		a := &acts[i]
 		switch a.Kind {
 		case policy.Send:
-			w.head("SUBMIT_TO", instance)
+			w.begin("SUBMIT_TO", instance)
 			w.id(a.ID)
 			w.text(a.Route)
 			w.ms(a.At)
 		case policy.Refuse:
-			w.head("REJECT", instance)
+			w.begin("REJECT", instance)
 			w.id(a.ID)
 			w.ms(a.Delay)
 		case policy.Fail:
-			w.head("SURRENDER", instance)
+			w.begin("SURRENDER", instance)
 			w.id(a.ID)
 		case policy.Wake:
-			w.head("WAKE_AT", instance)
+			w.begin("WAKE_AT", instance)
 			w.id(0)
 			w.ms(a.Delay)
 		case policy.CloseIdle:
-			w.head("HANG_UP", instance)
+			w.begin("HANG_UP", instance)
 			w.text(a.Route)
 		case policy.Watch:
-			w.head("STREAM_CHANGES", instance)
+			w.begin("STREAM_CHANGES", instance)
 			w.id(1)
 		}
 		w.buf = append(w.buf, '\n')
@@ -443,9 +443,9 @@
 	}
 }
 
-// Die writes that an instance's decisions broke.
-func (w *Writer) Die(instance int, words string) {
-	w.head("DIE", instance)
+// Crashed writes that an instance's decisions broke.
+func (w *Writer) Crashed(instance int, words string) {
+	w.begin("DIE", instance)
 	w.text(strings.Map(func(r rune) rune {
 		if r == '\n' || r == '\r' {
 			return ' '
@@ -464,7 +464,7 @@
 	return w.out.Flush()
 }
 
-func (w *Writer) head(name string, instance int) {
+func (w *Writer) begin(name string, instance int) {
 	w.buf = append(w.buf[:0], name...)
 	w.buf = append(w.buf, ' ')
 	w.buf = strconv.AppendInt(w.buf, int64(instance), 10)
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -124,7 +124,7 @@
 		{Kind: policy.Wake, Delay: 500 * time.Microsecond}, {Kind: policy.CloseIdle, Route: "host.a"},
 		{Kind: policy.Watch},
 	})
-	w.Die(3, "out of\nrange")
+	w.Crashed(3, "out of\nrange")
 	if err := w.End("12"); err != nil {
 		t.Fatal(err)
 	}
