--- a/cmd/cherrytrestle-fleet/main.go
+++ b/cmd/cherrytrestle-fleet/main.go
@@ -1,5 +1,5 @@
-// Command cherrytrestle-fleet is the relay as a member of its fleet, or with a backlog on disk. cherrytrestle starts it in its
-// own place when its settings ask for one of these, so that the relay alone does not carry what only they need.
+// Command cherrytrestle-fleet is the relay with support for fleet membership and a backlog on disk. cherrytrestle executes it
+// when its settings enable one of these, so that a plain relay does not include their code.
 package main
 
 import (
@@ -22,7 +22,7 @@
 			return relay.Backlog{Window: c.Window, Share: c.Share, Open: func() (owed.Store, owed.OpenReport, error) {
 				s, found, err := backlog.Open(o)
 				if err != nil {
-					return nil, found, err // no store that is nil
+					return nil, found, err // not a non-nil interface with a nil *backlog.Store
 				}
 				return s, found, nil
 			}}
--- a/cmd/cherrytrestle-steward/main.go
+++ b/cmd/cherrytrestle-steward/main.go
@@ -1,4 +1,4 @@
-// Command cherrytrestle-steward is one of the stewards: three or five processes that agree on the fleet's duties.
+// Command cherrytrestle-steward runs one of the stewards: three or five processes that agree on who holds the fleet's duties.
 package main
 
 import (
@@ -17,17 +17,17 @@
 	"onyxroad.dev/onyxroad/internal/settings"
 )
 
-// errReported ends the command with 1; what is wrong has been said.
-var errReported = errors.New("broken")
+// errReported makes the command exit with status 1 without a message, because it has already reported the problem.
+var errReported = errors.New("already reported")
 
 var cli struct {
 	Run     runCmd     `cmd:"" default:"withargs" help:"Run a steward until SIGTERM."`
-	Recover recoverCmd `cmd:"" help:"The way back from a lost majority: have a stopped steward's folder go on alone, in a new era. Without --confirm it says what that would lose, changes nothing and ends with 1."`
+	Recover recoverCmd `cmd:"" help:"Recover from a lost majority: make a stopped steward's folder continue alone, in a new era. Without --confirm, show what that would lose, change nothing and exit with status 1."`
 }
 
 func main() {
 	parser := kong.Must(&cli, kong.Name("cherrytrestle-steward"),
-		kong.Description("One of the fleet's stewards. Its settings are [steward] in the file of --config or IVYGAUGE_CONFIG."),
+		kong.Description("Run one of the fleet's stewards. Its settings are in the [steward] section of the file given by --config or IVYGAUGE_CONFIG."),
 		kong.Exit(func(code int) {
 			if code != 0 {
 				code = 2
@@ -45,7 +45,7 @@
 	}
 }
 
-// loadConfig reads the settings, which have to name a steward.
+// loadConfig reads the settings, which must have a [steward] section.
 func loadConfig(path string) (steward.Config, error) {
 	fileSettings, err := settings.Load(path)
 	if err != nil {
@@ -53,7 +53,7 @@
 	}
 	section := fileSettings.Steward
 	if section == nil {
-		return steward.Config{}, errors.New("the settings have no [steward]")
+		return steward.Config{}, errors.New("the settings have no [steward] section")
 	}
 	return steward.Config{Name: section.Name, Fleet: section.Fleet, Listen: section.Listen, Advertise: section.Advertise, API: section.API,
 		AdvertiseAPI: section.AdvertiseAPI, Dir: section.Dir, Seeds: section.Seeds, Log: fileSettings.Logger()}, nil
@@ -92,7 +92,7 @@
 
 type recoverCmd struct {
 	Config  string `help:"The settings file; IVYGAUGE_CONFIG if not given." placeholder:"FILE"`
-	Confirm bool   `help:"Do it. The other stewards must be stopped for good."`
+	Confirm bool   `help:"Make the changes. The other stewards must be stopped for good."`
 }
 
 func (c *recoverCmd) Run() error {
@@ -110,7 +110,7 @@
 	}
 	fmt.Print(found.Words())
 	if !c.Confirm {
-		fmt.Println("Nothing was changed. With --confirm this is done.")
+		fmt.Println("Nothing was changed. Run with --confirm to do this.")
 		return errReported
 	}
 	fmt.Println("Done. Start this steward, then the others with emptied folders.")
--- a/cmd/drill/main.go
+++ b/cmd/drill/main.go
@@ -1,5 +1,5 @@
-// Command drill is the adapter between the bench's wire and the decision module: one Sender for each
-// instance, batches from standard input, replies to standard output. It decides nothing.
+// Command drill connects the decision module to the simulator. It reads batches of events from standard input, passes
+// them to one policy.Sender per simulated relay, and writes the resulting actions to standard output.
 package main
 
 import (
@@ -19,12 +19,12 @@
 	}
 }
 
-// instance is one relay's Sender and its events in the batch at hand.
+// instance is a simulated relay: its Sender and its events in the current batch.
 type instance struct {
 	number int
 	sender *policy.Sender
 	events []policy.Event
-	active bool // has something in this batch
+	active bool // has items in the current batch
 }
 
 func run(in io.Reader, out io.Writer) error {
@@ -76,7 +76,7 @@
 	}
 }
 
-// step lets one instance decide, and reports a panic in the wire's own word for it.
+// step runs the decision module of one instance. A panic is reported to the simulator and ends the instance.
 func step(w *wire.Writer, n *instance, now time.Duration) {
 	defer func() {
 		if p := recover(); p != nil {
--- a/cmd/drill/main_test.go
+++ b/cmd/drill/main_test.go
@@ -12,7 +12,7 @@
 
 func TestRun(t *testing.T) {
 	var out bytes.Buffer
-	// A relay that dies and starts again in one batch knows nothing of the message it held.
+	// A relay that ends and starts again in one batch must not know the message that it held before.
 	in := start + "\nMARK 200.0 2\nRETIRE 0\nCONFIGURE 0 8 services.count=1\nGO\nMARK 300.0 3\nTIMED_OUT_CLIENT 0 11\nGO\n"
 	if err := run(strings.NewReader(in), &out); err != nil {
 		t.Fatal(err)
--- a/internal/backlog/apply.go
+++ b/internal/backlog/apply.go
@@ -9,15 +9,15 @@
 	"github.com/cockroachdb/pebble/v2"
 )
 
-// indexOverhead is what a message takes on disk beside its record, at most: the keys that find it, with the engine's own.
+// indexOverhead is the maximum space on disk that a message takes besides its record: its index keys and the engine's overhead.
 const indexOverhead = 160
 
-// reopenDelay is how long a folder that can't be written is left alone.
+// reopenDelay is the minimum time between two attempts to reopen a folder that is not writable.
 const reopenDelay = 250 * time.Millisecond
 
-// Apply removes messages and puts others, all or none, and returns once that is as durable as Options say. A message that
-// is put under an id that is there takes its place; one that is removed and not there is no error. ErrFull and ErrDisk
-// leave the store as it was, ErrDisk perhaps not on disk.
+// Apply removes and adds messages atomically, and returns once the change is as durable as Options.Fsync requires. An added
+// message replaces one with the same id. Removing a message that does not exist is not an error. ErrFull and ErrDisk leave the
+// store in memory unchanged; after ErrDisk the change may nevertheless be on disk.
 func (s *Store) Apply(put []Entry, remove []Ref) error {
 	for _, e := range put {
 		if err := validate(e); err != nil {
@@ -30,7 +30,7 @@
 	if len(put) > 0 {
 		if need := encodedSize(put); s.DiskBytes()+need+s.opts.reserve() > s.opts.Limit {
 			s.compactIfWorthwhile()
-			return fmt.Errorf("%w: %d bytes of %d taken, %d to be put", ErrFull, s.DiskBytes(), s.opts.Limit, need)
+			return fmt.Errorf("%w: %d of %d bytes in use, %d more needed", ErrFull, s.DiskBytes(), s.opts.Limit, need)
 		}
 	}
 	s.dbMu.RLock()
@@ -65,7 +65,7 @@
 	return nil
 }
 
-// applyError tells what came of a change: the disk's failure goes before whatever the engine made of it.
+// applyError returns the error of a change. A disk failure takes precedence over the error that the engine derives from it.
 func (s *Store) applyError(err error) error {
 	if failed := s.files.failed(); failed != nil {
 		return fmt.Errorf("%w: %w", ErrDisk, failed)
@@ -80,12 +80,12 @@
 	return n
 }
 
-// change is an Apply under way: a batch, and what it will make of the state in memory.
+// change is an Apply in progress: a batch, and the in-memory state after its commit.
 type change struct {
 	s           *Store
 	batch       *pebble.Batch
-	dests       map[int]destState // as they will be
-	pending     map[uint32]*Ref   // put by this change; nil: removed by it
+	dests       map[int]destState // state after the change
+	pending     map[uint32]*Ref   // messages added by this change; nil: removed by it
 	highest     uint32
 	minDeadline position
 	messages    int
@@ -100,7 +100,7 @@
 		minDeadline: s.minDeadline, messages: s.messages}
 }
 
-// dest is a destination's as the change will leave it.
+// dest returns the state of a destination after the change so far.
 func (c *change) dest(dest int) destState {
 	if q, ok := c.dests[dest]; ok {
 		return q
@@ -113,7 +113,7 @@
 	return destState{minRank: maxPosition}
 }
 
-// lookup tells what the store has under an id as the change goes on. A record that can't be read is damaged.
+// lookup returns the message that has an id after the change so far; damaged means that its record cannot be read.
 func (c *change) lookup(id uint32) (r Ref, ok, damaged bool) {
 	if r, ok := c.pending[id]; ok {
 		if r == nil {
@@ -133,7 +133,7 @@
 	switch {
 	case damaged:
 		if _, closer, err := c.s.db.Get(destKey(r.Dest, position{r.Rank, r.ID})); err != nil {
-			return nil // it is known under no such rank: the index's own readers come upon it
+			return nil // not indexed under this rank; a later read of the index finds the dangling key
 		} else if err := closer.Close(); err != nil {
 			return err
 		}
@@ -154,7 +154,7 @@
 	return nil
 }
 
-// dropDangling removes an index's key that finds no message, and the record that can't be read.
+// dropDangling removes an index key without a readable message, and, if record is set, the unreadable record.
 func (c *change) dropDangling(key []byte, record bool) error {
 	if key[0] == keyDest {
 		c.addToCount(int(binary.BigEndian.Uint32(key[1:])), -1)
@@ -205,7 +205,7 @@
 	c.removed += max(0, -n)
 }
 
-// writeCounters adds the counters to the batch.
+// writeCounters adds the changed counters to the batch.
 func (c *change) writeCounters() error {
 	for dest, q := range c.dests {
 		var err error
@@ -224,7 +224,7 @@
 	return c.batch.Set([]byte{keyState}, appendPosition(binary.BigEndian.AppendUint32(nil, c.highest), c.minDeadline), nil)
 }
 
-// publish has the state in memory follow a change that is on disk.
+// publish updates the in-memory state after the batch was committed.
 func (c *change) publish() {
 	s := c.s
 	s.mu.Lock()
@@ -248,7 +248,7 @@
 	clear(s.dangling)
 }
 
-// danglingKeys are the keys of indexes that find no message.
+// danglingKeys returns the index keys that were found to have no readable message.
 func (s *Store) danglingKeys() map[string]bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/backlog/backlog.go
+++ b/internal/backlog/backlog.go
@@ -1,9 +1,9 @@
-// Package backlog keeps on disk the messages that a relay owes, has not tried, and has no room for in its window. It knows
-// destinations, times and room, and nothing of routes.
+// Package backlog stores on disk the messages that a relay has accepted, has not attempted yet, and cannot fit into its
+// in-memory window. It deals with destinations, deadlines and disk space, and knows nothing about routes.
 //
-// What it holds in memory goes by destinations that have messages, not by messages: a start reads the counters alone. The
-// engine is pebble, a log-structured merge tree, under a file layer of our own (see files) which turns every failure of the
-// disk into the state that SIGKILL would have left; the store then opens its folder anew.
+// Memory use grows with the number of destinations that have messages, not with the number of messages: opening a store
+// reads only the counters. The storage engine is Pebble, a log-structured merge tree. It runs on engineFS, a file system
+// layer that turns every disk failure into the on-disk state that SIGKILL would have left; the store then reopens its folder.
 package backlog
 
 import (
@@ -22,85 +22,86 @@
 )
 
 var (
-	// ErrFull tells that there is no room for what is put. Removals go through.
+	// ErrFull is returned when there is no space for the added messages. Changes that only remove messages still succeed.
 	ErrFull = owed.ErrFull
-	// ErrDisk tells that the disk fails; it wraps the cause. Whether what was applied is there is known only once a later
-	// Apply succeeds: applied again it does no harm.
+	// ErrDisk is returned when the disk fails; it wraps the cause. Whether the failed change was stored is known only once a
+	// later Apply succeeds. Applying the same change again is harmless.
 	ErrDisk = errors.New("backlog: the disk fails")
-	// ErrDamaged tells that something on disk can't be read. The next Open mends it.
+	// ErrDamaged is returned when stored data cannot be read. The next Open repairs the folder.
 	ErrDamaged = errors.New("backlog: damaged")
-	// ErrWrongOwner tells that the folder is another relay's.
+	// ErrWrongOwner is returned when the folder belongs to another relay.
 	ErrWrongOwner = errors.New("backlog: another relay's folder")
-	// ErrLocked tells that another process has the folder open.
+	// ErrLocked is returned when another process has the folder open.
 	ErrLocked = errors.New("backlog: the folder is in use")
-	// ErrClosed tells that the store is closed.
+	// ErrClosed is returned by a closed store.
 	ErrClosed = errors.New("backlog: closed")
 )
 
-// The words that the store shares with the relay.
+// Types shared with the relay, which must not link the storage engine.
 type (
 	Ref        = owed.Ref
 	Entry      = owed.Entry
 	OpenReport = owed.OpenReport
 )
 
-// Options says where and how a store keeps its messages.
+// Options configures a store.
 type Options struct {
-	Dir   string       // own folder, made if there is none
-	Limit int64        // bytes on disk, everything counted; DefaultLimit if 0
-	Fsync bool         // what Apply has returned for survives a loss of power too; else the process's end alone
-	Name  string       // the relay's: a folder of another one is refused, unless Adopt
+	Dir   string       // dedicated folder, created if missing
+	Limit int64        // total bytes on disk, including all overhead; 0: DefaultLimit
+	Fsync bool         // applied changes also survive a power loss; otherwise only the end of the process
+	Name  string       // name of the relay; a folder of another relay is refused unless Adopt is set
 	Adopt bool         // take over another relay's folder
-	FS    disk.FS      // the folder's files, which must be a disk.Opener too; nil: the operating system's
-	Log   *slog.Logger // nil: none
+	FS    disk.FS      // file system of the folder, which must also be a disk.Opener; nil: the operating system's
+	Log   *slog.Logger // nil: no logging
 
-	// Sizes of the engine's memory in bytes, and of its files; 0: defaults. For tests.
+	// Sizes in bytes of the engine's block cache, of one memtable and of one table file; 0: defaults. For tests.
 	CacheSize, MemTableSize, TableSize int64
 }
 
-// Store keeps messages on disk. Apply, First, Due, NextDue and Dests belong to one goroutine; the others to any.
+// Store keeps messages on disk. Apply, First, Due, NextDue and Dests must be called from a single goroutine; all other
+// methods are safe for concurrent use.
 type Store struct {
 	opts       Options
 	fs         storeFS
 	log        *slog.Logger
-	lockFile   *os.File // the lock on the folder
+	lockFile   *os.File // holds the lock on the folder
 	usage      *diskUsage
-	generation uint64    // of the engine's files
-	lastReopen time.Time // when the folder was last opened anew
+	generation uint64    // current generation of the engine's files
+	lastReopen time.Time // last attempt to reopen the folder
 	now        func() time.Time
 
-	dbMu     sync.RWMutex // held for reading by whoever uses db
-	db       *pebble.DB   // nil: can't be opened
-	files    *engineFS    // db's
-	writeErr error        // why the folder can't be written
+	dbMu     sync.RWMutex // read-locked while db is in use
+	db       *pebble.DB   // nil: could not be opened
+	files    *engineFS    // file system used by db
+	writeErr error        // why the folder is not writable
 	closed   bool
 
 	mu                     sync.Mutex
 	dests                  map[int]*destState
-	sortedDests            []int // keys of dests, nil: not known
+	sortedDests            []int // sorted keys of dests; nil: must be recomputed
 	messages               int
 	highest                uint32
-	minDeadline            position        // in the order of deadlines: nothing is before it
-	dangling               map[string]bool // keys of indexes that find no message that can be read; true: its record goes too
-	removedSinceCompaction int             // messages removed since the last sweep; all there are after a start, which doesn't know
-	compaction             *compactionJob  // nil: none
-	damageNotes            []string        // in plain words, since Open
+	minDeadline            position        // lower bound of all positions in the deadline index
+	dangling               map[string]bool // index keys without a readable message; true: delete the record as well
+	removedSinceCompaction int             // messages removed since the last full compaction; unknown after opening: assumed to be all
+	compaction             *compactionJob  // nil: none is running
+	damageNotes            []string        // descriptions of damage found since Open
 }
 
-// destState is what is known of one destination.
+// destState is the in-memory state of one destination.
 type destState struct {
 	count   int
-	minRank position // nothing is before it
+	minRank position // lower bound of all positions in the destination's index
 }
 
-// Len is how many messages there are.
+// Len returns the number of stored messages.
 func (s *Store) Len() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.messages
 }
 
-// Count is how many messages a destination has.
+// Count returns the number of messages of a destination.
 func (s *Store) Count(dest int) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -110,7 +111,7 @@
 	return 0
 }
 
-// Dests lists the destinations that have messages, with how many, in ascending order.
+// Dests yields the destinations that have messages, in ascending order, with their number of messages.
 func (s *Store) Dests() iter.Seq2[int, int] {
 	return func(yield func(int, int) bool) {
 		s.mu.Lock()
@@ -131,5 +132,5 @@
 	}
 }
 
-// DiskBytes is the bytes on disk, everything counted.
+// DiskBytes returns the total number of bytes on disk, including all overhead.
 func (s *Store) DiskBytes() int64 { return s.usage.total.Load() }
--- a/internal/backlog/check.go
+++ b/internal/backlog/check.go
@@ -7,18 +7,19 @@
 	"github.com/cockroachdb/pebble/v2"
 )
 
-// CheckReport is what reading everything found.
+// CheckReport is the result of a consistency check.
 type CheckReport struct {
 	Messages int
 	Dests    int
-	Problems []string // empty: all is well
+	Problems []string // empty: the store is consistent
 }
 
-// Check reads everything: each record, that each index lists these and no others, and the counters.
+// Check reads the whole store. It verifies every record, that each index contains exactly the stored messages, and the
+// counters.
 func (s *Store) Check() (r CheckReport, err error) {
 	err = s.withEngine(func(db *pebble.DB) error {
 		r = CheckReport{}
-		var want, have [3]uint64 // of each index, sums of the hashes of its keys
+		var want, have [3]uint64 // for each index, the sum of the hashes of its keys
 		counts := map[int]int{}
 		_, err := scanRecords(db, 0, func(e Entry) error {
 			r.Messages++
@@ -29,7 +30,7 @@
 			return nil
 		})
 		if err != nil {
-			r.Problems = append(r.Problems, fmt.Sprintf("a record can't be read: %v", err))
+			r.Problems = append(r.Problems, fmt.Sprintf("a record cannot be read: %v", err))
 		}
 		for i, index := range []byte{keyDest, keyDeadline, keyTrace} {
 			it, err := db.NewIter(&pebble.IterOptions{LowerBound: []byte{index}, UpperBound: []byte{index + 1}})
@@ -40,25 +41,25 @@
 				have[i] += xxhash.Sum64(it.Key())
 			}
 			if err := it.Close(); err != nil {
-				r.Problems = append(r.Problems, fmt.Sprintf("index %c can't be read: %v", index, err))
+				r.Problems = append(r.Problems, fmt.Sprintf("index %c cannot be read: %v", index, err))
 			} else if have[i] != want[i] {
-				r.Problems = append(r.Problems, fmt.Sprintf("index %c doesn't list the messages that there are", index))
+				r.Problems = append(r.Problems, fmt.Sprintf("index %c does not match the stored messages", index))
 			}
 		}
 		r.Dests = len(counts)
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		if s.messages != r.Messages {
-			r.Problems = append(r.Problems, fmt.Sprintf("%d messages are counted, %d are there", s.messages, r.Messages))
+			r.Problems = append(r.Problems, fmt.Sprintf("the counter of messages is %d, but %d are stored", s.messages, r.Messages))
 		}
 		for dest, n := range counts {
 			if q := s.dests[dest]; q == nil || q.count != n {
-				r.Problems = append(r.Problems, fmt.Sprintf("destination %d is counted wrongly: %d are there", dest, n))
+				r.Problems = append(r.Problems, fmt.Sprintf("the counter of destination %d is wrong: %d messages are stored", dest, n))
 				break
 			}
 		}
 		if len(s.dests) != len(counts) {
-			r.Problems = append(r.Problems, fmt.Sprintf("%d destinations are counted, %d are there", len(s.dests), len(counts)))
+			r.Problems = append(r.Problems, fmt.Sprintf("the counter of destinations is %d, but %d have messages", len(s.dests), len(counts)))
 		}
 		r.Problems = append(r.Problems, s.damageNotes...)
 		return nil
--- a/internal/backlog/crash_test.go
+++ b/internal/backlog/crash_test.go
@@ -11,25 +11,25 @@
 	"onyxroad.dev/onyxroad/internal/disk/crashdisk"
 )
 
-var crashStates = flag.Int("states", 1200, "states that a crash may leave to be drawn, in all")
+var crashStates = flag.Int("states", 1200, "total number of post-crash disk states to check")
 
-// crashRun is a store's drawn life on a disk. At drawn changes of the disk it crashes, and what is left has to hold all that
-// was applied, and of the change under way all or nothing.
+// crashRun applies random changes to a store and simulates crashes at random changes of its disk. The disk that a crash leaves
+// must hold all applied changes, and the change in progress either completely or not at all.
 type crashRun struct {
 	t     *testing.T
-	power bool // else the process alone ends
+	power bool // simulate a loss of power; otherwise only the end of the process
 
 	mu        sync.Mutex
-	rng       *rand.Rand // of the crashes
+	rng       *rand.Rand // picks crash points and states
 	acked     model
-	put       []Entry // under way
+	put       []Entry // additions of the change in progress
 	remove    []Ref
-	remaining int // states to be drawn
+	remaining int // number of states still to check
 	checked   int
 	failure   string
 }
 
-// afterChange is told of a change of the disk.
+// afterChange is called after each change of the disk.
 func (h *crashRun) afterChange(d *crashdisk.Disk, deep bool, op string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -49,7 +49,7 @@
 		h.checkReopen(x, before, after, op)
 		return
 	}
-	// The start itself crashes, once, at a change that is drawn.
+	// Opening the store crashes too, once, at a random change of the disk.
 	var mu sync.Mutex
 	var again *crashdisk.Disk
 	rng := rand.New(rand.NewPCG(h.rng.Uint64(), 5))
@@ -66,11 +66,11 @@
 	h.checkReopen(x, before, after, op)
 	if again != nil && h.failure == "" {
 		h.checked++
-		h.checkReopen(again, before, after, op+", and in the start after it")
+		h.checkReopen(again, before, after, op+", and while opening the store after it")
 	}
 }
 
-// checkReopen checks what a start makes of a disk.
+// checkReopen opens the store on a disk and compares it with the model before and after the change in progress.
 func (h *crashRun) checkReopen(d *crashdisk.Disk, before, after model, when string) {
 	o := smallOptions(d)
 	o.Fsync = h.power
@@ -134,7 +134,7 @@
 		if remaining <= 0 {
 			break
 		}
-		if rng.IntN(25) == 0 { // the process ends and starts again
+		if rng.IntN(25) == 0 { // the process is restarted
 			next := d.Copy()
 			if h.power {
 				h.mu.Lock()
@@ -151,7 +151,8 @@
 	}
 }
 
-// TestCrashConsistency crashes drawn histories, by a loss of power and by the process's end.
+// TestCrashConsistency guards against a crash losing applied changes, applying a change partly, or bringing removed messages
+// back. The crashes follow random changes of the disk, and are either a loss of power or the end of the process.
 func TestCrashConsistency(t *testing.T) {
 	const histories = 8
 	for _, power := range []bool{true, false} {
--- a/internal/backlog/damage_test.go
+++ b/internal/backlog/damage_test.go
@@ -12,7 +12,8 @@
 	"onyxroad.dev/onyxroad/internal/disk/crashdisk"
 )
 
-// populatedDisk makes a folder with tables and a log, as the process's end leaves it, with what it holds and all that it ever held.
+// populatedDisk returns a disk with tables and a log as the end of a process leaves it, the messages in its store, and all
+// messages that were ever in it.
 func populatedDisk(t *testing.T) (d *crashdisk.Disk, m, ever model) {
 	live := crashdisk.New()
 	s, _ := mustOpen(t, smallOptions(live))
@@ -42,7 +43,8 @@
 	return live.Copy(), m, ever
 }
 
-// readAll reads a store in each way and tells which messages it found; one that is other than it was put is an error.
+// readAll reads a store through all its methods and returns the ids of the messages found. A message that differs from what was
+// stored is an error.
 func readAll(s *Store, ever model) (map[uint32]bool, error) {
 	found := map[uint32]bool{}
 	right := func(e Entry) error {
@@ -71,7 +73,7 @@
 		}
 		for i, e := range list {
 			if e.Dest != dest || i > 0 && !(position{list[i-1].Rank, list[i-1].ID}).less(position{e.Rank, e.ID}) {
-				return nil, fmt.Errorf("destination %d lists %v", dest, e.Ref)
+				return nil, fmt.Errorf("destination %d lists %v out of order, or it belongs elsewhere", dest, e.Ref)
 			}
 		}
 		all = append(all, list...)
@@ -88,8 +90,9 @@
 	return found, nil
 }
 
-// checkDamaged opens a damaged folder, reads all, works on it, and opens it again: whatever is there is as it was put, and by
-// the second start all that the store says is in order. It returns how many messages are left and what was set aside.
+// checkDamaged opens a damaged folder, reads everything, applies a change, and opens it again. All readable messages must be as
+// they were stored, and the store must be consistent after the second open. It returns the number of messages left and the
+// combined reports of both opens.
 func checkDamaged(t *testing.T, d *crashdisk.Disk, m, ever model, logs bool, what string) (left int, found OpenReport) {
 	t.Helper()
 	s, firstReport, err := Open(smallOptions(d))
@@ -101,11 +104,11 @@
 		t.Fatalf("%s: %v", what, err)
 	}
 	if r, err := s.Check(); err != nil && !errors.Is(err, ErrDamaged) {
-		t.Fatalf("%s: the check says %+v, %v", what, r, err)
+		t.Fatalf("%s: Check returned %+v, %v", what, r, err)
 	}
 	fresh := message(9000, 3, 5, 5, 1, 100)
 	if err := s.Apply([]Entry{fresh}, nil); err != nil {
-		t.Fatalf("%s: after it: %v", what, err)
+		t.Fatalf("%s: Apply after the damage: %v", what, err)
 	}
 	s.Close()
 	d = d.Copy()
@@ -119,15 +122,15 @@
 		t.Fatalf("%s: opened again: %v", what, err)
 	}
 	if !have[fresh.ID] {
-		t.Fatalf("%s: what was applied after it is lost", what)
+		t.Fatalf("%s: the message added after the damage is lost", what)
 	}
 	for id := range have {
 		if _, ok := m[id]; !ok && id != fresh.ID && !logs {
-			t.Fatalf("%s: message %d is back", what, id)
+			t.Fatalf("%s: removed message %d has reappeared", what, id)
 		}
 	}
 	if r, err := s.Check(); err != nil || len(r.Problems) > 0 || r.Messages != len(have) {
-		t.Fatalf("%s: opened again, %d messages, the check says %+v, %v", what, len(have), r, err)
+		t.Fatalf("%s: opened again, %d messages, Check returned %+v, %v", what, len(have), r, err)
 	}
 	firstReport.Problems = append(firstReport.Problems, secondReport.Problems...)
 	firstReport.Rebuilt, firstReport.Lost = firstReport.Rebuilt || secondReport.Rebuilt, firstReport.Lost || secondReport.Lost
@@ -141,14 +144,15 @@
 	return all
 }
 
-var bitFlips = flag.Int("flips", 3, "bits that are flipped in each file")
+var bitFlips = flag.Int("flips", 3, "number of bits to flip in each file, one at a time")
 
-// TestFlippedBits flips a drawn bit of each file many times over.
+// TestFlippedBits guards against a flipped bit in any file making the store return wrong messages, or losing messages although
+// the bit is in neither a table nor a log.
 func TestFlippedBits(t *testing.T) {
 	intact, m, ever := populatedDisk(t)
 	names, _ := intact.Names()
 	rng := rand.New(rand.NewPCG(9, 9))
-	kinds := map[string][3]int{} // flips, those told, messages lost
+	kinds := map[string][3]int{} // number of flips, of reported flips, and of lost messages
 	for _, name := range names {
 		data, _ := intact.ReadFile(name)
 		for range min(*bitFlips, len(data)) {
@@ -163,7 +167,7 @@
 				kind = strings.Split(name, "-")[1]
 			}
 			if left < len(m) && kind != "log" && kind != "sst" {
-				t.Errorf("bit %d of %s: %d of %d messages are left", bit, name, left, len(m))
+				t.Errorf("bit %d of %s: only %d of %d messages are left", bit, name, left, len(m))
 			}
 			k := kinds[kind]
 			k[0], k[2] = k[0]+1, k[2]+max(0, len(m)-left)
@@ -173,10 +177,11 @@
 			kinds[kind] = k
 		}
 	}
-	t.Logf("of %d messages; flips, those told, messages lost: %v", len(m), kinds)
+	t.Logf("%d messages; for each kind of file, flips, reported flips and lost messages: %v", len(m), kinds)
 }
 
-// TestMissingAndTruncatedFiles takes files away, and cuts them short.
+// TestMissingAndTruncatedFiles guards against messages lost without a report when a file is missing or truncated, and against
+// losing everything because of one table.
 func TestMissingAndTruncatedFiles(t *testing.T) {
 	intact, m, ever := populatedDisk(t)
 	names, _ := intact.Names()
@@ -187,11 +192,11 @@
 				continue
 			}
 			d := intact.Copy()
-			what := fmt.Sprintf("%s taken away", name)
+			what := fmt.Sprintf("%s removed", name)
 			if cut < 0 {
 				d.Remove(name)
 			} else {
-				what = fmt.Sprintf("%s cut to %d", name, cut)
+				what = fmt.Sprintf("%s truncated to %d bytes", name, cut)
 				f, err := d.Open(name)
 				if err != nil {
 					t.Fatal(err)
@@ -200,10 +205,10 @@
 			}
 			left, found := checkDamaged(t, d.Copy(), m, ever, strings.HasSuffix(name, ".log"), what)
 			if left < len(m) && len(found.Problems) == 0 && !strings.HasSuffix(name, ".log") {
-				t.Errorf("%s: %d of %d messages are left, and nothing is told", what, left, len(m))
+				t.Errorf("%s: only %d of %d messages are left, and nothing was reported", what, left, len(m))
 			}
 			if found.Lost && strings.HasSuffix(name, ".sst") {
-				t.Errorf("%s: all is lost for one table", what)
+				t.Errorf("%s: all messages are lost because of one table", what)
 			}
 		}
 	}
--- a/internal/backlog/engine.go
+++ b/internal/backlog/engine.go
@@ -9,22 +9,22 @@
 	"github.com/cockroachdb/pebble/v2/bloom"
 )
 
-// DefaultLimit is the bytes on disk that a store may take where nothing is said.
+// DefaultLimit is the default limit of a store's size on disk, in bytes.
 const DefaultLimit = 4 << 30
 
 const (
-	defaultCacheSize    = 16 << 20 // blocks, indexes and filters that were read; 7 MB of it are filters at 5.5 million messages
-	defaultMemTableSize = 4 << 20  // one write buffer
-	maxMemTables        = 4        // of them at most, before a write waits
-	defaultTableSize    = 8 << 20  // a table
-	maxOpenTables       = 96       // descriptors that tables take at most; the log, the manifest and what is written add some 8
-	manifestBytes       = 4 << 20  // of changes, before a new one is begun
-	maxCompactions      = 1        // at a time
+	defaultCacheSize    = 16 << 20 // data, index and filter blocks; the filters of 5.5 million messages take 7 MB
+	defaultMemTableSize = 4 << 20  // one memtable
+	maxMemTables        = 4        // writes stall beyond this number
+	defaultTableSize    = 8 << 20  // one table file
+	maxOpenTables       = 96       // file descriptors for tables; the log, the manifest and files being written add about 8
+	manifestBytes       = 4 << 20  // size at which the manifest is rotated
+	maxCompactions      = 1        // concurrent compactions
 	blockBytes          = 8 << 10
-	filterBits          = 10 // a key: one miss in a hundred reads a block
-	maxL0Tables         = 16 // write buffers' worth of tables that wait to be merged, before a write waits
-	baseLevelTables     = 4  // tables of the level that these are merged into
-	damagedShare        = 16 // damaged files are kept up to the limit's 16th
+	filterBits          = 10 // bits per key: 1 % of the lookups of absent keys read a block
+	maxL0Tables         = 16 // L0 tables, each the size of a memtable, at which writes stall until they are compacted
+	baseLevelTables     = 4  // tables of the level that L0 is compacted into
+	damagedShare        = 16 // damaged files are kept up to 1/16 of the limit
 	bufferShare         = 128
 )
 
@@ -46,19 +46,19 @@
 	}
 }
 
-// reserve is the bytes that are kept free of what is put, for removals and for what the engine writes before it can give reserve
-// back: its logs, those it keeps to be used again, and a compaction of all young tables beside its input. It is a quarter
-// of a small limit, and 150 MB of a large one.
+// reserve returns the number of bytes that additions must leave free. They are needed for removals and for what the engine
+// writes before it can release space: its logs, the logs that it keeps for reuse, and the output of a compaction of all L0
+// tables, which exists beside its input for a while. This is a quarter of a small limit, and 150 MB of a large one.
 func (o *Options) reserve() int64 {
 	return (maxL0Tables+2*maxMemTables+1)*o.MemTableSize + (baseLevelTables+2)*o.TableSize
 }
 
-// openEngine opens one generation of the openEngine's files.
+// openEngine opens one generation of the engine's files.
 func (s *Store) openEngine(f *engineFS, readOnly bool, onCorruption func(path string, err error)) (db *pebble.DB, err error) {
-	// Damage that the engine doesn't expect is no reason to end the process.
+	// The engine panics on some kinds of damage, which must not end the process.
 	defer func() {
 		if r := recover(); r != nil {
-			db, err = nil, fmt.Errorf("%w: the engine gave up: %v", ErrDamaged, r)
+			db, err = nil, fmt.Errorf("%w: the storage engine panicked: %v", ErrDamaged, r)
 		}
 	}()
 	o := &pebble.Options{
@@ -97,8 +97,8 @@
 	return pebble.Open("/", o)
 }
 
-// logger takes what the engine says. It never ends the process: what the engine calls fatal has failed in the file layer
-// first, or is damage that is found again.
+// logger forwards the engine's log messages. Unlike the engine's default logger, Fatalf does not end the process: what the
+// engine considers fatal either has failed in engineFS first, or is damage that is detected again later.
 type logger struct{ log *slog.Logger }
 
 func (l logger) Infof(format string, args ...any) {
--- a/internal/backlog/fail_test.go
+++ b/internal/backlog/fail_test.go
@@ -14,8 +14,8 @@
 	"onyxroad.dev/onyxroad/internal/disk/crashdisk"
 )
 
-// TestFailingDisk has the disk fail in the midst of drawn histories, in each of its ways, and come back. What was applied
-// can be read while it fails, if it can be read at all, and what was refused is there whole or not at all.
+// TestFailingDisk makes each kind of disk operation fail for a while during random changes. It guards against applied messages
+// becoming unreadable during the failure, and against a refused change being stored partly.
 func TestFailingDisk(t *testing.T) {
 	for _, power := range []bool{true, false} {
 		for _, fails := range []string{"write", "sync", "open", "remove", "syncdir", "write sync open remove syncdir rename"} {
@@ -61,10 +61,10 @@
 			t.Fatalf("change %d: %v", i, err)
 		default:
 			refused++
-			for id, e := range m { // what was there can be read, or has gone with what was refused
+			for id, e := range m { // earlier messages stay readable unless the refused change concerns them
 				got, ok, err := s.Get(id)
 				if err != nil {
-					t.Fatalf("change %d: message %d can't be read while the disk fails: %v", i, id, err)
+					t.Fatalf("change %d: message %d cannot be read while the disk fails: %v", i, id, err)
 				}
 				if !ok && !mentions(remove, put, id) || ok && got.Ref != e.Ref && !mentions(remove, put, id) {
 					t.Fatalf("change %d: message %d is %v, %v", i, id, got.Ref, ok)
@@ -72,11 +72,11 @@
 			}
 			failing.Store(false)
 			if err := s.Apply(put, remove); !errors.Is(err, ErrDisk) && err != nil {
-				t.Fatalf("change %d: at once: %v", i, err)
+				t.Fatalf("change %d: repeated at once: %v", i, err)
 			}
 			now = now.Add(reopenDelay)
 			if err := s.Apply(put, remove); err != nil {
-				t.Fatalf("change %d: the disk is back, and yet: %v", i, err)
+				t.Fatalf("change %d: still refused although the disk works again: %v", i, err)
 			}
 			m.apply(put, remove)
 		}
@@ -95,14 +95,14 @@
 		t.Fatal(wrong)
 	}
 	if refused == 0 && (power || !strings.Contains(fails, "sync")) {
-		t.Error("nothing was refused")
+		t.Error("no change was refused")
 	}
 	s.Close()
 	copied := d.Copy()
 	o.FS = copied
 	s, found := mustOpen(t, o)
 	if wrong := m.diff(s); wrong != "" || len(found.Problems) > 0 {
-		t.Fatalf("after a start: %s, found %+v", wrong, found)
+		t.Fatalf("reopened: %s, report %+v", wrong, found)
 	}
 }
 
@@ -129,7 +129,8 @@
 	return false
 }
 
-// TestAFullStore fills a store to its limit, where removals go on, and ends with room again. The limit holds throughout.
+// TestAFullStore fills a store to its limit and then empties it. It guards against the store exceeding its limit, refusing
+// removals when full, or not releasing the space of removed messages.
 func TestAFullStore(t *testing.T) {
 	const limit = 8 << 20
 	d := crashdisk.New()
@@ -171,18 +172,18 @@
 			remove = append(remove, e.Ref)
 		}
 		if err := s.Apply(nil, remove); err != nil {
-			t.Fatalf("removals at the limit: %v", err)
+			t.Fatalf("removal from a full store: %v", err)
 		}
 		m.apply(nil, remove)
 	}
-	t.Logf("%d messages at the end, refused %d times, %d bytes on disk at most", len(m), refusals, maxDisk)
+	t.Logf("%d messages at the end, %d changes refused, at most %d bytes on disk", len(m), refusals, maxDisk)
 	if refusals == 0 {
-		t.Error("it was never full")
+		t.Error("the store was never full")
 	}
 	if wrong := m.diff(s); wrong != "" {
 		t.Fatal(wrong)
 	}
-	for dest := range 7 { // all goes, and the room comes back
+	for dest := range 7 { // removing everything must release the space
 		for s.Count(dest) > 0 {
 			all, err := s.First(dest, 256)
 			if err != nil {
@@ -199,7 +200,7 @@
 	}
 	last := []Entry{message(next, 1, 1, 1, 1, 10)}
 	err := s.Apply(last, nil)
-	for i := 0; i < 3 && errors.Is(err, ErrFull); i++ { // it begins to sweep, if no sweep goes on
+	for i := 0; i < 3 && errors.Is(err, ErrFull); i++ { // a refused Apply starts a compaction if none is running
 		s.mu.Lock()
 		job := s.compaction
 		s.mu.Unlock()
@@ -210,11 +211,11 @@
 		err = s.Apply(last, nil)
 	}
 	if err != nil {
-		t.Fatalf("emptied, with %d bytes on disk: %v", s.DiskBytes(), err)
+		t.Fatalf("Apply to the emptied store, with %d bytes on disk: %v", s.DiskBytes(), err)
 	}
 }
 
-// TestPrefixedFolders has two stores share one disk, each with names of its own.
+// TestPrefixedFolders guards against two stores on one disk, with different name prefixes, seeing each other's files.
 func TestPrefixedFolders(t *testing.T) {
 	d := crashdisk.New()
 	var stores []*Store
--- a/internal/backlog/files.go
+++ b/internal/backlog/files.go
@@ -16,36 +16,37 @@
 	"onyxroad.dev/onyxroad/internal/disk"
 )
 
-// storeFS is what the store needs of its storeFS.
+// storeFS is the file system that the store needs for its folder.
 type storeFS interface {
 	disk.FS
 	disk.Opener
 }
 
-// engineFS is one generation of the engine's engineFS in the store's flat folder: each name has the generation's prefix.
+// engineFS implements vfs.FS for one generation of the engine's files, whose names have the generation's prefix in the
+// store's flat folder.
 //
-// The first change that fails, fails for good: from then on nothing reaches the folder, which stays as SIGKILL at that
-// moment would have left it. So the engine, which ends the process where its own log can't be written, never learns of it;
-// the store asks failed before it believes in a commit, and opens the folder anew.
+// After the first failed change, nothing reaches the folder any more, so that it stays as SIGKILL at that moment would have
+// left it. The engine is not told, because it ends the process when it cannot write its log. Instead the store calls failed
+// before it trusts a commit, and reopens the folder after a failure.
 //
-// Where power may be lost, names that speak of others come and go in their order: what was made is on disk before a marker
-// that names it is made, and before anything is removed. The engine trusts the file system to keep that order.
+// With fsync, changes of names become durable in order: created files are durable before a marker that refers to them is
+// created, and before any file is removed. The engine relies on the file system to keep this order.
 type engineFS struct {
 	dir      storeFS
 	prefix   string
-	fsync    bool // syncs are real
-	readOnly bool // nothing is changed, and that is no failure
+	fsync    bool // files and the folder are synced to disk; otherwise syncs do nothing
+	readOnly bool // changes are ignored, without being failures
 	usage    *diskUsage
 
-	hidden map[string]bool // names that the engine shall not see; set before it is opened
+	hidden map[string]bool // names that are not listed to the engine; set before the engine is opened
 
 	failure atomic.Pointer[error]
 	closing atomic.Bool
-	dirty   atomic.Bool // a name is new since the folder's last sync
-	mu      sync.Mutex  // one sync of the folder at a time
+	dirty   atomic.Bool // files were created or renamed since the folder was last synced
+	mu      sync.Mutex  // serializes syncs of the folder
 }
 
-// diskUsage counts the bytes of the folder's files.
+// diskUsage tracks the sizes of the folder's files.
 type diskUsage struct {
 	limit int64
 	total atomic.Int64
@@ -82,19 +83,19 @@
 	delete(u.sizes, from)
 }
 
-var errEngineClosing = errors.New("backlog: the engine is being ended")
+var errEngineClosing = errors.New("backlog: the storage engine is being closed")
 
-// fail has nothing reach the folder any more.
+// fail makes all further changes have no effect.
 func (f *engineFS) fail(err error) { f.failure.CompareAndSwap(nil, &err) }
 
-// shutDown is stop for an engine that is about to be closed: what it still writes in the background is given up, not waited for.
-// While it stays open it must not learn of it, since it would try again at once and for ever.
+// shutDown is fail for an engine that is about to be closed: its background writes to tables return errors, so that closing does
+// not wait for them. While the engine stays open it must not get such errors, since it would retry without a pause.
 func (f *engineFS) shutDown() {
 	f.fail(errEngineClosing)
 	f.closing.Store(true)
 }
 
-// failed is what the first change that failed said, or nil.
+// failed returns the error of the first change that failed, or nil.
 func (f *engineFS) failed() error {
 	if err := f.failure.Load(); err != nil {
 		return *err
@@ -104,7 +105,7 @@
 
 func (f *engineFS) name(p string) string { return f.prefix + path.Base(p) }
 
-// hide has the engine not see a file.
+// hide makes a file invisible to the engine.
 func (f *engineFS) hide(name string) {
 	if f.hidden == nil {
 		f.hidden = map[string]bool{}
@@ -112,7 +113,7 @@
 	f.hidden[name] = true
 }
 
-// mutate makes a mutate unless an earlier one has failed.
+// mutate performs a change unless an earlier one has failed.
 func (f *engineFS) mutate(do func() error) {
 	if f.readOnly || f.failed() != nil {
 		return
@@ -122,7 +123,7 @@
 	}
 }
 
-// isTable tells a file that the engine can do without.
+// isTable reports whether name is a table or blob file, whose failed write the engine survives.
 func isTable(name string) bool {
 	return strings.HasSuffix(name, ".sst") || strings.HasSuffix(name, ".blob")
 }
@@ -145,7 +146,7 @@
 	return file, file.closingError()
 }
 
-// create makes a file anew, without an older one's bytes.
+// create creates an empty file, replacing an existing one.
 func (f *engineFS) create(name string) (disk.File, error) {
 	if _, ok := f.usage.size(name); ok {
 		if err := f.dir.Remove(name); err != nil {
@@ -225,7 +226,7 @@
 	return nil
 }
 
-// ReuseForWrite writes no file over: what an old log held can't be taken for a new one's.
+// ReuseForWrite creates a new file instead of overwriting the old one, so that old log records cannot be mistaken for new ones.
 func (f *engineFS) ReuseForWrite(from, to string, c vfs.DiskWriteCategory) (vfs.File, error) {
 	if err := f.Remove(from); err != nil {
 		return nil, err
@@ -235,7 +236,7 @@
 
 func (f *engineFS) MkdirAll(string, os.FileMode) error { return nil }
 
-// Lock locks nothing: the store holds a lock on its folder.
+// Lock does nothing: the store holds a lock on its folder.
 func (f *engineFS) Lock(string) (io.Closer, error) { return io.NopCloser(nil), nil }
 
 func (f *engineFS) List(string) ([]string, error) {
@@ -272,16 +273,17 @@
 		UsedBytes: uint64(used)}, nil
 }
 
-// writeHandle is a file that is being writeHandle.
+// writeHandle is a file opened for writing.
 type writeHandle struct {
 	fs     *engineFS
 	name   string
-	file   disk.File // nil: it was never made
-	mirror disk.File // nil: it has none
+	file   disk.File // nil: it could not be created
+	mirror disk.File // second copy of a manifest; nil: none
 	size   int64
 }
 
-// The manifestPrefix names all tables, and nothing can be read without it: it is written twice.
+// manifestPrefix begins the names of manifests. A manifest lists all tables, and nothing can be read without it, so it is
+// written twice.
 const manifestPrefix = "MANIFEST-"
 
 func mirrorName(name string) string { return "twin." + name }
@@ -301,7 +303,7 @@
 	return len(p), w.closingError()
 }
 
-// closingError is an error where the engine is being closed and can do without the file.
+// closingError returns an error if the engine is being closed and can do without the file.
 func (w *writeHandle) closingError() error {
 	if w.fs.closing.Load() && isTable(w.name) {
 		return errEngineClosing
@@ -343,7 +345,7 @@
 func (w *writeHandle) ReadAt([]byte, int64) (int, error)        { return 0, vfs.ErrUnsupported }
 func (w *writeHandle) WriteAt(p []byte, off int64) (int, error) { return 0, vfs.ErrUnsupported }
 
-// readHandle is a file that is being readHandle.
+// readHandle is a file opened for reading.
 type readHandle struct {
 	disk.Reader
 	name string
@@ -373,7 +375,7 @@
 func (r *readHandle) Prefetch(int64, int64) error        { return nil }
 func (r *readHandle) Fd() uintptr                        { return vfs.InvalidFd }
 
-// dirHandle is the folder, open to be synced.
+// dirHandle is the folder, opened to be synced.
 type dirHandle struct {
 	readHandle
 	fs *engineFS
@@ -388,7 +390,7 @@
 func (d *dirHandle) Close() error                { return nil }
 func (d *dirHandle) Stat() (vfs.FileInfo, error) { return fileInfo{"/", 0}, nil }
 
-// fileInfo tells a file's size.
+// fileInfo is the vfs.FileInfo of a file; only its size is known.
 type fileInfo struct {
 	name string
 	size int64
--- a/internal/backlog/keys.go
+++ b/internal/backlog/keys.go
@@ -9,19 +9,19 @@
 	"github.com/cockroachdb/pebble/v2"
 )
 
-// The engine's keys, each by its first byte. Numbers are big-endian, signed ones with their sign flipped, so that the order
-// of bytes is the order of numbers.
+// Layout of the engine's keys; the first byte is the type of key. Integers are big-endian, and signed ones have their sign
+// bit flipped, so that keys sort in numerical order.
 //
-//	d dest rank id        by destination, most urgent first
-//	t deadline id         by deadline
-//	x hash id             by the hash of the trace
-//	c dest                how many messages a destination has, and the lowest place that may be taken in its order
-//	s                     the highest id, and the lowest place that may be taken in the order of deadlines
-//	z id                  a message's record
+//	d dest rank id        index by destination, most urgent first
+//	t deadline id         index by deadline
+//	x hash id             index by the hash of the trace
+//	c dest                number of messages of a destination, and a lower bound of the positions in its index
+//	s                     highest id, and a lower bound of the positions in the deadline index
+//	z id                  record of a message
 //
-// Records come last in a table, so that a damaged block hides none of a later id.
+// Records sort after all other keys, so that a damaged block does not hide any record of a later id.
 //
-// The lowest places spare a read the graves of all that was removed before them.
+// The lower bounds let reads skip the tombstones of messages that were removed earlier.
 const (
 	keyMessage  = 'z'
 	keyDest     = 'd'
@@ -37,7 +37,8 @@
 	tracePrefixLen = 1 + hashBytes
 )
 
-// comparer is the order of bytes. All ids under one hash have one prefix, so that the engine's filter knows the hash.
+// comparer orders keys bytewise. All trace keys with the same hash share a prefix, so that the engine's Bloom filters work on
+// the hash.
 var comparer = func() *pebble.Comparer {
 	c := *pebble.DefaultComparer
 	c.Name = "ivygauge.backlog.1"
@@ -50,7 +51,7 @@
 	return &c
 }()
 
-// position is where a message stands in an order: a time and an id.
+// position is the sort position of a message in an index: a time, then the id.
 type position struct {
 	time int64
 	id   uint32
@@ -78,13 +79,13 @@
 	return binary.BigEndian.AppendUint32(binary.BigEndian.AppendUint64(key, encodeOrdered(p.time)), p.id)
 }
 
-// decodePosition reads the place at the end of a key or value.
+// decodePosition decodes the position at the end of a key or value.
 func decodePosition(key []byte) position {
 	at := len(key) - 8 - idBytes
 	return position{decodeOrdered(binary.BigEndian.Uint64(key[at:])), binary.BigEndian.Uint32(key[at+8:])}
 }
 
-// tracePrefix is what all keys under a trace's hash begin with.
+// tracePrefix returns the common prefix of all keys with the hash of trace.
 func tracePrefix(trace string) []byte {
 	return binary.BigEndian.AppendUint64(append(make([]byte, 0, 13), keyTrace), xxhash.Sum64String(trace))
 }
@@ -95,13 +96,13 @@
 
 func countKey(dest int) []byte { return binary.BigEndian.AppendUint32([]byte{keyCount}, uint32(dest)) }
 
-// indexKeys are the keys that find a message.
+// indexKeys returns the keys of a message in the three indexes.
 func indexKeys(r Ref) [][]byte {
 	return [][]byte{destKey(r.Dest, position{r.Rank, r.ID}), deadlineKey(position{r.Deadline, r.ID}), traceKey(r.Trace, r.ID)}
 }
 
-// A record is a checksum, the destination, the rank, the deadline, the trace's length, the trace, and the data. The
-// checksum covers the id too.
+// A record consists of a checksum, the destination, the rank, the deadline, the length of the trace, the trace, and the data.
+// The checksum also covers the id, which is only in the key.
 const recordHeaderLen = hashBytes + 4 + 8 + 8 + 2
 
 func appendRecord(buf []byte, e Entry) []byte {
@@ -124,7 +125,7 @@
 	return h.Sum64()
 }
 
-// decodeRecord reads a record. The entry's data is a copy.
+// decodeRecord decodes the record of a message. The returned data is a copy.
 func decodeRecord(id uint32, b []byte) (Entry, error) {
 	if len(b) < recordHeaderLen || recordChecksum(id, b[hashBytes:]) != binary.BigEndian.Uint64(b) {
 		return Entry{}, fmt.Errorf("%w: the record of message %d has a wrong checksum", ErrDamaged, id)
@@ -134,16 +135,16 @@
 		Deadline: int64(binary.BigEndian.Uint64(b[12:]))}}
 	n := int(binary.BigEndian.Uint16(b[20:]))
 	if b = b[22:]; n > len(b) {
-		return Entry{}, fmt.Errorf("%w: the record of message %d ends in its trace", ErrDamaged, id)
+		return Entry{}, fmt.Errorf("%w: the record of message %d is truncated within its trace", ErrDamaged, id)
 	}
 	e.Trace, e.Data = string(b[:n]), append([]byte(nil), b[n:]...)
 	return e, nil
 }
 
-// validate tells whether a message can be kept.
+// validate reports an error if the record format cannot represent a message.
 func validate(e Entry) error {
 	if e.Dest < 0 || int64(e.Dest) > math.MaxUint32 || len(e.Trace) > math.MaxUint16 {
-		return fmt.Errorf("backlog: message %d can't be kept: destination %d, trace of %d bytes", e.ID, e.Dest, len(e.Trace))
+		return fmt.Errorf("backlog: message %d cannot be stored: destination %d, trace of %d bytes", e.ID, e.Dest, len(e.Trace))
 	}
 	return nil
 }
--- a/internal/backlog/model_test.go
+++ b/internal/backlog/model_test.go
@@ -13,7 +13,7 @@
 	"onyxroad.dev/onyxroad/internal/disk/crashdisk"
 )
 
-// smallOptions are options with which a test sees tables, compactions and limits after few messages.
+// smallOptions returns options with sizes so small that few messages already cause tables and compactions.
 func smallOptions(d *crashdisk.Disk) Options {
 	return Options{FS: d, Name: "n3", Limit: 64 << 20, CacheSize: 1 << 20, MemTableSize: 64 << 10, TableSize: 32 << 10}
 }
@@ -28,13 +28,13 @@
 	return s, found
 }
 
-// message makes the message of an id; version tells one from another under the same id.
+// message returns the message with an id; version distinguishes messages with the same id.
 func message(id uint32, dest int, rank, deadline int64, version, bytesOfData int) Entry {
 	data := bytes.Repeat([]byte{byte(id), byte(version), byte(id >> 8)}, bytesOfData/3+1)
 	return Entry{Ref: Ref{ID: id, Trace: fmt.Sprintf("trace-%d-%d", id, version), Dest: dest, Rank: rank, Deadline: deadline}, Data: data}
 }
 
-// model is what a store should hold.
+// model is the expected content of a store.
 type model map[uint32]Entry
 
 func (m model) sorted(of func(Entry) bool, by func(Entry) int64) []Entry {
@@ -63,7 +63,7 @@
 	return slices.EqualFunc(a, b, func(a, b Entry) bool { return a.Ref == b.Ref && bytes.Equal(a.Data, b.Data) })
 }
 
-// diff tells where a store differs from the model, or "".
+// diff describes the first difference between a store and the model, or returns "".
 func (m model) diff(s *Store) string {
 	if s.Len() != len(m) {
 		return fmt.Sprintf("%d messages, not %d", s.Len(), len(m))
@@ -81,7 +81,7 @@
 	last := -1
 	for dest, n := range s.Dests() {
 		if dest <= last || counts[dest] != n || s.Count(dest) != n {
-			return fmt.Sprintf("destination %d after %d has %d, not %d", dest, last, n, counts[dest])
+			return fmt.Sprintf("destination %d, listed after %d, has %d messages, not %d", dest, last, n, counts[dest])
 		}
 		last = dest
 		delete(counts, dest)
@@ -102,12 +102,12 @@
 		return fmt.Sprintf("%d messages have a deadline (%v), not %d", len(got), err, len(want))
 	}
 	if r, err := s.Check(); err != nil || len(r.Problems) > 0 || r.Messages != len(m) {
-		return fmt.Sprintf("the check says %+v, %v", r, err)
+		return fmt.Sprintf("Check returned %+v, %v", r, err)
 	}
 	return ""
 }
 
-// drawChange draws a change of the model.
+// drawChange draws a random change.
 func drawChange(t *rapid.T, m model, version int) (put []Entry, remove []Ref) {
 	id := rapid.Uint32Range(1, 60)
 	for range rapid.IntRange(0, 6).Draw(t, "puts") {
@@ -170,7 +170,7 @@
 					t.Fatalf("%d by %d: %v, %v", n, by, got, err)
 				}
 			},
-			"killed": func(t *rapid.T) { // the process ends: what the folder holds now is what a start finds
+			"killed": func(t *rapid.T) { // the process ends and the store is reopened on the current content of the folder
 				o.FS = d.Copy()
 				s.Close()
 				d = o.FS.(*crashdisk.Disk)
@@ -198,7 +198,7 @@
 	o := smallOptions(d)
 	o.Name = "n4"
 	if _, _, err := Open(o); err == nil {
-		t.Fatal("another relay's folder is opened")
+		t.Fatal("the folder of another relay was opened")
 	}
 	o.Adopt = true
 	s, found := mustOpen(t, o)
--- a/internal/backlog/open.go
+++ b/internal/backlog/open.go
@@ -21,11 +21,11 @@
 
 // The folder is flat:
 //
-//	owner          whose it is, and which generation of the engine's files counts
-//	gG-NAME        the engine's files of generation G; a repair writes the next one beside it
-//	mend           something could not be read: the next start writes a new generation of what can be
-//	damaged-NAME   files that were set aside
-//	lock           held by the process that has the folder open
+//	owner          the relay that owns the folder, and the current generation of the engine's files
+//	gG-NAME        the engine's files of generation G; a repair writes the next generation beside it
+//	mend           requests a repair: some data was unreadable, and the next open rewrites the readable data
+//	damaged-NAME   damaged files that were set aside
+//	lock           locked by the process that has the folder open
 const (
 	ownerName     = "owner"
 	repairName    = "mend"
@@ -34,10 +34,10 @@
 	ownerFormat   = 1
 )
 
-// owner is the folder's first file. Its checksum is of the others.
+// owner is the content of the owner file. Sum is the checksum of the other fields.
 type owner struct {
 	Format int
-	Name   string // of the relay
+	Name   string // name of the relay
 	Gen    uint64
 	Sum    string
 }
@@ -48,7 +48,7 @@
 
 func generationPrefix(gen uint64) string { return fmt.Sprintf("g%d-", gen) }
 
-// parseGeneration tells the generation that a file's name belongs to.
+// parseGeneration returns the generation that a file name belongs to.
 func parseGeneration(name string) (gen uint64, ok bool) {
 	head, _, ok := strings.Cut(name, "-")
 	if !ok || !strings.HasPrefix(head, "g") {
@@ -58,8 +58,8 @@
 	return gen, err == nil
 }
 
-// Open opens a folder, or makes one. It refuses another relay's folder and one that is in use, and never one of its own for
-// damage: what can't be read is set aside and told.
+// Open opens a folder, or creates it. It refuses the folder of another relay and one that is in use. Damage is no reason for
+// refusal: unreadable data is set aside and reported.
 func Open(o Options) (s *Store, found OpenReport, err error) {
 	o.setDefaults()
 	s = &Store{opts: o, log: o.Log, now: clock.Now, usage: &diskUsage{limit: o.Limit, sizes: map[string]int64{}}}
@@ -82,7 +82,7 @@
 	}
 	var ok bool
 	if s.fs, ok = o.FS.(storeFS); !ok {
-		return s, found, errors.New("backlog: the folder's files can't be read in parts")
+		return s, found, errors.New("backlog: the file system does not support reading parts of files")
 	}
 	mend, err := s.claimFolder(&found)
 	if err != nil {
@@ -95,7 +95,7 @@
 	return s, found, nil
 }
 
-// lockDir takes the lockDir on a folder, which goes with the file.
+// lockDir locks a folder until the returned file is closed.
 func lockDir(dir string) (*os.File, error) {
 	f, err := os.OpenFile(filepath.Join(dir, lockName), os.O_RDWR|os.O_CREATE, 0o600)
 	if err != nil {
@@ -111,7 +111,8 @@
 	return f, nil
 }
 
-// claimFolder reads whose folder it is and what it holds, and makes it this relay's.
+// claimFolder checks the owner of the folder, claims it for this relay and records the sizes of its files. mend reports whether an
+// earlier process requested a repair.
 func (s *Store) claimFolder(found *OpenReport) (mend bool, err error) {
 	names, err := s.fs.Names()
 	if err != nil {
@@ -136,11 +137,11 @@
 		return false, fmt.Errorf("%w: %w", ErrDisk, err)
 	case err != nil || json.Unmarshal(text, &stored) != nil || stored.checksum() != stored.Sum:
 		own.Gen = max(1, newest)
-		found.Problems = append(found.Problems, "the file that tells whose folder it is can't be read: taken for this relay's")
+		found.Problems = append(found.Problems, "the owner file is unreadable: the folder is assumed to belong to this relay")
 	case stored.Format > ownerFormat:
 		return false, fmt.Errorf("%w: format %d is newer than this version's %d", ErrWrongOwner, stored.Format, ownerFormat)
 	case stored.Name != s.opts.Name && !s.opts.Adopt:
-		return false, fmt.Errorf("%w: of %q, not %q", ErrWrongOwner, stored.Name, s.opts.Name)
+		return false, fmt.Errorf("%w: it belongs to %q, not to %q", ErrWrongOwner, stored.Name, s.opts.Name)
 	default:
 		own.Gen = stored.Gen
 	}
@@ -149,7 +150,7 @@
 			return false, err
 		}
 	}
-	for _, name := range names { // what a repair left half done, or didn't get to remove
+	for _, name := range names { // left by an interrupted repair
 		if gen, ok := parseGeneration(name); ok && gen != s.generation {
 			if err := s.fs.Remove(name); err != nil {
 				return false, fmt.Errorf("%w: %w", ErrDisk, err)
@@ -160,7 +161,7 @@
 	return mend, nil
 }
 
-// writeOwner writes the folder's first file.
+// writeOwner writes the owner file.
 func (s *Store) writeOwner() error {
 	o := owner{Format: ownerFormat, Name: s.opts.Name, Gen: s.generation}
 	o.Sum = o.checksum()
@@ -174,7 +175,7 @@
 	return s.trackSize(ownerName)
 }
 
-// trackSize takes a file's size into the count.
+// trackSize adds a file's size to the tracked disk usage.
 func (s *Store) trackSize(name string) error {
 	r, err := s.fs.OpenRead(name)
 	if errors.Is(err, fs.ErrNotExist) || strings.HasSuffix(name, "/") {
@@ -194,7 +195,7 @@
 	return &engineFS{dir: s.fs, prefix: generationPrefix(s.generation), fsync: s.opts.Fsync, usage: s.usage}
 }
 
-// openOrRepair opens the engine, or what a repair makes of it.
+// openOrRepair opens the engine. It repairs the folder if mend is set or if the engine cannot be opened because of damage.
 func (s *Store) openOrRepair(mend bool, found *OpenReport) error {
 	if err := s.repairManifest(found); err != nil {
 		return fmt.Errorf("%w: %w", ErrDisk, err)
@@ -215,7 +216,7 @@
 	return s.repair(found)
 }
 
-// openForWriting opens the engine to be written, with door held or before anyone else knows the store.
+// openForWriting opens the engine for reading and writing. The caller holds dbMu, or is the only user of the store.
 func (s *Store) openForWriting() error {
 	f := s.newEngineFS()
 	db, err := s.openEngine(f, false, s.onCorruption)
@@ -239,7 +240,7 @@
 	return nil
 }
 
-// reopenReadOnly opens the engine to be read alone, where the disk has failed under it; with door held.
+// reopenReadOnly reopens the engine for reading only, after the disk failed. The caller holds dbMu.
 func (s *Store) reopenReadOnly() {
 	s.writeErr = s.files.failed()
 	s.closeEngine()
@@ -253,13 +254,13 @@
 		if db != nil {
 			db.Close()
 		}
-		s.log.Warn("backlog: can't be read while the disk fails", "error", err)
+		s.log.Warn("backlog: cannot be read while the disk fails", "error", err)
 		return
 	}
 	s.db, s.files = db, f
 }
 
-// closeEngine ends the engine. All that was applied is in its log, so nothing is written any more.
+// closeEngine closes the engine. Nothing needs to be written: all applied changes are in its log.
 func (s *Store) closeEngine() {
 	if s.db == nil {
 		return
@@ -272,7 +273,7 @@
 	s.db = nil
 }
 
-// ensureWritable has the store ensureWritable to be written, and opens the folder anew if the disk has failed.
+// ensureWritable makes sure that the store can be written. It reopens the folder if the disk has failed.
 func (s *Store) ensureWritable() error {
 	s.dbMu.Lock()
 	defer s.dbMu.Unlock()
@@ -294,7 +295,7 @@
 	s.closeEngine()
 	err := s.openForWriting()
 	if err == nil {
-		s.log.Info("backlog: the disk is back")
+		s.log.Info("backlog: the disk works again")
 		return nil
 	}
 	s.files = s.newEngineFS()
@@ -319,7 +320,7 @@
 	for good := it.First(); good; good = it.Next() {
 		key, value := it.Key(), it.Value()
 		if len(key) != 5 || len(value) != 8+8+idBytes {
-			return errors.Join(fmt.Errorf("%w: a counter has %d bytes", ErrDamaged, len(value)), it.Close())
+			return errors.Join(fmt.Errorf("%w: a counter has an invalid length of %d bytes", ErrDamaged, len(value)), it.Close())
 		}
 		q := &destState{int(binary.BigEndian.Uint64(value)), decodePosition(value)}
 		dests[int(binary.BigEndian.Uint32(key[1:]))] = q
@@ -335,7 +336,7 @@
 	case err != nil:
 		return err
 	case len(value) != idBytes+8+idBytes:
-		return errors.Join(fmt.Errorf("%w: the state has %d bytes", ErrDamaged, len(value)), closer.Close())
+		return errors.Join(fmt.Errorf("%w: the state record has an invalid length of %d bytes", ErrDamaged, len(value)), closer.Close())
 	default:
 		highest, low = binary.BigEndian.Uint32(value), decodePosition(value)
 		if err := closer.Close(); err != nil {
@@ -349,7 +350,7 @@
 	return nil
 }
 
-// Close ends the store. What was applied stays.
+// Close closes the store. Applied changes stay on disk.
 func (s *Store) Close() error {
 	s.dbMu.Lock()
 	defer s.dbMu.Unlock()
--- a/internal/backlog/owed/owed.go
+++ b/internal/backlog/owed/owed.go
@@ -1,5 +1,5 @@
-// Package owed is what a relay and the store of its backlog speak of, apart from the store's engine: a relay without a
-// backlog does not link that.
+// Package owed declares the interface between a relay and the store of its backlog. It is separate from package backlog so
+// that a relay without a backlog does not link the storage engine.
 package owed
 
 import (
@@ -7,51 +7,51 @@
 	"iter"
 )
 
-// ErrFull tells that there is no room for what is put. Removals go through.
+// ErrFull is returned when there is no space for the added messages. Changes that only remove messages still succeed.
 var ErrFull = errors.New("backlog: no room")
 
-// Ref names a message that is on disk, with all that finds it.
+// Ref identifies a stored message and holds the values that it is indexed by.
 type Ref struct {
-	ID       uint32 // the relay's own number, unique among all it owes
-	Trace    string // the client's id
+	ID       uint32 // assigned by the relay, unique among the messages it holds
+	Trace    string // trace id given by the client
 	Dest     int
-	Rank     int64 // unix nanoseconds: least goes first within a destination; ties by ID
-	Deadline int64 // unix nanoseconds
+	Rank     int64 // Unix nanoseconds; messages of a destination are sent in ascending order of rank, then of ID
+	Deadline int64 // Unix nanoseconds
 }
 
-// Entry is a message on disk.
+// Entry is a stored message.
 type Entry struct {
 	Ref
-	Data []byte // the relay's own record
+	Data []byte // encoded by the relay, opaque to the store
 }
 
-// Store keeps messages on disk. Find, Get, Len, Count and Disk may be called from any goroutine, the others from one at a
-// time.
+// Store keeps messages on disk. Find, Get, Len, Count and DiskBytes may be called from any goroutine; the other methods must
+// not be called concurrently.
 type Store interface {
-	// Apply removes messages and puts others, all or none, and returns once that is durable. Of removals with ErrFull
-	// nothing is done either: they go through where nothing is put.
+	// Apply removes and adds messages atomically, and returns once the change is durable. If it returns ErrFull the removals
+	// are not applied either; removals without additions never return ErrFull.
 	Apply(put []Entry, remove []Ref) error
-	// First returns the n most urgent messages of a destination, in order of rank and id.
+	// First returns up to n messages of a destination, most urgent first: in order of rank, then of id.
 	First(dest, n int) ([]Entry, error)
-	// Due returns the messages whose deadline is by or before, soonest first, n at most.
+	// Due returns up to n messages whose deadline is at or before by, earliest deadline first.
 	Due(by int64, n int) ([]Entry, error)
-	// NextDue is the soonest deadline there is.
+	// NextDue returns the earliest deadline of all messages, and false if there are none.
 	NextDue() (int64, bool, error)
 	Find(trace string) (Ref, bool, error)
 	Get(id uint32) (Entry, bool, error)
 	Len() int
 	Count(dest int) int
-	// Dests lists the destinations that have messages, with how many, in ascending order.
+	// Dests yields the destinations that have messages, in ascending order, with their number of messages.
 	Dests() iter.Seq2[int, int]
-	DiskBytes() int64 // bytes
+	DiskBytes() int64 // total size on disk
 	Close() error
 }
 
-// OpenReport is what a start made of the folder.
+// OpenReport describes what opening a store found in its folder.
 type OpenReport struct {
 	Messages int
-	MaxID    uint32   // the highest id since the store was last empty
-	Problems []string // what could not be read, in plain words
-	Lost     bool     // nothing could be read: the files were set aside, and the store begun anew
-	Rebuilt  bool     // something could not be read: what could be was written anew
+	MaxID    uint32   // highest id assigned since the store was last empty
+	Problems []string // descriptions of everything that could not be read
+	Lost     bool     // nothing was readable: the files were set aside and the store starts empty
+	Rebuilt  bool     // some data was unreadable: everything readable was rewritten
 }
--- a/internal/backlog/read.go
+++ b/internal/backlog/read.go
@@ -12,7 +12,8 @@
 	"github.com/cockroachdb/pebble/v2"
 )
 
-// withEngine has use read the engine. Where the disk has failed meanwhile, the folder is opened anew first, to be read alone.
+// withEngine calls use with the engine. If the disk has failed by the time use returns, the folder is reopened for reading only
+// and use is called once more.
 func (s *Store) withEngine(use func(db *pebble.DB) error) error {
 	for range 2 {
 		s.dbMu.RLock()
@@ -39,10 +40,10 @@
 	if s.closed {
 		return ErrClosed
 	}
-	return fmt.Errorf("%w: the folder can't be opened", ErrDisk)
+	return fmt.Errorf("%w: the folder cannot be opened", ErrDisk)
 }
 
-// classify wraps an error of the engine: what is there and is wrong is damage, all else is the disk's failure.
+// classify wraps an error of the engine: invalid or missing data as ErrDamaged, anything else as ErrDisk.
 func (s *Store) classify(err error) error {
 	switch {
 	case err == nil || errors.Is(err, ErrDamaged) || errors.Is(err, ErrDisk):
@@ -54,13 +55,13 @@
 	return fmt.Errorf("%w: %w", ErrDamaged, err)
 }
 
-// isDamage tells an error that reading again can't change.
+// isDamage reports whether an error is due to damaged data, so that reading again cannot succeed.
 func isDamage(err error) bool {
 	return errors.Is(err, ErrDamaged) || pebble.IsCorruptionError(err) || errors.Is(err, fs.ErrNotExist) ||
 		errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF)
 }
 
-// get reads a message's record.
+// get reads the record of a message.
 func get(db *pebble.DB, id uint32) (e Entry, ok bool, err error) {
 	b, closer, err := db.Get(messageKey(id))
 	if errors.Is(err, pebble.ErrNotFound) {
@@ -73,7 +74,7 @@
 	return e, err == nil, err
 }
 
-// Get returns a message.
+// Get returns the message that has an id.
 func (s *Store) Get(id uint32) (e Entry, ok bool, err error) {
 	err = s.withEngine(func(db *pebble.DB) error {
 		e, ok, err = get(db, id)
@@ -82,7 +83,7 @@
 	return e, ok, err
 }
 
-// Find returns the message that has a trace; the one of the least id, if there are more.
+// Find returns the message that has a trace; if there are several, the one with the lowest id.
 func (s *Store) Find(trace string) (r Ref, ok bool, err error) {
 	err = s.withEngine(func(db *pebble.DB) error {
 		prefix := tracePrefix(trace)
@@ -110,7 +111,7 @@
 	return r, ok, err
 }
 
-// prefixEnd is the least key that is greater than all that begin with prefix.
+// prefixEnd returns the smallest key that is greater than all keys with a prefix, or nil if there is none.
 func prefixEnd(prefix []byte) []byte {
 	end := append([]byte(nil), prefix...)
 	for i := len(end) - 1; i >= 0; i-- {
@@ -121,9 +122,9 @@
 	return nil
 }
 
-// scanIndex reads the messages that an index lists from a key to another, n at most, for as long as wanted says so. It returns
-// the place of the first key there is, lastPlace if there is none. A message whose record can't be read is passed over and
-// noted, as is an entry of the index without a message.
+// scanIndex reads up to n messages that an index lists between two keys, and stops at the first position that is not wanted. It
+// also returns the position of the first key, or maxPosition if there is none. Messages with unreadable records and index keys
+// without a message are skipped and noted as dangling.
 func (s *Store) scanIndex(from, to []byte, n int, wanted func(position) bool) (all []Entry, first position, err error) {
 	err = s.withEngine(func(db *pebble.DB) error {
 		all, first = nil, maxPosition
@@ -145,9 +146,9 @@
 			case err != nil && (s.files.failed() != nil || !isDamage(err)):
 				return err
 			case err != nil:
-				s.noteDangling(it.Key(), true, fmt.Sprintf("message %d can't be read: %v", p.id, err))
+				s.noteDangling(it.Key(), true, fmt.Sprintf("message %d cannot be read: %v", p.id, err))
 			case !ok || !isIndexKeyOf(it.Key(), e.Ref):
-				s.noteDangling(it.Key(), false, fmt.Sprintf("message %d is listed and not there", p.id))
+				s.noteDangling(it.Key(), false, fmt.Sprintf("message %d is in an index but is not stored", p.id))
 			default:
 				all = append(all, e)
 			}
@@ -157,7 +158,7 @@
 	return all, first, err
 }
 
-// First returns the n most urgent messages of a destination, in order of rank and id.
+// First returns up to n messages of a destination, most urgent first: in order of rank, then of id.
 func (s *Store) First(dest, n int) ([]Entry, error) {
 	s.mu.Lock()
 	q := s.dests[dest]
@@ -177,7 +178,7 @@
 	return all, nil
 }
 
-// Due returns the messages whose deadline is by or before, soonest first, n at most. It reads no others.
+// Due returns up to n messages whose deadline is at or before by, earliest deadline first. It reads no other records.
 func (s *Store) Due(by int64, n int) ([]Entry, error) {
 	s.mu.Lock()
 	low := s.minDeadline
@@ -192,7 +193,7 @@
 	return all, nil
 }
 
-// NextDue is the soonest deadline there is.
+// NextDue returns the earliest deadline of all messages, and false if there are none.
 func (s *Store) NextDue() (int64, bool, error) {
 	if _, err := s.Due(0, 0); err != nil {
 		return 0, false, err
@@ -202,12 +203,12 @@
 	return s.minDeadline.time, s.minDeadline != maxPosition, nil
 }
 
-// isIndexKeyOf tells whether a key of an index is that of a message.
+// isIndexKeyOf reports whether an index key belongs to a message.
 func isIndexKeyOf(key []byte, r Ref) bool {
 	return slices.ContainsFunc(indexKeys(r), func(k []byte) bool { return bytes.Equal(k, key) })
 }
 
-// noteDangling has the next Apply remove a key of an index.
+// noteDangling makes the next Apply remove an index key.
 func (s *Store) noteDangling(key []byte, record bool, why string) {
 	s.mu.Lock()
 	_, ok := s.dangling[string(key)]
@@ -226,5 +227,5 @@
 	if len(s.damageNotes) < 100 {
 		s.damageNotes = append(s.damageNotes, what)
 	}
-	s.log.Warn("backlog: damage", "what", what)
+	s.log.Warn("backlog: damaged data", "what", what)
 }
--- a/internal/backlog/repair.go
+++ b/internal/backlog/repair.go
@@ -14,16 +14,16 @@
 	"github.com/cockroachdb/pebble/v2/wal"
 )
 
-// repair writes a new generation of what can be read of the old one. It takes the disk for both while it goes on. A process
-// that ends in its midst leaves the old one as it was.
+// repair copies the readable data of the current generation into a new one. Both take up disk space until it is done. If the
+// process ends before that, the old generation is still complete.
 func (s *Store) repair(found *OpenReport) error {
 	old := s.newEngineFS()
 	old.readOnly = true
-	damagedFiles := map[string]bool{} // files of the old generation to be set aside
+	damagedFiles := map[string]bool{} // damaged files of the old generation, which are set aside
 	from, logs, err := s.openDamaged(old, damagedFiles, found)
 	if err != nil {
 		found.Lost = true
-		found.Problems = append(found.Problems, fmt.Sprintf("nothing can be read, the store is begun anew: %v", err))
+		found.Problems = append(found.Problems, fmt.Sprintf("nothing is readable, the store starts empty: %v", err))
 	}
 	names, err := s.fs.Names()
 	if err != nil {
@@ -55,7 +55,8 @@
 	return s.openForWriting()
 }
 
-// setAside sets a damaged file aside, if there is room for it.
+// setAside renames a damaged file to keep it for inspection, unless the files set aside would take more than their share of the
+// limit. It reports whether the file was kept.
 func (s *Store) setAside(name string) bool {
 	to := damagedPrefix + name
 	s.usage.mu.Lock()
@@ -73,9 +74,9 @@
 	return true
 }
 
-// openDamaged opens what can be opened of the engine's files, to be read alone: first all; then without the options, which
-// tell nothing that is needed; then without its newest logs, one more at a time. These are returned, to be read by
-// themselves: an old log that no longer counts stops no start, and is not among them.
+// openDamaged opens as many of the engine's files as possible for reading only: first all of them, then without the options
+// file, which is not needed, then also without the newest logs, leaving out one more at a time. It returns the logs left out,
+// which must be replayed separately. An obsolete log does not prevent opening, and is not among them.
 func (s *Store) openDamaged(f *engineFS, damagedFiles map[string]bool, found *OpenReport) (db *pebble.DB, logs []string, err error) {
 	corrupt := func(file string, _ error) {
 		s.mu.Lock()
@@ -119,7 +120,7 @@
 	}
 }
 
-// rewrite fills the new generation.
+// rewrite writes the new generation.
 func (s *Store) rewrite(from *pebble.DB, logs []string, found *OpenReport) (err error) {
 	if from != nil {
 		defer from.Close()
@@ -150,8 +151,8 @@
 	return nil
 }
 
-// copyMessages copies the records that can be read, with keys that find them. What can't be read is a range of ids: it is
-// passed over whole, so that nothing that was removed comes back.
+// copyMessages copies the readable records and creates their index keys. An unreadable range of ids is skipped as a whole, so
+// that no removed message reappears.
 func (s *Store) copyMessages(from, to *pebble.DB, found *OpenReport) error {
 	const batch = 256
 	b := to.NewBatch()
@@ -185,16 +186,16 @@
 			break
 		}
 		after := nextReadable(from, last)
-		found.Problems = append(found.Problems, fmt.Sprintf("messages %d to %d can't be read: %v", last, after-1, err))
+		found.Problems = append(found.Problems, fmt.Sprintf("messages %d to %d cannot be read: %v", last, after-1, err))
 		next = after
 	}
 	return commit()
 }
 
-// writeError is a failure of whoever took what was read.
+// writeError is an error of the writing side of a copy, as opposed to one of reading the old generation.
 type writeError struct{ error }
 
-// scanRecords reads the records from an id on. It returns the first id that it could not read, with the error.
+// scanRecords reads the records in order of id, beginning with id. On failure it returns the first unreadable id and the error.
 func scanRecords(db *pebble.DB, id uint32, take func(Entry) error) (uint32, error) {
 	it, err := db.NewIter(&pebble.IterOptions{LowerBound: messageKey(id), UpperBound: []byte{keyMessage + 1}})
 	if err != nil {
@@ -219,8 +220,8 @@
 	return id, it.Error()
 }
 
-// nextReadable finds the least id above one that can't be read from which on something can, or there is nothing: by steps that
-// double, then by halves.
+// nextReadable returns the lowest id above an unreadable one at which reading succeeds, or finds no more records. It searches
+// with doubling steps, then by bisection.
 func nextReadable(db *pebble.DB, id uint32) uint64 {
 	reads := func(id uint64) bool {
 		if id > math.MaxUint32 {
@@ -252,7 +253,7 @@
 	return high
 }
 
-// replayLogs applies what these logs of the old generation hold, each up to the first piece of it that can't be read.
+// replayLogs applies the named logs of the old generation, each up to its first unreadable record.
 func (s *Store) replayLogs(names []string, to *pebble.DB, found *OpenReport) error {
 	if len(names) == 0 {
 		return nil
@@ -273,7 +274,7 @@
 		if errors.As(err, &stop) {
 			return stop
 		} else if err != nil {
-			found.Problems = append(found.Problems, fmt.Sprintf("what follows in %s can't be read: %v", path.Base(file), err))
+			found.Problems = append(found.Problems, fmt.Sprintf("the rest of %s cannot be read: %v", path.Base(file), err))
 		}
 	}
 	return nil
@@ -303,7 +304,7 @@
 	}
 }
 
-// rebuildCounters writes the counters by what the indexes hold.
+// rebuildCounters recomputes the counters from the indexes.
 func rebuildCounters(db *pebble.DB) error {
 	b := db.NewBatch()
 	defer b.Close()
@@ -333,7 +334,7 @@
 	return b.Commit(pebble.Sync)
 }
 
-// forEachDest counts the index of destinations.
+// forEachDest calls tell with the state of each destination that is in the destination index.
 func forEachDest(db *pebble.DB, tell func(dest int, q destState) error) error {
 	it, err := db.NewIter(&pebble.IterOptions{LowerBound: []byte{keyDest}, UpperBound: []byte{keyDest + 1}})
 	if err != nil {
@@ -358,15 +359,15 @@
 	return tell(at, q)
 }
 
-// requestRepair has the next start repair the folder.
+// requestRepair makes the next Open repair the folder.
 func (s *Store) requestRepair() {
 	if f, err := s.fs.Open(repairName); err == nil {
 		f.Close()
 	}
 }
 
-// onCorruption is told by the engine of a file that it can't read.
+// onCorruption is called by the engine for a file that it cannot read.
 func (s *Store) onCorruption(file string, err error) {
-	s.noteDamage(fmt.Sprintf("%s can't be read: %v", path.Base(file), err))
+	s.noteDamage(fmt.Sprintf("%s cannot be read: %v", path.Base(file), err))
 	s.requestRepair()
 }
--- a/internal/backlog/size_test.go
+++ b/internal/backlog/size_test.go
@@ -17,14 +17,14 @@
 )
 
 var (
-	sizeMessages = flag.Int("messages", 30_000, "messages owed where sizes are measured")
-	sizeDests    = flag.Int("dests", 600, "destinations that have them")
-	sizeDir      = flag.String("folder", "", "where they are kept, and added to by a further run; none: a folder of the test's")
-	sizeFor      = flag.Duration("filling", 60*time.Second, "how long a run may fill")
-	sizeDrain    = flag.Int("drain", 10_000, "messages that are removed, most urgent first")
+	sizeMessages = flag.Int("messages", 30_000, "number of messages in the measured store")
+	sizeDests    = flag.Int("dests", 600, "number of destinations of the messages")
+	sizeDir      = flag.String("folder", "", "folder of the store, which a further run continues to fill; default: a temporary folder")
+	sizeFor      = flag.Duration("filling", 60*time.Second, "how long a run may fill the store")
+	sizeDrain    = flag.Int("drain", 10_000, "number of messages to remove, most urgent first")
 )
 
-// sampleEntry draws a message as a relay would keep it: 400 bytes, half of them random, handed in 4 ms after the one before.
+// sampleEntry returns a typical message: 400 bytes, half of them random, accepted 4 ms after the previous one.
 func sampleEntry(rng *rand.Rand, id uint32, dests int) Entry {
 	rank := 1_700_000_000_000_000_000 + int64(id)*4_000_000
 	data := make([]byte, 400)
@@ -39,7 +39,7 @@
 
 func sizeOptions(dir string) Options { return Options{Dir: dir, Name: "n3", Limit: 16 << 30} }
 
-// durations keeps how long something durations.
+// durations collects measured durations.
 type durations []time.Duration
 
 func (t *durations) time(do func()) {
@@ -60,7 +60,8 @@
 	return fmt.Sprintf("mean %v, median %v, p99 %v, most %v", sum/time.Duration(len(t)), t[len(t)/2], t[len(t)*99/100], t[len(t)-1])
 }
 
-// resourceUsage is the heap after a collection, what is resident and the most that was, and the processor time, all of this process.
+// resourceUsage describes this process: its heap after a garbage collection, its current and maximum resident memory, its open
+// file descriptors and its CPU time.
 func resourceUsage() string {
 	runtime.GC()
 	debug.FreeOSMemory()
@@ -74,7 +75,7 @@
 		}
 	}
 	files, _ := os.ReadDir("/proc/self/fd")
-	return fmt.Sprintf("heap %d kB,%s, %d descriptors, processor time %v", m.HeapAlloc>>10, resident, len(files), cpuTime())
+	return fmt.Sprintf("heap %d kB,%s, %d descriptors, CPU time %v", m.HeapAlloc>>10, resident, len(files), cpuTime())
 }
 
 func cpuTime() time.Duration {
@@ -85,7 +86,7 @@
 
 const fillEnv = "BACKLOG_TEST_FILL"
 
-// TestMain is the process that fills a folder and is killed, if it is told so.
+// TestMain runs the child process of TestSizes if the environment requests it: it fills a folder and kills itself.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	if dir := os.Getenv(fillEnv); dir != "" {
@@ -117,13 +118,14 @@
 			return err
 		}
 	}
-	fmt.Printf("filled %d to %d in %v, processor time %v; Apply(256): %v\n", found.Messages, s.Len(),
+	fmt.Printf("filled from %d to %d messages in %v, CPU time %v; Apply(256): %v\n", found.Messages, s.Len(),
 		time.Since(began).Round(time.Millisecond), cpuTime()-cpu, applies)
 	fmt.Println("filling:", resourceUsage())
 	return nil
 }
 
-// TestSizes has a process fill a store and kills it, and measures what a start makes of it. It judges no times.
+// TestSizes measures opening, reading and changing a store that a killed process has filled. It logs sizes and times without
+// checking them.
 func TestSizes(t *testing.T) {
 	dir := *sizeDir
 	if dir == "" {
@@ -139,10 +141,10 @@
 	}
 	before, cpu, began := resourceUsage(), cpuTime(), time.Now()
 	s, found := mustOpen(t, sizeOptions(dir))
-	t.Logf("before: %s", before)
-	t.Logf("open after a kill: %v, processor time %v; %d messages, %d bytes on disk each",
+	t.Logf("before opening: %s", before)
+	t.Logf("opened after a kill in %v, CPU time %v; %d messages, %d bytes on disk each",
 		time.Since(began), cpuTime()-cpu, found.Messages, s.DiskBytes()/int64(max(1, found.Messages)))
-	t.Logf("open: %s", resourceUsage())
+	t.Logf("opened: %s", resourceUsage())
 	if len(found.Problems) > 0 || found.Messages == 0 {
 		t.Fatalf("found %+v", found)
 	}
@@ -159,18 +161,18 @@
 		if ok {
 			hits.time(func() { _, ok, err = s.Find(e.Trace) })
 			if !ok || err != nil {
-				t.Fatalf("%v isn't found: %v", e.Ref, err)
+				t.Fatalf("%v was not found: %v", e.Ref, err)
 			}
 		}
 		trace := fmt.Sprintf("%016x%016x", rng.Uint64(), rng.Uint64())
 		misses.time(func() { _, ok, err = s.Find(trace) })
 		if ok || err != nil {
-			t.Fatalf("%s is found: %v", trace, err)
+			t.Fatalf("%s was found: %v", trace, err)
 		}
 	}
-	t.Logf("Find, there: %v", hits)
-	t.Logf("Find, not there: %v", misses)
-	t.Logf("read: %s", resourceUsage())
+	t.Logf("Find, existing: %v", hits)
+	t.Logf("Find, missing: %v", misses)
+	t.Logf("after reading: %s", resourceUsage())
 	now := int64(0)
 	drained := 0
 	for next := found.MaxID + 1; drained < *sizeDrain; {
@@ -201,8 +203,8 @@
 		}
 		now += 1_000_000_000
 	}
-	t.Logf("%d removed and put; First(256): %v", drained, firsts)
-	t.Logf("Apply(256 put, 256 removed): %v", applies)
+	t.Logf("%d messages replaced; First(256): %v", drained, firsts)
+	t.Logf("Apply(256 added, 256 removed): %v", applies)
 	t.Logf("Due(256): %v", dues)
 	t.Logf("%d messages, %d bytes on disk each; %s", s.Len(), s.DiskBytes()/int64(s.Len()), resourceUsage())
 	began = time.Now()
--- a/internal/backlog/sweep.go
+++ b/internal/backlog/sweep.go
@@ -7,18 +7,19 @@
 	"github.com/cockroachdb/pebble/v2"
 )
 
-// compactionThreshold is the share of what is owed that has to have gone before a full store is swept.
+// compactionThreshold sets when a full store is compacted: when more messages were removed than 1/compactionThreshold of the
+// stored ones.
 const compactionThreshold = 8
 
-// compactionJob is a compaction under way of all that is on disk.
+// compactionJob is a running compaction of the whole store.
 type compactionJob struct {
 	cancel context.CancelFunc
 	done   chan struct{}
 }
 
-// compactIfWorthwhile has the room of what was removed given back, where the store is full: the engine does so by itself only as more is
-// written, which a full store refuses. One goes on at a time, and none if little was removed since the last. It ends with
-// the engine.
+// compactIfWorthwhile starts a compaction of a full store to release the space of removed messages. The engine itself compacts
+// only as more is written, which a full store refuses. At most one compaction runs at a time, and none is started if few
+// messages were removed since the last one. Closing the engine stops it.
 func (s *Store) compactIfWorthwhile() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -33,7 +34,7 @@
 	go func() {
 		defer close(job.done)
 		if err := compactAll(ctx, db); err != nil {
-			s.log.Debug("backlog: a compaction was given up", "error", err)
+			s.log.Debug("backlog: compaction aborted", "error", err)
 		}
 		s.mu.Lock()
 		defer s.mu.Unlock()
@@ -41,7 +42,7 @@
 	}()
 }
 
-// compactAll compacts a few tables at a time, so that it takes little room beside them.
+// compactAll compacts the store a few tables at a time, so that it needs little additional disk space.
 func compactAll(ctx context.Context, db *pebble.DB) error {
 	levels, err := db.SSTables()
 	if err != nil {
@@ -69,7 +70,7 @@
 	return nil
 }
 
-// stopCompaction has a sweep end, and waits for it.
+// stopCompaction cancels a running compaction and waits for it to end.
 func (s *Store) stopCompaction() {
 	s.mu.Lock()
 	job := s.compaction
--- a/internal/backlog/tidy.go
+++ b/internal/backlog/tidy.go
@@ -14,8 +14,9 @@
 
 const markerPrefix = "marker.manifest."
 
-// repairManifest mends what the engine would take for an empty folder or for a torn end, and says so: a marker that is missing, and a
-// manifest that can't be read as far as its twin. Bytes at a log's end that can't be read it can't tell from a torn end.
+// repairManifest repairs and reports damage that the engine would take for an empty folder or for a torn write at the end of a
+// file: a missing manifest marker, and a manifest with fewer readable records than its mirror. Unreadable bytes at the end of a
+// log are not repaired, because they cannot be told from a torn write.
 func (s *Store) repairManifest(found *OpenReport) error {
 	f := s.newEngineFS()
 	names, err := f.List("")
@@ -37,10 +38,10 @@
 		}
 	}
 	if marked == "" && !content {
-		return nil // it was being made
+		return nil // the folder was only being created
 	}
 	if marked == "" && newest != "" {
-		found.Problems = append(found.Problems, "the file that names the manifest is missing: the newest is taken")
+		found.Problems = append(found.Problems, "the manifest marker is missing: the newest manifest is used")
 		marker, err := s.fs.Open(f.name(markerPrefix + "999999." + newest))
 		if err == nil {
 			err = errors.Join(marker.Close(), s.fs.SyncDir())
@@ -57,7 +58,7 @@
 		return err
 	} else if countRecords(twin) > countRecords(main) {
 		if !s.opts.Fsync {
-			found.Problems = append(found.Problems, "the manifest can't be read to its end: its twin is taken")
+			found.Problems = append(found.Problems, "the manifest is not readable to its end: its mirror is used")
 		}
 		if err := disk.Replace(s.fs, f.name(marked), twin); err != nil {
 			return err
@@ -66,7 +67,7 @@
 	return nil
 }
 
-// readManifestPair reads a manifest and its twin; none is as one that is empty.
+// readManifestPair reads a manifest and its mirror. A missing file is returned as empty.
 func (s *Store) readManifestPair(f *engineFS, name string) (main, twin []byte, err error) {
 	for to, name := range map[*[]byte]string{&main: name, &twin: mirrorName(name)} {
 		if _, ok := s.usage.size(f.name(name)); !ok {
@@ -79,7 +80,7 @@
 	return main, twin, nil
 }
 
-// promoteMirror puts the manifest's twin in its place, if it is another.
+// promoteMirror replaces the manifest with its mirror, if they differ.
 func (s *Store) promoteMirror(found *OpenReport) error {
 	f := s.newEngineFS()
 	names, err := f.List("")
@@ -96,18 +97,18 @@
 			return err
 		}
 		if len(twin) == 0 || bytes.Equal(main, twin) {
-			return errors.New("backlog: the manifest's twin is no better")
+			return errors.New("backlog: the mirror of the manifest is missing or identical to it")
 		}
-		found.Problems = append(found.Problems, "the manifest can't be read: its twin is taken")
+		found.Problems = append(found.Problems, "the manifest is unreadable: its mirror is used")
 		if s.setAside(f.name(name)) {
 			found.Problems = append(found.Problems, damagedPrefix+f.name(name))
 		}
 		return disk.Replace(s.fs, f.name(name), twin)
 	}
-	return errors.New("backlog: no manifest is named")
+	return errors.New("backlog: there is no manifest marker")
 }
 
-// countRecords is how many changes of a manifest can be read. The engine takes whatever follows for a torn end.
+// countRecords returns the number of readable records of a manifest. The engine takes whatever follows for a torn write.
 func countRecords(data []byte) (n int) {
 	r := record.NewReader(bytes.NewReader(data), 0)
 	for {
--- a/internal/faultfile/disk.go
+++ b/internal/faultfile/disk.go
@@ -5,7 +5,7 @@
 	"onyxroad.dev/onyxroad/internal/disk/faultdisk"
 )
 
-// Disk is a folder whose calls fail as the file says.
+// Disk returns a file system whose operations fail according to the rules of the file.
 func (f *File) Disk(fs disk.FS) disk.FS {
 	return &faultdisk.Disk{FS: fs, Fail: func(op faultdisk.Op, _ string) faultdisk.Fault {
 		rule := f.Next(string(op))
--- a/internal/faultfile/faultfile.go
+++ b/internal/faultfile/faultfile.go
@@ -1,11 +1,11 @@
-// Package faultfile reads which calls of the system are to fail in a relay that the testbed has built for itself. The testbed
-// rewrites the file while the relay runs. No program that serves links it.
+// Package faultfile reads a file that lists which system calls must fail in a testbed build of the relay. The testbed rewrites
+// the file while the relay runs. Production builds do not link this package.
 //
-// A line is a rule:
+// Each line is a rule:
 //
 //	CALL ERRNO EVERY [REACH]   every EVERY-th call fails: accept ENFILE 9, write EIO 1 part
-//	wall SECONDS               the wall clock is off by so many seconds
-//	short N                    reads and writes of sockets move N bytes at most
+//	wall SECONDS               the wall clock is off by this number of seconds
+//	short N                    a single read or write of a socket transfers at most N bytes
 package faultfile
 
 import (
@@ -18,13 +18,13 @@
 	"time"
 )
 
-// Env names the variable that names the file.
+// Env is the environment variable with the path of the fault file.
 const Env = "IVYGAUGE_TESTBED_FAULTS"
 
-// pollInterval is how often the file is read.
+// pollInterval is the minimum time between two reads of the file.
 const pollInterval = 20 * time.Millisecond
 
-// Errnos are the errors that a rule may name.
+// Errnos maps the error names allowed in rules to their numbers.
 var Errnos = map[string]syscall.Errno{
 	"ECONNABORTED": syscall.ECONNABORTED, "ENFILE": syscall.ENFILE, "EMFILE": syscall.EMFILE, "ENOBUFS": syscall.ENOBUFS,
 	"ENOMEM": syscall.ENOMEM, "EADDRNOTAVAIL": syscall.EADDRNOTAVAIL, "ENETUNREACH": syscall.ENETUNREACH, "EINTR": syscall.EINTR,
@@ -32,22 +32,23 @@
 	"EIO": syscall.EIO, "EAGAIN": syscall.EAGAIN, "EPROTO": syscall.EPROTO, "EPERM": syscall.EPERM,
 }
 
-// Rule has calls of one kind fail.
+// Rule makes calls of one kind fail.
 type Rule struct {
 	Call  string
 	Errno syscall.Errno
-	Every int    // 1: all
-	Reach string // how much of its effect a failing call of the disk has: "", "part" or "all"
+	Every int    // only every Every-th call fails; 1: all
+	Reach string // how much of its effect a failing disk operation still has: "" (none), "part" or "all"
 }
 
-// Rules are what a file says.
+// Rules is the content of a fault file.
 type Rules struct {
-	WallSeconds int64 // seconds by which the wall clock is off
-	MaxIO       int   // bytes that a read or write of a socket moves at most; 0: as many as there are
+	WallSeconds int64 // offset of the wall clock in seconds
+	MaxIO       int   // most bytes that a single read or write of a socket transfers; 0: no limit
 	Rules       []Rule
 }
 
-// Parse reads rules. What it can't read it leaves out, and tells of.
+// Parse parses rules. It skips lines that are not rules. The error is that of the last line; errors of earlier lines are not
+// returned.
 func Parse(text string) (r Rules, err error) {
 	for line := range strings.Lines(text) {
 		words := strings.Fields(line)
@@ -68,13 +69,13 @@
 			}
 			r.Rules = append(r.Rules, rule)
 		default:
-			err = fmt.Errorf("faultfile: not a rule: %q", strings.TrimSpace(line))
+			err = fmt.Errorf("faultfile: invalid rule %q", strings.TrimSpace(line))
 		}
 	}
 	return r, err
 }
 
-// File is a file of rules that is read again and again.
+// File is a fault file, which is read again regularly.
 type File struct {
 	path string
 
@@ -84,7 +85,7 @@
 	calls  map[string]int
 }
 
-// FromEnv is the file that the environment names; nil if it names none.
+// FromEnv returns the file that the environment variable Env names, or nil if it is not set.
 var FromEnv = sync.OnceValue(func() *File {
 	if path := os.Getenv(Env); path != "" {
 		return &File{path: path, calls: map[string]int{}}
@@ -92,7 +93,7 @@
 	return nil
 })
 
-// Current is what the file says now.
+// Current returns the current rules.
 func (f *File) Current() Rules {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -109,7 +110,7 @@
 	return f.rules
 }
 
-// Next counts a call and tells how it fails; the zero Rule: not at all.
+// Next counts a call and returns the rule by which it fails, or the zero Rule if it does not.
 func (f *File) Next(call string) Rule {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/invariant/fatal.go
+++ b/internal/invariant/fatal.go
@@ -2,5 +2,5 @@
 
 package invariant
 
-// violationHook is nil: a relay in service counts a violation and goes on.
+// violationHook is nil: a relay in production counts a violation and continues.
 var violationHook func(string)
--- a/internal/invariant/fatal_testbed.go
+++ b/internal/invariant/fatal_testbed.go
@@ -2,5 +2,5 @@
 
 package invariant
 
-// violationHook ends the process: the testbed's judge takes that for a crash, and the log's last line says why.
+// violationHook ends the process: the testbed treats that as a crash, and the last line of the log names the violation.
 var violationHook = func(text string) { panic(text) }
--- a/internal/invariant/invariant.go
+++ b/internal/invariant/invariant.go
@@ -1,8 +1,8 @@
-// Package invariant is the run-time check of the rules that a relay must not break whatever happens: one guard each for sending,
-// repeating, ending, closing and starting, which every call site goes through. A violation is counted by its name, and logged once
-// with the state that led to it. In builds for the testbed it ends the process, so that no play passes over one.
+// Package invariant checks at run time the rules that a relay must never break. There is one check each for sending, repeating,
+// ending, closing and starting, and all code that does one of these calls it. Violations are counted by name, and the first one of
+// each name is logged with its state. In testbed builds a violation ends the process, so that no run can miss one.
 //
-// The guard decides nothing and changes nothing: it is told facts, and compares them.
+// The checks only compare the facts that they are given. They make no decisions and change nothing in the relay.
 package invariant
 
 import (
@@ -14,53 +14,53 @@
 	"time"
 )
 
-// Name names an invariant.
+// Name is the name of an invariant, as used in metrics and logs.
 type Name string
 
 // The invariants.
 const (
-	SendLate        Name = "send_after_its_time"         // of the message, or of the call
-	SendAfterEnd    Name = "send_after_the_end_of_sends" // of a process that is ending
-	SendDraining    Name = "send_to_a_draining_endpoint" // beyond the grace, or one out by hand
-	SendUnrecorded  Name = "send_without_a_record"       // in the log
-	SendEnded       Name = "send_of_an_ended_message"    // its final answer is decided
-	RepeatUnsafe    Name = "repeat_of_an_unsafe_message" // an earlier send may have run
-	RepeatLate      Name = "repeat_outside_its_window"   // of a keyed message
-	RepeatElsewhere Name = "repeat_outside_its_group"    // of zones
-	EndTwice        Name = "end_told_twice"              // of a message, by one process
-	EndUnrecorded   Name = "end_without_a_record"        // though the message's time is not up
-	CloseUnread     Name = "close_over_a_read_request"   // without its answer
-	StartLate       Name = "start_ready_late"            // beyond 10 s
-	BoundPassed     Name = "bound_passed"                // of descriptors, queues or the disk
+	SendLate        Name = "send_after_its_time"         // after the deadline of the message or the call
+	SendAfterEnd    Name = "send_after_the_end_of_sends" // by a process that is ending
+	SendDraining    Name = "send_to_a_draining_endpoint" // after the drain grace, or excluded by an operator
+	SendUnrecorded  Name = "send_without_a_record"       // the send is not in the log
+	SendEnded       Name = "send_of_an_ended_message"    // its final answer is already decided
+	RepeatUnsafe    Name = "repeat_of_an_unsafe_message" // an earlier send may have been executed
+	RepeatLate      Name = "repeat_outside_its_window"   // a keyed message is repeated too late
+	RepeatElsewhere Name = "repeat_outside_its_group"    // in another zone than the first send
+	EndTwice        Name = "end_told_twice"              // one process sends two final answers for a message
+	EndUnrecorded   Name = "end_without_a_record"        // the end is not in the log although the deadline has not passed
+	CloseUnread     Name = "close_over_a_read_request"   // a connection is closed without an answer to a request read from it
+	StartLate       Name = "start_ready_late"            // the start took longer than 10 s
+	BoundPassed     Name = "bound_passed"                // limit of file descriptors, queues or disk space
 )
 
 const (
-	// DrainGrace is for how long after it was told to drain an endpoint may still be called, by the platform's rules.
+	// DrainGrace is how long an endpoint may still be called after it was told to drain, by the platform's rules.
 	DrainGrace = 500 * time.Millisecond
-	// Tolerance is what every time limit is longer on sockets, by the platform's rules.
+	// Tolerance is how much every time limit may be exceeded on sockets, by the platform's rules.
 	Tolerance = 50 * time.Millisecond
-	// ReadyWithin is within what time a process has to be ready, from its start.
+	// ReadyWithin is the maximum time from the start of a process until it must be ready.
 	ReadyWithin = 10 * time.Second
 )
 
 // Guard counts violations. It is safe for concurrent use.
 type Guard struct {
 	log         *slog.Logger
-	onViolation func(text string) // nil: a violation is counted and logged
+	onViolation func(text string) // called for each violation; nil: violations are only counted and logged
 
 	mu     sync.Mutex
 	counts *expvar.Map
 }
 
-// New returns a guard that has seen nothing.
+// New returns a guard without violations.
 func New(log *slog.Logger) *Guard {
 	return &Guard{log: log, onViolation: violationHook, counts: new(expvar.Map).Init()}
 }
 
-// OnViolation has a function called with each violation. It is for tests.
+// OnViolation sets the function that is called for each violation. It is for tests.
 func (g *Guard) OnViolation(f func(text string)) { g.onViolation = f }
 
-// report counts a violation and tells of the first one of its name.
+// report counts a violation, and logs the first one of each name.
 func (g *Guard) report(name Name, trace string, state ...any) {
 	g.mu.Lock()
 	first := g.counts.Get(string(name)) == nil
@@ -74,25 +74,25 @@
 	}
 }
 
-// Metrics are the counts, in the form of the second address; empty as long as nothing was violated.
+// Metrics returns the counts in the text format of the admin address's metrics; empty if there were no violations.
 func (g *Guard) Metrics() string {
 	var b strings.Builder
 	g.counts.Do(func(kv expvar.KeyValue) { fmt.Fprintf(&b, "\nrelay.violations.%s:%s|c", kv.Key, kv.Value) })
 	return b.String()
 }
 
-// Send is what is known when a call is about to leave.
+// Send describes a call that is about to be made.
 type Send struct {
 	Trace      string
 	Endpoint   string
 	Recorded   bool          // the send is in the log
 	Ended      bool          // the message's final answer is decided
-	EndOfSends bool          // the process makes no more calls
-	Draining   time.Duration // since the endpoint was told to drain, or is out of the list; 0: it is in service
-	Left       time.Duration // of the message's time
+	EndOfSends bool          // the process must not make calls any more
+	Draining   time.Duration // time since the endpoint was told to drain or left the list; 0: in service
+	Left       time.Duration // time left until the message's deadline
 }
 
-// CheckSend checks a call that is about to leave, for one of its messages.
+// CheckSend checks a call that is about to be made, for one of its messages.
 func (g *Guard) CheckSend(s Send) {
 	state := []any{"endpoint", s.Endpoint, "left", s.Left, "draining", s.Draining}
 	if !s.Recorded {
@@ -110,22 +110,22 @@
 	g.CheckDeadline(s.Trace, s.Endpoint, s.Left)
 }
 
-// CheckDeadline checks once more, right before a request is written, that its message has time left.
+// CheckDeadline checks again, right before a request is written, that the deadline of its message has not passed.
 func (g *Guard) CheckDeadline(trace, endpoint string, left time.Duration) {
 	if left < -Tolerance {
 		g.report(SendLate, trace, "endpoint", endpoint, "left", left)
 	}
 }
 
-// Repeat is what is known when a message is sent of which an earlier send may have run.
+// Repeat describes the repeat of a message of which an earlier send may have been executed.
 type Repeat struct {
 	Trace         string
 	Unsafe        bool
-	Window        time.Duration // within which it may be repeated; 0: without limit
-	Age           time.Duration // of the first send that may have run
-	FirstZone     int           // of that
-	ToZone        int           // zone
-	OneZone       bool          // repeats stay in the zone of the first send
+	Window        time.Duration // how long repeats are allowed; 0: no limit
+	Age           time.Duration // time since the first send that may have been executed
+	FirstZone     int           // zone of the first send
+	ToZone        int           // zone of the repeat
+	OneZone       bool          // repeats must stay in the zone of the first send
 	FirstEndpoint string        // endpoint of the first send
 }
 
@@ -143,7 +143,7 @@
 	}
 }
 
-// CheckEnd checks a final answer that is about to be told to the platform.
+// CheckEnd checks a final answer that is about to be sent to the platform. again means that one was already sent.
 func (g *Guard) CheckEnd(trace string, again, recorded bool, left time.Duration) {
 	if again {
 		g.report(EndTwice, trace, "left", left)
@@ -153,22 +153,22 @@
 	}
 }
 
-// CheckClose checks a connection of a client that is about to be closed. unanswered tells that a request was read off it whose answer
-// was not written, though its client has not left; buffered is how many bytes were read of a next one.
+// CheckClose checks a client connection that is about to be closed. unanswered means that a request was read from it but not
+// answered, although the client has not disconnected; buffered is the number of bytes read of a further request.
 func (g *Guard) CheckClose(peer string, unanswered bool, buffered int) {
 	if unanswered || buffered > 0 {
 		g.report(CloseUnread, "", "peer", peer, "unanswered", unanswered, "buffered", buffered)
 	}
 }
 
-// CheckStart checks how long a start has taken.
+// CheckStart checks how long the start of the process took.
 func (g *Guard) CheckStart(took time.Duration) {
 	if took > ReadyWithin {
 		g.report(StartLate, "", "took", took)
 	}
 }
 
-// CheckBound checks that something that is bounded is within its bound.
+// CheckBound checks that a value does not exceed its limit.
 func (g *Guard) CheckBound(what string, value, most int64) {
 	if value > most {
 		g.report(BoundPassed, "", "what", what, "value", value, "most", most)
--- a/internal/invariant/invariant_test.go
+++ b/internal/invariant/invariant_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// Each invariant is violated by what breaks it, and by nothing that just keeps it.
+// Each check must report a broken rule under its name, and must not report values at the very limit.
 func TestEachInvariantIsViolatedByWhatBreaksIt(t *testing.T) {
 	sound := Send{Recorded: true, Left: time.Second}
 	send := func(change func(*Send)) func(*Guard) {
@@ -36,14 +36,14 @@
 		breaks(g)
 		breaks(g)
 		if len(told) != 2 || !strings.Contains(told[0], string(name)) {
-			t.Errorf("%s: told %q", name, told)
+			t.Errorf("%s: violations %q", name, told)
 		}
 		if want := "\nrelay.violations." + string(name) + ":2|c"; g.Metrics() != want {
-			t.Errorf("%s: figures %q", name, g.Metrics())
+			t.Errorf("%s: metrics %q", name, g.Metrics())
 		}
 	}
 	g := New(slog.New(slog.DiscardHandler))
-	g.OnViolation(func(text string) { t.Errorf("just kept, and: %s", text) })
+	g.OnViolation(func(text string) { t.Errorf("violation at the limit: %s", text) })
 	g.CheckSend(Send{Recorded: true, Draining: DrainGrace + Tolerance, Left: -Tolerance})
 	g.CheckRepeat(Repeat{Window: time.Second, Age: time.Second + Tolerance, OneZone: true})
 	g.CheckEnd("t", false, true, time.Second)
@@ -52,6 +52,6 @@
 	g.CheckStart(ReadyWithin)
 	g.CheckBound("connections", 2, 2)
 	if g.Metrics() != "" {
-		t.Errorf("figures %q", g.Metrics())
+		t.Errorf("metrics %q", g.Metrics())
 	}
 }
--- a/internal/program/files_testbed.go
+++ b/internal/program/files_testbed.go
@@ -11,7 +11,7 @@
 	"onyxroad.dev/onyxroad/internal/faultfile"
 )
 
-// openStateDisk is the state folder on the testbed's emulated disk, in a build that the testbed makes for itself.
+// openStateDisk returns the file system of the state folder: the testbed's emulated disk if the environment asks for one.
 func openStateDisk(dir string) (disk.FS, error) {
 	if f := faultfile.FromEnv(); f != nil {
 		return f.Disk(disk.Dir(dir)), nil
@@ -26,7 +26,8 @@
 	return disk.Dir(dir), nil
 }
 
-// openBacklogDisk is the backlog's folder on the same emulated disk, with a trace of its own beside the other.
+// openBacklogDisk returns the file system of the backlog's folder: if the environment asks for a trace, the emulated disk with a
+// separate trace file next to that of the state folder.
 func openBacklogDisk(dir string) (disk.FS, error) {
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return nil, err
--- a/internal/program/program.go
+++ b/internal/program/program.go
@@ -1,5 +1,5 @@
-// Package program is the relay's program, which two commands share: the one by itself, and the one that is a member of its
-// fleet.
+// Package program implements the relay command. It is shared by cherrytrestle and cherrytrestle-fleet, which adds fleet
+// membership, duties and the backlog.
 package program
 
 import (
@@ -25,16 +25,16 @@
 	"onyxroad.dev/onyxroad/internal/settings"
 )
 
-// heapShare is the part of the memory limit that the heap may grow to; the rest is for stacks, the program
-// itself and the files of the log.
+// heapShare is the share of the memory limit that the heap may use; the rest is for stacks, the program itself and the files
+// of the log.
 const heapShare = 0.7
 
 const usage = `Usage: cherrytrestle [relay] [--config FILE]
 
 Runs one relay until SIGTERM. ROUTER_CONFIG names the platform's configuration; ROUTER_NAME, ROUTER_LISTEN,
-ROUTER_DISCOVERY, ROUTER_STATE and ROUTER_ADMIN_ADDR go before what stands there.
+ROUTER_DISCOVERY, ROUTER_STATE and ROUTER_ADMIN_ADDR override its values.
 
-  --config FILE   the settings of this project; IVYGAUGE_CONFIG if not given. Without one all of these are off:
+  --config FILE   this project's settings; default: IVYGAUGE_CONFIG. Without a file, all of these are disabled:
                   [state] durability = "process" or "power", memories, memories_every
                   [backlog] dir, disk_mb, window, share
                   [membership] fleet, bind, advertise, seeds, allow
@@ -42,24 +42,24 @@
                   log_format, log_level
                   Check a file with: cherrytrestlectl config check FILE
 
-Exit: 0 after SIGTERM, 1 if it could not start or go on, 2 for wrong use.
+Exit status: 0 after SIGTERM, 1 if the relay could not start or failed, 2 for wrong usage.
 `
 
-// FleetProgram is the program beside this one that has what membership and a backlog take.
+// FleetProgram is the name of the program, in the same folder as this one, that includes membership and the backlog.
 const FleetProgram = "cherrytrestle-fleet"
 
-// Components are what the program is given that only some relays need. None is in the program that starts Fleet in its place.
+// Components holds the optional features of a relay. All are nil in the program that executes FleetProgram when it needs one.
 type Components struct {
 	Join    membership.Join                   // joins the fleet
-	Duties  func(DutyConfig) relay.Duties     // takes part in its duties
-	Backlog func(BacklogConfig) relay.Backlog // keeps what is owed beyond a window on disk
+	Duties  func(DutyConfig) relay.Duties     // takes part in the fleet's duties
+	Backlog func(BacklogConfig) relay.Backlog // stores messages that do not fit into the window on disk
 }
 
-// BacklogConfig is how a backlog is kept.
+// BacklogConfig configures a backlog.
 type BacklogConfig struct {
 	settings.Backlog
 	Fsync bool
-	Name  string // the relay's
+	Name  string // name of the relay
 	FS    disk.FS
 	Log   *slog.Logger
 }
@@ -79,7 +79,7 @@
 	case err != nil:
 		os.Exit(2)
 	case set.NArg() > 0:
-		fmt.Fprintf(os.Stderr, "cherrytrestle: %q means nothing here\n%s", set.Arg(0), usage)
+		fmt.Fprintf(os.Stderr, "cherrytrestle: unexpected argument %q\n%s", set.Arg(0), usage)
 		os.Exit(2)
 	}
 	if err := run(*path, parts); err != nil {
@@ -88,20 +88,20 @@
 	}
 }
 
-// DutyConfig is a relay's part in the fleet's duties.
+// DutyConfig configures how a relay takes part in the fleet's duties.
 type DutyConfig struct {
 	Stewards []string
 	Lease    time.Duration
 	Figures  bool
-	Name     string // the relay's
-	Admin    string // its second address
+	Name     string // name of the relay
+	Admin    string // admin address of the relay
 	Log      *slog.Logger
 }
 
 func run(path string, parts Components) error {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
-	reload := make(chan os.Signal, 1) // caught from the start: unhandled, SIGHUP ends the process
+	reload := make(chan os.Signal, 1) // registered first, because an unhandled SIGHUP ends the process
 	signal.Notify(reload, syscall.SIGHUP)
 	fileSettings, err := settings.Load(path)
 	if err != nil {
@@ -159,7 +159,7 @@
 		for range reload {
 			cfg, err := relay.ReloadConfigWithin(ctx, os.Getenv)
 			if err != nil {
-				slog.Warn("keeping the configuration", "err", err)
+				slog.Warn("reload failed, keeping the current configuration", "err", err)
 				continue
 			}
 			r.Reload(cfg)
@@ -168,7 +168,8 @@
 	return r.Run(ctx)
 }
 
-// separateFolder is a backlog's folder by its whole path; an error if it is the state folder, or one of the two is in the other.
+// separateFolder returns the absolute path of the backlog's folder. It is an error if that is the state folder, or if one
+// contains the other.
 func separateFolder(dir, state string) (string, error) {
 	dir, err := filepath.Abs(dir)
 	if err != nil {
@@ -182,12 +183,13 @@
 		return err == nil && rel != ".." && !strings.HasPrefix(rel, ".."+string(filepath.Separator))
 	}
 	if within(dir, state) || within(state, dir) {
-		return "", fmt.Errorf("backlog.dir: %s is no folder apart from the state folder %s", dir, state)
+		return "", fmt.Errorf("backlog.dir: %s must be separate from the state folder %s", dir, state)
 	}
 	return dir, nil
 }
 
-// execFleetProgram has the program that can be a member take this one's place: the same process, with the same arguments.
+// execFleetProgram replaces this program with FleetProgram, in the same process and with the same arguments. It returns only on
+// failure.
 func execFleetProgram() error {
 	self, err := os.Executable()
 	if err != nil {
@@ -197,7 +199,7 @@
 	return fmt.Errorf("start: [membership] and [backlog] need %s: %w", path, syscall.Exec(path, os.Args, os.Environ()))
 }
 
-// version is the program's: the revision that it was built from, or a digest of itself where that is not in it.
+// version returns the revision that the program was built from, or a digest of its executable if the revision is unknown.
 func version() string {
 	if info, ok := debug.ReadBuildInfo(); ok {
 		for _, s := range info.Settings {
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,5 +1,5 @@
-// Package settings reads the project's own settings file: one TOML file, read strictly, that turns on what is off without
-// it. The platform's own configuration stays where it is; see package relay.
+// Package settings reads this project's settings file, a TOML file in which unknown keys are errors. It enables features that
+// are disabled by default. The platform's configuration is a separate file; see package relay.
 package settings
 
 import (
@@ -15,65 +15,66 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// Env names the variable that names the file where no argument does.
+// Env is the environment variable with the path of the settings file, which is used if no argument gives one.
 const Env = "IVYGAUGE_CONFIG"
 
-// Settings is the file. Its zero value has every part off.
+// Settings is the content of the settings file. The zero value has all features disabled.
 type Settings struct {
 	LogFormat string     `toml:"log_format"` // "text" (default) or "json"
 	LogLevel  slog.Level `toml:"log_level"`  // "info" (default), "debug", "warn" or "error"
-	State     *State     `toml:"state"`      // none: the state folder is kept in one file, as ever
+	State     *State     `toml:"state"`      // nil: the state folder holds a single log file instead of segments
 
-	Backlog    *Backlog    `toml:"backlog"`    // none: all that is owed is held in memory
-	Membership *Membership `toml:"membership"` // none: the relay knows nothing of others
-	Duties     *Duties     `toml:"duties"`     // none: the relay holds none
-	Steward    *Steward    `toml:"steward"`    // of a steward alone
+	Backlog    *Backlog    `toml:"backlog"`    // nil: all accepted messages are held in memory
+	Membership *Membership `toml:"membership"` // nil: the relay does not know other relays
+	Duties     *Duties     `toml:"duties"`     // nil: the relay holds no duties
+	Steward    *Steward    `toml:"steward"`    // only for a steward
 }
 
-// Duties is the relay's part in what one process of the fleet does at a time.
+// Duties configures how a relay takes part in the fleet's duties, each of which one process holds at a time.
 type Duties struct {
-	Stewards []string `toml:"stewards"` // hosts and ports of their APIs
-	Lease    Duration `toml:"lease"`    // for which a duty is held without a word of its holder, 0.5 s to 5 min; 3 s by default
-	Figures  bool     `toml:"figures"`  // it may add up the fleet's figures
+	Stewards []string `toml:"stewards"` // IP:port of the stewards' APIs
+	Lease    Duration `toml:"lease"`    // how long a duty is held without renewal, 0.5 s to 5 min; default 3 s
+	Figures  bool     `toml:"figures"`  // the relay may hold the duty of aggregating the fleet's metrics
 }
 
-// Steward is one of the stewards.
+// Steward configures a steward.
 type Steward struct {
 	Name         string   `toml:"name"`
-	Fleet        string   `toml:"fleet"`         // the fleet's label
-	Listen       string   `toml:"listen"`        // host and port for the other stewards
-	Advertise    string   `toml:"advertise"`     // where they find it, if not at listen
-	API          string   `toml:"api"`           // host and port for relays, tools and operators
-	AdvertiseAPI string   `toml:"advertise_api"` // where they find it, if not at api
-	Dir          string   `toml:"dir"`           // the folder that lasts
-	Seeds        []string `toml:"seeds"`         // hosts and ports of other stewards' APIs, to join by
+	Fleet        string   `toml:"fleet"`         // label of the fleet
+	Listen       string   `toml:"listen"`        // IP:port for the other stewards
+	Advertise    string   `toml:"advertise"`     // IP:port to give to them, if different from listen
+	API          string   `toml:"api"`           // IP:port for relays, tools and operators
+	AdvertiseAPI string   `toml:"advertise_api"` // IP:port to give to them, if different from api
+	Dir          string   `toml:"dir"`           // folder of the persistent state
+	Seeds        []string `toml:"seeds"`         // IP:port of the APIs of other stewards to join through
 }
 
-// Membership is the relay's part in its fleet.
+// Membership configures a relay as a member of its fleet.
 type Membership struct {
-	Fleet     string   `toml:"fleet"`     // the fleet's label: relays of another one are turned away
-	Bind      string   `toml:"bind"`      // host and port, for TCP and UDP
-	Advertise string   `toml:"advertise"` // where others find it, if not at bind
-	Seeds     []string `toml:"seeds"`     // hosts and ports of members to join by
-	Allow     []string `toml:"allow"`     // names of members, or beginnings of names with a * behind them; none: any
+	Fleet     string   `toml:"fleet"`     // label of the fleet; relays with another label are rejected
+	Bind      string   `toml:"bind"`      // IP:port for TCP and UDP
+	Advertise string   `toml:"advertise"` // IP:port to give to others, if different from bind
+	Seeds     []string `toml:"seeds"`     // IP:port of members to join through
+	Allow     []string `toml:"allow"`     // names of allowed members, or prefixes of names followed by *; empty: all
 }
 
-// State is how the state folder is kept.
+// State configures the state folder.
 type State struct {
-	// Durability is "process" (default): what was taken on survives the process; or "power": the machine's power too.
+	// Durability is "process" (default): accepted messages survive the end of the process; or "power": they also survive a
+	// power loss of the machine.
 	Durability string `toml:"durability"`
-	// Memories has what is known of partners put down, so that a restart knows it. On by default.
+	// Memories enables saving what the relay has learned about partners, so that it is known after a restart. Default true.
 	Memories *bool `toml:"memories"`
-	// MemoriesEvery is the time from one putting down to the next, 100 ms to 1 min; 1 s by default.
+	// MemoriesEvery is the interval between saves, 100 ms to 1 min; default 1 s.
 	MemoriesEvery Duration `toml:"memories_every"`
 }
 
-// Backlog is how what is owed beyond a window in memory is kept on disk.
+// Backlog configures the storage on disk of accepted messages that do not fit into a window in memory.
 type Backlog struct {
-	Dir    string  `toml:"dir"`     // a folder of its own, not the state folder
-	DiskMB float64 `toml:"disk_mb"` // that it may take, in millions of bytes; 64 at least
-	Window int     `toml:"window"`  // messages in memory that were never sent; 4096 by default
-	Share  float64 `toml:"share"`   // of the window, for each destination; 0.0625 by default
+	Dir    string  `toml:"dir"`     // dedicated folder, separate from the state folder
+	DiskMB float64 `toml:"disk_mb"` // limit of its size on disk in MB, at least 64
+	Window int     `toml:"window"`  // maximum number of never sent messages in memory; default 4096
+	Share  float64 `toml:"share"`   // share of the window that each destination may take; default 0.0625
 }
 
 func (b *Backlog) validate(s *Settings) (errs []error) {
@@ -84,7 +85,7 @@
 		b.Share = 1.0 / 16
 	}
 	if b.Dir == "" {
-		errs = append(errs, errors.New("backlog.dir: the backlog needs a folder of its own"))
+		errs = append(errs, errors.New("backlog.dir: the backlog needs a dedicated folder"))
 	}
 	if !(b.DiskMB >= 64 && b.DiskMB <= 1e9) {
 		errs = append(errs, fmt.Errorf("backlog.disk_mb: %v is not between 64 and 1e9", b.DiskMB))
@@ -96,21 +97,21 @@
 		errs = append(errs, fmt.Errorf("backlog.share: %v is not above 0 and at most 1", b.Share))
 	}
 	if s.State == nil {
-		errs = append(errs, errors.New("backlog: it goes with a log in segments: [state] is missing"))
+		errs = append(errs, errors.New("backlog: it requires a log in segments: [state] is missing"))
 	}
 	return errs
 }
 
-// SurvivesPowerLoss tells whether messages outlast a loss of power.
+// SurvivesPowerLoss reports whether accepted messages survive a power loss.
 func (s *State) SurvivesPowerLoss() bool { return s.Durability == "power" }
 
-// KeepsMemories tells whether what is known of partners is put down.
+// KeepsMemories reports whether what was learned about partners is saved.
 func (s *State) KeepsMemories() bool { return s.Memories == nil || *s.Memories }
 
-// Duration is a time written as in Go, "250ms" say.
+// Duration is a duration in Go syntax, such as "250ms".
 type Duration time.Duration
 
-// UnmarshalText reads one.
+// UnmarshalText implements encoding.TextUnmarshaler.
 func (d *Duration) UnmarshalText(text []byte) error {
 	v, err := time.ParseDuration(string(text))
 	if err != nil {
@@ -120,7 +121,8 @@
 	return nil
 }
 
-// Load reads the file at path, or the one that the environment names; without either every part is off.
+// Load reads the file at path or, if path is empty, the one that the environment variable Env names. Without either, all
+// features are disabled.
 func Load(path string) (Settings, error) {
 	if path == "" {
 		if path = os.Getenv(Env); path == "" {
@@ -134,7 +136,7 @@
 	return Parse(path, data)
 }
 
-// Parse reads the text of the file at path.
+// Parse parses the content of a settings file. path is used in error messages.
 func Parse(path string, data []byte) (s Settings, err error) {
 	d := toml.NewDecoder(bytes.NewReader(data)).DisallowUnknownFields()
 	if err := d.Decode(&s); err != nil {
@@ -146,7 +148,7 @@
 	return s, nil
 }
 
-// WithPosition puts line and key before what the library says of an error.
+// WithPosition prefixes an error of the TOML library with the line and the key.
 func WithPosition(err error) error {
 	var strict *toml.StrictMissingError
 	if errors.As(err, &strict) && len(strict.Errors) > 0 {
@@ -162,7 +164,7 @@
 	return fmt.Errorf(": %w", err)
 }
 
-// validate tells what makes no sense, and fills in what is left out.
+// validate reports invalid settings, and sets defaults.
 func (s *Settings) validate() error {
 	var errs []error
 	switch s.LogFormat {
@@ -181,7 +183,7 @@
 		if st.MemoriesEvery == 0 {
 			st.MemoriesEvery = Duration(time.Second)
 		} else if !st.KeepsMemories() {
-			errs = append(errs, errors.New("state.memories_every: without memories nothing is put down"))
+			errs = append(errs, errors.New("state.memories_every: without memories nothing is saved"))
 		}
 		if every := time.Duration(st.MemoriesEvery); every < 100*time.Millisecond || every > time.Minute {
 			errs = append(errs, fmt.Errorf("state.memories_every: %v is not between 100ms and 1m", every))
@@ -205,7 +207,7 @@
 	}
 	if d := s.Duties; d != nil {
 		if len(d.Stewards) == 0 {
-			errs = append(errs, errors.New("duties.stewards: name one at least"))
+			errs = append(errs, errors.New("duties.stewards: at least one address is required"))
 		}
 		errs = append(errs, checkAddresses("duties.stewards", d.Stewards...)...)
 		if d.Lease == 0 {
@@ -215,13 +217,13 @@
 			errs = append(errs, fmt.Errorf("duties.lease: %v is not between 500ms and 5m", l))
 		}
 		if s.Membership == nil {
-			errs = append(errs, errors.New("duties: a relay that takes part is a member of its fleet: [membership] is missing"))
+			errs = append(errs, errors.New("duties: they require a member of the fleet: [membership] is missing"))
 		}
 	}
 	if x := s.Steward; x != nil {
 		errs = append(errs, x.validate()...)
 		if s.State != nil || s.Membership != nil || s.Duties != nil || s.Backlog != nil {
-			errs = append(errs, errors.New("steward: a steward is no relay: [state], [backlog], [membership] and [duties] belong in another file"))
+			errs = append(errs, errors.New("steward: [state], [backlog], [membership] and [duties] are for relays and not allowed in a steward's file"))
 		}
 	}
 	return errors.Join(errs...)
@@ -230,7 +232,7 @@
 func (x *Steward) validate() (errs []error) {
 	for key, value := range map[string]string{"name": x.Name, "fleet": x.Fleet} {
 		if value == "" || strings.ContainsAny(value, ",/ ") {
-			errs = append(errs, fmt.Errorf("steward.%s: %q is none", key, value))
+			errs = append(errs, fmt.Errorf("steward.%s: %q is empty or contains a comma, slash or space", key, value))
 		}
 	}
 	if x.Dir == "" {
@@ -247,7 +249,7 @@
 	return errs
 }
 
-// checkAddresses tells which are none.
+// checkAddresses returns an error for each invalid address.
 func checkAddresses(key string, all ...string) (errs []error) {
 	for _, a := range all {
 		if _, err := netip.ParseAddrPort(a); err != nil {
@@ -257,7 +259,7 @@
 	return errs
 }
 
-// Logger is the logger that the settings ask for.
+// Logger returns the logger that the settings configure.
 func (s *Settings) Logger() *slog.Logger {
 	o := &slog.HandlerOptions{Level: s.LogLevel}
 	switch {
--- a/internal/sockets/sockets.go
+++ b/internal/sockets/sockets.go
@@ -1,5 +1,5 @@
-// Package sockets opens the relay's sockets. It stands between the relay and package net for the sake of tests and of the
-// testbed's builds, which have calls of the system fail there; otherwise it adds nothing.
+// Package sockets opens the relay's sockets. It is a thin layer on package net that lets tests and testbed builds make system
+// calls fail; without such faults it adds nothing.
 package sockets
 
 import (
@@ -11,10 +11,10 @@
 	"time"
 )
 
-// Call is a call of the system that may be made to fail.
+// Call names a system call that can be made to fail.
 type Call string
 
-// The calls.
+// The system calls that can be made to fail.
 const (
 	Socket  Call = "socket"
 	Accept  Call = "accept"
@@ -24,24 +24,24 @@
 	Listen  Call = "listen"
 )
 
-// Faults tells how calls fail.
+// Faults decides which calls fail.
 type Faults interface {
-	// Fail is asked before each call; 0 lets it be made.
+	// Fail is called before each call and returns its error; 0 means that the call is made.
 	Fail(Call) syscall.Errno
-	// MaxBytes is how many of n bytes a read or a write moves at once.
+	// MaxBytes returns how many of n bytes a single read or write transfers at most.
 	MaxBytes(n int) int
 }
 
-// faults is nil where none are to be had.
+// faults is nil if no faults are injected.
 var faults atomic.Pointer[Faults]
 
-// SetFaults has calls fail until restore is called. It is for tests and for the testbed's builds alone.
+// SetFaults injects faults until restore is called. It is only for tests and testbed builds.
 func SetFaults(f Faults) (restore func()) {
 	before := faults.Swap(&f)
 	return func() { faults.Store(before) }
 }
 
-// injectedError is the error of a call, as package net tells it; nil lets it be made.
+// injectedError returns the error of a call in the form that package net uses; nil means that the call is made.
 func injectedError(call Call, op string) error {
 	f := faults.Load()
 	if f == nil {
@@ -53,7 +53,7 @@
 	return nil
 }
 
-// ListenTCP listens on an address.
+// ListenTCP listens on a TCP address.
 func ListenTCP(addr string) (*net.TCPListener, error) {
 	for _, call := range []Call{Socket, Listen} {
 		if err := injectedError(call, "listen"); err != nil {
@@ -67,7 +67,7 @@
 	return l.(*net.TCPListener), nil
 }
 
-// ListenUnix listens at a path, which stays when the listener is closed.
+// ListenUnix listens on a Unix socket. The socket file is not removed when the listener is closed.
 func ListenUnix(path string) (*net.UnixListener, error) {
 	if err := injectedError(Listen, "listen"); err != nil {
 		return nil, err
@@ -79,7 +79,7 @@
 	return l, err
 }
 
-// DialUnix connects to a listener at a path.
+// DialUnix connects to a Unix socket.
 func DialUnix(path string) (*net.UnixConn, error) {
 	if err := injectedError(Connect, "dial"); err != nil {
 		return nil, err
@@ -87,9 +87,10 @@
 	return net.DialUnix("unix", nil, &net.UnixAddr{Name: path, Net: "unix"})
 }
 
-// AcceptFrom accepts a listener's next connection.
+// AcceptFrom accepts the next connection of a listener.
 func AcceptFrom(l net.Listener) (net.Conn, error) {
-	// The system looks for room for a connection before it looks for one: where that fails, all stay in the queue.
+	// The kernel allocates resources for a connection before it takes one off the queue. If that fails, all connections stay
+	// queued, so the fault must come before the accept.
 	if err := injectedError(Accept, "accept"); err != nil {
 		return nil, err
 	}
@@ -103,12 +104,12 @@
 // Dialer connects to endpoints and to discovery.
 type Dialer struct{ net.Dialer }
 
-// NewDialer returns a dialer without keep-alive probes. timeout 0: as long as the context lets it.
+// NewDialer returns a dialer without keep-alive probes. With a timeout of 0 only the context limits connecting.
 func NewDialer(timeout time.Duration) *Dialer {
 	return &Dialer{net.Dialer{KeepAlive: -1, Timeout: timeout}}
 }
 
-// DialContext connects to an address.
+// DialContext connects to a network address.
 func (d *Dialer) DialContext(ctx context.Context, network, addr string) (net.Conn, error) {
 	for _, call := range []Call{Socket, Connect} {
 		if err := injectedError(call, "dial"); err != nil {
@@ -122,7 +123,7 @@
 	return withFaults(c), nil
 }
 
-// withFaults has a connection's reads and writes fail; the connection itself where no faults are to be had.
+// withFaults returns a connection with faults injected into its reads and writes, or c itself if no faults are injected.
 func withFaults(c net.Conn) net.Conn {
 	f := faults.Load()
 	if f == nil {
@@ -134,14 +135,14 @@
 	return c
 }
 
-// faultyConn is a connection whose reads and writes may fail, and may be short. One that has failed is broken.
+// faultyConn is a connection whose reads and writes may fail or be short. After a failure all further ones fail.
 type faultyConn struct {
 	*net.TCPConn
 	faults Faults
 	broken atomic.Pointer[net.OpError]
 }
 
-// injectFault is asked before each read and write.
+// injectFault is called before each read and write, and returns the error that it is to fail with.
 func (c *faultyConn) injectFault(call Call) error {
 	if err := c.broken.Load(); err != nil {
 		return err
@@ -152,7 +153,7 @@
 	}
 	err := &net.OpError{Op: string(call), Net: "tcp", Err: os.NewSyscallError(string(call), errno)}
 	c.broken.Store(err)
-	c.SetLinger(0) // the peer sees a reset
+	c.SetLinger(0) // closing sends a reset to the peer
 	c.CloseRead()
 	return err
 }
@@ -164,7 +165,7 @@
 	return c.TCPConn.Read(b[:c.faults.MaxBytes(len(b))])
 }
 
-// Write writes all of b, as package net does where the system's writes are short.
+// Write writes all of b, as package net does when a system call writes only a part.
 func (c *faultyConn) Write(b []byte) (written int, err error) {
 	for len(b) > 0 {
 		if err := c.injectFault(Write); err != nil {
--- a/internal/sockets/sockets_testbed.go
+++ b/internal/sockets/sockets_testbed.go
@@ -14,7 +14,7 @@
 	}
 }
 
-// fileFaults has calls fail as the testbed's file says.
+// fileFaults implements Faults with the rules of the testbed's fault file.
 type fileFaults struct{ *faultfile.File }
 
 func (f fileFaults) Fail(call Call) syscall.Errno { return f.Next(string(call)).Errno }
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -9,7 +9,7 @@
 	"onyxroad.dev/onyxroad/policy"
 )
 
-// settingValues are the path=value settingValues of a CONFIGURE line.
+// settingValues holds the path=value pairs of a CONFIGURE line, and the first error.
 type settingValues struct {
 	values map[string]string
 	err    error
@@ -30,8 +30,8 @@
 	return set, p.reportSchema(), err
 }
 
-// PolicySettings maps the settings, by their paths, to the decision module's. The real relay's configuration holds the
-// same ones as JSON and comes through here too: what a setting means is said once.
+// PolicySettings converts settings, given by their paths, to those of the decision module. The relay also uses it for its own
+// configuration, which holds the same settings as JSON, so that the meaning of each setting is defined once.
 func PolicySettings(values map[string]string) (policy.Settings, error) {
 	p := &settingValues{values: values}
 	set := policy.Settings{
@@ -94,13 +94,13 @@
 		c.Effect = policy.Safe
 	case "idempotency_key":
 		c.Effect = policy.Keyed
-	default: // what is not known to bear a repeat bears none
+	default: // an unknown kind of service must be assumed not to tolerate repeats
 		c.Effect = policy.Unsafe
 	}
 	return c
 }
 
-// reportSchema finds which reported values tell of a limit.
+// reportSchema returns the names of the reported values that hold a load limit.
 func (p *settingValues) reportSchema() *reportSchema {
 	sc := &reportSchema{}
 	for _, name := range p.list("stats.fields") {
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -1,4 +1,4 @@
-// Package wire reads and writes the bench's dialect: text lines in, text lines out, nothing else.
+// Package wire implements the simulator's line-based text protocol: it parses batches of events and writes actions.
 package wire
 
 import (
@@ -14,17 +14,17 @@
 	"onyxroad.dev/onyxroad/policy"
 )
 
-// ItemKind names what an Item of a batch is.
+// ItemKind is the kind of an Item of a batch.
 type ItemKind int
 
-// The kinds of item.
+// The kinds of items.
 const (
-	Start ItemKind = iota // a fresh instance, with its settings and seed
-	Stop                  // the instance dies
-	Event                 // something that the instance observes
+	Start ItemKind = iota // an instance starts, with its settings and seed
+	Stop                  // an instance ends
+	Event                 // an event for an instance
 )
 
-// Item is one event of a batch, for one instance.
+// Item is one entry of a batch, for one instance.
 type Item struct {
 	Kind     ItemKind
 	Instance int
@@ -33,14 +33,14 @@
 	Event    policy.Event    // Event
 }
 
-// Batch is what comes in at one time.
+// Batch holds the items of one point in time.
 type Batch struct {
 	Now    time.Duration
 	Number string
 	Items  []Item
 }
 
-// Reader reads batches.
+// Reader reads batches from the simulator.
 type Reader struct {
 	in      *bufio.Reader
 	line    int
@@ -50,17 +50,17 @@
 	buf     []byte
 }
 
-// reportSchema is what an instance's settings say of its events.
+// reportSchema names the values in an instance's load reports that hold the remaining share of the limit and the limit.
 type reportSchema struct{ left, limit string }
 
-// NewReader returns a Reader of in.
+// NewReader returns a Reader that reads from in.
 func NewReader(in io.Reader) *Reader {
 	return &Reader{
 		in: bufio.NewReaderSize(in, 1<<16), lists: map[int][]policy.Listing{}, schemas: map[int]*reportSchema{},
 	}
 }
 
-// Next reads one batch into b, reusing its room. It returns io.EOF when the input ends between batches.
+// Next reads one batch into b, reusing its memory. It returns io.EOF if the input ends between batches.
 func (r *Reader) Next(b *Batch) error {
 	b.Items = b.Items[:0]
 	open := false
@@ -112,7 +112,7 @@
 	}
 }
 
-// parse takes one line of a batch; done tells that it was the last.
+// parse processes one line of a batch; done reports whether it was the last one.
 func (r *Reader) parse(f *fields, b *Batch, open *bool) (done bool, err error) {
 	name := f.word()
 	if name == "MARK" {
@@ -173,7 +173,7 @@
 	return false, err
 }
 
-// parseEvent fills e; known is false for an event that no decision uses.
+// parseEvent parses an event into e; known is false for events that the decision module does not use.
 func (r *Reader) parseEvent(name string, f *fields, e *policy.Event, sc *reportSchema) (known bool, err error) {
 	switch name {
 	case "KNOCK":
@@ -261,7 +261,7 @@
 	return l, f.end()
 }
 
-// fields splits a line; the first error sticks.
+// fields splits a line into its values and keeps the first error.
 type fields struct {
 	text      string
 	err       error
@@ -292,7 +292,7 @@
 	return f.text
 }
 
-// end reports what went wrong in the line so far. Values beyond those known are passed over.
+// end returns the first error of the line. Additional values at its end are ignored.
 func (f *fields) end() error { return f.err }
 
 func (f *fields) optional() string {
@@ -379,7 +379,7 @@
 	return o
 }
 
-// report reads name:value pairs; names that the settings do not explain are passed over.
+// report parses name:value pairs; names without a meaning in the settings are ignored.
 func (f *fields) report(sc *reportSchema) policy.Report {
 	var rep policy.Report
 	text := f.optional()
@@ -401,16 +401,16 @@
 	return rep
 }
 
-// Writer writes replies.
+// Writer writes replies to the simulator.
 type Writer struct {
 	out *bufio.Writer
 	buf []byte
 }
 
-// NewWriter returns a Writer to out.
+// NewWriter returns a Writer that writes to out.
 func NewWriter(out io.Writer) *Writer { return &Writer{out: bufio.NewWriterSize(out, 1<<16)} }
 
-// Actions writes an instance's actions at now.
+// Actions writes the actions of an instance.
 func (w *Writer) Actions(instance int, acts []policy.Action) {
 	for i := range acts {
 		a := &acts[i]
@@ -443,7 +443,7 @@
 	}
 }
 
-// Crashed writes that an instance's decisions broke.
+// Crashed reports that an instance has failed, with the error text.
 func (w *Writer) Crashed(instance int, words string) {
 	w.begin("DIE", instance)
 	w.text(strings.Map(func(r rune) rune {
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -64,7 +64,7 @@
 	}
 	items, err := read(t, "HEADERS 3 1 0 host.a 9.25\nINBOX 3 2 6869\nRETIRE 3\n")
 	if err != nil || len(items) != 1 || items[0].Kind != Stop {
-		t.Errorf("unused messages: %+v, %v", items, err)
+		t.Errorf("events without a use: %+v, %v", items, err)
 	}
 }
 
@@ -85,7 +85,7 @@
 		t.Errorf("a line outside a batch: error %v", err)
 	}
 	if err := NewReader(strings.NewReader("MARK 1 1\n")).Next(&b); err == nil || err == io.EOF {
-		t.Errorf("input that ends in a batch: error %v", err)
+		t.Errorf("input that ends within a batch: error %v", err)
 	}
 }
 
