--- a/cmd/drill/main.go
+++ b/cmd/drill/main.go
@@ -41,14 +41,14 @@
 		active = active[:0]
 		for i := range b.Items {
 			it := &b.Items[i]
-			n := instances[it.Instance]
-			if n == nil {
-				n = &instance{number: it.Instance}
-				instances[it.Instance] = n
+			inst := instances[it.Instance]
+			if inst == nil {
+				inst = &instance{number: it.Instance}
+				instances[it.Instance] = inst
 			}
-			if !n.active {
-				n.active = true
-				active = append(active, n)
+			if !inst.active {
+				inst.active = true
+				active = append(active, inst)
 			}
 			switch it.Kind {
 			case wire.Start:
@@ -56,11 +56,11 @@
 				if err != nil {
 					return fmt.Errorf("instance %d: %v", it.Instance, err)
 				}
-				n.sender, n.events = s, n.events[:0]
+				inst.sender, inst.events = s, inst.events[:0]
 			case wire.Stop:
-				n.sender, n.events = nil, n.events[:0]
+				inst.sender, inst.events = nil, inst.events[:0]
 			case wire.Event:
-				n.events = append(n.events, it.Event)
+				inst.events = append(inst.events, it.Event)
 			}
 		}
 		for _, n := range active {
@@ -77,12 +77,12 @@
 }
 
 // step runs the decision module of one instance. A panic is reported to the simulator and ends the instance.
-func step(w *wire.Writer, n *instance, now time.Duration) {
+func step(w *wire.Writer, inst *instance, now time.Duration) {
 	defer func() {
 		if p := recover(); p != nil {
-			w.Crashed(n.number, fmt.Sprint(p))
-			n.sender = nil
+			w.Crashed(inst.number, fmt.Sprint(p))
+			inst.sender = nil
 		}
 	}()
-	w.Actions(n.number, n.sender.Step(now, n.events))
+	w.Actions(inst.number, inst.sender.Step(now, inst.events))
 }
--- a/internal/backlog/files.go
+++ b/internal/backlog/files.go
@@ -114,11 +114,11 @@
 }
 
 // mutate performs a change unless an earlier one has failed.
-func (f *engineFS) mutate(do func() error) {
+func (f *engineFS) mutate(apply func() error) {
 	if f.readOnly || f.failed() != nil {
 		return
 	}
-	if err := do(); err != nil {
+	if err := apply(); err != nil {
 		f.fail(err)
 	}
 }
--- a/internal/backlog/open.go
+++ b/internal/backlog/open.go
@@ -60,7 +60,7 @@
 
 // Open opens a folder, or creates it. It refuses the folder of another relay and one that is in use. Damage is no reason for
 // refusal: unreadable data is set aside and reported.
-func Open(o Options) (s *Store, found OpenReport, err error) {
+func Open(o Options) (s *Store, report OpenReport, err error) {
 	o.setDefaults()
 	s = &Store{opts: o, log: o.Log, now: clock.Now, usage: &diskUsage{limit: o.Limit, sizes: map[string]int64{}}}
 	defer func() {
@@ -71,10 +71,10 @@
 	}()
 	if o.Dir != "" {
 		if err := os.MkdirAll(o.Dir, 0o700); err != nil {
-			return s, found, fmt.Errorf("%w: %w", ErrDisk, err)
+			return s, report, fmt.Errorf("%w: %w", ErrDisk, err)
 		}
 		if s.lockFile, err = lockDir(o.Dir); err != nil {
-			return s, found, err
+			return s, report, err
 		}
 	}
 	if o.FS == nil {
@@ -82,17 +82,17 @@
 	}
 	var ok bool
 	if s.fs, ok = o.FS.(storeFS); !ok {
-		return s, found, errors.New("backlog: the file system does not support reading parts of files")
+		return s, report, errors.New("backlog: the file system does not support reading parts of files")
 	}
-	mend, err := s.claimFolder(&found)
+	repairRequested, err := s.claimFolder(&report)
 	if err != nil {
-		return s, found, err
+		return s, report, err
 	}
-	if err := s.openOrRepair(mend, &found); err != nil {
-		return s, found, err
+	if err := s.openOrRepair(repairRequested, &report); err != nil {
+		return s, report, err
 	}
-	found.Messages, found.MaxID = s.messages, s.highest
-	return s, found, nil
+	report.Messages, report.MaxID = s.messages, s.highest
+	return s, report, nil
 }
 
 // lockDir locks a folder until the returned file is closed.
@@ -113,7 +113,7 @@
 
 // claimFolder checks the owner of the folder, claims it for this relay and records the sizes of its files. mend reports whether an
 // earlier process requested a repair.
-func (s *Store) claimFolder(found *OpenReport) (mend bool, err error) {
+func (s *Store) claimFolder(report *OpenReport) (repairRequested bool, err error) {
 	names, err := s.fs.Names()
 	if err != nil {
 		return false, fmt.Errorf("%w: %w", ErrDisk, err)
@@ -123,7 +123,7 @@
 		if gen, ok := parseGeneration(name); ok {
 			newest = max(newest, gen)
 		}
-		mend = mend || name == repairName
+		repairRequested = repairRequested || name == repairName
 		if err := s.trackSize(name); err != nil {
 			return false, fmt.Errorf("%w: %w", ErrDisk, err)
 		}
@@ -137,7 +137,7 @@
 		return false, fmt.Errorf("%w: %w", ErrDisk, err)
 	case err != nil || json.Unmarshal(text, &stored) != nil || stored.checksum() != stored.Sum:
 		own.Gen = max(1, newest)
-		found.Problems = append(found.Problems, "the owner file is unreadable: the folder is assumed to belong to this relay")
+		report.Problems = append(report.Problems, "the owner file is unreadable: the folder is assumed to belong to this relay")
 	case stored.Format > ownerFormat:
 		return false, fmt.Errorf("%w: format %d is newer than this version's %d", ErrWrongOwner, stored.Format, ownerFormat)
 	case stored.Name != s.opts.Name && !s.opts.Adopt:
@@ -158,7 +158,7 @@
 			s.usage.remove(name)
 		}
 	}
-	return mend, nil
+	return repairRequested, nil
 }
 
 // writeOwner writes the owner file.
@@ -196,24 +196,24 @@
 }
 
 // openOrRepair opens the engine. It repairs the folder if mend is set or if the engine cannot be opened because of damage.
-func (s *Store) openOrRepair(mend bool, found *OpenReport) error {
-	if err := s.repairManifest(found); err != nil {
+func (s *Store) openOrRepair(repairRequested bool, report *OpenReport) error {
+	if err := s.repairManifest(report); err != nil {
 		return fmt.Errorf("%w: %w", ErrDisk, err)
 	}
-	if !mend {
+	if !repairRequested {
 		err := s.openForWriting()
 		if err == nil || errors.Is(err, ErrDisk) {
 			return err
 		}
-		if retryErr := s.promoteMirror(found); retryErr == nil {
+		if retryErr := s.promoteMirror(report); retryErr == nil {
 			if retryErr = s.openForWriting(); retryErr == nil || errors.Is(retryErr, ErrDisk) {
 				return retryErr
 			}
 		}
 		s.log.Warn("backlog: the folder is damaged", "error", err)
-		found.Problems = append(found.Problems, err.Error())
+		report.Problems = append(report.Problems, err.Error())
 	}
-	return s.repair(found)
+	return s.repair(report)
 }
 
 // openForWriting opens the engine for reading and writing. The caller holds dbMu, or is the only user of the store.
--- a/internal/backlog/read.go
+++ b/internal/backlog/read.go
@@ -14,14 +14,14 @@
 
 // withEngine calls use with the engine. If the disk has failed by the time use returns, the folder is reopened for reading only
 // and use is called once more.
-func (s *Store) withEngine(use func(db *pebble.DB) error) error {
+func (s *Store) withEngine(fn func(db *pebble.DB) error) error {
 	for range 2 {
 		s.dbMu.RLock()
 		if s.db == nil {
 			s.dbMu.RUnlock()
 			return s.unavailable()
 		}
-		err := use(s.db)
+		err := fn(s.db)
 		failed := s.files.failed()
 		s.dbMu.RUnlock()
 		if failed == nil {
--- a/internal/backlog/repair.go
+++ b/internal/backlog/repair.go
@@ -16,21 +16,21 @@
 
 // repair copies the readable data of the current generation into a new one. Both take up disk space until it is done. If the
 // process ends before that, the old generation is still complete.
-func (s *Store) repair(found *OpenReport) error {
+func (s *Store) repair(report *OpenReport) error {
 	old := s.newEngineFS()
 	old.readOnly = true
 	damagedFiles := map[string]bool{} // damaged files of the old generation, which are set aside
-	from, logs, err := s.openDamaged(old, damagedFiles, found)
+	from, logs, err := s.openDamaged(old, damagedFiles, report)
 	if err != nil {
-		found.Lost = true
-		found.Problems = append(found.Problems, fmt.Sprintf("nothing is readable, the store starts empty: %v", err))
+		report.Lost = true
+		report.Problems = append(report.Problems, fmt.Sprintf("nothing is readable, the store starts empty: %v", err))
 	}
 	names, err := s.fs.Names()
 	if err != nil {
 		return fmt.Errorf("%w: %w", ErrDisk, err)
 	}
 	s.generation++
-	if err := s.rewrite(from, logs, found); err != nil {
+	if err := s.rewrite(from, logs, report); err != nil {
 		s.generation--
 		return err
 	}
@@ -42,8 +42,8 @@
 		if !ours && name != repairName || ours && gen >= s.generation {
 			continue
 		}
-		if kept := ours && (found.Lost || damagedFiles[name]) && s.setAside(name); kept {
-			found.Problems = append(found.Problems, damagedPrefix+name)
+		if kept := ours && (report.Lost || damagedFiles[name]) && s.setAside(name); kept {
+			report.Problems = append(report.Problems, damagedPrefix+name)
 			continue
 		}
 		if err := s.fs.Remove(name); err != nil {
@@ -51,7 +51,7 @@
 		}
 		s.usage.remove(name)
 	}
-	found.Rebuilt = true
+	report.Rebuilt = true
 	return s.openForWriting()
 }
 
@@ -77,7 +77,7 @@
 // openDamaged opens as many of the engine's files as possible for reading only: first all of them, then without the options
 // file, which is not needed, then also without the newest logs, leaving out one more at a time. It returns the logs left out,
 // which must be replayed separately. An obsolete log does not prevent opening, and is not among them.
-func (s *Store) openDamaged(f *engineFS, damagedFiles map[string]bool, found *OpenReport) (db *pebble.DB, logs []string, err error) {
+func (s *Store) openDamaged(f *engineFS, damagedFiles map[string]bool, report *OpenReport) (db *pebble.DB, logs []string, err error) {
 	corrupt := func(file string, _ error) {
 		s.mu.Lock()
 		defer s.mu.Unlock()
@@ -97,7 +97,7 @@
 	if db, err = s.openEngine(f, true, corrupt); err == nil {
 		return db, nil, nil
 	}
-	found.Problems = append(found.Problems, err.Error())
+	report.Problems = append(report.Problems, err.Error())
 	for _, name := range names {
 		if strings.HasPrefix(name, "OPTIONS-") {
 			f.hide(name)
@@ -121,7 +121,7 @@
 }
 
 // rewrite writes the new generation.
-func (s *Store) rewrite(from *pebble.DB, logs []string, found *OpenReport) (err error) {
+func (s *Store) rewrite(from *pebble.DB, logs []string, report *OpenReport) (err error) {
 	if from != nil {
 		defer from.Close()
 	}
@@ -135,10 +135,10 @@
 		to.Close()
 	}()
 	if from != nil {
-		if err := s.copyMessages(from, to, found); err != nil {
+		if err := s.copyMessages(from, to, report); err != nil {
 			return fmt.Errorf("%w: %w", ErrDisk, errors.Join(err, f.failed()))
 		}
-		if err := s.replayLogs(logs, to, found); err != nil {
+		if err := s.replayLogs(logs, to, report); err != nil {
 			return fmt.Errorf("%w: %w", ErrDisk, errors.Join(err, f.failed()))
 		}
 	}
@@ -153,7 +153,7 @@
 
 // copyMessages copies the readable records and creates their index keys. An unreadable range of ids is skipped as a whole, so
 // that no removed message reappears.
-func (s *Store) copyMessages(from, to *pebble.DB, found *OpenReport) error {
+func (s *Store) copyMessages(from, to *pebble.DB, report *OpenReport) error {
 	const batch = 256
 	b := to.NewBatch()
 	commit := func() error {
@@ -186,7 +186,7 @@
 			break
 		}
 		after := nextReadable(from, last)
-		found.Problems = append(found.Problems, fmt.Sprintf("messages %d to %d cannot be read: %v", last, after-1, err))
+		report.Problems = append(report.Problems, fmt.Sprintf("messages %d to %d cannot be read: %v", last, after-1, err))
 		next = after
 	}
 	return commit()
@@ -196,7 +196,7 @@
 type writeError struct{ error }
 
 // scanRecords reads the records in order of id, beginning with id. On failure it returns the first unreadable id and the error.
-func scanRecords(db *pebble.DB, id uint32, take func(Entry) error) (uint32, error) {
+func scanRecords(db *pebble.DB, id uint32, visit func(Entry) error) (uint32, error) {
 	it, err := db.NewIter(&pebble.IterOptions{LowerBound: messageKey(id), UpperBound: []byte{keyMessage + 1}})
 	if err != nil {
 		return id, err
@@ -212,7 +212,7 @@
 		if err != nil {
 			return id, err
 		}
-		if err := take(e); err != nil {
+		if err := visit(e); err != nil {
 			return id, &writeError{err}
 		}
 		id++
@@ -223,7 +223,7 @@
 // nextReadable returns the lowest id above an unreadable one at which reading succeeds, or finds no more records. It searches
 // with doubling steps, then by bisection.
 func nextReadable(db *pebble.DB, id uint32) uint64 {
-	reads := func(id uint64) bool {
+	readable := func(id uint64) bool {
 		if id > math.MaxUint32 {
 			return true
 		}
@@ -239,12 +239,12 @@
 		return it.Error() == nil
 	}
 	low, step := uint64(id), uint64(1)
-	for !reads(low + step) {
+	for !readable(low + step) {
 		low, step = low+step, step*2
 	}
 	high := low + step
 	for high-low > 1 {
-		if mid := (low + high) / 2; reads(mid) {
+		if mid := (low + high) / 2; readable(mid) {
 			high = mid
 		} else {
 			low = mid
@@ -254,7 +254,7 @@
 }
 
 // replayLogs applies the named logs of the old generation, each up to its first unreadable record.
-func (s *Store) replayLogs(names []string, to *pebble.DB, found *OpenReport) error {
+func (s *Store) replayLogs(names []string, to *pebble.DB, report *OpenReport) error {
 	if len(names) == 0 {
 		return nil
 	}
@@ -274,7 +274,7 @@
 		if errors.As(err, &stop) {
 			return stop
 		} else if err != nil {
-			found.Problems = append(found.Problems, fmt.Sprintf("the rest of %s cannot be read: %v", path.Base(file), err))
+			report.Problems = append(report.Problems, fmt.Sprintf("the rest of %s cannot be read: %v", path.Base(file), err))
 		}
 	}
 	return nil
@@ -335,7 +335,7 @@
 }
 
 // forEachDest calls tell with the state of each destination that is in the destination index.
-func forEachDest(db *pebble.DB, tell func(dest int, q destState) error) error {
+func forEachDest(db *pebble.DB, visit func(dest int, q destState) error) error {
 	it, err := db.NewIter(&pebble.IterOptions{LowerBound: []byte{keyDest}, UpperBound: []byte{keyDest + 1}})
 	if err != nil {
 		return err
@@ -345,7 +345,7 @@
 	for good := it.First(); good; good = it.Next() {
 		if dest := int(binary.BigEndian.Uint32(it.Key()[1:])); dest != at {
 			if q.count > 0 {
-				if err := tell(at, q); err != nil {
+				if err := visit(at, q); err != nil {
 					return err
 				}
 			}
@@ -356,7 +356,7 @@
 	if err := it.Error(); err != nil || q.count == 0 {
 		return err
 	}
-	return tell(at, q)
+	return visit(at, q)
 }
 
 // requestRepair makes the next Open repair the folder.
--- a/internal/backlog/tidy.go
+++ b/internal/backlog/tidy.go
@@ -17,7 +17,7 @@
 // repairManifest repairs and reports damage that the engine would take for an empty folder or for a torn write at the end of a
 // file: a missing manifest marker, and a manifest with fewer readable records than its mirror. Unreadable bytes at the end of a
 // log are not repaired, because they cannot be told from a torn write.
-func (s *Store) repairManifest(found *OpenReport) error {
+func (s *Store) repairManifest(report *OpenReport) error {
 	f := s.newEngineFS()
 	names, err := f.List("")
 	if err != nil {
@@ -41,7 +41,7 @@
 		return nil // the folder was only being created
 	}
 	if marked == "" && newest != "" {
-		found.Problems = append(found.Problems, "the manifest marker is missing: the newest manifest is used")
+		report.Problems = append(report.Problems, "the manifest marker is missing: the newest manifest is used")
 		marker, err := s.fs.Open(f.name(markerPrefix + "999999." + newest))
 		if err == nil {
 			err = errors.Join(marker.Close(), s.fs.SyncDir())
@@ -58,7 +58,7 @@
 		return err
 	} else if countRecords(twin) > countRecords(main) {
 		if !s.opts.Fsync {
-			found.Problems = append(found.Problems, "the manifest is not readable to its end: its mirror is used")
+			report.Problems = append(report.Problems, "the manifest is not readable to its end: its mirror is used")
 		}
 		if err := disk.Replace(s.fs, f.name(marked), twin); err != nil {
 			return err
@@ -81,7 +81,7 @@
 }
 
 // promoteMirror replaces the manifest with its mirror, if they differ.
-func (s *Store) promoteMirror(found *OpenReport) error {
+func (s *Store) promoteMirror(report *OpenReport) error {
 	f := s.newEngineFS()
 	names, err := f.List("")
 	if err != nil {
@@ -99,9 +99,9 @@
 		if len(twin) == 0 || bytes.Equal(main, twin) {
 			return errors.New("backlog: the mirror of the manifest is missing or identical to it")
 		}
-		found.Problems = append(found.Problems, "the manifest is unreadable: its mirror is used")
+		report.Problems = append(report.Problems, "the manifest is unreadable: its mirror is used")
 		if s.setAside(f.name(name)) {
-			found.Problems = append(found.Problems, damagedPrefix+f.name(name))
+			report.Problems = append(report.Problems, damagedPrefix+f.name(name))
 		}
 		return disk.Replace(s.fs, f.name(name), twin)
 	}
--- a/internal/invariant/invariant.go
+++ b/internal/invariant/invariant.go
@@ -144,8 +144,8 @@
 }
 
 // CheckEnd checks a final answer that is about to be sent to the platform. again means that one was already sent.
-func (g *Guard) CheckEnd(trace string, again, recorded bool, left time.Duration) {
-	if again {
+func (g *Guard) CheckEnd(trace string, alreadySent, recorded bool, left time.Duration) {
+	if alreadySent {
 		g.report(EndTwice, trace, "left", left)
 	}
 	if !recorded && left > Tolerance {
@@ -169,8 +169,8 @@
 }
 
 // CheckBound checks that a value does not exceed its limit.
-func (g *Guard) CheckBound(what string, value, most int64) {
-	if value > most {
-		g.report(BoundPassed, "", "what", what, "value", value, "most", most)
+func (g *Guard) CheckBound(what string, value, limit int64) {
+	if value > limit {
+		g.report(BoundPassed, "", "what", what, "value", value, "most", limit)
 	}
 }
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -14,7 +14,7 @@
 	if s, err := Parse("x.toml", []byte("[state]\n")); err != nil || s.State.SurvivesPowerLoss() || s.State.MemoriesEvery == 0 {
 		t.Errorf("%+v, %v", s.State, err)
 	}
-	for text, says := range map[string]string{
+	for text, message := range map[string]string{
 		"[state]\ndurability = \"disk\"":                        "state.durability",
 		"[state]\n\ndurabilty = \"power\"":                      "x.toml:3: unknown key state.durabilty",
 		"[state]\nmemories_every = 5":                           "memories_every",
@@ -26,7 +26,7 @@
 		"log_format = \"xml\"":                                  "log_format",
 		"log_level = \"loud\"":                                  "x.toml:1",
 	} {
-		if _, err := Parse("x.toml", []byte(text)); err == nil || !strings.Contains(err.Error(), says) {
+		if _, err := Parse("x.toml", []byte(text)); err == nil || !strings.Contains(err.Error(), message) {
 			t.Errorf("%q: %v", text, err)
 		}
 	}
