--- a/internal/backlog/read.go
+++ b/internal/backlog/read.go
@@ -12,8 +12,8 @@
 	"github.com/cockroachdb/pebble/v2"
 )
 
-// withEngine calls use with the engine. If the disk has failed by the time use returns, the folder is reopened for reading only
-// and use is called once more.
+// withEngine calls fn with the engine. If the disk has failed by the time fn returns, the folder is reopened for reading only
+// and fn is called once more.
 func (s *Store) withEngine(fn func(db *pebble.DB) error) error {
 	for range 2 {
 		s.dbMu.RLock()
--- a/internal/backlog/repair.go
+++ b/internal/backlog/repair.go
@@ -334,7 +334,7 @@
 	return b.Commit(pebble.Sync)
 }
 
-// forEachDest calls tell with the state of each destination that is in the destination index.
+// forEachDest calls visit with the state of each destination that is in the destination index.
 func forEachDest(db *pebble.DB, visit func(dest int, q destState) error) error {
 	it, err := db.NewIter(&pebble.IterOptions{LowerBound: []byte{keyDest}, UpperBound: []byte{keyDest + 1}})
 	if err != nil {
--- a/internal/invariant/invariant.go
+++ b/internal/invariant/invariant.go
@@ -143,7 +143,7 @@
 	}
 }
 
-// CheckEnd checks a final answer that is about to be sent to the platform. again means that one was already sent.
+// CheckEnd checks a final answer that is about to be sent to the platform. alreadySent means that one was sent before.
 func (g *Guard) CheckEnd(trace string, alreadySent, recorded bool, left time.Duration) {
 	if alreadySent {
 		g.report(EndTwice, trace, "left", left)
