--- a/internal/backlog/backlog.go
+++ b/internal/backlog/backlog.go
@@ -83,7 +83,7 @@
 	highest                uint32
 	minDeadline            position        // lower bound of all positions in the deadline index
 	dangling               map[string]bool // index keys without a readable message; true: delete the record as well
-	removedSinceCompaction int             // messages removed since the last full compaction; unknown after opening: assumed to be all
+	removedSinceCompaction int             // messages removed since the last full compaction; after opening assumed to be all
 	compaction             *compactionJob  // nil: none is running
 	damageNotes            []string        // descriptions of damage found since Open
 }
--- a/internal/backlog/open.go
+++ b/internal/backlog/open.go
@@ -111,8 +111,8 @@
 	return f, nil
 }
 
-// claimFolder checks the owner of the folder, claims it for this relay and records the sizes of its files. repairRequested reports
-// whether an earlier process requested a repair.
+// claimFolder checks the owner of the folder, claims it for this relay and records the sizes of its files. repairRequested
+// reports whether an earlier process requested a repair.
 func (s *Store) claimFolder(report *OpenReport) (repairRequested bool, err error) {
 	names, err := s.fs.Names()
 	if err != nil {
@@ -195,7 +195,8 @@
 	return &engineFS{dir: s.fs, prefix: generationPrefix(s.generation), fsync: s.opts.Fsync, usage: s.usage}
 }
 
-// openOrRepair opens the engine. It repairs the folder if repairRequested is set or if the engine cannot be opened because of damage.
+// openOrRepair opens the engine. It repairs the folder if repairRequested is set, or if the engine cannot be opened because of
+// damage.
 func (s *Store) openOrRepair(repairRequested bool, report *OpenReport) error {
 	if err := s.repairManifest(report); err != nil {
 		return fmt.Errorf("%w: %w", ErrDisk, err)
--- a/internal/invariant/invariant.go
+++ b/internal/invariant/invariant.go
@@ -1,6 +1,6 @@
 // Package invariant checks at run time the rules that a relay must never break. There is one check each for sending, repeating,
-// ending, closing and starting, and all code that does one of these calls it. Violations are counted by name, and the first one of
-// each name is logged with its state. In testbed builds a violation ends the process, so that no run can miss one.
+// ending, closing and starting, and all code that does one of these calls it. Violations are counted by name, and the first one
+// of each name is logged with its state. In testbed builds a violation ends the process, so that no run can miss one.
 //
 // The checks only compare the facts that they are given. They make no decisions and change nothing in the relay.
 package invariant
