--- a/cmd/cherrytrestle-steward/main.go
+++ b/cmd/cherrytrestle-steward/main.go
@@ -1,4 +1,4 @@
-// Command cherrytrestle-steward is one of the stewards: three or five processes that agree on the fleet's duties.
+// Command cherrytrestle-steward runs one of the stewards: three or five processes that agree on who holds the fleet's duties.
 package main
 
 import (
@@ -17,17 +17,17 @@
 	"onyxroad.dev/onyxroad/internal/settings"
 )
 
-// errBroken ends the command with 1; what is wrong has been said.
-var errBroken = errors.New("broken")
+// errReported makes the command exit with status 1 without a message, because it has already reported the problem.
+var errReported = errors.New("already reported")
 
 var cli struct {
 	Run     runCmd     `cmd:"" default:"withargs" help:"Run a steward until SIGTERM."`
-	Recover recoverCmd `cmd:"" help:"The way back from a lost majority: have a stopped steward's folder go on alone, in a new era. Without --confirm it says what that would lose, changes nothing and ends with 1."`
+	Recover recoverCmd `cmd:"" help:"Recover from a lost majority: make a stopped steward's folder continue alone, in a new era. Without --confirm, show what that would lose, change nothing and exit with status 1."`
 }
 
 func main() {
 	parser := kong.Must(&cli, kong.Name("cherrytrestle-steward"),
-		kong.Description("One of the fleet's stewards. Its settings are [steward] in the file of --config or IVYGAUGE_CONFIG."),
+		kong.Description("Run one of the fleet's stewards. Its settings are in the [steward] section of the file given by --config or IVYGAUGE_CONFIG."),
 		kong.Exit(func(code int) {
 			if code != 0 {
 				code = 2
@@ -37,7 +37,7 @@
 	cmd, err := parser.Parse(os.Args[1:])
 	parser.FatalIfErrorf(err)
 	switch err := cmd.Run(); {
-	case errors.Is(err, errBroken):
+	case errors.Is(err, errReported):
 		os.Exit(1)
 	case err != nil:
 		fmt.Fprintln(os.Stderr, "cherrytrestle-steward:", err)
@@ -45,18 +45,18 @@
 	}
 }
 
-// load reads the settings, which have to name a steward.
-func load(path string) (steward.Config, error) {
-	own, err := settings.Load(path)
+// loadConfig reads the settings, which must have a [steward] section.
+func loadConfig(path string) (steward.Config, error) {
+	fileSettings, err := settings.Load(path)
 	if err != nil {
 		return steward.Config{}, err
 	}
-	x := own.Steward
-	if x == nil {
-		return steward.Config{}, errors.New("the settings have no [steward]")
+	section := fileSettings.Steward
+	if section == nil {
+		return steward.Config{}, errors.New("the settings have no [steward] section")
 	}
-	return steward.Config{Name: x.Name, Fleet: x.Fleet, Listen: x.Listen, Advertise: x.Advertise, API: x.API,
-		AdvertiseAPI: x.AdvertiseAPI, Dir: x.Dir, Seeds: x.Seeds, Log: own.Logger()}, nil
+	return steward.Config{Name: section.Name, Fleet: section.Fleet, Listen: section.Listen, Advertise: section.Advertise, API: section.API,
+		AdvertiseAPI: section.AdvertiseAPI, Dir: section.Dir, Seeds: section.Seeds, Log: fileSettings.Logger()}, nil
 }
 
 type runCmd struct {
@@ -64,7 +64,7 @@
 }
 
 func (c *runCmd) Run() error {
-	cfg, err := load(c.Config)
+	cfg, err := loadConfig(c.Config)
 	if err != nil {
 		return err
 	}
@@ -92,26 +92,26 @@
 
 type recoverCmd struct {
 	Config  string `help:"The settings file; IVYGAUGE_CONFIG if not given." placeholder:"FILE"`
-	Confirm bool   `help:"Do it. The other stewards must be stopped for good."`
+	Confirm bool   `help:"Make the changes. The other stewards must be stopped for good."`
 }
 
 func (c *recoverCmd) Run() error {
-	cfg, err := load(c.Config)
+	cfg, err := loadConfig(c.Config)
 	if err != nil {
 		return err
 	}
-	look := steward.Inspect
+	action := steward.Inspect
 	if c.Confirm {
-		look = steward.Recover
+		action = steward.Recover
 	}
-	found, err := look(cfg)
+	found, err := action(cfg)
 	if err != nil {
 		return err
 	}
 	fmt.Print(found.Words())
 	if !c.Confirm {
-		fmt.Println("Nothing was changed. With --confirm this is done.")
-		return errBroken
+		fmt.Println("Nothing was changed. Run with --confirm to do this.")
+		return errReported
 	}
 	fmt.Println("Done. Start this steward, then the others with emptied folders.")
 	return nil
--- a/cmd/drill/main.go
+++ b/cmd/drill/main.go
@@ -1,5 +1,5 @@
-// Command drill is the adapter between the bench's wire and the decision module: one Sender for each
-// instance, batches from standard input, replies to standard output. It decides nothing.
+// Command drill connects the decision module to the simulator. It reads batches of events from standard input, passes
+// them to one policy.Sender per simulated relay, and writes the resulting actions to standard output.
 package main
 
 import (
@@ -19,36 +19,36 @@
 	}
 }
 
-// instance is one relay's Sender and its events in the batch at hand.
+// instance is a simulated relay: its Sender and its events in the current batch.
 type instance struct {
 	number int
 	sender *policy.Sender
 	events []policy.Event
-	busy   bool // has something in this batch
+	active bool // has items in the current batch
 }
 
 func run(in io.Reader, out io.Writer) error {
 	r, w := wire.NewReader(in), wire.NewWriter(out)
 	instances := map[int]*instance{}
 	var b wire.Batch
-	var busy []*instance
+	var active []*instance
 	for {
 		if err := r.Next(&b); err == io.EOF {
 			return nil
 		} else if err != nil {
 			return err
 		}
-		busy = busy[:0]
+		active = active[:0]
 		for i := range b.Items {
 			it := &b.Items[i]
-			n := instances[it.Instance]
-			if n == nil {
-				n = &instance{number: it.Instance}
-				instances[it.Instance] = n
+			inst := instances[it.Instance]
+			if inst == nil {
+				inst = &instance{number: it.Instance}
+				instances[it.Instance] = inst
 			}
-			if !n.busy {
-				n.busy = true
-				busy = append(busy, n)
+			if !inst.active {
+				inst.active = true
+				active = append(active, inst)
 			}
 			switch it.Kind {
 			case wire.Start:
@@ -56,15 +56,15 @@
 				if err != nil {
 					return fmt.Errorf("instance %d: %v", it.Instance, err)
 				}
-				n.sender, n.events = s, n.events[:0]
+				inst.sender, inst.events = s, inst.events[:0]
 			case wire.Stop:
-				n.sender, n.events = nil, n.events[:0]
+				inst.sender, inst.events = nil, inst.events[:0]
 			case wire.Event:
-				n.events = append(n.events, it.Event)
+				inst.events = append(inst.events, it.Event)
 			}
 		}
-		for _, n := range busy {
-			n.busy = false
+		for _, n := range active {
+			n.active = false
 			if n.sender != nil {
 				step(w, n, b.Now)
 			}
@@ -76,13 +76,13 @@
 	}
 }
 
-// step lets one instance decide, and reports a panic in the wire's own word for it.
-func step(w *wire.Writer, n *instance, now time.Duration) {
+// step runs the decision module of one instance. A panic is reported to the simulator and ends the instance.
+func step(w *wire.Writer, inst *instance, now time.Duration) {
 	defer func() {
 		if p := recover(); p != nil {
-			w.Die(n.number, fmt.Sprint(p))
-			n.sender = nil
+			w.Crashed(inst.number, fmt.Sprint(p))
+			inst.sender = nil
 		}
 	}()
-	w.Actions(n.number, n.sender.Step(now, n.events))
+	w.Actions(inst.number, inst.sender.Step(now, inst.events))
 }
--- a/internal/backlog/sweep.go
+++ b/internal/backlog/sweep.go
@@ -7,41 +7,42 @@
 	"github.com/cockroachdb/pebble/v2"
 )
 
-// shareSwept is the share of what is owed that has to have gone before a full store is swept.
-const shareSwept = 8
+// compactionThreshold sets when a full store is compacted: when more messages were removed than 1/compactionThreshold of the
+// stored ones.
+const compactionThreshold = 8
 
-// sweep is a compaction under way of all that is on disk.
-type sweep struct {
+// compactionJob is a running compaction of the whole store.
+type compactionJob struct {
 	cancel context.CancelFunc
 	done   chan struct{}
 }
 
-// sweepIfWorth has the room of what was removed given back, where the store is full: the engine does so by itself only as more is
-// written, which a full store refuses. One goes on at a time, and none if little was removed since the last. It ends with
-// the engine.
-func (s *Store) sweepIfWorth() {
+// compactIfWorthwhile starts a compaction of a full store to release the space of removed messages. The engine itself compacts
+// only as more is written, which a full store refuses. At most one compaction runs at a time, and none is started if few
+// messages were removed since the last one. Closing the engine stops it.
+func (s *Store) compactIfWorthwhile() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.gone*shareSwept <= s.messages || s.sweeping != nil {
+	if s.removedSinceCompaction*compactionThreshold <= s.messages || s.compaction != nil {
 		return
 	}
-	s.gone = 0
+	s.removedSinceCompaction = 0
 	ctx, cancel := context.WithCancel(context.Background())
-	w := &sweep{cancel, make(chan struct{})}
-	s.sweeping = w
+	job := &compactionJob{cancel, make(chan struct{})}
+	s.compaction = job
 	db := s.db
 	go func() {
-		defer close(w.done)
+		defer close(job.done)
 		if err := compactAll(ctx, db); err != nil {
-			s.log.Debug("backlog: a compaction was given up", "error", err)
+			s.log.Debug("backlog: compaction aborted", "error", err)
 		}
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		s.sweeping = nil
+		s.compaction = nil
 	}()
 }
 
-// compactAll compacts a few tables at a time, so that it takes little room beside them.
+// compactAll compacts the store a few tables at a time, so that it needs little additional disk space.
 func compactAll(ctx context.Context, db *pebble.DB) error {
 	levels, err := db.SSTables()
 	if err != nil {
@@ -52,7 +53,7 @@
 		if len(level) == 0 {
 			continue
 		}
-		for i := baseFiles; i < len(level); i += baseFiles {
+		for i := baseLevelTables; i < len(level); i += baseLevelTables {
 			bounds = append(bounds, slices.Clone(level[i].Smallest.UserKey))
 		}
 		break
@@ -69,13 +70,13 @@
 	return nil
 }
 
-// endSweep has a sweep end, and waits for it.
-func (s *Store) endSweep() {
+// stopCompaction cancels a running compaction and waits for it to end.
+func (s *Store) stopCompaction() {
 	s.mu.Lock()
-	w := s.sweeping
+	job := s.compaction
 	s.mu.Unlock()
-	if w != nil {
-		w.cancel()
-		<-w.done
+	if job != nil {
+		job.cancel()
+		<-job.done
 	}
 }
--- a/internal/backlog/tidy.go
+++ b/internal/backlog/tidy.go
@@ -12,12 +12,13 @@
 	"onyxroad.dev/onyxroad/internal/disk"
 )
 
-const markerStart = "marker.manifest."
+const markerPrefix = "marker.manifest."
 
-// tidy mends what the engine would take for an empty folder or for a torn end, and says so: a marker that is missing, and a
-// manifest that can't be read as far as its twin. Bytes at a log's end that can't be read it can't tell from a torn end.
-func (s *Store) tidy(found *Found) error {
-	f := s.newFiles()
+// repairManifest repairs and reports damage that the engine would take for an empty folder or for a torn write at the end of a
+// file: a missing manifest marker, and a manifest with fewer readable records than its mirror. Unreadable bytes at the end of a
+// log are not repaired, because they cannot be told from a torn write.
+func (s *Store) repairManifest(report *OpenReport) error {
+	f := s.newEngineFS()
 	names, err := f.List("")
 	if err != nil {
 		return err
@@ -25,9 +26,9 @@
 	marked, newest, content := "", "", false
 	for _, name := range slices.Sorted(slices.Values(names)) {
 		switch {
-		case strings.HasPrefix(name, markerStart):
+		case strings.HasPrefix(name, markerPrefix):
 			marked = name[strings.LastIndexByte(name, '.')+1:]
-		case strings.HasPrefix(name, manifest):
+		case strings.HasPrefix(name, manifestPrefix):
 			newest = name
 		case strings.HasSuffix(name, ".sst"):
 			content = true
@@ -37,11 +38,11 @@
 		}
 	}
 	if marked == "" && !content {
-		return nil // it was being made
+		return nil // the folder was only being created
 	}
 	if marked == "" && newest != "" {
-		found.Aside = append(found.Aside, "the file that names the manifest is missing: the newest is taken")
-		marker, err := s.fs.Open(f.name(markerStart + "999999." + newest))
+		report.Problems = append(report.Problems, "the manifest marker is missing: the newest manifest is used")
+		marker, err := s.fs.Open(f.name(markerPrefix + "999999." + newest))
 		if err == nil {
 			err = errors.Join(marker.Close(), s.fs.SyncDir())
 		}
@@ -53,11 +54,11 @@
 	if marked == "" {
 		return nil
 	}
-	if main, twin, err := s.twins(f, marked); err != nil {
+	if main, twin, err := s.readManifestPair(f, marked); err != nil {
 		return err
-	} else if whole(twin) > whole(main) {
-		if !s.o.Power {
-			found.Aside = append(found.Aside, "the manifest can't be read to its end: its twin is taken")
+	} else if countRecords(twin) > countRecords(main) {
+		if !s.opts.Fsync {
+			report.Problems = append(report.Problems, "the manifest is not readable to its end: its mirror is used")
 		}
 		if err := disk.Replace(s.fs, f.name(marked), twin); err != nil {
 			return err
@@ -66,9 +67,9 @@
 	return nil
 }
 
-// twins reads a manifest and its twin; none is as one that is empty.
-func (s *Store) twins(f *files, name string) (main, twin []byte, err error) {
-	for to, name := range map[*[]byte]string{&main: name, &twin: twinOf(name)} {
+// readManifestPair reads a manifest and its mirror. A missing file is returned as empty.
+func (s *Store) readManifestPair(f *engineFS, name string) (main, twin []byte, err error) {
+	for to, name := range map[*[]byte]string{&main: name, &twin: mirrorName(name)} {
 		if _, ok := s.usage.size(f.name(name)); !ok {
 			continue
 		}
@@ -79,43 +80,43 @@
 	return main, twin, nil
 }
 
-// takeTwin puts the manifest's twin in its place, if it is another.
-func (s *Store) takeTwin(found *Found) error {
-	f := s.newFiles()
+// promoteMirror replaces the manifest with its mirror, if they differ.
+func (s *Store) promoteMirror(report *OpenReport) error {
+	f := s.newEngineFS()
 	names, err := f.List("")
 	if err != nil {
 		return err
 	}
 	for _, name := range names {
-		if !strings.HasPrefix(name, markerStart) {
+		if !strings.HasPrefix(name, markerPrefix) {
 			continue
 		}
 		name = name[strings.LastIndexByte(name, '.')+1:]
-		main, twin, err := s.twins(f, name)
+		main, twin, err := s.readManifestPair(f, name)
 		if err != nil {
 			return err
 		}
 		if len(twin) == 0 || bytes.Equal(main, twin) {
-			return errors.New("backlog: the manifest's twin is no better")
+			return errors.New("backlog: the mirror of the manifest is missing or identical to it")
 		}
-		found.Aside = append(found.Aside, "the manifest can't be read: its twin is taken")
-		if s.keep(f.name(name)) {
-			found.Aside = append(found.Aside, asideStart+f.name(name))
+		report.Problems = append(report.Problems, "the manifest is unreadable: its mirror is used")
+		if s.setAside(f.name(name)) {
+			report.Problems = append(report.Problems, damagedPrefix+f.name(name))
 		}
 		return disk.Replace(s.fs, f.name(name), twin)
 	}
-	return errors.New("backlog: no manifest is named")
+	return errors.New("backlog: there is no manifest marker")
 }
 
-// whole is how many changes of a manifest can be read. The engine takes whatever follows for a torn end.
-func whole(data []byte) (n int) {
+// countRecords returns the number of readable records of a manifest. The engine takes whatever follows for a torn write.
+func countRecords(data []byte) (n int) {
 	r := record.NewReader(bytes.NewReader(data), 0)
 	for {
-		one, err := r.Next()
+		rec, err := r.Next()
 		if err != nil {
 			return n
 		}
-		if _, err := io.Copy(io.Discard, one); err != nil {
+		if _, err := io.Copy(io.Discard, rec); err != nil {
 			return n
 		}
 		n++
--- a/internal/clock/clock_testbed.go
+++ b/internal/clock/clock_testbed.go
@@ -11,7 +11,7 @@
 
 // The wall clock is offset by the value in the testbed's fault file; the monotonic clock is not affected.
 func init() {
-	if f := faultfile.Named(); f != nil {
-		SetSource(func() time.Time { return wallshift.Shift(time.Now(), f.Now().Wall) })
+	if f := faultfile.FromEnv(); f != nil {
+		SetSource(func() time.Time { return wallshift.Shift(time.Now(), f.Current().WallSeconds) })
 	}
 }
--- a/internal/faultfile/faultfile.go
+++ b/internal/faultfile/faultfile.go
@@ -1,11 +1,11 @@
-// Package faultfile reads which calls of the system are to fail in a relay that the testbed has built for itself. The testbed
-// rewrites the file while the relay runs. No program that serves links it.
+// Package faultfile reads a file that lists which system calls must fail in a testbed build of the relay. The testbed rewrites
+// the file while the relay runs. Production builds do not link this package.
 //
-// A line is a rule:
+// Each line is a rule:
 //
 //	CALL ERRNO EVERY [REACH]   every EVERY-th call fails: accept ENFILE 9, write EIO 1 part
-//	wall SECONDS               the wall clock is off by so many seconds
-//	short N                    reads and writes of sockets move N bytes at most
+//	wall SECONDS               the wall clock is off by this number of seconds
+//	short N                    a single read or write of a socket transfers at most N bytes
 package faultfile
 
 import (
@@ -18,13 +18,13 @@
 	"time"
 )
 
-// Env names the variable that names the file.
+// Env is the environment variable with the path of the fault file.
 const Env = "IVYGAUGE_TESTBED_FAULTS"
 
-// poll is how often the file is read.
-const poll = 20 * time.Millisecond
+// pollInterval is the minimum time between two reads of the file.
+const pollInterval = 20 * time.Millisecond
 
-// Errnos are the errors that a rule may name.
+// Errnos maps the error names allowed in rules to their numbers.
 var Errnos = map[string]syscall.Errno{
 	"ECONNABORTED": syscall.ECONNABORTED, "ENFILE": syscall.ENFILE, "EMFILE": syscall.EMFILE, "ENOBUFS": syscall.ENOBUFS,
 	"ENOMEM": syscall.ENOMEM, "EADDRNOTAVAIL": syscall.EADDRNOTAVAIL, "ENETUNREACH": syscall.ENETUNREACH, "EINTR": syscall.EINTR,
@@ -32,22 +32,23 @@
 	"EIO": syscall.EIO, "EAGAIN": syscall.EAGAIN, "EPROTO": syscall.EPROTO, "EPERM": syscall.EPERM,
 }
 
-// Rule has calls of one kind fail.
+// Rule makes calls of one kind fail.
 type Rule struct {
 	Call  string
 	Errno syscall.Errno
-	Every int    // 1: all
-	Reach string // how much of its effect a failing call of the disk has: "", "part" or "all"
+	Every int    // only every Every-th call fails; 1: all
+	Reach string // how much of its effect a failing disk operation still has: "" (none), "part" or "all"
 }
 
-// Rules are what a file says.
+// Rules is the content of a fault file.
 type Rules struct {
-	Wall  int64 // seconds by which the wall clock is off
-	Short int   // bytes that a read or write of a socket moves at most; 0: as many as there are
-	Rules []Rule
+	WallSeconds int64 // offset of the wall clock in seconds
+	MaxIO       int   // most bytes that a single read or write of a socket transfers; 0: no limit
+	Rules       []Rule
 }
 
-// Parse reads rules. What it can't read it leaves out, and tells of.
+// Parse parses rules. It skips lines that are not rules. The error is that of the last line; errors of earlier lines are not
+// returned.
 func Parse(text string) (r Rules, err error) {
 	for line := range strings.Lines(text) {
 		words := strings.Fields(line)
@@ -58,9 +59,9 @@
 		switch {
 		case len(words) == 2 && words[0] == "wall":
 			number, err = strconv.ParseInt(words[1], 10, 64)
-			r.Wall = number
+			r.WallSeconds = number
 		case len(words) == 2 && words[0] == "short":
-			r.Short, err = strconv.Atoi(words[1])
+			r.MaxIO, err = strconv.Atoi(words[1])
 		case len(words) >= 3 && Errnos[words[1]] != 0:
 			rule := Rule{Call: words[0], Errno: Errnos[words[1]]}
 			if rule.Every, err = strconv.Atoi(words[2]); len(words) > 3 {
@@ -68,13 +69,13 @@
 			}
 			r.Rules = append(r.Rules, rule)
 		default:
-			err = fmt.Errorf("faultfile: not a rule: %q", strings.TrimSpace(line))
+			err = fmt.Errorf("faultfile: invalid rule %q", strings.TrimSpace(line))
 		}
 	}
 	return r, err
 }
 
-// File is a file of rules that is read again and again.
+// File is a fault file, which is read again regularly.
 type File struct {
 	path string
 
@@ -84,23 +85,23 @@
 	calls  map[string]int
 }
 
-// Named is the file that the environment names; nil if it names none.
-var Named = sync.OnceValue(func() *File {
+// FromEnv returns the file that the environment variable Env names, or nil if it is not set.
+var FromEnv = sync.OnceValue(func() *File {
 	if path := os.Getenv(Env); path != "" {
 		return &File{path: path, calls: map[string]int{}}
 	}
 	return nil
 })
 
-// Now is what the file says now.
-func (f *File) Now() Rules {
+// Current returns the current rules.
+func (f *File) Current() Rules {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.now()
+	return f.reload()
 }
 
-func (f *File) now() Rules {
-	if now := time.Now(); f.readAt.IsZero() || now.Sub(f.readAt) >= poll {
+func (f *File) reload() Rules {
+	if now := time.Now(); f.readAt.IsZero() || now.Sub(f.readAt) >= pollInterval {
 		f.readAt = now
 		if text, err := os.ReadFile(f.path); err == nil {
 			f.rules, _ = Parse(string(text))
@@ -109,11 +110,11 @@
 	return f.rules
 }
 
-// Next counts a call and tells how it fails; the zero Rule: not at all.
+// Next counts a call and returns the rule by which it fails, or the zero Rule if it does not.
 func (f *File) Next(call string) Rule {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	for _, rule := range f.now().Rules {
+	for _, rule := range f.reload().Rules {
 		if rule.Call != call {
 			continue
 		}
--- a/internal/program/program.go
+++ b/internal/program/program.go
@@ -1,5 +1,5 @@
-// Package program is the relay's program, which two commands share: the one by itself, and the one that is a member of its
-// fleet.
+// Package program implements the relay command. It is shared by cherrytrestle and cherrytrestle-fleet, which adds fleet
+// membership, duties and the backlog.
 package program
 
 import (
@@ -25,16 +25,16 @@
 	"onyxroad.dev/onyxroad/internal/settings"
 )
 
-// heapShare is the part of the memory limit that the heap may grow to; the rest is for stacks, the program
-// itself and the files of the log.
+// heapShare is the share of the memory limit that the heap may use; the rest is for stacks, the program itself and the files
+// of the log.
 const heapShare = 0.7
 
 const usage = `Usage: cherrytrestle [relay] [--config FILE]
 
 Runs one relay until SIGTERM. ROUTER_CONFIG names the platform's configuration; ROUTER_NAME, ROUTER_LISTEN,
-ROUTER_DISCOVERY, ROUTER_STATE and ROUTER_ADMIN_ADDR go before what stands there.
+ROUTER_DISCOVERY, ROUTER_STATE and ROUTER_ADMIN_ADDR override its values.
 
-  --config FILE   the settings of this project; IVYGAUGE_CONFIG if not given. Without one all of these are off:
+  --config FILE   this project's settings; default: IVYGAUGE_CONFIG. Without a file, all of these are disabled:
                   [state] durability = "process" or "power", memories, memories_every
                   [backlog] dir, disk_mb, window, share
                   [membership] fleet, bind, advertise, seeds, allow
@@ -42,30 +42,30 @@
                   log_format, log_level
                   Check a file with: cherrytrestlectl config check FILE
 
-Exit: 0 after SIGTERM, 1 if it could not start or go on, 2 for wrong use.
+Exit status: 0 after SIGTERM, 1 if the relay could not start or failed, 2 for wrong usage.
 `
 
-// Fleet is the program beside this one that has what membership and a backlog take.
-const Fleet = "cherrytrestle-fleet"
+// FleetProgram is the name of the program, in the same folder as this one, that includes membership and the backlog.
+const FleetProgram = "cherrytrestle-fleet"
 
-// Parts are what the program is given that only some relays need. None is in the program that starts Fleet in its place.
-type Parts struct {
+// Components holds the optional features of a relay. All are nil in the program that executes FleetProgram when it needs one.
+type Components struct {
 	Join    membership.Join                   // joins the fleet
-	Duties  func(DutyConfig) relay.Duties     // takes part in its duties
-	Backlog func(BacklogConfig) relay.Backlog // keeps what is owed beyond a window on disk
+	Duties  func(DutyConfig) relay.Duties     // takes part in the fleet's duties
+	Backlog func(BacklogConfig) relay.Backlog // stores messages that do not fit into the window on disk
 }
 
-// BacklogConfig is how a backlog is kept.
+// BacklogConfig configures a backlog.
 type BacklogConfig struct {
 	settings.Backlog
-	Power bool
-	Name  string // the relay's
+	Fsync bool
+	Name  string // name of the relay
 	FS    disk.FS
 	Log   *slog.Logger
 }
 
 // Main runs the program.
-func Main(parts Parts) {
+func Main(parts Components) {
 	set := flag.NewFlagSet("cherrytrestle", flag.ContinueOnError)
 	set.Usage = func() { fmt.Fprint(os.Stderr, usage) }
 	path := set.String("config", "", "")
@@ -79,7 +79,7 @@
 	case err != nil:
 		os.Exit(2)
 	case set.NArg() > 0:
-		fmt.Fprintf(os.Stderr, "cherrytrestle: %q means nothing here\n%s", set.Arg(0), usage)
+		fmt.Fprintf(os.Stderr, "cherrytrestle: unexpected argument %q\n%s", set.Arg(0), usage)
 		os.Exit(2)
 	}
 	if err := run(*path, parts); err != nil {
@@ -88,61 +88,61 @@
 	}
 }
 
-// DutyConfig is a relay's part in the fleet's duties.
+// DutyConfig configures how a relay takes part in the fleet's duties.
 type DutyConfig struct {
 	Stewards []string
 	Lease    time.Duration
 	Figures  bool
-	Name     string // the relay's
-	Admin    string // its second address
+	Name     string // name of the relay
+	Admin    string // admin address of the relay
 	Log      *slog.Logger
 }
 
-func run(path string, parts Parts) error {
+func run(path string, parts Components) error {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
-	reload := make(chan os.Signal, 1) // caught from the start: unhandled, SIGHUP ends the process
+	reload := make(chan os.Signal, 1) // registered first, because an unhandled SIGHUP ends the process
 	signal.Notify(reload, syscall.SIGHUP)
-	own, err := settings.Load(path)
+	fileSettings, err := settings.Load(path)
 	if err != nil {
 		return err
 	}
-	slog.SetDefault(own.Logger())
-	if own.Membership != nil && parts.Join == nil || own.Backlog != nil && parts.Backlog == nil {
-		return inPlace()
+	slog.SetDefault(fileSettings.Logger())
+	if fileSettings.Membership != nil && parts.Join == nil || fileSettings.Backlog != nil && parts.Backlog == nil {
+		return execFleetProgram()
 	}
 	cfg, err := relay.LoadConfigWithin(ctx, os.Getenv)
 	if err != nil {
 		return err
 	}
-	if st := own.State; st != nil {
-		cfg.Segments, cfg.Power = true, st.Power()
-		if st.Remembers() {
+	if st := fileSettings.State; st != nil {
+		cfg.Segments, cfg.Power = true, st.SurvivesPowerLoss()
+		if st.KeepsMemories() {
 			cfg.MemoriesEvery = time.Duration(st.MemoriesEvery)
 		}
 	}
-	if cfg.Disk, err = files(cfg.StateDir); err != nil {
+	if cfg.Disk, err = openStateDisk(cfg.StateDir); err != nil {
 		return err
 	}
-	if b := own.Backlog; b != nil {
-		if b.Dir, err = ownFolder(b.Dir, cfg.StateDir); err != nil {
+	if b := fileSettings.Backlog; b != nil {
+		if b.Dir, err = separateFolder(b.Dir, cfg.StateDir); err != nil {
 			return err
 		}
-		c := BacklogConfig{Backlog: *b, Power: cfg.Power, Name: cfg.Name, Log: slog.Default()}
-		if c.FS, err = backlogFiles(b.Dir); err != nil {
+		c := BacklogConfig{Backlog: *b, Fsync: cfg.Power, Name: cfg.Name, Log: slog.Default()}
+		if c.FS, err = openBacklogDisk(b.Dir); err != nil {
 			return err
 		}
-		made := parts.Backlog(c)
-		cfg.Backlog = &made
+		built := parts.Backlog(c)
+		cfg.Backlog = &built
 	}
-	if m := own.Membership; m != nil {
+	if m := fileSettings.Membership; m != nil {
 		cfg.Join, cfg.Membership = parts.Join, membership.Config{Fleet: m.Fleet, Name: cfg.Name, Bind: m.Bind, Advertise: m.Advertise,
 			Seeds: m.Seeds, Allow: m.Allow, Admin: cfg.Admin, Size: cfg.Settings.Senders, StateDir: cfg.StateDir, Version: version(), Log: slog.Default()}
 		if z := cfg.Settings.Zone; z >= 0 && z < len(cfg.Zones) {
 			cfg.Membership.Building = cfg.Zones[z]
 		}
 	}
-	if d := own.Duties; d != nil {
+	if d := fileSettings.Duties; d != nil {
 		cfg.Duties = parts.Duties(DutyConfig{Stewards: d.Stewards, Lease: time.Duration(d.Lease), Figures: d.Figures, Name: cfg.Name,
 			Admin: cfg.Admin, Log: slog.Default()})
 	}
@@ -159,7 +159,7 @@
 		for range reload {
 			cfg, err := relay.ReloadConfigWithin(ctx, os.Getenv)
 			if err != nil {
-				slog.Warn("keeping the configuration", "err", err)
+				slog.Warn("reload failed, keeping the current configuration", "err", err)
 				continue
 			}
 			r.Reload(cfg)
@@ -168,8 +168,9 @@
 	return r.Run(ctx)
 }
 
-// ownFolder is a backlog's folder by its whole path; an error if it is the state folder, or one of the two is in the other.
-func ownFolder(dir, state string) (string, error) {
+// separateFolder returns the absolute path of the backlog's folder. It is an error if that is the state folder, or if one
+// contains the other.
+func separateFolder(dir, state string) (string, error) {
 	dir, err := filepath.Abs(dir)
 	if err != nil {
 		return "", fmt.Errorf("backlog.dir: %w", err)
@@ -182,22 +183,23 @@
 		return err == nil && rel != ".." && !strings.HasPrefix(rel, ".."+string(filepath.Separator))
 	}
 	if within(dir, state) || within(state, dir) {
-		return "", fmt.Errorf("backlog.dir: %s is no folder apart from the state folder %s", dir, state)
+		return "", fmt.Errorf("backlog.dir: %s must be separate from the state folder %s", dir, state)
 	}
 	return dir, nil
 }
 
-// inPlace has the program that can be a member take this one's place: the same process, with the same arguments.
-func inPlace() error {
+// execFleetProgram replaces this program with FleetProgram, in the same process and with the same arguments. It returns only on
+// failure.
+func execFleetProgram() error {
 	self, err := os.Executable()
 	if err != nil {
 		return fmt.Errorf("start: %w", err)
 	}
-	path := filepath.Join(filepath.Dir(self), Fleet)
+	path := filepath.Join(filepath.Dir(self), FleetProgram)
 	return fmt.Errorf("start: [membership] and [backlog] need %s: %w", path, syscall.Exec(path, os.Args, os.Environ()))
 }
 
-// version is the program's: the revision that it was built from, or a digest of itself where that is not in it.
+// version returns the revision that the program was built from, or a digest of its executable if the revision is unknown.
 func version() string {
 	if info, ok := debug.ReadBuildInfo(); ok {
 		for _, s := range info.Settings {
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -1,4 +1,4 @@
-// Package wire reads and writes the bench's dialect: text lines in, text lines out, nothing else.
+// Package wire implements the simulator's line-based text protocol: it parses batches of events and writes actions.
 package wire
 
 import (
@@ -14,17 +14,17 @@
 	"onyxroad.dev/onyxroad/policy"
 )
 
-// ItemKind names what an Item of a batch is.
+// ItemKind is the kind of an Item of a batch.
 type ItemKind int
 
-// The kinds of item.
+// The kinds of items.
 const (
-	Start ItemKind = iota // a fresh instance, with its settings and seed
-	Stop                  // the instance dies
-	Event                 // something that the instance observes
+	Start ItemKind = iota // an instance starts, with its settings and seed
+	Stop                  // an instance ends
+	Event                 // an event for an instance
 )
 
-// Item is one event of a batch, for one instance.
+// Item is one entry of a batch, for one instance.
 type Item struct {
 	Kind     ItemKind
 	Instance int
@@ -33,34 +33,34 @@
 	Event    policy.Event    // Event
 }
 
-// Batch is what comes in at one time.
+// Batch holds the items of one point in time.
 type Batch struct {
 	Now    time.Duration
 	Number string
 	Items  []Item
 }
 
-// Reader reads batches.
+// Reader reads batches from the simulator.
 type Reader struct {
-	in    *bufio.Reader
-	line  int
-	lists map[int][]policy.Listing
-	cells map[int]*schema
-	pool  struct{ number, left int }
-	buf   []byte
+	in      *bufio.Reader
+	line    int
+	lists   map[int][]policy.Listing
+	schemas map[int]*reportSchema
+	pool    struct{ number, left int }
+	buf     []byte
 }
 
-// schema is what an instance's settings say of its events.
-type schema struct{ left, limit string }
+// reportSchema names the values in an instance's load reports that hold the remaining share of the limit and the limit.
+type reportSchema struct{ left, limit string }
 
-// NewReader returns a Reader of in.
+// NewReader returns a Reader that reads from in.
 func NewReader(in io.Reader) *Reader {
 	return &Reader{
-		in: bufio.NewReaderSize(in, 1<<16), lists: map[int][]policy.Listing{}, cells: map[int]*schema{},
+		in: bufio.NewReaderSize(in, 1<<16), lists: map[int][]policy.Listing{}, schemas: map[int]*reportSchema{},
 	}
 }
 
-// Next reads one batch into b, reusing its room. It returns io.EOF when the input ends between batches.
+// Next reads one batch into b, reusing its memory. It returns io.EOF if the input ends between batches.
 func (r *Reader) Next(b *Batch) error {
 	b.Items = b.Items[:0]
 	open := false
@@ -84,7 +84,7 @@
 			err = f.err
 		}
 		if err != nil {
-			return fmt.Errorf("line %d: %v: %q", r.line, err, clip(text))
+			return fmt.Errorf("line %d: %v: %q", r.line, err, truncate(text))
 		}
 		if done {
 			return nil
@@ -92,7 +92,7 @@
 	}
 }
 
-func clip(s string) string {
+func truncate(s string) string {
 	if len(s) > 120 {
 		return s[:120] + "..."
 	}
@@ -112,7 +112,7 @@
 	}
 }
 
-// parse takes one line of a batch; done tells that it was the last.
+// parse processes one line of a batch; done reports whether it was the last one.
 func (r *Reader) parse(f *fields, b *Batch, open *bool) (done bool, err error) {
 	name := f.word()
 	if name == "MARK" {
@@ -154,7 +154,7 @@
 		it.Seed = f.unsigned()
 		set, sc, err := parseSettings(f.rest())
 		it.Settings = set
-		r.cells[it.Instance] = sc
+		r.schemas[it.Instance] = sc
 		b.Items = append(b.Items, it)
 		return false, err
 	case "RETIRE":
@@ -162,7 +162,7 @@
 		return false, f.end()
 	}
 	it := Item{Kind: Event, Instance: f.integer()}
-	sc := r.cells[it.Instance]
+	sc := r.schemas[it.Instance]
 	if sc == nil {
 		return false, fmt.Errorf("no such instance")
 	}
@@ -173,8 +173,8 @@
 	return false, err
 }
 
-// parseEvent fills e; known is false for an event that no decision uses.
-func (r *Reader) parseEvent(name string, f *fields, e *policy.Event, sc *schema) (known bool, err error) {
+// parseEvent parses an event into e; known is false for events that the decision module does not use.
+func (r *Reader) parseEvent(name string, f *fields, e *policy.Event, sc *reportSchema) (known bool, err error) {
 	switch name {
 	case "KNOCK":
 		e.Kind = policy.Taken
@@ -261,11 +261,11 @@
 	return l, f.end()
 }
 
-// fields splits a line; the first error sticks.
+// fields splits a line into its values and keeps the first error.
 type fields struct {
-	text string
-	err  error
-	over bool
+	text      string
+	err       error
+	exhausted bool
 }
 
 func (f *fields) fail(what string) {
@@ -275,12 +275,12 @@
 }
 
 func (f *fields) word() string {
-	if f.over {
+	if f.exhausted {
 		f.fail("line: too few values")
 		return ""
 	}
 	w, rest, more := strings.Cut(f.text, " ")
-	f.text, f.over = rest, !more
+	f.text, f.exhausted = rest, !more
 	if w == "" {
 		f.fail("line: an empty value")
 	}
@@ -288,11 +288,11 @@
 }
 
 func (f *fields) rest() string {
-	f.over = true
+	f.exhausted = true
 	return f.text
 }
 
-// end reports what went wrong in the line so far. Values beyond those known are passed over.
+// end returns the first error of the line. Additional values at its end are ignored.
 func (f *fields) end() error { return f.err }
 
 func (f *fields) optional() string {
@@ -379,8 +379,8 @@
 	return o
 }
 
-// report reads name:value pairs; names that the settings do not explain are passed over.
-func (f *fields) report(sc *schema) policy.Report {
+// report parses name:value pairs; names without a meaning in the settings are ignored.
+func (f *fields) report(sc *reportSchema) policy.Report {
 	var rep policy.Report
 	text := f.optional()
 	for text != "" {
@@ -401,41 +401,41 @@
 	return rep
 }
 
-// Writer writes replies.
+// Writer writes replies to the simulator.
 type Writer struct {
 	out *bufio.Writer
 	buf []byte
 }
 
-// NewWriter returns a Writer to out.
+// NewWriter returns a Writer that writes to out.
 func NewWriter(out io.Writer) *Writer { return &Writer{out: bufio.NewWriterSize(out, 1<<16)} }
 
-// Actions writes an instance's actions at now.
+// Actions writes the actions of an instance.
 func (w *Writer) Actions(instance int, acts []policy.Action) {
 	for i := range acts {
 		a := &acts[i]
 		switch a.Kind {
 		case policy.Send:
-			w.head("SUBMIT_TO", instance)
+			w.begin("SUBMIT_TO", instance)
 			w.id(a.ID)
 			w.text(a.Route)
 			w.ms(a.At)
 		case policy.Refuse:
-			w.head("REJECT", instance)
+			w.begin("REJECT", instance)
 			w.id(a.ID)
 			w.ms(a.Delay)
 		case policy.Fail:
-			w.head("SURRENDER", instance)
+			w.begin("SURRENDER", instance)
 			w.id(a.ID)
 		case policy.Wake:
-			w.head("WAKE_AT", instance)
+			w.begin("WAKE_AT", instance)
 			w.id(0)
 			w.ms(a.Delay)
 		case policy.CloseIdle:
-			w.head("HANG_UP", instance)
+			w.begin("HANG_UP", instance)
 			w.text(a.Route)
 		case policy.Watch:
-			w.head("STREAM_CHANGES", instance)
+			w.begin("STREAM_CHANGES", instance)
 			w.id(1)
 		}
 		w.buf = append(w.buf, '\n')
@@ -443,9 +443,9 @@
 	}
 }
 
-// Die writes that an instance's decisions broke.
-func (w *Writer) Die(instance int, words string) {
-	w.head("DIE", instance)
+// Crashed reports that an instance has failed, with the error text.
+func (w *Writer) Crashed(instance int, words string) {
+	w.begin("DIE", instance)
 	w.text(strings.Map(func(r rune) rune {
 		if r == '\n' || r == '\r' {
 			return ' '
@@ -464,7 +464,7 @@
 	return w.out.Flush()
 }
 
-func (w *Writer) head(name string, instance int) {
+func (w *Writer) begin(name string, instance int) {
 	w.buf = append(w.buf[:0], name...)
 	w.buf = append(w.buf, ' ')
 	w.buf = strconv.AppendInt(w.buf, int64(instance), 10)
