--- a/internal/program/program.go
+++ b/internal/program/program.go
@@ -111,7 +111,7 @@
 	if own.Membership != nil && parts.Join == nil || own.Backlog != nil && parts.Backlog == nil {
 		return inPlace()
 	}
-	cfg, err := relay.LoadConfigWithin(ctx, os.Getenv)
+	cfg, err := relay.LoadConfigWithRetry(ctx, os.Getenv)
 	if err != nil {
 		return err
 	}
@@ -157,7 +157,7 @@
 	}
 	go func() {
 		for range reload {
-			cfg, err := relay.ReloadConfigWithin(ctx, os.Getenv)
+			cfg, err := relay.ReloadConfigWithRetry(ctx, os.Getenv)
 			if err != nil {
 				slog.Warn("keeping the configuration", "err", err)
 				continue
--- a/internal/relay/admin.go
+++ b/internal/relay/admin.go
@@ -15,51 +15,51 @@
 	"onyxroad.dev/onyxroad/internal/wal"
 )
 
-// adminMost bounds the connections of operators' callers. Mute ones make way first, as clients' do.
-const adminMost = 24
+// maxAdminConns bounds the connections of operators' callers. Mute ones make way first, as clients' do.
+const maxAdminConns = 24
 
 const (
-	// countMost is how long every step may look at all routes. Where it takes longer, a share of the time goes to it: the figure
+	// maxCountTime is how long every step may look at all routes. Where it takes longer, a share of the time goes to it: the figure
 	// is late then, and the loop is not.
-	countMost  = 100 * time.Microsecond
-	countShare = 100
+	maxCountTime = 100 * time.Microsecond
+	countBackoff = 100
 )
 
-// figures are what operators read. The loop and the calls write them, the second address reads them: no reader waits
+// metrics are what operators read. The loop and the calls write them, the second address reads them: no reader waits
 // for either.
-type figures struct {
+type metrics struct {
 	names                    []string
-	classes                  []classFigures
+	classes                  []classMetrics
 	current, size, unhealthy atomic.Int64
 	backlog                  atomic.Pointer[string] // nil: none is kept
 }
 
-// classFigures count the messages of a class, each once, at its first final outcome, and its sends.
-type classFigures struct{ answered, deferred, errored, sends atomic.Int64 }
+// classMetrics count the messages of a class, each once, at its first final outcome, and its sends.
+type classMetrics struct{ answered, deferred, errored, sends atomic.Int64 }
 
-func newFigures(classes []string) *figures {
-	return &figures{names: classes, classes: make([]classFigures, len(classes))}
+func newMetrics(classes []string) *metrics {
+	return &metrics{names: classes, classes: make([]classMetrics, len(classes))}
 }
 
-// of are the figures of a class; those of a class that is no more go nowhere.
-func (f *figures) of(class int) *classFigures {
+// forClass are the figures forClass a class; those forClass a class that is no more go nowhere.
+func (f *metrics) forClass(class int) *classMetrics {
 	if class < 0 || class >= len(f.classes) {
-		return &classFigures{}
+		return &classMetrics{}
 	}
 	return &f.classes[class]
 }
 
-// first tells whether m has its first final outcome with this, which alone is counted.
-func (m *message) first() bool {
-	was := m.told
-	m.told = true
+// markCounted tells whether m has its markCounted final outcome with this, which alone is counted.
+func (m *message) markCounted() bool {
+	was := m.counted
+	m.counted = true
 	return !was
 }
 
-// ended counts a message that is refused or has failed.
-func (f *figures) ended(m *message, final wal.Final) {
-	switch c := f.of(m.Class); {
-	case !m.first():
+// countEnd counts a message that is refused or has failed.
+func (f *metrics) countEnd(m *message, final wal.Final) {
+	switch c := f.forClass(m.Class); {
+	case !m.markCounted():
 	case final.Deferred:
 		c.deferred.Add(1)
 	default:
@@ -67,16 +67,16 @@
 	}
 }
 
-// turned counts a message of a class that is turned away with an answer.
-func (f *figures) turned(class int, a answer) {
+// countRejected counts a message of a class that is countRejected away with an answer.
+func (f *metrics) countRejected(class int, a answer) {
 	if a.status == http.StatusServiceUnavailable {
-		f.of(class).deferred.Add(1)
+		f.forClass(class).deferred.Add(1)
 		return
 	}
-	f.of(class).errored.Add(1)
+	f.forClass(class).errored.Add(1)
 }
 
-func (f *figures) String() string {
+func (f *metrics) String() string {
 	var b strings.Builder
 	for i, name := range f.names {
 		c := &f.classes[i]
@@ -95,46 +95,46 @@
 }
 
 // ready tells whether this process serves clients.
-func (r *Relay) ready() bool { return r.serving.Load() && r.listed.Load() && !r.ending.Load() }
+func (r *Relay) ready() bool { return r.serving.Load() && r.hasList.Load() && !r.shuttingDown.Load() }
 
 // serveAdmin lets operators' callers in until the returned function is called. Each connection has one call.
 func (r *Relay) serveAdmin(l net.Listener) (end func()) {
-	table := newClients(r.log, adminMost, r.admin)
-	table.ending = true
-	go table.run(l)
-	return func() { l.Close(); table.close(clock.Now()) }
+	conns := newClients(r.log, maxAdminConns, r.handleAdmin)
+	conns.noKeepAlive = true
+	go conns.run(l)
+	return func() { l.Close(); conns.close(clock.Now()) }
 }
 
-// publish brings the gauges up to date.
-func (r *Relay) publish() {
-	r.figures.current.Store(int64(r.held + r.owed.owing()))
-	r.figures.size.Store(int64(len(r.routes)))
+// updateGauges brings the gauges up to date.
+func (r *Relay) updateGauges() {
+	r.metrics.current.Store(int64(r.held + r.backlog.owing()))
+	r.metrics.size.Store(int64(len(r.routes)))
 	remembered, evicted := r.wal.Remembered()
 	r.resubmitted.remembered.Store(int64(remembered))
 	r.resubmitted.evicted.Store(evicted)
-	if now := clock.Now(); !now.Before(r.countAt) {
-		r.figures.unhealthy.Store(int64(r.sender.Avoided(r.now())))
-		if took := clock.Since(now); took > countMost {
-			r.countAt = now.Add(countShare * took)
+	if now := clock.Now(); !now.Before(r.nextCountAt) {
+		r.metrics.unhealthy.Store(int64(r.sender.Avoided(r.now())))
+		if took := clock.Since(now); took > maxCountTime {
+			r.nextCountAt = now.Add(countBackoff * took)
 		}
 	}
 }
 
-// admin answers a call at the second address.
-func (r *Relay) admin(_ *client, req *http.Request) answer {
+// handleAdmin answers a call at the second address.
+func (r *Relay) handleAdmin(_ *client, req *http.Request) answer {
 	switch path := req.URL.Path; path {
 	case "/api/ready", "/api/telemetry", "/api/members", "/api/fleet":
 		if req.Method != http.MethodGet {
 			return answer{status: http.StatusMethodNotAllowed, text: "GET only"}
 		}
 		if path == "/api/telemetry" {
-			return answer{status: http.StatusOK, text: r.figures.String() + r.resubmitted.String() + r.fleet.figures() + r.guard.Figures()}
+			return answer{status: http.StatusOK, text: r.metrics.String() + r.resubmitted.String() + r.fleet.metricsText() + r.guard.Figures()}
 		}
 		if path == "/api/members" {
-			return r.members()
+			return r.handleMembers()
 		}
 		if path == "/api/fleet" {
-			return r.fleetFigures()
+			return r.handleFleet()
 		}
 		if !r.ready() {
 			return answer{status: http.StatusServiceUnavailable, text: "not serving"}
@@ -145,20 +145,20 @@
 			return answer{status: http.StatusMethodNotAllowed, text: "POST only"}
 		}
 		body, err := readBody(req)
-		if errors.Is(err, errTooMuch) {
+		if errors.Is(err, errTooLarge) {
 			return answer{status: http.StatusRequestEntityTooLarge, text: "body over 64 KiB"}
 		} else if err != nil {
-			return unreadable(err)
+			return readErrorAnswer(err)
 		}
-		var call order
-		if err := json.Unmarshal(body, &call); err != nil || call.Host == "" || len(call.Host) > idMost {
-			return bad(`the body is not {"host":"ID"}`)
+		var change exclusionChange
+		if err := json.Unmarshal(body, &change); err != nil || change.Host == "" || len(change.Host) > maxIDBytes {
+			return badRequest(`the body is not {"host":"ID"}`)
 		}
-		if call.Duty != "" && (duty.CheckName(call.Duty) != nil || call.Epoch == 0) || call.Duty == "" && call.Epoch != 0 {
-			return bad("an order in the name of a duty has its name and an epoch")
+		if change.Duty != "" && (duty.CheckName(change.Duty) != nil || change.Epoch == 0) || change.Duty == "" && change.Epoch != 0 {
+			return badRequest("an order in the name of a duty has its name and an epoch")
 		}
-		call.Out = path == "/api/exclude"
-		return r.byHand.set(call)
+		change.Out = path == "/api/exclude"
+		return r.exclusions.set(change)
 	}
 	return answer{status: http.StatusNotFound, text: "no such call"}
 }
--- a/internal/relay/backlog.go
+++ b/internal/relay/backlog.go
@@ -75,8 +75,8 @@
 	gone   []owed.Ref          // over, and still on disk
 	ending map[uint32]owed.Ref // their ends were told, and not yet taken
 	shared map[uint32]time.Time
-	job    *job // under way
-	start  func(*job)
+	job    *storeJob // under way
+	start  func(*storeJob)
 	runs   sync.WaitGroup
 	next   int64 // soonest deadline on disk, as of the last look; never: none
 	full   bool  // there was no room at the last try
@@ -105,7 +105,7 @@
 	if kept.Lost || kept.Rebuilt || len(kept.Aside) > 0 {
 		r.log.Error("the backlog was damaged", "messages", kept.Messages, "lost", kept.Lost, "aside", kept.Aside)
 	}
-	o.start = func(j *job) {
+	o.start = func(j *storeJob) {
 		o.runs.Go(func() {
 			j.run(o.store)
 			r.post(j)
@@ -138,7 +138,7 @@
 	if o.disk > 0 {
 		r.log.Info("recovered the backlog", "messages", o.disk, "destinations", len(o.cells), "bytes", o.bytes)
 	}
-	r.owed, r.lastID = o, max(r.lastID, kept.MaxID)
+	r.backlog, r.lastID = o, max(r.lastID, kept.MaxID)
 	return nil
 }
 
@@ -158,8 +158,8 @@
 	} else if errors.Is(err, os.ErrNotExist) {
 		err = nil
 	}
-	if err == nil && r.behind > 0 {
-		ns += int64(r.behind)
+	if err == nil && r.clockBehind > 0 {
+		ns += int64(r.clockBehind)
 		err = disk.Replace(fs, clockName, fmt.Appendln(nil, ns))
 	}
 	if err != nil {
@@ -268,8 +268,8 @@
 
 // mayLeave tells whether a message at the module may lie on disk: nothing of it has run or is out, and nobody waits for it.
 func (o *overflow) mayLeave(m *message) bool {
-	return !m.ended && m.move == staying && m.sends == 0 && m.out == 0 && m.Attempts == 0 && len(m.MayRun) == 0 &&
-		m.Final == nil && !m.Withdrawn && m.next == nil && storable(m.Dest) && m.seq <= o.relay.wal.Durable() && o.relay.wal.Owes(m.Message)
+	return !m.ended && m.move == staying && m.sends == 0 && m.outstanding == 0 && m.Attempts == 0 && len(m.MayRun) == 0 &&
+		m.Final == nil && !m.Withdrawn && m.continuation == nil && storable(m.Dest) && m.seq <= o.relay.wal.Durable() && o.relay.wal.Owes(m.Message)
 }
 
 // balance has leave what the window is too small for. The module hears of it before it decides anything more.
@@ -284,7 +284,7 @@
 	for _, m := range o.excess(least, o.mayLeave) {
 		o.relay.held--
 		o.leave(m)
-		o.relay.later = append(o.relay.later, policy.Event{Kind: policy.Withdrawn, ID: m.ID})
+		o.relay.nextEvents = append(o.relay.nextEvents, policy.Event{Kind: policy.Withdrawn, ID: m.ID})
 		o.send(m)
 	}
 }
@@ -296,7 +296,7 @@
 			o.out = append(o.out[:i], o.out[i+1:]...)
 			m.move, m.ended = staying, true
 			o.stored(m.Dest, -1)
-			o.relay.letGo(m)
+			o.relay.release(m)
 			return
 		}
 	}
@@ -352,11 +352,11 @@
 	for {
 		select {
 		case e := <-o.relay.events:
-			if j, ok := e.(*job); ok {
-				o.relay.later = o.finished(o.relay.later, j)
+			if j, ok := e.(*storeJob); ok {
+				o.relay.nextEvents = o.jobFinished(o.relay.nextEvents, j)
 				return true
 			}
-			o.relay.kept = append(o.relay.kept, e)
+			o.relay.postponed = append(o.relay.postponed, e)
 		case <-timer.C:
 			return false
 		}
@@ -401,7 +401,7 @@
 		return
 	}
 	text := o.String()
-	o.relay.figures.backlog.Store(&text)
+	o.relay.metrics.backlog.Store(&text)
 }
 
 // String is the backlog's figures, for the second address.
@@ -420,5 +420,5 @@
 
 // noRoom is the answer to a message that would have to go to a disk which takes nothing.
 func noRoom() answer {
-	return answer{status: http.StatusServiceUnavailable, again: policy.RetryAdvice}
+	return answer{status: http.StatusServiceUnavailable, retryAfter: policy.RetryAdvice}
 }
--- a/internal/relay/backlog_test.go
+++ b/internal/relay/backlog_test.go
@@ -126,7 +126,7 @@
 	t    *testing.T
 	s    *shelf
 	d    *crashdisk.Disk
-	jobs []*job
+	jobs []*storeJob
 }
 
 func newBacklogged(t *testing.T, s *shelf, d *crashdisk.Disk, window int) *backlogged {
@@ -141,16 +141,16 @@
 	c.StateDir, c.Segments, c.Disk = t.TempDir(), true, d
 	c.Settings.MaxHeld = 0
 	c.Backlog = &Backlog{Open: s.open, Window: window, Share: 0.5}
-	r, err := New(t.Context(), c, quiet())
+	r, err := New(t.Context(), c, discardLogger())
 	if err != nil {
 		t.Fatal(err)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	b := &backlogged{Relay: r, t: t, s: s, d: d}
-	t.Cleanup(func() { cancel(); r.calls.Wait(); r.hosts.close(); r.wal.Close(); r.lock.Close() })
+	t.Cleanup(func() { cancel(); r.callWG.Wait(); r.hosts.close(); r.wal.Close(); r.logLock.Close() })
 	r.callCtx = ctx
-	r.owed.start = func(j *job) { b.jobs = append(b.jobs, j) }
-	r.resume()
+	r.backlog.start = func(j *storeJob) { b.jobs = append(b.jobs, j) }
+	r.restore()
 	return b
 }
 
@@ -173,7 +173,7 @@
 func (b *backlogged) hand(n, from, dest int, left time.Duration) {
 	b.t.Helper()
 	for i := range n {
-		in := newHandIn(fmt.Sprintf("m%d", from+i), dest, left)
+		in := newSubmission(fmt.Sprintf("m%d", from+i), dest, left)
 		b.step([]any{in})
 		if a, ok := answered(in); !ok || a.status != http.StatusAccepted {
 			b.t.Fatalf("message %d: %+v, %v", from+i, a, ok)
@@ -193,8 +193,8 @@
 			held++
 		}
 	}
-	if held+len(b.s.all) != want || b.held+b.owed.owing() != want || b.owed.disk != len(b.s.all) {
-		b.t.Errorf("%d in the log, %d on disk, %d counted, %d of them on disk; want %d", held, len(b.s.all), b.held+b.owed.owing(), b.owed.disk, want)
+	if held+len(b.s.all) != want || b.held+b.backlog.owing() != want || b.backlog.disk != len(b.s.all) {
+		b.t.Errorf("%d in the log, %d on disk, %d counted, %d of them on disk; want %d", held, len(b.s.all), b.held+b.backlog.owing(), b.backlog.disk, want)
 	}
 }
 
@@ -210,7 +210,7 @@
 	}
 	// One that is handed in again under its id is known, wherever it lies.
 	for _, id := range []string{"m0", "m999"} {
-		in := newHandIn(id, 7, time.Hour)
+		in := newSubmission(id, 7, time.Hour)
 		b.step([]any{in})
 		if a, ok := answered(in); !ok || a.status != http.StatusAccepted {
 			t.Errorf("%s again: %+v, %v", id, a, ok)
@@ -222,7 +222,7 @@
 	b.hand(10, 5000, 8, time.Hour)
 	b.settle()
 	b.once(1010)
-	if c := b.owed.cells[8]; c == nil || c.held != 10 {
+	if c := b.backlog.cells[8]; c == nil || c.held != 10 {
 		t.Errorf("a destination with little owed has %+v at the module", c)
 	}
 	// As messages end, others come back, and every one is given to the module once.
@@ -235,7 +235,7 @@
 					t.Fatalf("message %d came back", id)
 				}
 				seen[id] = true
-				b.later = b.delivered(b.later, m)
+				b.nextEvents = b.completeDelivered(b.nextEvents, m)
 			}
 		}
 		b.settle()
@@ -256,7 +256,7 @@
 		b.step([]any{withdrawal{m.ID}})
 	}
 	b.settle()
-	if m := b.traces["m2000"]; m == nil || m.cell == nil {
+	if m := b.byTrace["m2000"]; m == nil || m.cell == nil {
 		t.Error("the most urgent message did not come back first")
 	}
 }
@@ -274,11 +274,11 @@
 		if n.Status != "deferred" {
 			t.Errorf("%+v", n)
 		}
-		b.step([]any{confirmed{[]uint32{n.id}}})
+		b.step([]any{noticesConfirmed{[]uint32{n.id}}})
 	}
 	b.settle()
 	b.once(37)
-	if n := b.figures.of(0).deferred.Load(); n != 100 {
+	if n := b.metrics.forClass(0).deferred.Load(); n != 100 {
 		t.Errorf("%d counted as deferred", n)
 	}
 }
@@ -294,17 +294,17 @@
 			spoil(s)
 			b.hand(100, 0, 7, time.Hour)
 			b.settle()
-			in := newHandIn("late", 7, time.Hour)
+			in := newSubmission("late", 7, time.Hour)
 			b.step([]any{in})
-			if a, ok := answered(in); !ok || a.status != http.StatusServiceUnavailable || a.again <= 0 {
+			if a, ok := answered(in); !ok || a.status != http.StatusServiceUnavailable || a.retryAfter <= 0 {
 				t.Errorf("beyond the window: %+v, %v", a, ok)
 			}
 			b.hand(1, 1000, 8, time.Hour) // the window has room
-			if b.held+b.owed.owing() != 101 || len(s.all) != 0 {
-				t.Errorf("%d owed, %d on disk", b.held+b.owed.owing(), len(s.all))
+			if b.held+b.backlog.owing() != 101 || len(s.all) != 0 {
+				t.Errorf("%d owed, %d on disk", b.held+b.backlog.owing(), len(s.all))
 			}
 			s.room, s.fail = 0, nil
-			b.owed.tried = time.Time{}
+			b.backlog.tried = time.Time{}
 			b.settle()
 			b.once(101)
 			b.hand(1, 2000, 7, time.Hour)
@@ -322,7 +322,7 @@
 				t.Fatalf("%d jobs", len(b.jobs))
 			}
 			// The one under way is of the 33rd message; the 34th waits behind it.
-			in := newHandIn("gone", 7, time.Hour)
+			in := newSubmission("gone", 7, time.Hour)
 			switch when {
 			case "before its job":
 				b.step([]any{in})
@@ -344,7 +344,7 @@
 			}
 			b.settle()
 			b.once(33)
-			if _, ok, _ := b.s.Find("gone"); ok || b.traces["gone"] != nil {
+			if _, ok, _ := b.s.Find("gone"); ok || b.byTrace["gone"] != nil {
 				t.Error("it is still there")
 			}
 		})
@@ -357,7 +357,7 @@
 	b.cfg.Settings.Classes[0].Ordered = true
 	rng := rand.New(rand.NewPCG(1, 2))
 	for i := range 200 {
-		in := newHandIn(fmt.Sprintf("m%d", i), 7, time.Second+time.Duration(rng.IntN(10))*time.Second)
+		in := newSubmission(fmt.Sprintf("m%d", i), 7, time.Second+time.Duration(rng.IntN(10))*time.Second)
 		in.m.Order = "one"
 		b.step([]any{in})
 		if rng.IntN(10) == 0 {
@@ -388,13 +388,13 @@
 	b := newBacklogged(t, s, d, 64)
 	b.hand(100, 0, 7, time.Hour)
 	b.settle()
-	b.behind = 50 * time.Minute
+	b.clockBehind = 50 * time.Minute
 	var err error
 	for range 2 { // it stays so at the start after
-		if b.owed.offset, err = b.clockOffset(); err != nil || b.owed.offset != 50*time.Minute {
-			t.Fatalf("offset %v, %v", b.owed.offset, err)
+		if b.backlog.offset, err = b.clockOffset(); err != nil || b.backlog.offset != 50*time.Minute {
+			t.Fatalf("offset %v, %v", b.backlog.offset, err)
 		}
-		b.behind = 0
+		b.clockBehind = 0
 	}
 	for _, m := range b.msgs {
 		b.step([]any{withdrawal{m.ID}})
@@ -437,7 +437,7 @@
 			switch rng.IntN(5) {
 			case 0, 1:
 				for range rng.IntN(40) {
-					in := newHandIn(fmt.Sprintf("m%d", next), 7+rng.IntN(2), time.Hour)
+					in := newSubmission(fmt.Sprintf("m%d", next), 7+rng.IntN(2), time.Hour)
 					next++
 					b.step([]any{in})
 					if a, ok := answered(in); ok && a.status == http.StatusAccepted {
@@ -524,7 +524,7 @@
 	}
 	for len(b.msgs) > 0 {
 		for _, m := range b.msgs {
-			b.later = b.delivered(b.later, m)
+			b.nextEvents = b.completeDelivered(b.nextEvents, m)
 		}
 		b.settle()
 	}
--- a/internal/relay/carry.go
+++ b/internal/relay/carry.go
@@ -15,10 +15,10 @@
 // What a step carries out: the module's decisions, first in the log, then on the sockets.
 
 // carryOut does what the module has decided: first in the log, in one write, then on the sockets.
-func (r *Relay) carryOut(acts []policy.Action, waiting []*handIn) {
+func (r *Relay) carryOut(acts []policy.Action, waiting []*submission) {
 	answers := make(map[uint32]answer, len(waiting))
 	for _, in := range waiting {
-		answers[in.as.ID] = answer{status: http.StatusAccepted}
+		answers[in.msg.ID] = answer{status: http.StatusAccepted}
 	}
 	var calls []*call
 	var ended []*message
@@ -35,10 +35,10 @@
 			if m == nil || m.ended {
 				continue
 			}
-			r.done(m)
+			r.markDone(m)
 			final := wal.Final{Deferred: a.Kind == policy.Refuse, Again: a.Delay}
-			r.changed(m, stateHeld, stateEnded, endReason(final), slog.Duration("left", clock.Until(m.Deadline)))
-			r.figures.ended(m, final)
+			r.logTransition(m, stateHeld, stateEnded, endReason(final), slog.Duration("left", clock.Until(m.Deadline)))
+			r.metrics.countEnd(m, final)
 			if _, ok := answers[a.ID]; ok {
 				answers[a.ID] = finalAnswer(final)
 				r.complete(m, wal.CompletionOf(final))
@@ -70,11 +70,11 @@
 }
 
 // answerTaken answers those whose messages are in the log, though what the step has decided is not, and returns the others.
-func (r *Relay) answerTaken(p promise) (waiting []*handIn) {
+func (r *Relay) answerTaken(p promise) (waiting []*submission) {
 	durable := r.wal.Durable()
-	return slices.DeleteFunc(p.waiting, func(in *handIn) bool {
-		taken := p.answers[in.as.ID]
-		if taken.status != http.StatusAccepted || in.as.seq > durable {
+	return slices.DeleteFunc(p.waiting, func(in *submission) bool {
+		taken := p.answers[in.msg.ID]
+		if taken.status != http.StatusAccepted || in.msg.seq > durable {
 			return false
 		}
 		in.reply <- taken
@@ -89,7 +89,7 @@
 	size := itemSize(m)
 	for _, x := range calls {
 		// Bodies hold so much at most, and many small messages are no reason to have one large one turned away.
-		if x.number == a.Call && x.size+size <= bodyMost {
+		if x.number == a.Call && x.size+size <= maxBodyBytes {
 			c = x
 		}
 	}
@@ -100,9 +100,9 @@
 	until := r.started.Add(a.At)
 	c.size += size
 	c.attempts = append(c.attempts, &attempt{call: c, m: m, n: m.sends, until: until})
-	r.owed.sends(m)
+	r.backlog.sends(m)
 	m.sends++
-	m.out++
+	m.outstanding++
 	if len(c.attempts) == 1 || until.After(c.until) == r.cfg.MayDuplicate {
 		c.until = until // where a second copy may be out, the rest of a call outlasts one message's time-out
 	}
@@ -129,7 +129,7 @@
 func (r *Relay) giveBack(calls []*call, as policy.Outcome) {
 	for _, c := range calls {
 		for _, a := range c.attempts {
-			r.later = r.attemptEnded(r.later, a, result{outcome: as})
+			r.nextEvents = r.finishAttempt(r.nextEvents, a, result{outcome: as})
 		}
 	}
 	r.soon()
@@ -139,20 +139,20 @@
 func (r *Relay) launch(c *call) {
 	r.checkSends(c)
 	for _, a := range c.attempts {
-		r.changed(a.m, stateHeld, stateOut, reasonSend, slog.String("endpoint", c.route), slog.Int("attempt", a.n))
+		r.logTransition(a.m, stateHeld, stateOut, reasonSend, slog.String("endpoint", c.route), slog.Int("attempt", a.n))
 	}
-	r.out++
-	r.flying[c] = struct{}{}
+	r.callsOut++
+	r.inFlight[c] = struct{}{}
 	for _, a := range c.attempts {
 		if a.until.Before(c.until) {
-			a.timer = time.AfterFunc(clock.Until(a.until), func() { r.post(cutOff{a}) })
+			a.timer = time.AfterFunc(clock.Until(a.until), func() { r.post(attemptTimeout{a}) })
 		}
 	}
-	r.calls.Add(1)
+	r.callWG.Add(1)
 	go func() {
-		defer r.calls.Done()
+		defer r.callWG.Done()
 		results := r.hosts.do(r.callCtx, c, func() bool { return r.mayStill(c) })
-		r.post(&callEnd{c, results})
+		r.post(&callFinished{c, results})
 	}()
 }
 
@@ -163,13 +163,13 @@
 		ids = append(ids, a.m.ID)
 	}
 	reply := make(chan bool, 1)
-	if !r.post(clearance{c.route, ids, reply}) {
+	if !r.post(sendCheck{c.route, ids, reply}) {
 		return false
 	}
 	select {
 	case ok := <-reply:
 		return ok
-	case <-r.over:
+	case <-r.loopDone:
 		return false
 	}
 }
@@ -178,7 +178,7 @@
 func (r *Relay) notify(m *message, recorded bool) {
 	r.guard.Ending(m.Trace, m.notified, recorded, clock.Until(m.Deadline))
 	m.notified = true
-	r.changed(m, stateEnded, stateTold, reasonNotice, slog.Bool("recorded", recorded))
+	r.logTransition(m, stateEnded, stateTold, reasonNotice, slog.Bool("recorded", recorded))
 	r.finals.add(newNotice(m.ID, m.Trace, *m.Final))
 }
 
--- a/internal/relay/clients.go
+++ b/internal/relay/clients.go
@@ -29,38 +29,38 @@
 )
 
 const (
-	bodyMost = 64 << 10
-	wireMost = 8 * bodyMost // a body in chunks, however small
-	idMost   = 256          // bytes of an id or a key
+	maxBodyBytes = 64 << 10
+	maxWireBytes = 8 * maxBodyBytes // a body in chunks, however small
+	maxIDBytes   = 256              // bytes of an id or a key
 
 	// A client that sends nothing, or nothing that can be read, is owed an error or a close within 3 s of its
 	// connecting.
-	requestFor = 2 * time.Second
-	keptFor    = 2 * time.Minute // an idle connection
-	writeFor   = time.Second
+	requestTimeout = 2 * time.Second
+	idleTimeout    = 2 * time.Minute // an idle connection
+	writeTimeout   = time.Second
 	// What was refused may still be on its way: closed before it has come, the connection would be reset, and the
 	// answer lost with it.
-	lingerFor  = 3 * time.Second
-	lingerMost = 128 << 20
+	lingerTimeout  = 3 * time.Second
+	maxLingerBytes = 128 << 20
 
 	// A connection that waited while accepting failed has the rest of requestFor to come with a request, and this at least.
-	requestLeast = 250 * time.Millisecond
-	stallOver    = 100 * time.Millisecond // after the last failure, what waited has been accepted
+	minRequestTime  = 250 * time.Millisecond
+	stallResetAfter = 100 * time.Millisecond // after the last failure, what waited has been accepted
 
-	acceptPause = 10 * time.Millisecond // after an accept that failed
+	acceptRetryDelay = 10 * time.Millisecond // after an accept that failed
 
-	silentFor = 100 * time.Millisecond // after this a connection on which nothing came makes way first
-	spareFor  = 2 * time.Second        // and an idle one may be closed without need
+	silentGrace = 100 * time.Millisecond // after this a connection on which nothing came makes way first
+	idleGrace   = 2 * time.Second        // and an idle one may be closed without need
 )
 
 // answer is what a client is told of the message that it handed in.
 type answer struct {
-	status int
-	again  time.Duration // advice with a refusal; 0: none
-	text   string
+	status     int
+	retryAfter time.Duration // advice with a refusal; 0: none
+	text       string
 }
 
-func bad(format string, args ...any) answer {
+func badRequest(format string, args ...any) answer {
 	return answer{status: http.StatusBadRequest, text: fmt.Sprintf(format, args...)}
 }
 
@@ -68,49 +68,49 @@
 type phase int
 
 const (
-	silent    phase = iota // nothing has come yet
-	reading                // a request is coming
-	busy                   // it is being answered
-	idle                   // it has been
-	lingering              // refused, and closed but for what still comes
+	phaseSilent    phase = iota // nothing has come yet
+	phaseReading                // a request is coming
+	phaseBusy                   // it is being answered
+	phaseIdle                   // it has been
+	phaseLingering              // refused, and closed but for what still comes
 )
 
 // client is one connection of a client. Its own goroutine, serve, reads it and closes it: no other knows whether a request has
 // been read. Others ask it to end (dismiss); they close it only where no answer is in time any more.
 type client struct {
 	*conn
-	phase     phase // this and what follows: guarded by clients.mu
-	since     time.Time
-	dismissed bool // asked to end: a request that has been read still has its answer
-	gone      bool
+	phase          phase // this and what follows: guarded by clients.mu
+	since          time.Time
+	closeRequested bool // asked to end: a request that has been read still has its answer
+	closed         bool
 
 	unanswered atomic.Bool // a request was read, its client has not left, and its answer is not being written yet
 }
 
 // clients serves the connections of clients. Where room is short, those that say nothing make way.
 type clients struct {
-	log    *slog.Logger
-	answer func(c *client, req *http.Request) answer
-	most   int // connections
-	roomy  int // with more than so many, none is kept for long
-
-	mu      sync.Mutex
-	room    sync.Cond // signalled when a connection ends or falls idle
-	conns   map[*client]struct{}
-	leaving int  // of them, dismissed
-	ending  bool // answers end their connections
-	closed  bool // none is accepted any more
-
-	stalled, failedAt time.Time // since when accepting has failed, and when it last did; zero: it does not
-
-	guard         *invariant.Guard
-	failedAccepts rate.Sometimes // bounds what is logged of them
+	log            *slog.Logger
+	handler        func(c *client, req *http.Request) answer
+	limit          int // connections
+	keepAliveLimit int // with more than so many, none is kept for long
+
+	mu          sync.Mutex
+	changed     sync.Cond // signalled when a connection ends or falls idle
+	conns       map[*client]struct{}
+	closing     int  // of them, dismissed
+	noKeepAlive bool // answers end their connections
+	closed      bool // none is accepted any more
+
+	stalledSince, failedAt time.Time // since when accepting has failed, and when it last did; zero: it does not
+
+	guard        *invariant.Guard
+	acceptErrors rate.Sometimes // bounds what is logged of them
 }
 
 func newClients(log *slog.Logger, most int, answer func(*client, *http.Request) answer) *clients {
-	s := &clients{log: log, answer: answer, most: most, roomy: most * 3 / 8, conns: map[*client]struct{}{},
-		guard: invariant.New(log), failedAccepts: rate.Sometimes{First: 1, Interval: time.Second}}
-	s.room.L = &s.mu
+	s := &clients{log: log, handler: answer, limit: most, keepAliveLimit: most * 3 / 8, conns: map[*client]struct{}{},
+		guard: invariant.New(log), acceptErrors: rate.Sometimes{First: 1, Interval: time.Second}}
+	s.changed.L = &s.mu
 	return s
 }
 
@@ -124,15 +124,15 @@
 		case err != nil:
 			// A client that left at once, say, or a machine that is short of what this process can't give back: no reason to
 			// close a connection whose request may be on its way.
-			s.stall(true)
-			s.failedAccepts.Do(func() { s.log.Warn("accept", "err", err) })
+			s.noteAccept(true)
+			s.acceptErrors.Do(func() { s.log.Warn("accept", "err", err) })
 			if errors.Is(err, syscall.EMFILE) {
 				s.makeRoom(true)
 			}
-			time.Sleep(acceptPause)
+			time.Sleep(acceptRetryDelay)
 			continue
 		}
-		s.stall(false)
+		s.noteAccept(false)
 		s.makeRoom(false)
 		c := &client{conn: newConn(nc)}
 		if !s.admit(c) {
@@ -153,30 +153,30 @@
 	s.conns[c] = struct{}{}
 	now := clock.Now()
 	c.since = now
-	if !s.stalled.IsZero() {
-		c.since = s.stalled // it may have waited since then
+	if !s.stalledSince.IsZero() {
+		c.since = s.stalledSince // it may have waited since then
 	}
-	c.SetReadDeadline(later(c.since.Add(requestFor), now.Add(requestLeast)))
+	c.SetReadDeadline(laterOf(c.since.Add(requestTimeout), now.Add(minRequestTime)))
 	return true
 }
 
-// stall notes whether accepting fails. Connections that waited meanwhile are owed an answer or a close from their connecting on.
-func (s *clients) stall(failed bool) {
+// noteAccept notes whether accepting fails. Connections that waited meanwhile are owed an answer or a close from their connecting on.
+func (s *clients) noteAccept(failed bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := clock.Now()
 	switch {
-	case failed && s.stalled.IsZero():
-		s.stalled = now
-	case !failed && now.Sub(s.failedAt) > stallOver:
-		s.stalled = time.Time{}
+	case failed && s.stalledSince.IsZero():
+		s.stalledSince = now
+	case !failed && now.Sub(s.failedAt) > stallResetAfter:
+		s.stalledSince = time.Time{}
 	}
 	if failed {
 		s.failedAt = now
 	}
 }
 
-func later(a, b time.Time) time.Time {
+func laterOf(a, b time.Time) time.Time {
 	if a.After(b) {
 		return a
 	}
@@ -189,20 +189,20 @@
 	defer s.mu.Unlock()
 	now := clock.Now()
 	if c := s.leastNeeded(now); forced && c != nil {
-		s.dismiss(c)
+		s.requestClose(c)
 	}
-	for len(s.conns) >= s.most {
-		if c := s.leastNeeded(now); c != nil && len(s.conns)-s.leaving >= s.most {
-			s.dismiss(c)
+	for len(s.conns) >= s.limit {
+		if c := s.leastNeeded(now); c != nil && len(s.conns)-s.closing >= s.limit {
+			s.requestClose(c)
 		}
-		s.room.Wait()
+		s.changed.Wait()
 	}
 	// Clients that ask once and keep their connections must not fill the table for good. The usual ones seldom pay:
 	// theirs are in use.
-	if len(s.conns) > s.roomy {
+	if len(s.conns) > s.keepAliveLimit {
 		for c := range s.conns {
-			if c.phase == idle && now.Sub(c.since) > spareFor {
-				s.dismiss(c)
+			if c.phase == phaseIdle && now.Sub(c.since) > idleGrace {
+				s.requestClose(c)
 			}
 		}
 	}
@@ -212,13 +212,13 @@
 func (s *clients) leastNeeded(now time.Time) *client {
 	rank := func(c *client) int {
 		switch age := now.Sub(c.since); {
-		case c.dismissed:
+		case c.closeRequested:
 			return 4
-		case c.phase == silent && age > silentFor:
+		case c.phase == phaseSilent && age > silentGrace:
 			return 1
-		case c.phase == silent || c.phase == idle:
+		case c.phase == phaseSilent || c.phase == phaseIdle:
 			return 2
-		case c.phase == reading || c.phase == lingering:
+		case c.phase == phaseReading || c.phase == phaseLingering:
 			return 3
 		}
 		return 4
@@ -232,81 +232,81 @@
 	return least
 }
 
-// dismiss has a connection end as soon as it has read no request that is not answered. Called with mu held.
-func (s *clients) dismiss(c *client) {
-	if !c.dismissed && !c.gone {
-		c.dismissed = true
-		s.leaving++
-		c.SetReadDeadline(longAgo)
+// requestClose has a connection end as soon as it has read no request that is not answered. Called with mu held.
+func (s *clients) requestClose(c *client) {
+	if !c.closeRequested && !c.closed {
+		c.closeRequested = true
+		s.closing++
+		c.SetReadDeadline(pastDeadline)
 	}
 }
 
 // drop closes a connection and forgets it. Called with mu held.
 func (s *clients) drop(c *client) {
-	if !c.gone {
-		c.gone = true
-		if c.dismissed {
-			s.leaving--
+	if !c.closed {
+		c.closed = true
+		if c.closeRequested {
+			s.closing--
 		}
 		c.Close()
 		delete(s.conns, c)
-		s.room.Broadcast()
+		s.changed.Broadcast()
 	}
 }
 
-// enter notes what a connection is at, and how long it may be read for; false if it was dropped meanwhile, or is to end now.
-func (s *clients) enter(c *client, p phase) bool {
+// setPhase notes what a connection is at, and how long it may be read for; false if it was dropped meanwhile, or is to end now.
+func (s *clients) setPhase(c *client, p phase) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if c.gone {
+	if c.closed {
 		return false
 	}
 	was, from := c.phase, c.since
 	c.phase, c.since = p, clock.Now()
 	switch p {
-	case reading:
-		if was != silent { // the time of a first request runs from the connecting
+	case phaseReading:
+		if was != phaseSilent { // the time of a first request runs from the connecting
 			from = c.since
 		}
-		c.SetReadDeadline(later(from.Add(requestFor), c.since.Add(requestLeast)))
-	case idle:
-		s.room.Signal()
-		if s.ending || c.dismissed {
+		c.SetReadDeadline(laterOf(from.Add(requestTimeout), c.since.Add(minRequestTime)))
+	case phaseIdle:
+		s.changed.Signal()
+		if s.noKeepAlive || c.closeRequested {
 			return false
 		}
-		c.SetReadDeadline(c.since.Add(keptFor))
-	case lingering:
-		if c.dismissed {
+		c.SetReadDeadline(c.since.Add(idleTimeout))
+	case phaseLingering:
+		if c.closeRequested {
 			return false
 		}
-		c.SetReadDeadline(c.since.Add(lingerFor))
+		c.SetReadDeadline(c.since.Add(lingerTimeout))
 	}
 	return true
 }
 
-// bound changes how many connections may be held.
-func (s *clients) bound(most int) {
+// setLimit changes how many connections may be held.
+func (s *clients) setLimit(most int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.most, s.roomy = most, most*3/8
+	s.limit, s.keepAliveLimit = most, most*3/8
 }
 
-// lastAnswers has each connection closed with its next answer. Idle ones stay open until then: a close could cross a
+// disableKeepAlive has each connection closed with its next answer. Idle ones stay open until then: a close could cross a
 // request.
-func (s *clients) lastAnswers() {
+func (s *clients) disableKeepAlive() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.ending = true
+	s.noKeepAlive = true
 }
 
 // drain has idle connections end, and the others with their next answer.
 func (s *clients) drain() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.ending = true
+	s.noKeepAlive = true
 	for c := range s.conns {
-		if c.phase == idle {
-			s.dismiss(c)
+		if c.phase == phaseIdle {
+			s.requestClose(c)
 		}
 	}
 }
@@ -316,19 +316,19 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.closed = true
-	defer time.AfterFunc(clock.Until(by), func() { s.mu.Lock(); s.room.Broadcast(); s.mu.Unlock() }).Stop()
+	defer time.AfterFunc(clock.Until(by), func() { s.mu.Lock(); s.changed.Broadcast(); s.mu.Unlock() }).Stop()
 	for len(s.conns) > 0 {
 		late := !clock.Now().Before(by)
 		for c := range s.conns {
 			if late {
-				s.guard.Closing(c.RemoteAddr().String(), c.unanswered.Load() && c.phase == busy, 0)
+				s.guard.Closing(c.RemoteAddr().String(), c.unanswered.Load() && c.phase == phaseBusy, 0)
 				s.drop(c)
-			} else if c.phase == silent || c.phase == idle {
-				s.dismiss(c)
+			} else if c.phase == phaseSilent || c.phase == phaseIdle {
+				s.requestClose(c)
 			}
 		}
 		if len(s.conns) > 0 {
-			s.room.Wait()
+			s.changed.Wait()
 		}
 	}
 }
@@ -338,57 +338,57 @@
 	defer func() {
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		if !c.gone {
+		if !c.closed {
 			s.guard.Closing(c.RemoteAddr().String(), c.unanswered.Load(), 0)
 		}
 		s.drop(c)
 	}()
 	for {
-		c.allow(headMost)
-		if _, err := c.r.Peek(1); err != nil || !s.enter(c, reading) {
+		c.allow(maxHeadBytes)
+		if _, err := c.r.Peek(1); err != nil || !s.setPhase(c, phaseReading) {
 			return
 		}
-		if !s.request(c) {
+		if !s.handleRequest(c) {
 			return
 		}
-		if c.r.Buffered() == 0 && !s.enter(c, idle) { // else the next request has been read, and is answered
+		if c.r.Buffered() == 0 && !s.setPhase(c, phaseIdle) { // else the next request has been read, and is answered
 			return
 		}
 	}
 }
 
-// request reads a request and answers it; false if the connection is of no further use.
-func (s *clients) request(c *client) bool {
-	c.keepRaw()
+// handleRequest reads a handleRequest and answers it; false if the connection is of no further use.
+func (s *clients) handleRequest(c *client) bool {
+	c.startCapture()
 	req, err := http.ReadRequest(c.r)
-	head := c.kept
-	c.keepNone()
+	head := c.captured
+	c.stopCapture()
 	if err != nil {
-		return s.refuse(c, unreadable(err))
+		return s.refuse(c, readErrorAnswer(err))
 	}
 	switch {
-	case twoLengths(req, head):
+	case hasBothLengths(req, head):
 		// One of the two hides what the other does not count: a request in a body, or the other way round.
-		return s.refuse(c, bad("both Content-Length and Transfer-Encoding"))
-	case req.ContentLength > bodyMost:
+		return s.refuse(c, badRequest("both Content-Length and Transfer-Encoding"))
+	case req.ContentLength > maxBodyBytes:
 		return s.refuse(c, answer{status: http.StatusRequestEntityTooLarge, text: "body over 64 KiB"})
 	}
-	c.allow(wireMost)
+	c.allow(maxWireBytes)
 	if strings.EqualFold(req.Header.Get("Expect"), "100-continue") {
 		io.WriteString(c.Conn, "HTTP/1.1 100 Continue\r\n\r\n")
 	}
 	c.unanswered.Store(true)
-	whole := int64(c.r.Buffered()) >= req.ContentLength && req.ContentLength >= 0
-	a := s.answer(c, req)
+	bodyBuffered := int64(c.r.Buffered()) >= req.ContentLength && req.ContentLength >= 0
+	a := s.handler(c, req)
 	switch {
 	case a.status == 0:
 		c.unanswered.Store(false)
 		return false // the client has left
 	case a.status >= 400 && a.status < 500:
-		if whole {
+		if bodyBuffered {
 			io.Copy(io.Discard, req.Body) // waits for nothing
 		}
-		if !whole || c.r.Buffered() > 0 {
+		if !bodyBuffered || c.r.Buffered() > 0 {
 			return s.refuse(c, a)
 		}
 	}
@@ -399,20 +399,20 @@
 	return err == nil && !last
 }
 
-// unreadable is the answer to what cannot be read; none to a client that left or never spoke.
-func unreadable(err error) answer {
+// readErrorAnswer is the answer to what cannot be read; none to a client that left or never spoke.
+func readErrorAnswer(err error) answer {
 	switch {
 	case errors.Is(err, os.ErrDeadlineExceeded):
 		return answer{status: http.StatusRequestTimeout, text: "request not whole in time"}
-	case errors.Is(err, errTooMuch):
+	case errors.Is(err, errTooLarge):
 		return answer{status: http.StatusRequestHeaderFieldsTooLarge, text: "head or body too large"}
 	}
-	return bad("unreadable request")
+	return badRequest("unreadable request")
 }
 
-// twoLengths tells whether a head gives its body's length in both ways. package http takes one of them and shows the
+// hasBothLengths tells whether a head gives its body's length in both ways. package http takes one of them and shows the
 // other no more, so the head is read once more, by the reader that package http goes by.
-func twoLengths(req *http.Request, head []byte) bool {
+func hasBothLengths(req *http.Request, head []byte) bool {
 	if len(req.TransferEncoding) == 0 && req.ProtoAtLeast(1, 1) {
 		return false // there was no Transfer-Encoding
 	}
@@ -427,26 +427,26 @@
 // refuse answers what is not taken. Where the end of it has not come or cannot be told, the connection ends, but not
 // before the rest has come.
 func (s *clients) refuse(c *client, a answer) bool {
-	if _, err := s.reply(c, a, true); err != nil || !s.enter(c, lingering) {
+	if _, err := s.reply(c, a, true); err != nil || !s.setPhase(c, phaseLingering) {
 		return false
 	}
 	if half, ok := c.Conn.(interface{ CloseWrite() error }); ok {
 		half.CloseWrite()
 	}
-	io.Copy(io.Discard, io.LimitReader(c.Conn, lingerMost))
+	io.Copy(io.Discard, io.LimitReader(c.Conn, maxLingerBytes))
 	return false
 }
 
 // reply writes an answer, with advice if there is any. It returns whether the connection ends with it, asked for or not.
-func (s *clients) reply(c *client, a answer, last bool) (bool, error) {
+func (s *clients) reply(c *client, a answer, closeConn bool) (bool, error) {
 	s.mu.Lock()
 	// Clients can hold only so many connections, too: where many are held, those that ask once and stay would keep
 	// the others from connecting, long before the table here is full.
-	last = last || c.r.Buffered() == 0 && (s.ending || c.dismissed || len(s.conns) > s.roomy)
+	closeConn = closeConn || c.r.Buffered() == 0 && (s.noKeepAlive || c.closeRequested || len(s.conns) > s.keepAliveLimit)
 	s.mu.Unlock()
-	res := http.Response{StatusCode: a.status, ProtoMajor: 1, ProtoMinor: 1, Header: http.Header{}, Close: last}
-	if a.again > 0 {
-		res.Header.Set("Retry-After", strconv.FormatFloat(a.again.Seconds(), 'f', 3, 64))
+	res := http.Response{StatusCode: a.status, ProtoMajor: 1, ProtoMinor: 1, Header: http.Header{}, Close: closeConn}
+	if a.retryAfter > 0 {
+		res.Header.Set("Retry-After", strconv.FormatFloat(a.retryAfter.Seconds(), 'f', 3, 64))
 	}
 	if a.text != "" {
 		res.Header.Set("Content-Type", "text/plain; charset=utf-8")
@@ -454,53 +454,53 @@
 	}
 	var text bytes.Buffer
 	if err := res.Write(&text); err != nil {
-		return last, err
+		return closeConn, err
 	}
-	c.SetWriteDeadline(clock.Now().Add(writeFor))
+	c.SetWriteDeadline(clock.Now().Add(writeTimeout))
 	c.unanswered.Store(false) // if it can't be written, its client has left
 	_, err := c.Write(text.Bytes())
-	return last, err
+	return closeConn, err
 }
 
-// request answers a client's request.
-func (r *Relay) request(c *client, req *http.Request) answer {
+// handleClient answers a client's handleClient.
+func (r *Relay) handleClient(c *client, req *http.Request) answer {
 	switch {
 	case req.URL.Path == "/_health" && req.Method == http.MethodGet:
-		if !r.listed.Load() || r.ending.Load() {
+		if !r.hasList.Load() || r.shuttingDown.Load() {
 			return answer{status: http.StatusServiceUnavailable}
 		}
 		return answer{status: http.StatusOK}
 	case req.Method != http.MethodPost:
 		return answer{status: http.StatusMethodNotAllowed, text: "messages are handed in by POST"}
 	}
-	return r.handInFrom(c, req)
+	return r.handleSubmission(c, req)
 }
 
-// handInFrom takes one message. Whatever is malformed ends here and never reaches the decision module.
-func (r *Relay) handInFrom(c *client, req *http.Request) answer {
-	came := clock.Now()
-	m, left, err := r.parse(req)
+// handleSubmission takes one message. Whatever is malformed ends here and never reaches the decision module.
+func (r *Relay) handleSubmission(c *client, req *http.Request) answer {
+	received := clock.Now()
+	m, timeLeft, err := r.parseMessage(req)
 	if err != nil {
-		return bad("%v", err)
+		return badRequest("%v", err)
 	}
-	m.Deadline = came.Add(left)
-	if m.Body, err = readBody(req); errors.Is(err, errTooMuch) {
+	m.Deadline = received.Add(timeLeft)
+	if m.Body, err = readBody(req); errors.Is(err, errTooLarge) {
 		return answer{status: http.StatusRequestEntityTooLarge, text: "body over 64 KiB"}
 	} else if err != nil {
-		return unreadable(err)
+		return readErrorAnswer(err)
 	}
 	if c.r.Buffered() > 0 {
 		// Clients send one request at a time: the length was wrong, and the body is not what was meant.
-		return bad("more bytes than the length tells")
+		return badRequest("more bytes than the length tells")
 	}
-	if !r.clients.enter(c, busy) {
+	if !r.clients.setPhase(c, phaseBusy) {
 		return answer{}
 	}
-	in := &handIn{m: m, reply: make(chan answer, 1)}
+	in := &submission{m: m, reply: make(chan answer, 1)}
 	c.watch(nil)
 	if !r.post(in) {
 		c.unwatch()
-		return answer{status: http.StatusServiceUnavailable, again: policy.RetryAdvice}
+		return answer{status: http.StatusServiceUnavailable, retryAfter: policy.RetryAdvice}
 	}
 	a := <-in.reply
 	if open, _ := c.unwatch(); open {
@@ -520,15 +520,15 @@
 		_, err := io.ReadFull(req.Body, body)
 		return body, err
 	}
-	body, err := io.ReadAll(io.LimitReader(req.Body, bodyMost+1))
-	if err == nil && len(body) > bodyMost {
-		err = errTooMuch
+	body, err := io.ReadAll(io.LimitReader(req.Body, maxBodyBytes+1))
+	if err == nil && len(body) > maxBodyBytes {
+		err = errTooLarge
 	}
 	return body, err
 }
 
-// parse reads all of a request but its body.
-func (r *Relay) parse(req *http.Request) (m *wal.Message, left time.Duration, err error) {
+// parseMessage reads all of a request but its body.
+func (r *Relay) parseMessage(req *http.Request) (m *wal.Message, timeLeft time.Duration, err error) {
 	class := strings.TrimPrefix(req.URL.Path, "/")
 	m = &wal.Message{
 		Trace: req.Header.Get("X-Trace-Id"),
@@ -541,7 +541,7 @@
 		return nil, 0, fmt.Errorf("unknown class %q", class)
 	case req.Header.Get("X-Qos") != class:
 		return nil, 0, errors.New("path and X-Qos differ")
-	case m.Trace == "" || max(len(m.Trace), len(m.Key), len(m.Order)) > idMost:
+	case m.Trace == "" || max(len(m.Trace), len(m.Key), len(m.Order)) > maxIDBytes:
 		return nil, 0, errors.New("no X-Trace-Id, or an id or key too long")
 	case len(req.Header["X-Trace-Id"]) > 1 || len(req.Header["Idempotency-Key"]) > 1:
 		return nil, 0, errors.New("more than one id or key")
@@ -557,14 +557,14 @@
 	if most := r.cfg.longest(m.Class); err != nil || ms < 0 || ms > most.Milliseconds() {
 		return nil, 0, errors.New("bad X-Expires-In-Ms")
 	}
-	if m.Dest, err = destination(req.Header.Get("Envelope")); err != nil {
+	if m.Dest, err = parseDestination(req.Header.Get("Envelope")); err != nil {
 		return nil, 0, err
 	}
 	return m, time.Duration(ms) * time.Millisecond, nil
 }
 
-// destination finds dest among the name=value pairs of an envelope.
-func destination(envelope string) (int, error) {
+// parseDestination finds dest among the name=value pairs of an envelope.
+func parseDestination(envelope string) (int, error) {
 	for _, pair := range strings.FieldsFunc(envelope, func(c rune) bool { return strings.ContainsRune(",;& ", c) }) {
 		if value, ok := strings.CutPrefix(pair, "dest="); ok {
 			n, err := strconv.Atoi(value)
--- a/internal/relay/config_test.go
+++ b/internal/relay/config_test.go
@@ -58,7 +58,7 @@
 		}
 		return path
 	}
-	c, err := ReloadConfigWithin(t.Context(), getenv)
+	c, err := ReloadConfigWithRetry(t.Context(), getenv)
 	if err != nil || c.Discovery != "127.0.0.1:2" {
 		t.Errorf("discovery %q, %v", c.Discovery, err)
 	}
--- a/internal/relay/discovery.go
+++ b/internal/relay/discovery.go
@@ -142,7 +142,7 @@
 		case errors.Is(err, errAway):
 			w.wait(ctx, w.inTime(time.Duration((0.5+w.random())*float64(away))+w.spread(toldWithin)))
 			away = min(awayMost, 2*away)
-		case failedHere(err):
+		case isLocalFailure(err):
 			w.wait(ctx, failedHerePause)
 		default:
 			w.wait(ctx, w.inTime(pause+w.spread(soon)))
@@ -409,7 +409,7 @@
 		return err
 	}
 	defer res.Body.Close()
-	if _, err := io.Copy(io.Discard, io.LimitReader(res.Body, bodyMost)); err != nil {
+	if _, err := io.Copy(io.Discard, io.LimitReader(res.Body, maxBodyBytes)); err != nil {
 		return err
 	}
 	if res.StatusCode != http.StatusNoContent {
--- a/internal/relay/durable.go
+++ b/internal/relay/durable.go
@@ -30,7 +30,7 @@
 type promise struct {
 	seq       uint64 // of the write
 	since     time.Time
-	waiting   []*handIn
+	waiting   []*submission
 	answers   map[uint32]answer
 	ended     []*message
 	calls     []*call
@@ -96,7 +96,7 @@
 
 func (r *Relay) fulfil(p promise) {
 	for _, in := range p.waiting {
-		in.reply <- p.answers[in.as.ID]
+		in.reply <- p.answers[in.msg.ID]
 	}
 	for _, m := range p.ended {
 		r.notify(m, true)
@@ -145,8 +145,8 @@
 
 // tend has the log go on after the disk has failed it, and ends the waits of those who have waited too long.
 func (r *Relay) tend() {
-	if worn := !r.wal.Tend(); worn != r.worn {
-		r.worn = worn
+	if worn := !r.wal.Tend(); worn != r.logFailed {
+		r.logFailed = worn
 		if worn {
 			r.log.Error("the disk fails the log: nothing new is taken on until a new file is there", "err", r.wal.Failure())
 		} else {
@@ -164,7 +164,7 @@
 			continue
 		}
 		for _, in := range p.waiting {
-			r.answerOverdue(in, p.answers[in.as.ID])
+			r.answerOverdue(in, p.answers[in.msg.ID])
 		}
 		p.waiting = nil
 		if p.unwritten || now.Sub(p.since) < tellMost {
@@ -178,23 +178,23 @@
 }
 
 // answerOverdue answers a client that has waited too long for the disk. A message that is not on it is not taken on.
-func (r *Relay) answerOverdue(in *handIn, a answer) {
+func (r *Relay) answerOverdue(in *submission, a answer) {
 	switch {
-	case a.status == http.StatusAccepted && in.as.seq <= r.wal.Durable():
+	case a.status == http.StatusAccepted && in.msg.seq <= r.wal.Durable():
 		in.reply <- a
 	case a.status == http.StatusAccepted:
-		r.deny(in, r.overdue(in.as))
+		r.answerOnceRecorded(in, r.overdue(in.msg))
 	case r.cfg.Power:
 		// Its end is not synced, and after a loss of power the message might be sent: no promise that it has no effect.
-		r.deny(in, answer{status: http.StatusInternalServerError})
+		r.answerOnceRecorded(in, answer{status: http.StatusInternalServerError})
 	default:
-		r.deny(in, a)
+		r.answerOnceRecorded(in, a)
 	}
 }
 
 // overdue ends a message that is not on the disk in time, and is what its client is told.
 func (r *Relay) overdue(m *message) answer {
-	turned := answer{status: 503, again: policy.RetryAdvice}
+	turned := answer{status: 503, retryAfter: policy.RetryAdvice}
 	if m.Withdrawn || !r.wal.Owes(m.Message) {
 		return turned // a second client of the same message
 	}
@@ -204,30 +204,30 @@
 			p := &r.promises[i]
 			p.ended = slices.DeleteFunc(p.ended, func(x *message) bool { return x == m })
 		}
-		r.letGo(m)
+		r.release(m)
 		return finalAnswer(*m.Final)
 	}
-	r.figures.of(m.Class).deferred.Add(1)
+	r.metrics.forClass(m.Class).deferred.Add(1)
 	m.refused = true
 	if m.move != staying {
-		m.told = true
-		r.owed.drop(m)
+		m.counted = true
+		r.backlog.drop(m)
 		return turned
 	}
-	r.done(m)
-	m.told = true
-	r.later = append(r.later, policy.Event{Kind: policy.Withdrawn, ID: m.ID})
-	r.letGo(m)
+	r.markDone(m)
+	m.counted = true
+	r.nextEvents = append(r.nextEvents, policy.Event{Kind: policy.Withdrawn, ID: m.ID})
+	r.release(m)
 	r.soon()
 	return turned
 }
 
 // join has a client that hands in a message which is not durable yet wait with the first.
-func (r *Relay) join(in *handIn, old *message) bool {
+func (r *Relay) join(in *submission, old *message) bool {
 	if old.seq <= r.wal.Durable() || old.ended {
 		return false
 	}
-	in.as, old.shared = old, true
+	in.msg, old.shared = old, true
 	return true
 }
 
@@ -242,13 +242,13 @@
 }
 
 // soon has the module told of what is kept for the next step, and not by its own wake, which must not be lost.
-func (r *Relay) soon() { time.AfterFunc(r.cfg.Tick, func() { r.post(nudge{}) }) }
+func (r *Relay) soon() { time.AfterFunc(r.cfg.Tick, func() { r.post(wakeLoop{}) }) }
 
 // options is how the log is kept.
 func (r *Relay) options() wal.Options {
 	o := wal.Options{Dir: r.cfg.StateDir, Limit: int64(r.cfg.Limits.DiskMB*1e6) - stateReserve, Told: func() {
 		select {
-		case r.synced <- struct{}{}:
+		case r.syncDone <- struct{}{}:
 		default:
 		}
 	}}
@@ -271,8 +271,8 @@
 
 // endLog closes the log. With nothing left on disk the folder is again that of a relay without a backlog.
 func (r *Relay) endLog() error {
-	err := r.owed.close()
-	if r.owed != nil && err == nil && r.heir == nil && r.owed.disk == 0 {
+	err := r.backlog.close()
+	if r.backlog != nil && err == nil && r.successor == nil && r.backlog.disk == 0 {
 		err = r.wal.Rename(r.cfg.Name)
 	}
 	return errors.Join(err, r.wal.Close())
@@ -281,13 +281,13 @@
 // resumeAt sets messages that were found right where the clock stands before what the log has seen: how long they have been
 // out is not known, so that no time is left that may have passed.
 func (r *Relay) resumeAt(found wal.Recovery, latest time.Time) {
-	r.behind = max(0, latest.Sub(clock.Now()))
-	if r.behind == 0 {
+	r.clockBehind = max(0, latest.Sub(clock.Now()))
+	if r.clockBehind == 0 {
 		return
 	}
-	r.log.Warn("the clock stands before what the log has seen", "by", r.behind)
+	r.log.Warn("the clock stands before what the log has seen", "by", r.clockBehind)
 	for _, m := range found.Messages {
-		m.Deadline = m.Deadline.Add(-r.behind)
+		m.Deadline = m.Deadline.Add(-r.clockBehind)
 	}
 }
 
--- a/internal/relay/durable_test.go
+++ b/internal/relay/durable_test.go
@@ -31,19 +31,19 @@
 		t.Fatal(err)
 	}
 	c.StateDir, c.Segments, c.Power, c.Disk, c.MemoriesEvery = t.TempDir(), true, true, d, time.Second
-	r, err := New(t.Context(), c, quiet())
+	r, err := New(t.Context(), c, discardLogger())
 	if err != nil {
 		t.Fatal(err)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	t.Cleanup(func() { cancel(); r.calls.Wait(); r.hosts.close(); r.wal.Close() })
+	t.Cleanup(func() { cancel(); r.callWG.Wait(); r.hosts.close(); r.wal.Close() })
 	r.callCtx = ctx
-	r.resume()
+	r.restore()
 	return r
 }
 
 // answered is a hand-in's answer, if it has one.
-func answered(in *handIn) (a answer, ok bool) {
+func answered(in *submission) (a answer, ok bool) {
 	select {
 	case a = <-in.reply:
 		return a, true
@@ -63,24 +63,24 @@
 	d := crashdisk.New()
 	r := newDurableRelay(t, d, &gate)
 	gate.Lock()
-	in, twin := newHandIn("a", 7, time.Minute), newHandIn("a", 7, time.Minute)
+	in, twin := newSubmission("a", 7, time.Minute), newSubmission("a", 7, time.Minute)
 	r.step([]any{in})
 	r.step([]any{twin})
 	r.tend()
 	_, one := answered(in)
 	_, two := answered(twin)
-	if one || two || r.out > 0 {
-		t.Errorf("before it is on disk: answers %v and %v, %d calls", one, two, r.out)
+	if one || two || r.callsOut > 0 {
+		t.Errorf("before it is on disk: answers %v and %v, %d calls", one, two, r.callsOut)
 	}
 	gate.Unlock()
 	whole(t, r)
-	for _, in := range []*handIn{in, twin} {
+	for _, in := range []*submission{in, twin} {
 		if a, ok := answered(in); !ok || a.status != http.StatusAccepted {
 			t.Errorf("once it is on disk: %+v, %v", a, ok)
 		}
 	}
-	if r.out != 1 {
-		t.Errorf("%d calls", r.out)
+	if r.callsOut != 1 {
+		t.Errorf("%d calls", r.callsOut)
 	}
 	// The power fails here: nothing that was not synced is there.
 	_, found, err := wal.OpenWith(wal.Options{FS: d.Crash(func() bool { return false }), Limit: 1 << 20, Format: wal.Format})
@@ -93,12 +93,12 @@
 	var gate sync.RWMutex
 	r := newDurableRelay(t, crashdisk.New(), &gate)
 	gate.Lock()
-	in, twin := newHandIn("a", 7, time.Minute), newHandIn("a", 7, time.Minute)
+	in, twin := newSubmission("a", 7, time.Minute), newSubmission("a", 7, time.Minute)
 	r.step([]any{in, twin})
 	r.promises[0].since = time.Now().Add(-time.Second)
 	r.tend()
-	for _, in := range []*handIn{in, twin} {
-		if a, ok := answered(in); !ok || a.status != http.StatusServiceUnavailable || a.again <= 0 {
+	for _, in := range []*submission{in, twin} {
+		if a, ok := answered(in); !ok || a.status != http.StatusServiceUnavailable || a.retryAfter <= 0 {
 			t.Errorf("while the disk tarries: %+v, %v", a, ok)
 		}
 	}
@@ -107,8 +107,8 @@
 	r.step(nil)
 	whole(t, r)
 	r.step(nil)
-	if r.out > 0 || r.held > 0 || len(r.msgs) > 0 {
-		t.Errorf("turned away, and %d calls, %d held, %d known", r.out, r.held, len(r.msgs))
+	if r.callsOut > 0 || r.held > 0 || len(r.msgs) > 0 {
+		t.Errorf("turned away, and %d calls, %d held, %d known", r.callsOut, r.held, len(r.msgs))
 	}
 }
 
@@ -116,7 +116,7 @@
 	var gate sync.RWMutex
 	d := crashdisk.New()
 	r := newDurableRelay(t, d, &gate)
-	old := newHandIn("a", 7, time.Minute)
+	old := newSubmission("a", 7, time.Minute)
 	r.step([]any{old})
 	whole(t, r)
 	d.Fail = func(op, _ string) error {
@@ -125,18 +125,18 @@
 		}
 		return nil
 	}
-	in := newHandIn("b", 7, time.Minute)
+	in := newSubmission("b", 7, time.Minute)
 	r.step([]any{in})
-	eventually(t, "the failure is known", func() bool { r.tend(); return r.worn })
-	late := newHandIn("c", 7, time.Minute)
+	eventually(t, "the failure is known", func() bool { r.tend(); return r.logFailed })
+	late := newSubmission("c", 7, time.Minute)
 	r.step([]any{late})
 	if a, ok := answered(late); !ok || a.status != http.StatusServiceUnavailable {
 		t.Errorf("after a failed sync: %+v, %v", a, ok)
 	}
 	d.Fail = nil
-	eventually(t, "a new file is there", func() bool { r.tend(); return !r.worn })
+	eventually(t, "a new file is there", func() bool { r.tend(); return !r.logFailed })
 	whole(t, r)
-	again := newHandIn("d", 7, time.Minute)
+	again := newSubmission("d", 7, time.Minute)
 	r.step([]any{again})
 	whole(t, r)
 	if a, ok := answered(again); !ok || a.status != http.StatusAccepted {
@@ -147,14 +147,14 @@
 func TestWhatIsNotKnownIsTakenToHaveRunLongAgo(t *testing.T) {
 	r := newTestRelay(t)
 	m := &message{Message: &wal.Message{ID: 1, Dest: 7, Deadline: time.Now().Add(time.Minute), Doubt: true}}
-	if e := r.resumed(m, nil); !e.Resumed.Ran || e.Resumed.RanAgo < time.Hour {
+	if e := r.resumedEvent(m, nil); !e.Resumed.Ran || e.Resumed.RanAgo < time.Hour {
 		t.Errorf("in doubt: %+v", e.Resumed)
 	}
 	// The clock was set back by an hour: what has been out for seconds may have been out for that long.
 	sent := time.Now().Add(time.Hour)
 	m = &message{Message: &wal.Message{ID: 2, Dest: 7, Deadline: sent.Add(5 * time.Second), MayRun: []wal.Attempt{{At: sent}}}}
 	r.resumeAt(wal.Recovery{Messages: []*wal.Message{m.Message}}, sent)
-	e := r.resumed(m, nil)
+	e := r.resumedEvent(m, nil)
 	if e.Left > 6*time.Second || !e.Resumed.Ran || e.Resumed.RanAgo < time.Hour {
 		t.Errorf("after the clock was set back: left %v, %+v", e.Left, e.Resumed)
 	}
@@ -192,14 +192,14 @@
 	r := newDurableRelay(t, crashdisk.New(), &gate)
 	r.guard.OnViolation(func(text string) { t.Error(text) })
 	gate.Lock()
-	in := newHandIn("a", 7, time.Minute)
+	in := newSubmission("a", 7, time.Minute)
 	r.step([]any{in})
-	r.step([]any{withdrawal{r.traces["a"].ID}})
+	r.step([]any{withdrawal{r.byTrace["a"].ID}})
 	gate.Unlock()
 	whole(t, r)
 	r.step(nil)
-	if r.out > 0 {
-		t.Errorf("%d calls out for a message that is withdrawn", r.out)
+	if r.callsOut > 0 {
+		t.Errorf("%d calls out for a message that is withdrawn", r.callsOut)
 	}
 	whole(t, r)
 	if r.held > 0 || len(r.msgs) > 0 {
--- a/internal/relay/fleet.go
+++ b/internal/relay/fleet.go
@@ -12,15 +12,15 @@
 	"onyxroad.dev/onyxroad/internal/membership"
 )
 
-// joinPause is the time between two attempts to join: while a process that hands over still has the address, say.
-const joinPause = 250 * time.Millisecond
+// joinRetryDelay is the time between two attempts to join: while a process that hands over still has the address, say.
+const joinRetryDelay = 250 * time.Millisecond
 
 // fleet is the relay's part in its fleet. No message waits for it, whatever becomes of it.
 type fleet struct {
 	mu     sync.Mutex
 	member membership.Fleet // nil: not joined
 	state  membership.State
-	ended  bool
+	left   bool
 }
 
 // joinFleet joins the fleet, and tries again until that works or the relay ends.
@@ -28,28 +28,28 @@
 	if r.cfg.Join == nil {
 		return
 	}
-	for told := false; ; {
+	for logged := false; ; {
 		m, err := r.cfg.Join(r.cfg.Membership, nil)
 		if err == nil {
-			r.fleet.joined(m)
+			r.fleet.setMember(m)
 			return
 		}
-		if !told {
+		if !logged {
 			r.log.Warn("not in the fleet yet", "err", err)
-			told = true
+			logged = true
 		}
 		select {
 		case <-ctx.Done():
 			return
-		case <-time.After(joinPause):
+		case <-time.After(joinRetryDelay):
 		}
 	}
 }
 
-func (f *fleet) joined(m membership.Fleet) {
+func (f *fleet) setMember(m membership.Fleet) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.ended {
+	if f.left {
 		m.Close()
 		return
 	}
@@ -57,8 +57,8 @@
 	m.Become(f.state)
 }
 
-// become tells the fleet of a state, now or once it is joined.
-func (f *fleet) become(s membership.State) {
+// setState tells the fleet of a state, now or once it is joined.
+func (f *fleet) setState(s membership.State) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.state = s; f.member != nil {
@@ -66,12 +66,12 @@
 	}
 }
 
-// end ends the relay's part: in order, or without a word where a newer process takes its place.
-func (f *fleet) end(inOrder bool) error {
+// leave ends the relay's part: in order, or without a word where a newer process takes its place.
+func (f *fleet) leave(inOrder bool) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	m := f.member
-	f.member, f.ended = nil, true
+	f.member, f.left = nil, true
 	switch {
 	case m == nil:
 		return nil
@@ -99,8 +99,8 @@
 	Figures() (text string, held bool)
 }
 
-// fleetFigures answers GET /api/fleet.
-func (r *Relay) fleetFigures() answer {
+// handleFleet answers GET /api/fleet.
+func (r *Relay) handleFleet() answer {
 	if r.cfg.Duties == nil {
 		return answer{status: http.StatusNotFound, text: "no duties"}
 	}
@@ -111,8 +111,8 @@
 	return answer{status: http.StatusOK, text: text}
 }
 
-// members are the processes that are present; none without a fleet.
-func (f *fleet) members() (all []membership.Process) {
+// presentMembers are the processes that are present; none without a fleet.
+func (f *fleet) presentMembers() (all []membership.Process) {
 	v, _ := f.view()
 	for _, m := range v.Members {
 		if m.Away == membership.Present {
@@ -122,8 +122,8 @@
 	return all
 }
 
-// members answers GET /api/members.
-func (r *Relay) members() answer {
+// handleMembers answers GET /api/handleMembers.
+func (r *Relay) handleMembers() answer {
 	v, ok := r.fleet.view()
 	if !ok {
 		return answer{status: http.StatusNotFound, text: "not in a fleet"}
@@ -135,8 +135,8 @@
 	return answer{status: http.StatusOK, text: string(text)}
 }
 
-// figures are the fleet's, in the second address's form.
-func (f *fleet) figures() string {
+// metricsText are the fleet's, in the second address's form.
+func (f *fleet) metricsText() string {
 	v, ok := f.view()
 	if !ok {
 		return ""
--- a/internal/relay/fleet_test.go
+++ b/internal/relay/fleet_test.go
@@ -12,29 +12,29 @@
 	"onyxroad.dev/onyxroad/internal/membership"
 )
 
-// standIn is a fleet that remembers what it was told.
-type standIn struct {
+// fakeFleet is a fleet that remembers what it was told.
+type fakeFleet struct {
 	states []membership.State
 	ended  string
 }
 
-func (s *standIn) View() membership.View {
+func (s *fakeFleet) View() membership.View {
 	return membership.View{Version: 3, Agreement: membership.Split, Present: 2, Careful: 5, Other: 3,
 		Members: []membership.Member{{Process: membership.Process{Name: "n3"}}}}
 }
 
-func (s *standIn) Become(x membership.State) { s.states = append(s.states, x) }
-func (s *standIn) Bytes() int64              { return 17 }
-func (s *standIn) Leave() error              { s.ended = "left"; return nil }
-func (s *standIn) Close() error              { s.ended = "closed"; return nil }
+func (s *fakeFleet) Become(x membership.State) { s.states = append(s.states, x) }
+func (s *fakeFleet) Bytes() int64              { return 17 }
+func (s *fakeFleet) Leave() error              { s.ended = "left"; return nil }
+func (s *fakeFleet) Close() error              { s.ended = "closed"; return nil }
 
-func TestTheRelayTellsItsFleet(t *testing.T) {
+func TestRelayAnnouncesStateToFleet(t *testing.T) {
 	r := newTestRelay(t)
-	admin := adminOf(t, r)
-	if status, _ := ask(t, admin, http.MethodGet, "/api/members", ""); status != http.StatusNotFound {
+	admin := serveTestAdmin(t, r)
+	if status, _ := adminCall(t, admin, http.MethodGet, "/api/members", ""); status != http.StatusNotFound {
 		t.Errorf("without a fleet: %d", status)
 	}
-	member := &standIn{}
+	member := &fakeFleet{}
 	tries := 0
 	r.cfg.Join = func(membership.Config, func(membership.View)) (membership.Fleet, error) {
 		if tries++; tries == 1 {
@@ -42,26 +42,26 @@
 		}
 		return member, nil
 	}
-	r.fleet.become(membership.Serving)
+	r.fleet.setState(membership.Serving)
 	r.joinFleet(t.Context())
-	r.fleet.become(membership.Draining)
+	r.fleet.setState(membership.Draining)
 	if len(member.states) != 2 || member.states[0] != membership.Serving || member.states[1] != membership.Draining {
 		t.Errorf("told %v", member.states)
 	}
-	status, body := ask(t, admin, http.MethodGet, "/api/members", "")
+	status, body := adminCall(t, admin, http.MethodGet, "/api/members", "")
 	var v membership.View
 	if err := json.Unmarshal([]byte(body), &v); status != http.StatusOK || err != nil || v.Careful != 5 || len(v.Members) != 1 {
 		t.Errorf("%d, %s, %v", status, body, err)
 	}
-	if _, text := ask(t, admin, http.MethodGet, "/api/telemetry", ""); !strings.Contains(text, "fleet.careful:5|g") ||
+	if _, text := adminCall(t, admin, http.MethodGet, "/api/telemetry", ""); !strings.Contains(text, "fleet.careful:5|g") ||
 		!strings.Contains(text, "fleet.agreed:0|g") || !strings.Contains(text, "fleet.bytes:17|c") {
 		t.Errorf("figures %s", text)
 	}
-	if err := r.fleet.end(true); err != nil || member.ended != "left" {
+	if err := r.fleet.leave(true); err != nil || member.ended != "left" {
 		t.Errorf("%q, %v", member.ended, err)
 	}
 	// One that is joined when the relay has ended already is let go.
-	late := &standIn{}
+	late := &fakeFleet{}
 	r.cfg.Join = func(membership.Config, func(membership.View)) (membership.Fleet, error) { return late, nil }
 	r.joinFleet(t.Context())
 	if late.ended != "closed" {
--- a/internal/relay/guards.go
+++ b/internal/relay/guards.go
@@ -18,15 +18,15 @@
 	for _, a := range c.attempts {
 		_, completed := r.wal.Completed(a.m.Trace) // a message of its own under the id of one that has ended
 		r.guard.Sending(invariant.Send{
-			Trace: a.m.Trace, Endpoint: c.route, Recorded: a.recorded(), Ended: a.m.ended || completed, EndOfSends: r.noSends,
-			Draining: r.outOfService.since(c.route, now), Left: a.m.Deadline.Sub(now),
+			Trace: a.m.Trace, Endpoint: c.route, Recorded: a.isRecorded(), Ended: a.m.ended || completed, EndOfSends: r.noSends,
+			Draining: r.outOfService.duration(c.route, now), Left: a.m.Deadline.Sub(now),
 		})
 		r.checkRepeat(a, now)
 	}
 }
 
-// recorded tells whether the log has an attempt as one that may run.
-func (a *attempt) recorded() bool {
+// isRecorded tells whether the log has an attempt as one that may run.
+func (a *attempt) isRecorded() bool {
 	return slices.ContainsFunc(a.m.MayRun, func(x wal.Attempt) bool { return x.N == a.n })
 }
 
@@ -48,29 +48,29 @@
 // outages are the endpoints that may get nothing new, with the moment since when.
 type outages map[string]time.Time
 
-// begin notes that an endpoint may get nothing new from now on.
-func (o outages) begin(route string) {
+// add notes that an endpoint may get nothing new from now on.
+func (o outages) add(route string) {
 	if _, ok := o[route]; !ok {
 		o[route] = clock.Now()
 	}
 }
 
-// since is for how long an endpoint may have got nothing new; 0 if it may.
-func (o outages) since(route string, now time.Time) time.Duration {
+// duration is for how long an endpoint may have got nothing new; 0 if it may.
+func (o outages) duration(route string, now time.Time) time.Duration {
 	if at, ok := o[route]; ok {
 		return now.Sub(at)
 	}
 	return 0
 }
 
-// followOutage brings one endpoint up to date with the list and with what operators have taken out.
-func (r *Relay) followOutage(route string) {
-	if t, listed := r.routes[route]; listed && t.InService && !r.barred[route] {
+// updateOutage brings one endpoint up to date with the list and with what operators have taken out.
+func (r *Relay) updateOutage(route string) {
+	if t, listed := r.routes[route]; listed && t.InService && !r.excluded[route] {
 		delete(r.outOfService, route)
 		return
 	}
-	r.outOfService.begin(route)
-	if len(r.outOfService) <= seenMost {
+	r.outOfService.add(route)
+	if len(r.outOfService) <= maxSeenIDs {
 		return
 	}
 	for old := range r.outOfService { // long gone, as good as all of them
@@ -80,23 +80,23 @@
 	}
 }
 
-// checkBounds tells the guard of what the relay holds.
-func (r *Relay) checkBounds() {
+// checkLimits tells the guard of what the relay holds.
+func (r *Relay) checkLimits() {
 	sockets := r.cfg.Limits.Sockets
-	r.guard.Bound("connections of clients", int64(r.clients.held()), int64(sockets*9/20))
-	r.guard.Bound("connections to endpoints", int64(r.hosts.held()), int64(sockets*3/8))
+	r.guard.Bound("connections of clients", int64(r.clients.count()), int64(sockets*9/20))
+	r.guard.Bound("connections to endpoints", int64(r.hosts.openCount()), int64(sockets*3/8))
 	r.guard.Bound("bytes of the log", r.wal.Size(), int64(r.cfg.Limits.DiskMB*1e6))
 }
 
-// held is how many connections there are.
-func (s *clients) held() int {
+// count is how many connections there are.
+func (s *clients) count() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.conns)
 }
 
-// held is how many connections there are, idle or not.
-func (p *pool) held() int {
+// openCount is how many connections there are, idle or not.
+func (p *pool) openCount() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.open
--- a/internal/relay/handover.go
+++ b/internal/relay/handover.go
@@ -101,7 +101,7 @@
 	Body    []byte       `json:",omitempty"`
 	// Left is the message's time that is left; 0 from a process of before, whose deadlines go by the wall clock.
 	Left time.Duration `json:",omitempty"`
-	order
+	exclusionChange
 }
 
 type passedAnswer struct {
@@ -136,7 +136,7 @@
 )
 
 // turnedBack answers a hand-in that cannot be passed on.
-var turnedBack = answer{status: http.StatusServiceUnavailable, again: policy.RetryAdvice}
+var turnedBack = answer{status: http.StatusServiceUnavailable, retryAfter: policy.RetryAdvice}
 
 // link joins the two processes.
 type link struct {
@@ -145,13 +145,13 @@
 
 	mu      sync.Mutex // guards writing, and what follows
 	enc     *json.Encoder
-	asked   map[uint32]*handIn
+	asked   map[uint32]*submission
 	lastSeq uint32
 	over    bool
 }
 
 func newLink(c *net.UnixConn) *link {
-	return &link{UnixConn: c, dec: json.NewDecoder(c), enc: json.NewEncoder(c), asked: map[uint32]*handIn{}}
+	return &link{UnixConn: c, dec: json.NewDecoder(c), enc: json.NewEncoder(c), asked: map[uint32]*submission{}}
 }
 
 func (l *link) send(v any) error {
@@ -171,7 +171,7 @@
 	var waits sync.WaitGroup
 	waits.Go(func() {
 		var l *net.UnixListener
-		err := persist(ctx, r.log, "listen for a new process", forever, func() (err error) {
+		err := retryTransient(ctx, r.log, "listen for a new process", forever, func() (err error) {
 			os.Remove(path) // left by a process before: this one has the log
 			l, err = sockets.ListenUnix(path)
 			return err
@@ -206,33 +206,33 @@
 
 // handOver gives a new process all that it needs. Where that does not come to take it, all stays as it was.
 func (r *Relay) handOver(l *link) {
-	if r.stopping || r.noSends || r.heir != nil || r.listener == nil {
+	if r.stopping || r.noSends || r.successor != nil || r.listener == nil {
 		l.Close()
 		return
 	}
 	began := clock.Now()
-	r.byHand.mu.Lock() // no call is lost between the two
-	defer r.byHand.mu.Unlock()
-	err := errors.Join(r.wal.Flush(), r.byHand.keep())
-	if err == nil && !(r.settle(linkFor/2) && r.owed.wait(linkFor/2) && len(r.withheld) == 0) {
+	r.exclusions.mu.Lock() // no call is lost between the two
+	defer r.exclusions.mu.Unlock()
+	err := errors.Join(r.wal.Flush(), r.exclusions.save())
+	if err == nil && !(r.settle(linkFor/2) && r.backlog.wait(linkFor/2) && len(r.withheld) == 0) {
 		err = errors.New("the disk is behind")
 	}
 	if err == nil {
-		err = r.owed.close()
+		err = r.backlog.close()
 	}
 	if err == nil {
 		err = r.offer(l)
 	}
 	if err != nil {
 		l.Close()
-		for end := clock.Now().Add(retakeFor); r.lock == nil; time.Sleep(lockPause) {
-			if r.lock, err = wal.Lock(r.cfg.StateDir); err != nil && clock.Now().After(end) {
+		for end := clock.Now().Add(retakeFor); r.logLock == nil; time.Sleep(lockPause) {
+			if r.logLock, err = wal.Lock(r.cfg.StateDir); err != nil && clock.Now().After(end) {
 				// Another has the log and does not answer: what it owes is there. Writing to it would spoil it.
 				panic(fmt.Sprintf("relay: the log is lost to another process: %v", err))
 			}
 		}
 		r.log.Warn("not handed over", "err", err)
-		if err := r.owed.reopen(); err != nil {
+		if err := r.backlog.reopen(); err != nil {
 			panic(fmt.Sprintf("relay: the backlog is lost to another process: %v", err)) // as of the log
 		}
 		if err := r.wal.Reclaim(); err != nil {
@@ -240,11 +240,11 @@
 		}
 		return
 	}
-	r.heir, r.held = l, 0
-	r.byHand.mine, r.byHand.heir = false, l
+	r.successor, r.held = l, 0
+	r.exclusions.owned, r.exclusions.successor = false, l
 	go r.answers(l)
-	close(r.handed)
-	r.log.Info("handed over", "calls", r.out, "took", clock.Since(began))
+	close(r.handedOver)
+	r.log.Info("handed over", "calls", r.callsOut, "took", clock.Since(began))
 }
 
 // offer passes on the listener, what this process knows, and the lock, and waits until the other has it.
@@ -260,8 +260,8 @@
 	}); err != nil || sendErr != nil {
 		return errors.Join(err, sendErr)
 	}
-	r.lock.Close()
-	r.lock = nil
+	r.logLock.Close()
+	r.logLock = nil
 	if err := l.send(r.estate()); err != nil {
 		return err
 	}
@@ -275,7 +275,7 @@
 }
 
 func (r *Relay) estate() estate {
-	e := estate{Began: r.started, Clock: r.readClock(), LastID: r.lastID, Seen: r.byHand.ids, Memories: r.sender.Memories()}
+	e := estate{Began: r.started, Clock: r.readClock(), LastID: r.lastID, Seen: r.exclusions.seenOrder, Memories: r.sender.Memories()}
 	for _, t := range r.routes {
 		cell, state := t.Destination, "draining"
 		if t.InService {
@@ -286,7 +286,7 @@
 		})
 	}
 	number := uint32(0)
-	for c := range r.flying {
+	for c := range r.inFlight {
 		number++
 		for _, a := range c.attempts {
 			e.Out = append(e.Out, outCall{policy.Out{Call: number, Attempt: a.n, Route: c.route, Sent: c.sent.Sub(r.started),
@@ -301,32 +301,32 @@
 func (r *Relay) passOn(batch []any) {
 	for _, e := range batch {
 		switch e := e.(type) {
-		case *handIn:
-			r.heir.ask(e)
+		case *submission:
+			r.successor.ask(e)
 		case withdrawal:
-			r.heir.send(frame{Leave: e.id})
-		case *callEnd:
-			r.out--
-			delete(r.flying, e.c)
+			r.successor.send(frame{Leave: e.id})
+		case *callFinished:
+			r.callsOut--
+			delete(r.inFlight, e.c)
 			for i, a := range e.c.attempts {
 				r.tellEnd(a, e.results[i], false)
 			}
-		case cutOff:
+		case attemptTimeout:
 			if !e.a.over {
 				r.tellEnd(e.a, result{outcome: policy.Timeout, took: clock.Since(e.a.sent)}, true)
 			}
-		case clearance:
+		case sendCheck:
 			e.reply <- false // it goes back, and the new process decides anew
 		case takeover:
 			e.link.Close()
-		case stopping:
+		case stopIntake:
 			r.stopping = true
 		}
 	}
-	r.publish()
-	if r.stopping && !r.idled && r.out == 0 {
-		r.idled = true
-		close(r.idle)
+	r.updateGauges()
+	if r.stopping && !r.drainSignalled && r.callsOut == 0 {
+		r.drainSignalled = true
+		close(r.drained)
 	}
 }
 
@@ -335,14 +335,14 @@
 	if a.timer != nil && !cut {
 		a.timer.Stop()
 	}
-	if res.outcome == policy.OK && a.m.first() {
-		r.figures.of(a.m.Class).answered.Add(1)
+	if res.outcome == policy.OK && a.m.markCounted() {
+		r.metrics.forClass(a.m.Class).answered.Add(1)
 	}
-	r.heir.send(frame{End: &passedEnd{a.m.ID, a.n, cut, res.outcome, res.gone, res.wait, res.report, res.took}})
+	r.successor.send(frame{End: &passedEnd{a.m.ID, a.n, cut, res.outcome, res.gone, res.wait, res.report, res.took}})
 }
 
 // ask passes a hand-in on. Its answer comes by answers.
-func (l *link) ask(in *handIn) {
+func (l *link) ask(in *submission) {
 	l.mu.Lock()
 	l.lastSeq++
 	seq := l.lastSeq
@@ -353,12 +353,12 @@
 	}
 	l.asked[seq] = in
 	l.mu.Unlock()
-	p := passed{Seq: seq, Message: in.m, order: in.order}
+	p := passed{Seq: seq, Message: in.m, exclusionChange: in.exclusionChange}
 	if in.m != nil {
 		p.Body, p.Left = in.m.Body, clock.Until(in.m.Deadline)
 	}
 	if err := l.send(frame{Hand: &p}); err != nil {
-		l.reply(passedAnswer{Seq: seq, Status: turnedBack.status, Again: turnedBack.again})
+		l.reply(passedAnswer{Seq: seq, Status: turnedBack.status, Again: turnedBack.retryAfter})
 	}
 }
 
@@ -390,7 +390,7 @@
 	l.mu.Lock()
 	l.over = true
 	left := l.asked
-	l.asked = map[uint32]*handIn{}
+	l.asked = map[uint32]*submission{}
 	l.mu.Unlock()
 	for _, in := range left {
 		in.reply <- turnedBack
@@ -403,7 +403,7 @@
 func (r *Relay) stepAside(ctx context.Context, listener net.Listener) {
 	r.serving.Store(false)
 	listener.Close()
-	r.clients.lastAnswers()
+	r.clients.disableKeepAlive()
 	r.hosts.close()
 	r.share(0.5)
 	select {
@@ -411,12 +411,12 @@
 	case <-time.After(asideMost):
 	}
 	began := clock.Now()
-	time.Sleep(acceptFor)
-	r.clients.close(began.Add(answerFor))
-	r.post(stopping{})
+	time.Sleep(acceptGrace)
+	r.clients.close(began.Add(answerGrace))
+	r.post(stopIntake{})
 	select {
-	case <-r.idle:
-	case <-time.After(clock.Until(began.Add(endBy))):
+	case <-r.drained:
+	case <-time.After(clock.Until(began.Add(shutdownTimeout))):
 	}
 }
 
@@ -429,7 +429,7 @@
 		r.log.Warn("not handed over", "err", err)
 	}
 	var found wal.Recovery
-	if r.lock, err = wal.Lock(r.cfg.StateDir); err == nil {
+	if r.logLock, err = wal.Lock(r.cfg.StateDir); err == nil {
 		r.wal, found, err = wal.OpenWith(r.options())
 	}
 	if err == nil && l == nil {
@@ -441,27 +441,27 @@
 		}
 	}
 	if err == nil {
-		if err = r.byHand.load(from.Seen); err != nil {
-			err = errors.Join(err, r.owed.close(), r.wal.Close())
-			r.owed = nil
+		if err = r.exclusions.load(from.Seen); err != nil {
+			err = errors.Join(err, r.backlog.close(), r.wal.Close())
+			r.backlog = nil
 		}
 	}
 	if err == nil && l != nil && l.send(frame{Mine: true}) != nil {
-		err = errors.Join(wal.ErrHeld, r.owed.close(), r.wal.Close()) // that process waits no longer, or has ended: begin anew
-		r.owed = nil
+		err = errors.Join(wal.ErrHeld, r.backlog.close(), r.wal.Close()) // that process waits no longer, or has ended: begin anew
+		r.backlog = nil
 	}
 	if err != nil {
-		if r.lock != nil {
-			r.lock.Close()
+		if r.logLock != nil {
+			r.logLock.Close()
 		}
 		if l != nil {
 			l.Close()
 			listener.Close()
-			r.byHand.unload()
+			r.exclusions.unload()
 		}
 		return fmt.Errorf("relay: %w", err)
 	}
-	r.found, r.legacy = found, from
+	r.recovery, r.inheritedState = found, from
 	if found.Report != nil && !found.Report.Sound() {
 		r.log.Error("the state folder is damaged", "report", found.Report.Words())
 	}
@@ -469,7 +469,7 @@
 		return nil
 	}
 	l.SetDeadline(time.Time{})
-	r.parent, r.lastID = l, max(r.lastID, from.LastID)
+	r.predecessor, r.lastID = l, max(r.lastID, from.LastID)
 	r.started = from.startedBy()
 	r.cfg.Known = List{}
 	for _, m := range from.Members {
@@ -556,7 +556,7 @@
 		case f.Leave != 0:
 			r.post(withdrawal{f.Leave})
 		case f.Hand != nil && f.Hand.Message == nil:
-			a := r.byHand.set(f.Hand.order)
+			a := r.exclusions.set(f.Hand.exclusionChange)
 			l.send(frame{Reply: &passedAnswer{Seq: f.Hand.Seq, Status: a.status, Text: a.text}})
 		case f.Hand != nil:
 			m := f.Hand.Message
@@ -564,7 +564,7 @@
 			if f.Hand.Left != 0 {
 				m.Deadline = clock.Now().Add(f.Hand.Left)
 			}
-			in := &handIn{m: m, reply: make(chan answer, 1)}
+			in := &submission{m: m, reply: make(chan answer, 1)}
 			seq := f.Hand.Seq
 			if !r.post(in) {
 				break
@@ -572,8 +572,8 @@
 			go func() { // as many at most as the old process has clients
 				select {
 				case a := <-in.reply:
-					l.send(frame{Reply: &passedAnswer{seq, m.ID, a.status, a.again, a.text}})
-				case <-r.over:
+					l.send(frame{Reply: &passedAnswer{seq, m.ID, a.status, a.retryAfter, a.text}})
+				case <-r.loopDone:
 				}
 			}()
 		}
@@ -585,23 +585,23 @@
 // inherited takes the outcome of an attempt that the old process made.
 func (r *Relay) inherited(evs []policy.Event, e passedEnd) []policy.Event {
 	key := outKey{e.ID, e.N}
-	a := r.foreign[key]
+	a := r.predecessorAttempts[key]
 	if a == nil {
 		return evs
 	}
 	if !e.Cut {
-		delete(r.foreign, key)
+		delete(r.predecessorAttempts, key)
 	}
 	if e.Outcome == policy.OK {
-		a.m.told = true // counted where it came
+		a.m.counted = true // counted where it came
 	}
-	return r.attemptEnded(evs, a, result{e.Outcome, e.Gone, e.Wait, e.Report, e.Took})
+	return r.finishAttempt(evs, a, result{e.Outcome, e.Gone, e.Wait, e.Report, e.Took})
 }
 
 // bereft ends the attempts that the old process has not told of: they may have run.
 func (r *Relay) bereft(evs []policy.Event) []policy.Event {
-	keys := make([]outKey, 0, len(r.foreign))
-	for k := range r.foreign {
+	keys := make([]outKey, 0, len(r.predecessorAttempts))
+	for k := range r.predecessorAttempts {
 		keys = append(keys, k)
 	}
 	slices.SortFunc(keys, func(a, b outKey) int { return cmp.Or(cmp.Compare(a.id, b.id), cmp.Compare(a.n, b.n)) })
@@ -614,7 +614,7 @@
 
 // share sets the part of the relay's limits that this process may use.
 func (r *Relay) share(part float64) {
-	r.clients.bound(int(part * float64(r.cfg.Limits.Sockets*9/20)))
+	r.clients.setLimit(int(part * float64(r.cfg.Limits.Sockets*9/20)))
 	r.hosts.bound(int(part * float64(r.cfg.Limits.Sockets*3/8)))
-	debug.SetMemoryLimit(int64(part * float64(r.memory)))
+	debug.SetMemoryLimit(int64(part * float64(r.memoryLimit)))
 }
--- a/internal/relay/handover_test.go
+++ b/internal/relay/handover_test.go
@@ -25,12 +25,12 @@
 		if c.out >= 0 {
 			out = &policy.Out{Attempt: c.out}
 		}
-		if got := r.resumed(m, out).Resumed; got.Ran != c.ran || got.RanZone != c.zone || len(m.MayRun) != 2 {
+		if got := r.resumedEvent(m, out).Resumed; got.Ran != c.ran || got.RanZone != c.zone || len(m.MayRun) != 2 {
 			t.Errorf("out %d: %+v", c.out, got)
 		}
 	}
 	m := &message{Message: &wal.Message{Attempts: 1, MayRun: []wal.Attempt{{N: 0, At: time.Now()}}}}
-	if r.resumed(m, &policy.Out{Attempt: 0}).Resumed.Ran {
+	if r.resumedEvent(m, &policy.Out{Attempt: 0}).Resumed.Ran {
 		t.Error("the one call, which is out, is taken to have run")
 	}
 }
@@ -50,10 +50,10 @@
 		}
 		m := &wal.Message{Trace: "passed-on", Class: 0, Dest: 7, Key: "k", Deadline: clock.Now().Add(5 * time.Second)}
 		wall.Step(seconds)
-		in := &handIn{m: m, reply: make(chan answer, 1)}
+		in := &submission{m: m, reply: make(chan answer, 1)}
 		old.post(in)
-		settle(t, again, "the message that was handed in at the old process", func() bool { return again.traces["passed-on"] != nil })
-		if left := clock.Until(again.traces["passed-on"].Deadline); left < 3*time.Second || left > 5*time.Second {
+		stepUntil(t, again, "the message that was handed in at the old process", func() bool { return again.byTrace["passed-on"] != nil })
+		if left := clock.Until(again.byTrace["passed-on"].Deadline); left < 3*time.Second || left > 5*time.Second {
 			t.Errorf("step of %d s: a message that is passed on has %v left of 5 s", seconds, left)
 		}
 		restore()
@@ -73,15 +73,15 @@
 	ctx, stop := context.WithCancel(t.Context())
 	go old.loop(ctx)
 	end := old.heirs()
-	t.Cleanup(func() { end(); stop(); <-old.over; listener.Close() })
-	if again, err = New(t.Context(), old.cfg, quiet()); err != nil {
+	t.Cleanup(func() { end(); stop(); <-old.loopDone; listener.Close() })
+	if again, err = New(t.Context(), old.cfg, discardLogger()); err != nil {
 		t.Fatal(err)
 	}
-	if again.parent == nil {
+	if again.predecessor == nil {
 		t.Fatal("the new process has begun by itself")
 	}
 	again.callCtx = t.Context()
-	again.resume()
-	go again.heed(again.parent)
+	again.restore()
+	go again.heed(again.predecessor)
 	return old, again
 }
--- a/internal/relay/hosts.go
+++ b/internal/relay/hosts.go
@@ -143,7 +143,7 @@
 // exchange writes the request, reads its answer, and keeps or drops the connection.
 func (h *hosts) exchange(ctx context.Context, req *http.Request, c *call, conn *hostConn) []result {
 	// A call is given up by closing its connection: no answer to it is read any more.
-	stop := context.AfterFunc(ctx, func() { conn.SetDeadline(longAgo) })
+	stop := context.AfterFunc(ctx, func() { conn.SetDeadline(pastDeadline) })
 	began := clock.Now()
 	for _, a := range c.attempts {
 		h.guard.InTime(a.m.Trace, c.route, a.m.Deadline.Sub(began))
@@ -201,7 +201,7 @@
 
 // readAnswer reads an answer, to several messages or to one.
 func readAnswer(conn *hostConn, req *http.Request, several bool) (a hostAnswer) {
-	conn.allow(headMost)
+	conn.allow(maxHeadBytes)
 	_, a.err = conn.r.Peek(1)
 	if errors.Is(a.err, os.ErrDeadlineExceeded) {
 		// Past a deadline nothing is read, not even what is there: a wait that it tells binds all the same.
@@ -257,16 +257,16 @@
 
 // readRest reads an answer's body. It returns an error also if the connection can carry no further call.
 func readRest(conn *hostConn, head *http.Response, several bool) (body []byte, err error) {
-	if head.ContentLength > bodyMost {
+	if head.ContentLength > maxBodyBytes {
 		return nil, errSpoilt
 	}
-	conn.allow(wireMost)
-	rest := io.LimitReader(head.Body, bodyMost+1)
+	conn.allow(maxWireBytes)
+	rest := io.LimitReader(head.Body, maxBodyBytes+1)
 	if several && head.StatusCode == http.StatusOK {
-		if body, err = io.ReadAll(rest); err == nil && len(body) > bodyMost {
+		if body, err = io.ReadAll(rest); err == nil && len(body) > maxBodyBytes {
 			err = errSpoilt
 		}
-	} else if n, copyErr := io.Copy(io.Discard, rest); copyErr != nil || n > bodyMost {
+	} else if n, copyErr := io.Copy(io.Discard, rest); copyErr != nil || n > maxBodyBytes {
 		err = cmp.Or(copyErr, errSpoilt)
 	}
 	switch {
--- a/internal/relay/hosts_test.go
+++ b/internal/relay/hosts_test.go
@@ -262,7 +262,7 @@
 	}); err != nil {
 		t.Fatal(err)
 	}
-	conn.SetDeadline(longAgo)
+	conn.SetDeadline(pastDeadline)
 	if a := readAnswer(conn, req, false); a.err != nil || h.told(a.head).wait != 612*time.Millisecond {
 		t.Errorf("answer %+v", a)
 	}
@@ -684,7 +684,7 @@
 		if a.err == nil && (a.head == nil || conn.r.Buffered() > 0) {
 			t.Errorf("%q can carry another call", data)
 		}
-		if len(a.body) > bodyMost {
+		if len(a.body) > maxBodyBytes {
 			t.Errorf("%d bytes kept", len(a.body))
 		}
 		if a.head != nil {
--- a/internal/relay/job.go
+++ b/internal/relay/job.go
@@ -10,26 +10,26 @@
 	"onyxroad.dev/onyxroad/policy"
 )
 
-// job is one round at the store. What is removed and put is durable before anything is read.
-type job struct {
+// storeJob is one round at the store. What is removed and put is durable before anything is read.
+type storeJob struct {
 	put    []owed.Entry
 	remove []owed.Ref
 	loads  []load
 	due    int64 // 0: nothing
 
-	out, in []*message // whose entries are put and removed
-	gone    []owed.Ref
+	putMessages, removedMessages []*message // whose entries are put and removed
+	removedRefs                  []owed.Ref
 
-	full   bool // no room for what was to be put
-	err    error
-	loaded []owed.Entry
-	ends   []owed.Entry
-	next   int64
-	bytes  int64
+	full    bool // no room for what was to be put
+	err     error
+	loaded  []owed.Entry
+	expired []owed.Entry
+	nextDue int64
+	bytes   int64
 }
 
 // run does a job's reading and writing.
-func (j *job) run(s owed.Store) {
+func (j *storeJob) run(s owed.Store) {
 	defer func() { j.bytes = s.Disk() }()
 	if len(j.put)+len(j.remove) > 0 {
 		err := s.Apply(j.put, j.remove)
@@ -54,16 +54,16 @@
 		j.loaded = append(j.loaded, all...)
 	}
 	if j.due > 0 && j.err == nil {
-		j.ends, j.err = s.Due(j.due, dueBatch)
+		j.expired, j.err = s.Due(j.due, dueBatch)
 	}
 	next, ok, err := s.NextDue()
-	if j.next = next; !ok || err != nil {
-		j.next = never
+	if j.nextDue = next; !ok || err != nil {
+		j.nextDue = never
 	}
 }
 
-// tend ends what is on its way for too long, and has the next job begin. The loop calls it after each step and now and then.
-func (o *overflow) tend() {
+// maintain ends what is on its way for too long, and has the next job begin. The loop calls it after each step and now and then.
+func (o *overflow) maintain() {
 	if o == nil {
 		return
 	}
@@ -74,11 +74,11 @@
 		}
 	}
 	for _, all := range [][]*message{o.out, o.in} {
-		o.expire(all, now)
+		o.expireMoving(all, now)
 	}
 	if o.job != nil {
-		o.expire(o.job.out, now)
-		o.expire(o.job.in, now)
+		o.expireMoving(o.job.putMessages, now)
+		o.expireMoving(o.job.removedMessages, now)
 		return
 	}
 	if (o.worn || o.full) && now.Sub(o.tried) < storeRetry {
@@ -90,15 +90,15 @@
 	}
 }
 
-// expire tells the ends of messages whose time is up on their way.
-func (o *overflow) expire(all []*message, now time.Time) {
+// expireMoving tells the ends of messages whose time is up on their way.
+func (o *overflow) expireMoving(all []*message, now time.Time) {
 	var ended []*message
 	for _, m := range all {
 		if m.ended || m.dropped || now.Before(m.Deadline.Add(-dueAhead)) {
 			continue
 		}
 		m.ended = true
-		o.relay.figures.ended(m, outOfTime)
+		o.relay.metrics.countEnd(m, outOfTime)
 		o.relay.wal.Decide(m.Message, outOfTime)
 		ended = append(ended, m)
 		o.ended++
@@ -107,16 +107,16 @@
 }
 
 // nextJob is what is to be done at the store; nil if nothing is.
-func (o *overflow) nextJob(now time.Time) *job {
+func (o *overflow) nextJob(now time.Time) *storeJob {
 	durable := o.relay.wal.Durable()
-	j := &job{}
+	j := &storeJob{}
 	rest := o.out[:0:0]
 	for _, m := range o.out {
 		if len(j.put) >= batchStored || m.seq > durable {
 			rest = append(rest, m)
 			continue
 		}
-		j.out, j.put = append(j.out, m), append(j.put, owed.Entry{Ref: o.ref(m), Data: wal.Marshal(m.Message)})
+		j.putMessages, j.put = append(j.putMessages, m), append(j.put, owed.Entry{Ref: o.ref(m), Data: wal.Marshal(m.Message)})
 	}
 	o.out = rest
 	rest = o.in[:0:0]
@@ -125,11 +125,11 @@
 			rest = append(rest, m)
 			continue
 		}
-		j.in, j.remove = append(j.in, m), append(j.remove, o.ref(m))
+		j.removedMessages, j.remove = append(j.removedMessages, m), append(j.remove, o.ref(m))
 	}
 	o.in = rest
-	j.gone, o.gone = o.gone, nil
-	j.remove = append(j.remove, j.gone...)
+	j.removedRefs, o.gone = o.gone, nil
+	j.remove = append(j.remove, j.removedRefs...)
 	if !o.relay.stopping && now.After(o.hold) && o.relay.wal.Fill() < loadFill {
 		j.loads = o.loads(batchStored)
 	}
@@ -142,23 +142,23 @@
 	return j
 }
 
-// finished takes a job's end, and returns what the module has to hear of it.
-func (o *overflow) finished(evs []policy.Event, j *job) []policy.Event {
+// jobFinished takes a job's end, and returns what the module has to hear of it.
+func (o *overflow) jobFinished(evs []policy.Event, j *storeJob) []policy.Event {
 	o.job, o.bytes = nil, j.bytes
 	for _, l := range j.loads {
 		o.loaded(l.dest)
 	}
-	o.state(j)
+	o.noteDiskState(j)
 	if o.worn || j.full {
-		o.out = append(j.out, o.out...)
-		j.out = nil
+		o.out = append(j.putMessages, o.out...)
+		j.putMessages = nil
 	}
 	if o.worn {
 		// Whether it was applied is not known: applied once more it does no harm.
-		o.in, o.gone = append(j.in, o.in...), append(j.gone, o.gone...)
+		o.in, o.gone = append(j.removedMessages, o.in...), append(j.removedRefs, o.gone...)
 		return evs
 	}
-	for _, m := range j.out {
+	for _, m := range j.putMessages {
 		if m.dropped || m.ended {
 			m.move = entering // off the disk again, and over then
 			o.in = append(o.in, m)
@@ -170,31 +170,31 @@
 		m.ended = true
 		o.relay.retire(m)
 	}
-	for _, ref := range j.gone {
+	for _, ref := range j.removedRefs {
 		o.stored(ref.Dest, -1)
 	}
-	for _, m := range j.in {
+	for _, m := range j.removedMessages {
 		o.stored(m.Dest, -1)
 		m.move = staying
 		switch {
 		case m.dropped:
 			m.ended = true
-			o.relay.letGo(m)
+			o.relay.release(m)
 		case m.ended && m.confirmed:
 			o.relay.complete(m, wal.CompletionOf(*m.Final))
 		case m.ended:
 		case !o.relay.noSends:
-			evs = append(evs, o.given(m))
+			evs = append(evs, o.loadedEvent(m))
 		}
 	}
-	o.next = j.next
-	o.relay.end(j.ends)
-	o.relay.take(j.loaded)
+	o.next = j.nextDue
+	o.relay.endExpired(j.expired)
+	o.relay.acceptLoaded(j.loaded)
 	return evs
 }
 
-// state notes whether the disk takes what it is given.
-func (o *overflow) state(j *job) {
+// noteDiskState notes whether the disk takes what it is given.
+func (o *overflow) noteDiskState(j *storeJob) {
 	log := o.relay.log
 	if j.err != nil {
 		if o.tried = clock.Now(); !o.worn {
@@ -218,21 +218,21 @@
 	}
 }
 
-// given tells the module of a message from the disk.
-func (o *overflow) given(m *message) policy.Event {
+// loadedEvent tells the module of a message from the disk.
+func (o *overflow) loadedEvent(m *message) policy.Event {
 	o.relay.held++
 	o.movedIn++
 	o.enter(m)
 	if m.ID <= o.oldest {
-		return o.relay.resumed(m, nil)
+		return o.relay.resumedEvent(m, nil)
 	}
-	return o.relay.taken(m)
+	return o.relay.takenEvent(m)
 }
 
-// end tells the ends of messages whose time is up on disk. They leave it once the platform has taken that.
-func (r *Relay) end(all []owed.Entry) {
-	o := r.owed
-	var news []notice
+// endExpired tells the ends of messages whose time is up on disk. They leave it once the platform has taken that.
+func (r *Relay) endExpired(all []owed.Entry) {
+	o := r.backlog
+	var notices []notice
 	for _, e := range all {
 		if r.msgs[e.ID] != nil || o.ending[e.ID].ID != 0 {
 			continue // on its way, or told
@@ -240,18 +240,18 @@
 		o.ending[e.ID] = e.Ref
 		o.ended++
 		if m, err := wal.Unmarshal(e.Data); err == nil {
-			r.figures.ended(&message{Message: m}, outOfTime)
+			r.metrics.countEnd(&message{Message: m}, outOfTime)
 		}
-		news = append(news, newNotice(e.ID, e.Trace, outOfTime))
+		notices = append(notices, newNotice(e.ID, e.Trace, outOfTime))
 	}
-	r.finals.add(news...)
+	r.finals.add(notices...)
 }
 
-// take has messages that were read from disk stand in the log again. Where that has no room they stay where they are.
-func (r *Relay) take(all []owed.Entry) {
-	o := r.owed
+// acceptLoaded has messages that were read from disk stand in the log again. Where that has no room they stay where they are.
+func (r *Relay) acceptLoaded(all []owed.Entry) {
+	o := r.backlog
 	var ms []*message
-	var news []*wal.Message
+	var walMessages []*wal.Message
 	for _, e := range all {
 		if r.msgs[e.ID] != nil || o.ending[e.ID].ID != 0 {
 			continue
@@ -264,13 +264,13 @@
 			continue
 		}
 		m.Deadline = o.restoredTime(e.Deadline)
-		ms, news = append(ms, &message{Message: m, move: entering}), append(news, m)
+		ms, walMessages = append(ms, &message{Message: m, move: entering}), append(walMessages, m)
 	}
-	if len(news) == 0 {
+	if len(walMessages) == 0 {
 		return
 	}
-	if err := r.wal.Accept(news...); err != nil {
-		if !r.full {
+	if err := r.wal.Accept(walMessages...); err != nil {
+		if !r.logFull {
 			r.log.Warn("the backlog waits for the log", "err", err)
 		}
 		o.hold = clock.Now().Add(storeRetry)
@@ -278,7 +278,7 @@
 	}
 	for _, m := range ms {
 		m.seq = r.wal.Written()
-		r.msgs[m.ID], r.traces[m.Trace] = m, m
+		r.msgs[m.ID], r.byTrace[m.Trace] = m, m
 	}
 	o.in = append(o.in, ms...)
 }
--- a/internal/relay/lifecycle.go
+++ b/internal/relay/lifecycle.go
@@ -12,55 +12,55 @@
 // processes. With the level off a
 // line costs one comparison.
 
-// state is where a message stands.
-type state string
+// messageState is where a message stands.
+type messageState string
 
 // The states.
 const (
-	stateNew       state = "new"
-	stateHeld      state = "held"      // taken on, and to be sent
-	stateOut       state = "out"       // a call is out
-	stateEnded     state = "ended"     // decided, and its final answer is due
-	stateTold      state = "told"      // its final answer went to the platform
-	stateDelivered state = "delivered" // an endpoint has taken it
-	stateGone      state = "gone"      // nothing more is owed
+	stateNew       messageState = "new"
+	stateHeld      messageState = "held"      // taken on, and to be sent
+	stateOut       messageState = "out"       // a call is out
+	stateEnded     messageState = "ended"     // decided, and its final answer is due
+	stateTold      messageState = "told"      // its final answer went to the platform
+	stateDelivered messageState = "delivered" // an endpoint has taken it
+	stateGone      messageState = "gone"      // nothing more is owed
 )
 
-// reason is why a message changes its state.
-type reason string
+// stateReason is why a message changes its state.
+type stateReason string
 
 // The reasons, besides the outcomes of calls.
 const (
-	reasonAccepted    reason = "accepted"
-	reasonRecovered   reason = "recovered"
-	reasonNoRoom      reason = "no_room"
-	reasonNoDest      reason = "no_such_destination"
-	reasonLog         reason = "log_not_written"
-	reasonResubmitted reason = "came_again"
-	reasonSend        reason = "send"
-	reasonRefused     reason = "refused"
-	reasonFailed      reason = "failed"
-	reasonWithdrawn   reason = "client_left"
-	reasonConfirmed   reason = "confirmed"
-	reasonNotice      reason = "notice"
+	reasonAccepted    stateReason = "accepted"
+	reasonRecovered   stateReason = "recovered"
+	reasonNoRoom      stateReason = "no_room"
+	reasonNoDest      stateReason = "no_such_destination"
+	reasonLog         stateReason = "log_not_written"
+	reasonResubmitted stateReason = "came_again"
+	reasonSend        stateReason = "send"
+	reasonRefused     stateReason = "refused"
+	reasonFailed      stateReason = "failed"
+	reasonWithdrawn   stateReason = "client_left"
+	reasonConfirmed   stateReason = "confirmed"
+	reasonNotice      stateReason = "notice"
 )
 
 // outcomeReasons are the reasons of calls' ends.
-var outcomeReasons = map[policy.Outcome]reason{
+var outcomeReasons = map[policy.Outcome]stateReason{
 	policy.OK: "ok", policy.Error: "error", policy.Full: "turned_away", policy.ConnectFailed: "connect_failed", policy.Reset: "reset",
 	policy.Timeout: "timeout", policy.Cancelled: "cancelled", policy.Moot: "not_sent",
 }
 
 // endReason is why a message that is not delivered ends.
-func endReason(f wal.Final) reason {
+func endReason(f wal.Final) stateReason {
 	if f.Deferred {
 		return reasonRefused
 	}
 	return reasonFailed
 }
 
-// changed tells of a change of a message's state.
-func (r *Relay) changed(m *message, from, to state, why reason, more ...slog.Attr) {
+// logTransition tells of a change of a message's state.
+func (r *Relay) logTransition(m *message, from, to messageState, why stateReason, more ...slog.Attr) {
 	if !r.traced {
 		return
 	}
--- a/internal/relay/lifecycle_test.go
+++ b/internal/relay/lifecycle_test.go
@@ -27,18 +27,18 @@
 }
 
 // One trace id gives a message's whole life: every line of it, each going on where the one before ended.
-func TestATraceIDGivesAMessagesWholeLife(t *testing.T) {
+func TestLogShowsMessageLifecycle(t *testing.T) {
 	var out lockedBuffer
 	r := newTestRelay(t)
 	r.log, r.traced = slog.New(slog.NewJSONHandler(&out, &slog.HandlerOptions{Level: slog.LevelDebug})), true
 	for _, id := range []string{"other", "m1"} {
-		decide(r, newHandIn(id, 7, 5*time.Second))
+		stepSubmissions(r, newSubmission(id, 7, 5*time.Second))
 	}
-	m := r.traces["m1"]
-	settle(t, r, "its first call ends", func() bool { return m.out == 0 })
+	m := r.byTrace["m1"]
+	stepUntil(t, r, "its first call ends", func() bool { return m.outstanding == 0 })
 	r.carryOut([]policy.Action{{Kind: policy.Fail, ID: m.ID}}, nil)
-	r.step([]any{confirmed{[]uint32{m.ID}}})
-	var life []string
+	r.step([]any{noticesConfirmed{[]uint32{m.ID}}})
+	var reasons []string
 	last := string(stateNew)
 	out.mu.Lock()
 	defer out.mu.Unlock()
@@ -54,26 +54,26 @@
 			t.Errorf("from %s, after %s: %s", change.From, last, line)
 		}
 		last = change.To
-		life = append(life, change.Reason)
+		reasons = append(reasons, change.Reason)
 	}
 	const first, end = "accepted send connect_failed ", " failed notice confirmed"
-	if got := strings.Join(life, " "); !strings.HasPrefix(got, first) || !strings.HasSuffix(got, end) {
+	if got := strings.Join(reasons, " "); !strings.HasPrefix(got, first) || !strings.HasSuffix(got, end) {
 		t.Errorf("its life: %s", got)
 	}
 }
 
-func TestATraceIDTellsWhyARequestWasNotSentAgain(t *testing.T) {
+func TestLogShowsResubmissionOutcome(t *testing.T) {
 	var out lockedBuffer
 	traced := func(r *Relay) *Relay {
 		r.log, r.traced = slog.New(slog.NewJSONHandler(&out, &slog.HandlerOptions{Level: slog.LevelDebug})), true
-		r.cells[unlistedDest] = true
+		r.knownDests[unlistedDest] = true
 		return r
 	}
 	r := traced(newTestRelay(t))
-	handIn := func(left time.Duration) { decide(r, newHandIn("m1", unlistedDest, left)) }
+	handIn := func(left time.Duration) { stepSubmissions(r, newSubmission("m1", unlistedDest, left)) }
 	handIn(-time.Second) // refused
 	handIn(time.Second)
-	r = traced(restarted(t, r))
+	r = traced(restartRelay(t, r))
 	handIn(time.Second)
 	var again []string
 	for line := range strings.Lines(out.text.String()) {
--- a/internal/relay/memories.go
+++ b/internal/relay/memories.go
@@ -34,17 +34,17 @@
 
 // putDown writes what is known. The loop calls it; writing is done beside it, one at a time.
 func (r *Relay) putDown() {
-	if r.cfg.MemoriesEvery <= 0 || clock.Since(r.putAt) < r.cfg.MemoriesEvery || !r.putting.CompareAndSwap(false, true) {
+	if r.cfg.MemoriesEvery <= 0 || clock.Since(r.memoriesSavedAt) < r.cfg.MemoriesEvery || !r.savingMemories.CompareAndSwap(false, true) {
 		return
 	}
-	r.putAt = clock.Now()
+	r.memoriesSavedAt = clock.Now()
 	data, err := r.memoriesNow()
 	if err != nil {
-		r.putting.Store(false)
+		r.savingMemories.Store(false)
 		return
 	}
 	go func() {
-		defer r.putting.Store(false)
+		defer r.savingMemories.Store(false)
 		r.writeMemories(data)
 	}()
 }
@@ -66,17 +66,17 @@
 	if err == nil {
 		err = os.Rename(path+".tmp", path)
 	}
-	if err != nil && !r.putFailed.Swap(true) {
+	if err != nil && !r.saveFailed.Swap(true) {
 		r.log.Warn("what is known of partners is not put down", "err", err)
 	}
 }
 
 // putDownLast is the last one, at a planned end, when the loop is over.
 func (r *Relay) putDownLast() {
-	if r.cfg.MemoriesEvery <= 0 || r.heir != nil {
+	if r.cfg.MemoriesEvery <= 0 || r.successor != nil {
 		return
 	}
-	for !r.putting.CompareAndSwap(false, true) {
+	for !r.savingMemories.CompareAndSwap(false, true) {
 		time.Sleep(time.Millisecond)
 	}
 	if data, err := r.memoriesNow(); err == nil {
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -35,7 +35,7 @@
 	"repeat_window_ms":10000.0,"value":1.0,"by_arrival":true}],
 	"stats":{"fields":[],"how":"none"},"tick_ms":5.0,"weight_kind":"nominal","zones":["a","b"],"zone":0,"novel":[[1,2],null]}`
 
-const configure = "bounds.cancel=true bounds.connect_timeout_ms=1500.0 bounds.max_retry_after_ms=3000.0 bounds.open_cap=438 " +
+const wireConfigure = "bounds.cancel=true bounds.connect_timeout_ms=1500.0 bounds.max_retry_after_ms=3000.0 bounds.open_cap=438 " +
 	"bounds.retry_after=true bounds.send_cap=8 extra.call_slots=38 extra.carriage=0.0,0.03 extra.per_call=10,1,1 " +
 	"extra.separate_routes=false,true,false fleet_size=2 kinds=platform,gateway,store membership_mode=push realms.count=2 " +
 	"realms.0.name=acme realms.0.quota_per_s=52.5 realms.0.share=0.66 realms.1.name=bolt realms.1.quota_per_s=15.0 " +
@@ -45,13 +45,13 @@
 	"services.0.by_arrival=true weight_kind=nominal"
 
 // The relay's configuration and the simulator's wire give the module the same settings.
-func TestConfigMapsAsTheWireDoes(t *testing.T) {
+func TestConfigMatchesWireSettings(t *testing.T) {
 	c, err := parseConfig([]byte(`{"name":"n3","listen":"127.0.0.1:0","seed":"8c1f30d27a5be964","settings":` + settingsJSON + `}`))
 	if err != nil {
 		t.Fatal(err)
 	}
 	var b wire.Batch
-	in := "MARK 1.0 1\nCONFIGURE 0 7 " + configure + "\nGO\n"
+	in := "MARK 1.0 1\nCONFIGURE 0 7 " + wireConfigure + "\nGO\n"
 	if err := wire.NewReader(strings.NewReader(in)).Next(&b); err != nil {
 		t.Fatal(err)
 	}
@@ -64,7 +64,7 @@
 	}
 }
 
-func quiet() *slog.Logger { return slog.New(slog.DiscardHandler) }
+func discardLogger() *slog.Logger { return slog.New(slog.DiscardHandler) }
 
 // newTestRelay is a relay whose loop is not running: the test takes its part.
 func newTestRelay(t *testing.T) *Relay {
@@ -86,21 +86,21 @@
 	for _, f := range change {
 		f(&c)
 	}
-	r, err := New(t.Context(), c, quiet())
+	r, err := New(t.Context(), c, discardLogger())
 	if err != nil {
 		t.Fatal(err)
 	}
 	r.guard.OnViolation(func(text string) { t.Error(text) })
 	t.Cleanup(func() { r.hosts.close() })
 	ctx, cancel := context.WithCancel(context.Background())
-	t.Cleanup(func() { cancel(); r.calls.Wait() })
+	t.Cleanup(func() { cancel(); r.callWG.Wait() })
 	r.callCtx = ctx
-	r.resume()
+	r.restore()
 	return r
 }
 
-// door lets clients in.
-func door(t *testing.T, r *Relay) (addr string) {
+// serveTestClients lets clients in.
+func serveTestClients(t *testing.T, r *Relay) (addr string) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -111,8 +111,8 @@
 	return l.Addr().String()
 }
 
-// handInText is a hand-in as it stands on the wire; edit may spoil it.
-func handInText(id string, edit ...string) string {
+// requestText is a hand-in as it stands on the wire; edit may spoil it.
+func requestText(id string, edit ...string) string {
 	text := "POST /order HTTP/1.1\r\nHost: x\r\nX-Trace-Id: " + id + "\r\nX-Qos: order\r\nX-Customer: bolt\r\n" +
 		"Idempotency-Key: k\r\nEnvelope: dest=7\r\nX-Expires-In-Ms: 5000\r\nContent-Length: 4\r\n\r\nbody"
 	return strings.NewReplacer(edit...).Replace(text)
@@ -133,8 +133,8 @@
 	return c
 }
 
-// read reads an answer.
-func read(t *testing.T, r *bufio.Reader) *http.Response {
+// readResponse reads an answer.
+func readResponse(t *testing.T, r *bufio.Reader) *http.Response {
 	t.Helper()
 	res, err := http.ReadResponse(r, nil)
 	if err != nil {
@@ -146,27 +146,27 @@
 	return res
 }
 
-// post hands a message in and has the loop decide on it.
-func post(t *testing.T, r *Relay, addr, id string) *http.Response {
+// postMessage hands a message in and has the loop decide on it.
+func postMessage(t *testing.T, r *Relay, addr, id string) *http.Response {
 	t.Helper()
-	c := dial(t, addr, handInText(id))
+	c := dial(t, addr, requestText(id))
 	for {
-		if _, ok := r.next().(*handIn); ok {
+		if _, ok := r.stepNext().(*submission); ok {
 			break
 		}
 	}
-	return read(t, bufio.NewReader(c))
+	return readResponse(t, bufio.NewReader(c))
 }
 
-// next takes the loop's next event and decides on it.
-func (r *Relay) next() any {
+// stepNext takes the loop's stepNext event and decides on it.
+func (r *Relay) stepNext() any {
 	e := <-r.events
 	r.step([]any{e})
 	return e
 }
 
-// settle has the loop decide until ok holds.
-func settle(t *testing.T, r *Relay, what string, ok func() bool) {
+// stepUntil has the loop decide until ok holds.
+func stepUntil(t *testing.T, r *Relay, what string, ok func() bool) {
 	t.Helper()
 	eventually(t, what, func() bool {
 		select {
@@ -179,14 +179,14 @@
 	})
 }
 
-// noticed waits until the only client's connection is seen to be closed.
-func noticed(t *testing.T, r *Relay) {
+// awaitDisconnect waits until the only client's connection is seen to be closed.
+func awaitDisconnect(t *testing.T, r *Relay) {
 	t.Helper()
 	eventually(t, "the client is seen to leave", func() bool {
 		r.clients.mu.Lock()
 		defer r.clients.mu.Unlock()
 		for c := range r.clients.conns {
-			if c.phase == busy && len(c.watched) == 1 {
+			if c.phase == phaseBusy && len(c.watchResult) == 1 {
 				return true
 			}
 		}
@@ -195,27 +195,27 @@
 }
 
 // A client that gave up waiting hands the message in anew, under another id: the first must not be sent again.
-func TestAClientThatLeftWithoutAnAnswerTakesItsMessageAlong(t *testing.T) {
+func TestDisconnectBeforeAnswerWithdrawsMessage(t *testing.T) {
 	r := newTestRelay(t)
-	c := dial(t, door(t, r), handInText("m1"))
+	c := dial(t, serveTestClients(t, r), requestText("m1"))
 	e := <-r.events
 	c.Close()
-	noticed(t, r)
+	awaitDisconnect(t, r)
 	r.step([]any{e})
 	for {
-		if _, ok := r.next().(withdrawal); ok {
+		if _, ok := r.stepNext().(withdrawal); ok {
 			break
 		}
 	}
-	settle(t, r, "forgotten", func() bool { return len(r.msgs) == 0 && r.held == 0 }) // its call may still be out
+	stepUntil(t, r, "forgotten", func() bool { return len(r.msgs) == 0 && r.held == 0 }) // its call may still be out
 }
 
 // A message that comes once more because its connection closed crosswise is the same message.
-func TestAMessageHandedInTwiceUnderOneIDIsTakenOnce(t *testing.T) {
+func TestRepeatedSubmissionIsAcceptedOnce(t *testing.T) {
 	r := newTestRelay(t)
-	addr := door(t, r)
+	addr := serveTestClients(t, r)
 	for range 2 {
-		if res := post(t, r, addr, "m1"); res.StatusCode != http.StatusAccepted {
+		if res := postMessage(t, r, addr, "m1"); res.StatusCode != http.StatusAccepted {
 			t.Errorf("status %d", res.StatusCode)
 		}
 	}
@@ -225,35 +225,35 @@
 }
 
 // With the log's folder gone, as with a full disk, new work is refused and nothing is sent unrecorded.
-func TestAFullDiskRefusesNewWork(t *testing.T) {
+func TestFailedLogRefusesNewMessages(t *testing.T) {
 	r := newTestRelay(t)
 	if err := r.wal.Close(); err != nil { // every write fails from here on
 		t.Fatal(err)
 	}
-	res := post(t, r, door(t, r), "m1")
+	res := postMessage(t, r, serveTestClients(t, r), "m1")
 	if res.StatusCode != http.StatusServiceUnavailable || res.Header.Get("Retry-After") == "" {
 		t.Errorf("status %d, advice %q", res.StatusCode, res.Header.Get("Retry-After"))
 	}
-	if len(r.msgs) != 0 || r.held != 0 || r.out != 0 {
-		t.Errorf("%d held, %d out", r.held, r.out)
+	if len(r.msgs) != 0 || r.held != 0 || r.callsOut != 0 {
+		t.Errorf("%d held, %d out", r.held, r.callsOut)
 	}
 }
 
-func TestUnreadableEntriesSpoilNoOther(t *testing.T) {
+func TestUnreadableListEntryIsSkipped(t *testing.T) {
 	r := newTestRelay(t)
 	l, err := parseList([]byte(`{"version":2,"full":true,"servers":[7,{"id":"s-1","state":"asleep"},{"id":"s-8","zone":"x"},
 		{"id":"s-2","addr":"127.0.0.1:2","zone":"b","kind":"store","cell":3,"state":"ready","weight":5}]}`))
 	if err != nil {
 		t.Fatal(err)
 	}
-	e := r.list(l)
+	e := r.applyList(l)
 	if len(r.routes) != 2 || r.routes["s-1"].addr != "127.0.0.1:1" || r.routes["s-2"].Zone != 1 || len(e.List) != 2 {
 		t.Errorf("routes %+v", r.routes)
 	}
 }
 
 // A watch that is cut off says nothing: silence alone tells, and the next resumes where it ended.
-func TestASilentWatchIsBegunAnew(t *testing.T) {
+func TestSilentWatchIsRestarted(t *testing.T) {
 	indexes := make(chan string, 10)
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
 		indexes <- req.URL.Query().Get("index")
@@ -266,7 +266,7 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
 	w := watcher{
-		log: quiet(), agent: newAgent(addrOf(s)), silence: 50 * time.Millisecond, version: 4,
+		log: discardLogger(), agent: newAgent(addrOf(s)), silence: 50 * time.Millisecond, version: 4,
 		told: func(l List) { told <- l }, sleep: sleep, now: time.Now,
 	}
 	go w.run(ctx)
@@ -283,7 +283,7 @@
 }
 
 // Calls that are turned away are work, too: a fleet spreads its calls, and comes again less and less often.
-func TestAFleetDoesNotCallAsOne(t *testing.T) {
+func TestFleetSpreadsDiscoveryCalls(t *testing.T) {
 	for _, c := range []struct {
 		fleet int
 		held  bool
@@ -304,7 +304,7 @@
 		var pauses []time.Duration
 		start := time.Now()
 		w := watcher{
-			log: quiet(), agent: newAgent(addrOf(s)), silence: patience, fleet: c.fleet, held: c.held,
+			log: discardLogger(), agent: newAgent(addrOf(s)), silence: patience, fleet: c.fleet, held: c.held,
 			random: func() float64 { return 0.5 }, now: func() time.Time { return start },
 			sleep: func(_ context.Context, d time.Duration) {
 				if pauses = append(pauses, d); calls.Load() == 8 {
@@ -323,8 +323,8 @@
 
 // Whatever became of a call, what discovery has had since counts as told 6 s later, 4 s after a move. A watch that was silent from the
 // start, or ended at once, once spread its next call over 6 s more, and one that was turned away over 18.
-func TestNoPauseReachesBeyondWhenNewsCountsAsTold(t *testing.T) {
-	hang := func(w http.ResponseWriter, req *http.Request) {
+func TestWatchPauseStaysWithinNewsDeadline(t *testing.T) {
+	hangAfterFlush := func(w http.ResponseWriter, req *http.Request) {
 		w.(http.Flusher).Flush()
 		<-req.Context().Done()
 	}
@@ -339,8 +339,8 @@
 		"turned away":            {func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(503) }, 0, false, 5500 * time.Millisecond},
 		"ended at once":          {func(http.ResponseWriter, *http.Request) {}, 0, false, 5500 * time.Millisecond},
 		"hanging":                {func(_ http.ResponseWriter, req *http.Request) { <-req.Context().Done() }, watchSilence, false, time.Second},
-		"silent from the start":  {hang, watchSilence, false, time.Second},
-		"silent after its start": {func(w http.ResponseWriter, req *http.Request) { fmt.Fprint(w, "\n"); hang(w, req) }, watchSilence, false, time.Second},
+		"silent from the start":  {hangAfterFlush, watchSilence, false, time.Second},
+		"silent after its start": {func(w http.ResponseWriter, req *http.Request) { fmt.Fprint(w, "\n"); hangAfterFlush(w, req) }, watchSilence, false, time.Second},
 	} {
 		t.Run(name, func(t *testing.T) {
 			addr := "127.0.0.1:1"
@@ -353,7 +353,7 @@
 			defer cancel()
 			clock, pauses := time.Now(), 0
 			w := watcher{
-				log: quiet(), agent: newAgent(addr), silence: 20 * time.Millisecond, fleet: 300, moved: c.moved,
+				log: discardLogger(), agent: newAgent(addr), silence: 20 * time.Millisecond, fleet: 300, moved: c.moved,
 				random: func() float64 { return 1 },
 				now:    func() time.Time { return clock },
 			}
@@ -367,25 +367,25 @@
 				clock = clock.Add(d)
 			}
 			// A call takes its time between its last sign of life and the pause.
-			w.log = slog.New(ends{slog.DiscardHandler, func() { clock = clock.Add(c.took) }})
+			w.log = slog.New(lineHook{slog.DiscardHandler, func() { clock = clock.Add(c.took) }})
 			w.run(ctx)
 		})
 	}
 }
 
-// ends is a log handler that is told of each line.
-type ends struct {
+// lineHook is a log handler that is told of each line.
+type lineHook struct {
 	slog.Handler
 	line func()
 }
 
-func (h ends) Enabled(context.Context, slog.Level) bool { return true }
+func (h lineHook) Enabled(context.Context, slog.Level) bool { return true }
 
-func (h ends) Handle(context.Context, slog.Record) error { h.line(); return nil }
+func (h lineHook) Handle(context.Context, slog.Record) error { h.line(); return nil }
 
 // Relays of a fleet of 300 once went without a list for up to 45 s after their start, or after a watch that had been
 // served, and sent to what drained meanwhile.
-func TestAServedWatchIsBegunAnewSoon(t *testing.T) {
+func TestServedWatchIsRestartedSoon(t *testing.T) {
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		fmt.Fprint(w, "\n\n") // and its end
 	}))
@@ -394,7 +394,7 @@
 	defer cancel()
 	var pauses []time.Duration
 	w := watcher{
-		log: quiet(), agent: newAgent(addrOf(s)), silence: patience, fleet: 300, held: true,
+		log: discardLogger(), agent: newAgent(addrOf(s)), silence: patience, fleet: 300, held: true,
 		random: func() float64 { return 1 }, now: time.Now,
 		sleep: func(_ context.Context, d time.Duration) {
 			if pauses = append(pauses, d); len(pauses) == 3 {
@@ -409,7 +409,7 @@
 }
 
 // A move of the agent ends a pause: the new one may have news.
-func TestAMoveEndsAPause(t *testing.T) {
+func TestAgentMoveEndsPause(t *testing.T) {
 	away := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		w.WriteHeader(http.StatusServiceUnavailable)
 	}))
@@ -422,7 +422,7 @@
 	told, ended := make(chan List, 100), make(chan struct{})
 	agent := newAgent(addrOf(away))
 	w := watcher{
-		log: quiet(), agent: agent, silence: patience, version: 4, told: func(l List) { told <- l; cancel() },
+		log: discardLogger(), agent: agent, silence: patience, version: 4, told: func(l List) { told <- l; cancel() },
 		random: func() float64 { return 0.5 }, now: time.Now,
 		sleep: func(here context.Context, _ time.Duration) {
 			agent.move(addrOf(s))
@@ -438,7 +438,7 @@
 
 // A line that cannot be read would come again and again if it were asked for by its version: the whole list makes up
 // for it, and changes that it holds already are not undone by older lines.
-func TestAnUnreadableLineIsMadeUpForByTheWholeList(t *testing.T) {
+func TestUnreadableWatchLineFetchesWholeList(t *testing.T) {
 	var watches atomic.Int32
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
 		if req.URL.Query().Get("stream") == "" {
@@ -457,7 +457,7 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	ended := make(chan struct{})
 	defer func() { cancel(); <-ended }()
-	w := watcher{log: quiet(), agent: newAgent(addrOf(s)), silence: patience, version: 4, told: func(l List) { told <- l }, sleep: sleep, now: time.Now}
+	w := watcher{log: discardLogger(), agent: newAgent(addrOf(s)), silence: patience, version: 4, told: func(l List) { told <- l }, sleep: sleep, now: time.Now}
 	go func() { w.run(ctx); close(ended) }()
 	for _, want := range []int64{7, 8} {
 		select {
@@ -474,7 +474,7 @@
 	}
 }
 
-func TestNoticesAreRepeatedUntilTaken(t *testing.T) {
+func TestNoticesAreRepeatedUntilAccepted(t *testing.T) {
 	var mu sync.Mutex
 	var posts, lines int
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
@@ -496,7 +496,7 @@
 	}))
 	defer s.Close()
 	taken := make(chan []uint32, 10)
-	f := newFinals(quiet(), newAgent(addrOf(s)), func(ids []uint32) { taken <- ids })
+	f := newFinals(discardLogger(), newAgent(addrOf(s)), func(ids []uint32) { taken <- ids })
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
 	f.add(notice{id: 1, ID: "a", Status: "undeliverable"}, notice{id: 2, ID: "b", Status: "deferred", AgainMS: 500})
@@ -513,7 +513,7 @@
 
 // One request that falls silent once held back all notices behind it for a second, when 300 ms after its message's time each is
 // late.
-func TestASilentRequestHoldsNoNoticesBack(t *testing.T) {
+func TestHangingNoticeRequestIsRetriedSoon(t *testing.T) {
 	silent := make(chan struct{})
 	var posts atomic.Int32
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
@@ -526,7 +526,7 @@
 	defer s.Close()
 	defer close(silent)
 	taken := make(chan []uint32, 1)
-	f := newFinals(quiet(), newAgent(addrOf(s)), func(ids []uint32) { taken <- ids })
+	f := newFinals(discardLogger(), newAgent(addrOf(s)), func(ids []uint32) { taken <- ids })
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
 	f.add(notice{id: 1, ID: "a", Status: "undeliverable"})
@@ -543,7 +543,7 @@
 }
 
 // Together the messages of a bundle may be larger than any body may.
-func TestABundleIsNoLargerThanABodyMayBe(t *testing.T) {
+func TestBundleStaysWithinBodyLimit(t *testing.T) {
 	r := newTestRelay(t)
 	r.routes["s-1"] = target{Listing: policy.Listing{Route: "s-1", Kind: 0, InService: true}, addr: "127.0.0.1:1"}
 	var calls []*call
@@ -554,7 +554,7 @@
 	sent := 0
 	for _, c := range calls {
 		sent += len(c.attempts)
-		if body := bundle(c); len(c.attempts) > 1 && (len(body) > bodyMost || len(body) > c.size) {
+		if body := bundle(c); len(c.attempts) > 1 && (len(body) > maxBodyBytes || len(body) > c.size) {
 			t.Errorf("%d messages in %d bytes, %d counted", len(c.attempts), len(body), c.size)
 		}
 	}
@@ -564,7 +564,7 @@
 }
 
 // Which messages share a call is decided: after a failure each has its own, though all leave in one step.
-func TestMessagesShareACallAsDecided(t *testing.T) {
+func TestMessagesShareCallsAsDecided(t *testing.T) {
 	r := newTestRelay(t)
 	r.routes["s-1"] = target{Listing: policy.Listing{Route: "s-1", Kind: 0, InService: true}, addr: "127.0.0.1:1"}
 	var calls []*call
@@ -578,11 +578,11 @@
 }
 
 // A damaged log may lack sends: what it holds is ended, not repeated.
-func TestADamagedLogRepeatsNothing(t *testing.T) {
+func TestDamagedLogRepeatsNoSends(t *testing.T) {
 	r := newTestRelay(t)
-	addr := door(t, r)
+	addr := serveTestClients(t, r)
 	for _, id := range []string{"m1", "m2", "m3"} {
-		post(t, r, addr, id)
+		postMessage(t, r, addr, id)
 	}
 	path := filepath.Join(r.cfg.StateDir, "wal.log")
 	data, err := os.ReadFile(path)
@@ -595,14 +595,14 @@
 	if err := os.WriteFile(filepath.Join(cfg.StateDir, "wal.log"), data, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	again, err := New(t.Context(), cfg, quiet())
+	again, err := New(t.Context(), cfg, discardLogger())
 	if err != nil {
 		t.Fatal(err)
 	}
 	again.callCtx = t.Context()
-	again.resume()
-	if again.out != 0 || again.held != 0 || len(again.finals.queue) != 2 || again.finals.queue[0].Status != "undeliverable" {
-		t.Errorf("%d calls out, %d held, notices %+v", again.out, again.held, again.finals.queue)
+	again.restore()
+	if again.callsOut != 0 || again.held != 0 || len(again.finals.queue) != 2 || again.finals.queue[0].Status != "undeliverable" {
+		t.Errorf("%d calls out, %d held, notices %+v", again.callsOut, again.held, again.finals.queue)
 	}
 }
 
--- a/internal/relay/resubmission.go
+++ b/internal/relay/resubmission.go
@@ -25,17 +25,17 @@
 	resubmittedDelivered
 	resubmittedRefused
 	resubmittedFailed
-	resubmissionWays
+	resubmissionCount
 )
 
-var resubmissionNames = [resubmissionWays]string{"pending", "delivered", "refused", "failed"}
+var resubmissionNames = [resubmissionCount]string{"pending", "delivered", "refused", "failed"}
 
 // resubmissions counts ids that came again. The loop counts, the second address reads.
 type resubmissions struct {
-	counts     [resubmissionWays]atomic.Int64
+	counts     [resubmissionCount]atomic.Int64
 	remembered atomic.Int64 // ends in the log
 	evicted    atomic.Int64 // ends that it has forgotten before their time
-	inform     rate.Sometimes
+	logLimit   rate.Sometimes
 }
 
 // String is the counters in the form of the second address.
@@ -59,53 +59,53 @@
 	return finalAnswer(wal.Final{}), resubmittedFailed
 }
 
-// ended is the answer to a hand-in under the id of a message that has ended; false if none is remembered.
-func (r *Relay) ended(m *wal.Message) (answer, bool) {
+// completedAnswer is the answer to a hand-in under the id of a message that has completedAnswer; false if none is remembered.
+func (r *Relay) completedAnswer(m *wal.Message) (answer, bool) {
 	if how, ok := r.wal.Completed(m.Trace); ok {
 		a, way := completionAnswer(how)
-		r.resubmittedAs(m, way, a)
+		r.noteResubmission(m, way, a)
 		return a, true
 	}
 	return answer{}, false
 }
 
-// resubmittedAs notes that an id came again, and what it was answered.
-func (r *Relay) resubmittedAs(m *wal.Message, way resubmission, a answer) {
+// noteResubmission notes that an id came again, and what it was answered.
+func (r *Relay) noteResubmission(m *wal.Message, way resubmission, a answer) {
 	r.resubmitted.counts[way].Add(1)
-	r.changed(&message{Message: m}, stateNew, stateGone, reasonResubmitted, slog.String("ended_as", resubmissionNames[way]),
+	r.logTransition(&message{Message: m}, stateNew, stateGone, reasonResubmitted, slog.String("ended_as", resubmissionNames[way]),
 		slog.Int("status", a.status))
 	if way != resubmittedPending {
-		r.resubmitted.inform.Do(func() {
+		r.resubmitted.logLimit.Do(func() {
 			r.log.Info("the id of a request that has ended came again", "trace", m.Trace, "ended_as", resubmissionNames[way], "status", a.status)
 		})
 	}
 }
 
-// turnAway remembers that a request is not taken on. It is answered at the end of the step, once the log has been told.
-func (r *Relay) turnAway(in *handIn, a answer, why reason) {
+// reject remembers that a request is not taken on. It is answered at the end of the step, once the log has been told.
+func (r *Relay) reject(in *submission, a answer, why stateReason) {
 	how := wal.Failed
 	if a.status == http.StatusServiceUnavailable {
 		how = wal.Refused
 	}
 	if a.status >= http.StatusInternalServerError {
-		r.figures.turned(in.m.Class, a)
+		r.metrics.countRejected(in.m.Class, a)
 	}
-	r.changed(&message{Message: in.m}, stateNew, stateGone, why, slog.Int("status", a.status))
+	r.logTransition(&message{Message: in.m}, stateNew, stateGone, why, slog.Int("status", a.status))
 	r.wal.TurnAway(in.m.Trace, in.m.Deadline, how)
-	r.turnedAway = append(r.turnedAway, turnedAway{in, a})
+	r.rejected = append(r.rejected, rejection{in, a})
 }
 
-// turnedAway is a request that is not taken on, with its answer.
-type turnedAway struct {
-	in     *handIn
+// rejection is a request that is not taken on, with its answer.
+type rejection struct {
+	in     *submission
 	answer answer
 }
 
-// answerTurnedAway answers the requests that were not taken on in this step. Nothing of them was, so that an answer waits for no
+// answerRejected answers the requests that were not taken on in this step. Nothing of them was, so that an answer waits for no
 // disk that fails.
-func (r *Relay) answerTurnedAway() {
-	for _, t := range r.turnedAway {
+func (r *Relay) answerRejected() {
+	for _, t := range r.rejected {
 		t.in.reply <- t.answer
 	}
-	r.turnedAway = r.turnedAway[:0]
+	r.rejected = r.rejected[:0]
 }
--- a/internal/relay/resubmission_test.go
+++ b/internal/relay/resubmission_test.go
@@ -18,71 +18,71 @@
 // sentMessage takes a message on, and has the log know of an attempt of it.
 func sentMessage(t *testing.T, r *Relay, id string) *message {
 	t.Helper()
-	r.cells[unlistedDest] = true
-	in := newHandIn(id, unlistedDest, 5*time.Second)
-	decide(r, in)
+	r.knownDests[unlistedDest] = true
+	in := newSubmission(id, unlistedDest, 5*time.Second)
+	stepSubmissions(r, in)
 	m := r.msgs[in.m.ID]
 	if err := r.wal.Sent(wal.Send{Message: m.Message, Attempt: wal.Attempt{Host: "s-8", At: time.Now()}}); err != nil {
 		t.Fatal(err)
 	}
-	m.out++
+	m.outstanding++
 	return m
 }
 
-func TestAWithdrawnMessageThatWasDeliveredIsNotTakenOnAgain(t *testing.T) {
+func TestDeliveredWithdrawnMessageIsNotAcceptedAgain(t *testing.T) {
 	for _, restart := range []bool{false, true} {
 		r := newTestRelay(t)
 		m := sentMessage(t, r, "m1")
 		r.step([]any{withdrawal{m.ID}})
 		c := &call{route: "s-8", attempts: []*attempt{{m: m}}}
 		c.attempts[0].call = c
-		r.out++
-		r.step([]any{&callEnd{c, []result{{outcome: policy.OK}}}})
+		r.callsOut++
+		r.step([]any{&callFinished{c, []result{{outcome: policy.OK}}}})
 		if restart {
-			r = restarted(t, r)
-			r.cells[unlistedDest] = true
+			r = restartRelay(t, r)
+			r.knownDests[unlistedDest] = true
 		}
-		a := decide(r, newHandIn("m1", unlistedDest, 5*time.Second))[0]
+		a := stepSubmissions(r, newSubmission("m1", unlistedDest, 5*time.Second))[0]
 		if a.status != http.StatusAccepted || len(r.msgs) != 0 || r.held != 0 {
 			t.Errorf("restart %v: answered %+v, %d held", restart, a, r.held)
 		}
 	}
 }
 
-func TestAWithdrawnMessageWhoseIDWasDeniedIsNotTakenOnAgain(t *testing.T) {
+func TestDeniedWithdrawnMessageIsNotAcceptedAgain(t *testing.T) {
 	r := newTestRelay(t)
 	r.cfg.MayDuplicate = false
 	m := sentMessage(t, r, "m1")
 	r.step([]any{withdrawal{m.ID}})
 	for range 2 {
-		if a := decide(r, newHandIn("m1", unlistedDest, 5*time.Second))[0]; a.status != http.StatusInternalServerError {
+		if a := stepSubmissions(r, newSubmission("m1", unlistedDest, 5*time.Second))[0]; a.status != http.StatusInternalServerError {
 			t.Errorf("answered %+v", a)
 		}
-		m.out = 0 // its call has ended
+		m.outstanding = 0 // its call has ended
 	}
 	if r.held != 0 {
 		t.Errorf("%d held", r.held)
 	}
 }
 
-func TestARequestThatWasTurnedAwayIsNotTakenOnAgain(t *testing.T) {
+func TestRejectedRequestIsNotAcceptedAgain(t *testing.T) {
 	for _, restart := range []bool{false, true} {
 		r := newTestRelay(t)
-		r.cells[unlistedDest] = true
-		most := r.cfg.Settings.MaxHeld
+		r.knownDests[unlistedDest] = true
+		limit := r.cfg.Settings.MaxHeld
 		r.cfg.Settings.MaxHeld = 1
-		decide(r, newHandIn("held", unlistedDest, 5*time.Second))
+		stepSubmissions(r, newSubmission("held", unlistedDest, 5*time.Second))
 		check := func() {
 			t.Helper()
-			if a := decide(r, newHandIn("m1", unlistedDest, 5*time.Second))[0]; a.status != http.StatusServiceUnavailable || a.again <= 0 {
+			if a := stepSubmissions(r, newSubmission("m1", unlistedDest, 5*time.Second))[0]; a.status != http.StatusServiceUnavailable || a.retryAfter <= 0 {
 				t.Errorf("restart %v: answered %+v", restart, a)
 			}
 		}
 		check()
-		r.cfg.Settings.MaxHeld = most // there is room now
+		r.cfg.Settings.MaxHeld = limit // there is room now
 		if restart {
-			r = restarted(t, r)
-			r.cells[unlistedDest] = true
+			r = restartRelay(t, r)
+			r.knownDests[unlistedDest] = true
 		}
 		check()
 		if r.held != 1 {
@@ -91,11 +91,11 @@
 	}
 }
 
-func TestAMessageThatEndedInTheBacklogIsNotTakenOnAgain(t *testing.T) {
+func TestMessageExpiredInBacklogIsNotAcceptedAgain(t *testing.T) {
 	b := newBacklogged(t, &shelf{all: map[uint32]owed.Entry{}}, crashdisk.New(), 64)
 	b.hand(100, 0, 7, time.Hour)
 	b.settle()
-	in := newHandIn("late", 7, 300*time.Millisecond)
+	in := newSubmission("late", 7, 300*time.Millisecond)
 	b.step([]any{in})
 	b.settle()
 	if _, ok, _ := b.s.Find("late"); !ok {
@@ -109,14 +109,14 @@
 			j.run(b.s)
 			b.step([]any{j})
 		}
-		return b.owed.ending[in.m.ID].ID != 0
+		return b.backlog.ending[in.m.ID].ID != 0
 	})
-	b.step([]any{confirmed{[]uint32{in.m.ID}}})
+	b.step([]any{noticesConfirmed{[]uint32{in.m.ID}}})
 	b.settle()
 	if _, ok, _ := b.s.Find("late"); ok {
 		t.Fatal("still on disk")
 	}
-	again := newHandIn("late", 7, time.Hour)
+	again := newSubmission("late", 7, time.Hour)
 	b.step([]any{again})
 	if a, ok := answered(again); !ok || a.status < 500 {
 		t.Errorf("answered %+v, %v", a, ok)
@@ -126,22 +126,22 @@
 	}
 }
 
-func TestIDsThatComeAgainAreCounted(t *testing.T) {
+func TestResubmittedIDsAreCounted(t *testing.T) {
 	r := newTestRelay(t)
-	r.cells[unlistedDest] = true
-	decide(r, newHandIn("pending", unlistedDest, 5*time.Second))
-	decide(r, newHandIn("refused", unlistedDest, -time.Second))
+	r.knownDests[unlistedDest] = true
+	stepSubmissions(r, newSubmission("pending", unlistedDest, 5*time.Second))
+	stepSubmissions(r, newSubmission("refused", unlistedDest, -time.Second))
 	r.wal.Remember("delivered", time.Now(), wal.Delivered)
 	r.wal.Remember("failed", time.Now(), wal.Failed)
 	for _, id := range []string{"pending", "refused", "delivered", "failed"} {
-		decide(r, newHandIn(id, unlistedDest, 5*time.Second))
+		stepSubmissions(r, newSubmission(id, unlistedDest, 5*time.Second))
 		if text := r.resubmitted.String(); !strings.Contains(text, "relay.resubmitted."+id+":1|c") {
 			t.Errorf("after %s: %s", id, text)
 		}
 	}
 }
 
-func TestASendUnderTheIDOfAnEndedMessageIsAViolation(t *testing.T) {
+func TestSendUnderEndedIDIsViolation(t *testing.T) {
 	r := newTestRelay(t)
 	m := sentMessage(t, r, "m1")
 	var violations []string
--- a/internal/relay/revoked_test.go
+++ b/internal/relay/revoked_test.go
@@ -17,7 +17,7 @@
 	"onyxroad.dev/onyxroad/policy"
 )
 
-func TestACallWhoseMessageEndedDoesNotLeaveOnAKeptConnection(t *testing.T) {
+func TestRevokedCallIsNotSentOnIdleConnection(t *testing.T) {
 	addr, requests := rawHost(t, func(_ int, conn net.Conn, _ *http.Request) bool {
 		fmt.Fprint(conn, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
 		return true
@@ -41,8 +41,8 @@
 	}
 }
 
-// connecting is a relay with one endpoint that takes several messages in a call, whose connections come up when told.
-func connecting(t *testing.T) (r *Relay, up chan struct{}, sent func(id string) bool) {
+// newConnectingRelay is a relay with one endpoint that takes several messages in a call, whose connections come up when told.
+func newConnectingRelay(t *testing.T) (r *Relay, up chan struct{}, sent func(id string) bool) {
 	var mu sync.Mutex
 	bodies := ""
 	s := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, req *http.Request) {
@@ -77,34 +77,34 @@
 	}
 }
 
-func TestAMessageThatEndsWhileItsConnectionComesUpDoesNotLeaveWithTheRest(t *testing.T) {
+func TestMessageEndedDuringConnectIsNotSent(t *testing.T) {
 	for name, end := range map[string]func(r *Relay, a *attempt){
 		"refused":     func(r *Relay, a *attempt) { r.carryOut([]policy.Action{{Kind: policy.Refuse, ID: a.m.ID}}, nil) },
 		"client left": func(r *Relay, a *attempt) { r.step([]any{withdrawal{a.m.ID}}) },
-		"cut off":     func(r *Relay, a *attempt) { r.step([]any{cutOff{a}}) },
+		"cut off":     func(r *Relay, a *attempt) { r.step([]any{attemptTimeout{a}}) },
 	} {
 		t.Run(name, func(t *testing.T) {
-			r, up, sent := connecting(t)
-			decide(r, newHandIn("first", 7, 5*time.Second), newHandIn("second", 7, 5*time.Second))
+			r, up, sent := newConnectingRelay(t)
+			stepSubmissions(r, newSubmission("first", 7, 5*time.Second), newSubmission("second", 7, 5*time.Second))
 			var c *call
-			for c = range r.flying {
+			for c = range r.inFlight {
 			}
 			if c == nil || len(c.attempts) != 2 {
-				t.Fatalf("%d calls, %d held, call %+v", len(r.flying), r.held, c)
+				t.Fatalf("%d calls, %d held, call %+v", len(r.inFlight), r.held, c)
 			}
 			a := c.attempts[0]
 			end(r, a)
-			if name != "cut off" && a.m.out != 1 {
-				t.Errorf("%d attempts out", a.m.out)
+			if name != "cut off" && a.m.outstanding != 1 {
+				t.Errorf("%d attempts out", a.m.outstanding)
 			}
 			if c.progress.Load() != callRevoked {
 				t.Error("its call may still leave")
 			}
 			close(up)
 			for ended := false; !ended; {
-				_, ended = r.next().(*callEnd)
+				_, ended = r.stepNext().(*callFinished)
 			}
-			settle(t, r, "what was cut off is sent anew", func() bool { return r.out == 0 })
+			stepUntil(t, r, "what was cut off is sent anew", func() bool { return r.callsOut == 0 })
 			if id := a.m.Trace; name != "cut off" && sent(id) {
 				t.Errorf("%s was sent after its end", id)
 			}
--- a/internal/relay/step.go
+++ b/internal/relay/step.go
@@ -18,37 +18,37 @@
 	if !r.wakeAt.IsZero() && !clock.Now().Before(r.wakeAt) {
 		r.wakeAt = time.Time{}
 	}
-	evs := append([]policy.Event(nil), r.later...)
-	r.later = r.later[:0]
-	if r.heir != nil {
+	evs := append([]policy.Event(nil), r.nextEvents...)
+	r.nextEvents = r.nextEvents[:0]
+	if r.successor != nil {
 		r.passOn(batch)
 		return
 	}
-	var asked []clearance
-	var heirs []takeover
-	var ins []*handIn
+	var checks []sendCheck
+	var takeovers []takeover
+	var submissions []*submission
 	for _, e := range batch {
 		switch e := e.(type) {
-		case *handIn:
-			ins = append(ins, e)
+		case *submission:
+			submissions = append(submissions, e)
 		case withdrawal:
 			evs = r.withdraw(evs, e.id)
-		case *callEnd:
-			evs = r.callEnded(evs, e)
-		case cutOff:
-			evs = r.attemptEnded(evs, e.a, e.a.cutOff())
+		case *callFinished:
+			evs = r.finishCall(evs, e)
+		case attemptTimeout:
+			evs = r.finishAttempt(evs, e.a, e.a.timeoutResult())
 		case List:
-			evs = append(evs, r.list(e))
-		case clearance:
-			asked = append(asked, e)
-		case confirmed:
+			evs = append(evs, r.applyList(e))
+		case sendCheck:
+			checks = append(checks, e)
+		case noticesConfirmed:
 			for _, id := range e.ids {
 				switch m := r.msgs[id]; {
-				case r.owed.confirmed(id):
+				case r.backlog.confirmed(id):
 				case m != nil && m.move != staying:
 					m.confirmed = true
 				case m != nil:
-					r.changed(m, stateTold, stateGone, reasonConfirmed)
+					r.logTransition(m, stateTold, stateGone, reasonConfirmed)
 					r.complete(m, wal.CompletionOf(*m.Final))
 				}
 			}
@@ -57,58 +57,58 @@
 		case alone:
 			evs = r.bereft(evs)
 		case takeover:
-			heirs = append(heirs, e)
-		case *job:
-			evs = r.owed.finished(evs, e)
-		case stopping:
+			takeovers = append(takeovers, e)
+		case *storeJob:
+			evs = r.backlog.jobFinished(evs, e)
+		case stopIntake:
 			r.stopping = true
-		case noSends:
+		case stopSending:
 			r.noSends = true
 		}
 	}
-	evs = r.heardByHand(evs)
-	r.forget()
-	waiting := r.accept(ins)
+	evs = r.exclusionEvents(evs)
+	r.forgetWithdrawn()
+	waiting := r.accept(submissions)
 	if !r.noSends {
 		for _, in := range waiting {
-			switch m := in.as; {
+			switch m := in.msg; {
 			case m.Message != in.m: // a twin of one before it, or of one that is not on disk yet
-			case r.owed.divert(m):
+			case r.backlog.divert(m):
 			case m.Attempts > 0:
-				r.owed.enter(m)
-				evs = append(evs, r.resumed(m, nil))
+				r.backlog.enter(m)
+				evs = append(evs, r.resumedEvent(m, nil))
 			default:
-				r.owed.enter(m)
-				evs = append(evs, r.taken(m))
+				r.backlog.enter(m)
+				evs = append(evs, r.takenEvent(m))
 			}
 		}
 		r.carryOut(r.sender.Step(now, evs), waiting)
 	} else {
 		r.carryOut(nil, waiting)
 	}
-	for _, c := range asked {
+	for _, c := range checks {
 		c.reply <- !r.noSends && r.sender.MayStill(c.route, r.now(), c.ids...)
 	}
-	if r.stopping && !r.idled && len(r.promises) == 0 && (r.owesNothing() || r.noSends && r.out == 0) {
-		r.idled = true
-		close(r.idle)
+	if r.stopping && !r.drainSignalled && len(r.promises) == 0 && (r.allFinished() || r.noSends && r.callsOut == 0) {
+		r.drainSignalled = true
+		close(r.drained)
 	}
-	if r.owed != nil && !r.noSends {
-		r.owed.balance()
-		r.owed.tend()
+	if r.backlog != nil && !r.noSends {
+		r.backlog.balance()
+		r.backlog.maintain()
 	}
-	r.answerTurnedAway()
+	r.answerRejected()
 	r.releaseWithheld()
-	r.publish()
-	for _, h := range heirs {
+	r.updateGauges()
+	for _, h := range takeovers {
 		r.handOver(h.link)
 	}
 }
 
-// owesNothing tells whether all is ended, and all outcomes are in.
-func (r *Relay) owesNothing() bool {
+// allFinished tells whether all is ended, and all outcomes are in.
+func (r *Relay) allFinished() bool {
 	for _, m := range r.msgs {
-		if m.out > 0 || !m.Withdrawn && m.move == staying {
+		if m.outstanding > 0 || !m.Withdrawn && m.move == staying {
 			return false
 		}
 	}
@@ -120,27 +120,27 @@
 	m := r.msgs[id]
 	switch {
 	case m == nil:
-		r.owed.withdraw(id)
+		r.backlog.withdraw(id)
 		return evs
 	case m.shared || m.ended:
 		return evs
 	case m.move != staying:
-		m.told = true
-		r.owed.drop(m)
+		m.counted = true
+		r.backlog.drop(m)
 		return evs
 	}
-	r.changed(m, stateHeld, stateGone, reasonWithdrawn)
-	r.done(m)
-	m.told = true // its client hands it in anew, and that one counts
-	r.letGo(m)
+	r.logTransition(m, stateHeld, stateGone, reasonWithdrawn)
+	r.markDone(m)
+	m.counted = true // its client hands it in anew, and that one counts
+	r.release(m)
 	return append(evs, policy.Event{Kind: policy.Withdrawn, ID: id})
 }
 
-// letGo ends a message that is no more owed. One that may have run is remembered as long as its client may hand it in
+// release ends a message that is no more owed. One that may have run is remembered as long as its client may hand it in
 // once more under its id: that must not make it a new one.
-func (r *Relay) letGo(m *message) {
+func (r *Relay) release(m *message) {
 	if m.Final != nil || m.refused {
-		r.complete(m, wal.CompletionOf(m.answered()))
+		r.complete(m, wal.CompletionOf(m.clientFinal()))
 		return
 	}
 	if len(m.MayRun) == 0 {
@@ -149,7 +149,7 @@
 		return
 	}
 	r.wal.Withdraw(m.Message)
-	r.left = append(r.left, m)
+	r.withdrawn = append(r.withdrawn, m)
 }
 
 // complete ends a message whose end its client, the platform or an endpoint knows. Its id is remembered: nothing may be sent for
@@ -159,30 +159,30 @@
 	r.retire(m)
 }
 
-// delivered ends a message that was delivered after all, and what it goes on as.
-func (r *Relay) delivered(evs []policy.Event, m *message) []policy.Event {
-	for ; m != nil; m = m.next {
-		if m.first() {
-			r.figures.of(m.Class).answered.Add(1)
+// completeDelivered ends a message that was completeDelivered after all, and what it goes on as.
+func (r *Relay) completeDelivered(evs []policy.Event, m *message) []policy.Event {
+	for ; m != nil; m = m.continuation {
+		if m.markCounted() {
+			r.metrics.forClass(m.Class).answered.Add(1)
 		}
 		if !m.ended {
 			evs = append(evs, policy.Event{Kind: policy.Withdrawn, ID: m.ID})
 		}
-		r.done(m)
+		r.markDone(m)
 		r.complete(m, wal.Delivered)
 	}
 	return evs
 }
 
-// forget drops messages that were withdrawn once their time is up, once it is certain that they never ran, or once
+// forgetWithdrawn drops messages that were withdrawn once their time is up, once it is certain that they never ran, or once
 // they go on as others, which know all that these did.
-func (r *Relay) forget() {
+func (r *Relay) forgetWithdrawn() {
 	now := clock.Now()
-	r.left = slices.DeleteFunc(r.left, func(m *message) bool {
-		if m.next == nil && len(m.MayRun) > 0 && now.Before(m.Deadline) {
+	r.withdrawn = slices.DeleteFunc(r.withdrawn, func(m *message) bool {
+		if m.continuation == nil && len(m.MayRun) > 0 && now.Before(m.Deadline) {
 			return false
 		}
-		if m.next == nil && len(m.MayRun) > 0 {
+		if m.continuation == nil && len(m.MayRun) > 0 {
 			r.complete(m, wal.Failed)
 			return true
 		}
@@ -192,24 +192,24 @@
 	})
 }
 
-// callEnded takes the end of a call.
-func (r *Relay) callEnded(evs []policy.Event, e *callEnd) []policy.Event {
-	r.out--
-	delete(r.flying, e.c)
+// finishCall takes the end of a call.
+func (r *Relay) finishCall(evs []policy.Event, e *callFinished) []policy.Event {
+	r.callsOut--
+	delete(r.inFlight, e.c)
 	for i, a := range e.c.attempts {
-		evs = r.attemptEnded(evs, a, e.results[i])
+		evs = r.finishAttempt(evs, a, e.results[i])
 	}
 	return evs
 }
 
-// attemptEnded takes the outcome of an attempt: in the log, and for the module.
-func (r *Relay) attemptEnded(evs []policy.Event, a *attempt, res result) []policy.Event {
+// finishAttempt takes the outcome of an attempt: in the log, and for the module.
+func (r *Relay) finishAttempt(evs []policy.Event, a *attempt, res result) []policy.Event {
 	m := a.m
 	ok := res.outcome == policy.OK
 	if a.over {
 		// It was cut off, and its call went on for others. A delivery still ends the message.
 		if ok {
-			evs = r.delivered(evs, m)
+			evs = r.completeDelivered(evs, m)
 		}
 		return evs
 	}
@@ -219,28 +219,28 @@
 	} else if res.gone {
 		to = stateGone
 	}
-	r.changed(m, stateOut, to, outcomeReasons[res.outcome], slog.String("endpoint", a.route), slog.Int("attempt", a.n),
+	r.logTransition(m, stateOut, to, outcomeReasons[res.outcome], slog.String("endpoint", a.route), slog.Int("attempt", a.n),
 		slog.Duration("took", res.took), slog.Duration("wait", res.wait))
 	a.over = true
 	if a.timer != nil {
 		a.timer.Stop()
 	}
-	m.out--
+	m.outstanding--
 	switch res.outcome {
 	case policy.Full, policy.ConnectFailed, policy.Moot:
 		r.wal.NeverRan(m.Message, a.n)
 	}
-	if ok && m.first() {
-		r.figures.of(m.Class).answered.Add(1)
+	if ok && m.markCounted() {
+		r.metrics.forClass(m.Class).answered.Add(1)
 	}
 	if ok || res.gone {
 		how := wal.Failed
 		if ok {
 			how = wal.Delivered
 		}
-		r.done(m)
+		r.markDone(m)
 		r.wal.Complete(m.Message, how)
-		evs = r.delivered(evs, m.next)
+		evs = r.completeDelivered(evs, m.continuation)
 	}
 	r.retire(m)
 	return append(evs, policy.Event{
@@ -249,18 +249,18 @@
 	})
 }
 
-// done books that the module has done with a message.
-func (r *Relay) done(m *message) {
+// markDone books that the module has markDone with a message.
+func (r *Relay) markDone(m *message) {
 	if !m.ended {
 		m.ended = true
 		r.revokeCalls(m)
 		r.held--
-		r.owed.leave(m)
+		r.backlog.leave(m)
 	}
 }
 
-// answered is the end of a message that its client was told of.
-func (m *message) answered() wal.Final {
+// clientFinal is the end of a message that its client was told of.
+func (m *message) clientFinal() wal.Final {
 	if m.Final != nil {
 		return *m.Final
 	}
@@ -270,15 +270,15 @@
 // revokeCalls has no call be made any more with a message, but those whose requests are being written. What else such a call
 // carries is sent anew.
 func (r *Relay) revokeCalls(m *message) {
-	for c := range r.flying {
+	for c := range r.inFlight {
 		if slices.ContainsFunc(c.attempts, func(a *attempt) bool { return a.m == m }) {
 			c.revoke()
 		}
 	}
 }
 
-// cutOff is how an attempt ends whose time is up before that of its call. The rest of a call that was not made is sent anew.
-func (a *attempt) cutOff() result {
+// timeoutResult is how an attempt ends whose time is up before that of its call. The rest of a call that was not made is sent anew.
+func (a *attempt) timeoutResult() result {
 	if a.call != nil && a.revoke() {
 		return result{outcome: policy.ConnectFailed}
 	}
@@ -287,10 +287,10 @@
 
 // retire forgets a message for which nothing is owed and nothing is out.
 func (r *Relay) retire(m *message) {
-	if m.out == 0 && m.ended && !r.wal.Owes(m.Message) {
+	if m.outstanding == 0 && m.ended && !r.wal.Owes(m.Message) {
 		delete(r.msgs, m.ID)
-		if r.traces[m.Trace] == m {
-			delete(r.traces, m.Trace)
+		if r.byTrace[m.Trace] == m {
+			delete(r.byTrace, m.Trace)
 		}
 	}
 }
--- a/internal/relay/transient_test.go
+++ b/internal/relay/transient_test.go
@@ -18,37 +18,37 @@
 	"onyxroad.dev/onyxroad/policy"
 )
 
-// momentary are the errors with which Linux lets accept, socket and connect fail for a moment.
-var momentary = []syscall.Errno{syscall.ECONNABORTED, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EADDRNOTAVAIL,
+// transientErrnos are the errors with which Linux lets accept, socket and connect fail for a moment.
+var transientErrnos = []syscall.Errno{syscall.ECONNABORTED, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EADDRNOTAVAIL,
 	syscall.ENETUNREACH, syscall.EINTR, syscall.EPROTO}
 
-// failing has calls fail, each a number of times.
-type failing struct {
-	errno syscall.Errno
-	left  map[sockets.Call]*atomic.Int64
+// callFaults has calls fail, each a number of times.
+type callFaults struct {
+	errno     syscall.Errno
+	remaining map[sockets.Call]*atomic.Int64
 }
 
-func newFailing(errno syscall.Errno, times int64, calls ...sockets.Call) *failing {
-	f := &failing{errno, map[sockets.Call]*atomic.Int64{}}
+func newCallFaults(errno syscall.Errno, times int64, calls ...sockets.Call) *callFaults {
+	f := &callFaults{errno, map[sockets.Call]*atomic.Int64{}}
 	for _, c := range calls {
-		f.left[c] = &atomic.Int64{}
-		f.left[c].Store(times)
+		f.remaining[c] = &atomic.Int64{}
+		f.remaining[c].Store(times)
 	}
 	return f
 }
 
-func (f *failing) Fail(call sockets.Call) syscall.Errno {
-	if n := f.left[call]; n != nil && n.Add(-1) >= 0 {
+func (f *callFaults) Fail(call sockets.Call) syscall.Errno {
+	if n := f.remaining[call]; n != nil && n.Add(-1) >= 0 {
 		return f.errno
 	}
 	return 0
 }
 
-func (f *failing) Most(n int) int { return n }
+func (f *callFaults) Most(n int) int { return n }
 
 // exhausted tells whether all calls that were to fail have.
-func (f *failing) exhausted() bool {
-	for _, n := range f.left {
+func (f *callFaults) exhausted() bool {
+	for _, n := range f.remaining {
 		if n.Load() > 0 {
 			return false
 		}
@@ -58,16 +58,16 @@
 
 // An accept that fails for want of what this process can't give back is no reason to close a connection whose request is on its
 // way, be it new or idle.
-func TestAFailedAcceptClosesNoConnection(t *testing.T) {
-	for _, errno := range momentary {
+func TestFailedAcceptClosesNoConnection(t *testing.T) {
+	for _, errno := range transientErrnos {
 		t.Run(errno.Error(), func(t *testing.T) {
 			r := newTestRelay(t)
-			fault := newFailing(errno, 0, sockets.Accept)
+			fault := newCallFaults(errno, 0, sockets.Accept)
 			defer sockets.SetFaults(fault)()
-			addr := door(t, r)
+			addr := serveTestClients(t, r)
 			silentOne, idleOne := dial(t, addr, ""), dial(t, addr, "GET /_health HTTP/1.1\r\nHost: x\r\n\r\n")
 			idle := bufio.NewReader(idleOne)
-			read(t, idle)
+			readResponse(t, idle)
 			eventually(t, "both are held", func() bool {
 				r.clients.mu.Lock()
 				defer r.clients.mu.Unlock()
@@ -78,7 +78,7 @@
 				c.since = c.since.Add(-time.Second) // longer than a silent one is spared
 			}
 			r.clients.mu.Unlock()
-			fault.left[sockets.Accept].Store(5)
+			fault.remaining[sockets.Accept].Store(5)
 			dial(t, addr, "") // has accept be called once more
 			dial(t, addr, "")
 			eventually(t, "accept has failed", fault.exhausted)
@@ -90,7 +90,7 @@
 					t.Errorf("%s: %v", name, err)
 					continue
 				}
-				if res := read(t, c.r); res.Close {
+				if res := readResponse(t, c.r); res.Close {
 					t.Errorf("%s: the connection ends with its answer", name)
 				}
 			}
@@ -99,13 +99,13 @@
 }
 
 // No call of a start that fails for a moment may refuse it.
-func TestAStartOutlastsCallsThatFailForAMoment(t *testing.T) {
+func TestStartRetriesTransientFailures(t *testing.T) {
 	cfg := newTestRelay(t).cfg
 	cfg.Admin = "127.0.0.1:0"
 	start := func(t *testing.T, cfg Config) {
 		t.Helper()
 		ctx, cancel := context.WithCancel(t.Context())
-		r, err := New(ctx, cfg, quiet())
+		r, err := New(ctx, cfg, discardLogger())
 		if err != nil {
 			cancel()
 			t.Fatalf("refused: %v", err)
@@ -135,7 +135,7 @@
 			t.Run(fmt.Sprint(call, " ", errno), func(t *testing.T) {
 				cfg := cfg
 				cfg.StateDir = t.TempDir()
-				defer sockets.SetFaults(newFailing(errno, 3, call))()
+				defer sockets.SetFaults(newCallFaults(errno, 3, call))()
 				start(t, cfg)
 			})
 		}
@@ -162,41 +162,41 @@
 
 // An end that is told without a record is forgotten by a restart, which would send the message after all. While the disk takes
 // nothing it waits; once the message's time is up nothing can be sent any more, and it is told.
-func TestAnEndIsToldOnceItIsInTheLog(t *testing.T) {
-	for _, heals := range []bool{true, false} {
-		t.Run(fmt.Sprintf("the disk heals %v", heals), func(t *testing.T) {
-			var sick atomic.Bool
+func TestEndIsReportedOnceLoggedOrOverdue(t *testing.T) {
+	for _, recovers := range []bool{true, false} {
+		t.Run(fmt.Sprintf("the disk heals %v", recovers), func(t *testing.T) {
+			var failing atomic.Bool
 			r := newTestRelayOn(t, func(dir string) disk.FS {
 				return &faultdisk.Disk{FS: disk.Dir(dir), Fail: func(op faultdisk.Op, _ string) faultdisk.Fault {
-					if sick.Load() && op == faultdisk.Write {
+					if failing.Load() && op == faultdisk.Write {
 						return faultdisk.Fault{Err: syscall.EIO}
 					}
 					return faultdisk.Fault{}
 				}}
 			})
-			if a := decide(r, newHandIn("m1", 7, time.Second))[0]; a.status != http.StatusAccepted {
+			if a := stepSubmissions(r, newSubmission("m1", 7, time.Second))[0]; a.status != http.StatusAccepted {
 				t.Fatalf("%+v", a)
 			}
-			m := r.traces["m1"]
-			sick.Store(true)
+			m := r.byTrace["m1"]
+			failing.Store(true)
 			r.carryOut([]policy.Action{{Kind: policy.Fail, ID: m.ID}}, nil)
 			if len(r.finals.queue) > 0 {
 				t.Error("told before it is in the log")
 			}
-			if heals {
-				sick.Store(false)
+			if recovers {
+				failing.Store(false)
 			}
-			told := time.Time{}
+			reportedAt := time.Time{}
 			eventually(t, "the end is told", func() bool {
 				r.tend()
-				told = time.Now()
+				reportedAt = time.Now()
 				return len(r.finals.queue) > 0
 			})
-			late := told.Sub(m.Deadline)
-			if heals && late > 0 {
+			late := reportedAt.Sub(m.Deadline)
+			if recovers && late > 0 {
 				t.Errorf("told %v after its time, though the disk was well again", late)
 			}
-			if !heals && (late < 0 || late > 200*time.Millisecond) {
+			if !recovers && (late < 0 || late > 200*time.Millisecond) {
 				t.Errorf("told %v after its time", late)
 			}
 		})
@@ -205,7 +205,7 @@
 
 // While the disk takes nothing no call is made, no endpoint is blamed for that, and none is lost: once the disk is well again the
 // call leaves.
-func TestACallWaitsForAFailingDisk(t *testing.T) {
+func TestCallWaitsForFailingDisk(t *testing.T) {
 	var writes atomic.Int64 // that succeed
 	writes.Store(1)
 	r := newTestRelayOn(t, func(dir string) disk.FS {
@@ -216,31 +216,31 @@
 			return faultdisk.Fault{}
 		}}
 	})
-	in := newHandIn("m1", 7, 5*time.Second)
+	in := newSubmission("m1", 7, 5*time.Second)
 	r.step([]any{in}) // one write for the message, another for its send
 	if a, ok := answered(in); !ok || a.status != http.StatusAccepted {
 		t.Errorf("the message is in the log, and its client is told %+v, %v", a, ok)
 	}
-	m := r.traces["m1"]
+	m := r.byTrace["m1"]
 	for range 5 {
 		r.step(nil)
 		r.tend()
 	}
-	if r.out > 0 || m.sends != 1 || m.out != 1 {
-		t.Errorf("while the disk fails: %d calls out, %d sends", r.out, m.sends)
+	if r.callsOut > 0 || m.sends != 1 || m.outstanding != 1 {
+		t.Errorf("while the disk fails: %d calls out, %d sends", r.callsOut, m.sends)
 	}
 	if n := r.sender.Avoided(r.now()); n > 0 {
 		t.Errorf("%d endpoints avoided for what the disk did", n)
 	}
 	writes.Store(1000)
-	eventually(t, "the call leaves", func() bool { r.step(nil); r.tend(); return r.out > 0 })
+	eventually(t, "the call leaves", func() bool { r.step(nil); r.tend(); return r.callsOut > 0 })
 	if len(m.MayRun) != 1 {
 		t.Errorf("recorded %+v", m.MayRun)
 	}
 }
 
 // Connections that fail for some seconds hold notices back no longer than that: one is late 300 ms after its message's time.
-func TestNoticesLeaveAsSoonAsConnectionsComeUp(t *testing.T) {
+func TestNoticesAreSentOnceConnectionsSucceed(t *testing.T) {
 	const tries = 8
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
 		io.Copy(io.Discard, req.Body)
@@ -248,9 +248,9 @@
 	}))
 	defer s.Close()
 	failed := make(chan time.Time, tries)
-	defer sockets.SetFaults(tellingFaults{newFailing(syscall.ENETUNREACH, tries, sockets.Connect), failed})()
+	defer sockets.SetFaults(reportingFaults{newCallFaults(syscall.ENETUNREACH, tries, sockets.Connect), failed})()
 	taken := make(chan []uint32, 1)
-	f := newFinals(quiet(), newAgent(addrOf(s)), func(ids []uint32) { taken <- ids })
+	f := newFinals(discardLogger(), newAgent(addrOf(s)), func(ids []uint32) { taken <- ids })
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
 	f.add(notice{id: 1, ID: "a", Status: "undeliverable"})
@@ -269,14 +269,14 @@
 	}
 }
 
-// tellingFaults tells when calls failed.
-type tellingFaults struct {
-	*failing
+// reportingFaults tells when calls failed.
+type reportingFaults struct {
+	*callFaults
 	failed chan time.Time
 }
 
-func (f tellingFaults) Fail(call sockets.Call) syscall.Errno {
-	errno := f.failing.Fail(call)
+func (f reportingFaults) Fail(call sockets.Call) syscall.Errno {
+	errno := f.callFaults.Fail(call)
 	if errno != 0 {
 		f.failed <- time.Now()
 	}
@@ -285,16 +285,16 @@
 
 // A call to discovery that fails on this machine is no work for discovery, and says nothing of it: the next one comes at once, in a
 // fleet of any size, or what the agent has meanwhile is not heeded.
-func TestCallsThatFailHerePutOffNoNews(t *testing.T) {
+func TestLocalFailureRetriesWatchSoon(t *testing.T) {
 	for _, errno := range []syscall.Errno{syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EADDRNOTAVAIL, syscall.ENETUNREACH,
 		syscall.ECONNABORTED} {
 		const tries = 20
-		fault := newFailing(errno, tries, sockets.Connect)
+		fault := newCallFaults(errno, tries, sockets.Connect)
 		restore := sockets.SetFaults(fault)
 		ctx, cancel := context.WithCancel(t.Context())
 		var longest time.Duration
 		w := watcher{
-			log: quiet(), agent: newAgent("127.0.0.1:1"), silence: patience, fleet: 300, random: func() float64 { return 1 }, now: time.Now,
+			log: discardLogger(), agent: newAgent("127.0.0.1:1"), silence: patience, fleet: 300, random: func() float64 { return 1 }, now: time.Now,
 			sleep: func(_ context.Context, d time.Duration) {
 				if fault.exhausted() {
 					cancel()
--- a/internal/relay/unwritten_test.go
+++ b/internal/relay/unwritten_test.go
@@ -14,30 +14,30 @@
 	"onyxroad.dev/onyxroad/policy"
 )
 
-// sickDisk has calls of a folder fail while it is sick.
-type sickDisk struct {
-	fault faultdisk.Fault
-	ops   []faultdisk.Op
-	sick  atomic.Bool
+// failingDisk has calls of a folder fail while it is sick.
+type failingDisk struct {
+	fault   faultdisk.Fault
+	ops     []faultdisk.Op
+	failing atomic.Bool
 }
 
-func (s *sickDisk) files(dir string) disk.FS {
+func (s *failingDisk) files(dir string) disk.FS {
 	return &faultdisk.Disk{FS: disk.Dir(dir), Fail: func(op faultdisk.Op, _ string) faultdisk.Fault {
-		if s.sick.Load() && slices.Contains(s.ops, op) {
+		if s.failing.Load() && slices.Contains(s.ops, op) {
 			return s.fault
 		}
 		return faultdisk.Fault{}
 	}}
 }
 
-// stateFormats are the ways in which the log is kept where a process's end is all that it has to outlast.
-var stateFormats = map[string]func(*Config){
+// logFormats are the ways in which the log is kept where a process's end is all that it has to outlast.
+var logFormats = map[string]func(*Config){
 	"one file":    func(*Config) {},
 	"in segments": func(c *Config) { c.Segments = true },
 }
 
-func TestNoEndIsToldThatTheNextProcessDoesNotKnow(t *testing.T) {
-	for format, change := range stateFormats {
+func TestEndIsReportedOnlyOnceLogged(t *testing.T) {
+	for format, change := range logFormats {
 		for name, c := range map[string]struct {
 			fault faultdisk.Fault
 			ops   []faultdisk.Op
@@ -48,27 +48,27 @@
 			"no room, and none had": {faultdisk.Fault{Err: syscall.ENOSPC}, []faultdisk.Op{faultdisk.Open}, true},
 		} {
 			t.Run(format+" "+name, func(t *testing.T) {
-				d := &sickDisk{fault: c.fault, ops: c.ops}
+				d := &failingDisk{fault: c.fault, ops: c.ops}
 				r := newTestRelayOn(t, d.files, change)
 				const dest = 8 // listed once, and without an endpoint now
-				r.cells[dest] = true
-				if a := decide(r, newHandIn("m1", dest, 5*time.Second))[0]; a.status != http.StatusAccepted {
+				r.knownDests[dest] = true
+				if a := stepSubmissions(r, newSubmission("m1", dest, 5*time.Second))[0]; a.status != http.StatusAccepted {
 					t.Fatalf("%+v", a)
 				}
 				limit := r.wal.Limit
-				d.sick.Store(true)
+				d.failing.Store(true)
 				if c.full {
 					r.wal.Limit = r.wal.Size() + 2*disk.Sector
 				}
-				r.carryOut([]policy.Action{{Kind: policy.Refuse, ID: r.traces["m1"].ID}}, nil)
+				r.carryOut([]policy.Action{{Kind: policy.Refuse, ID: r.byTrace["m1"].ID}}, nil)
 				if len(r.finals.queue) > 0 {
 					t.Error("told, and the next process would send it")
 				}
-				d.sick.Store(false)
+				d.failing.Store(false)
 				r.wal.Limit = limit
 				eventually(t, "its end is told once it is in the log", func() bool { r.tend(); return len(r.finals.queue) > 0 })
-				next := restarted(t, r)
-				if m := next.traces["m1"]; m == nil || m.Final == nil || !m.Final.Deferred || next.held != 0 {
+				next := restartRelay(t, r)
+				if m := next.byTrace["m1"]; m == nil || m.Final == nil || !m.Final.Deferred || next.held != 0 {
 					t.Errorf("the next process has %+v, %d held", m, next.held)
 				}
 			})
@@ -77,8 +77,8 @@
 }
 
 // A client that is told that its message has no effect while the log has it, and not its end.
-func TestNoRefusalIsToldThatTheNextProcessDoesNotKnow(t *testing.T) {
-	for format, change := range stateFormats {
+func TestRefusalIsAnsweredOnlyOnceLogged(t *testing.T) {
+	for format, change := range logFormats {
 		t.Run(format, func(t *testing.T) {
 			var writes atomic.Int64
 			writes.Store(1 << 30)
@@ -90,9 +90,9 @@
 					return faultdisk.Fault{}
 				}}
 			}, change)
-			decide(r, newHandIn("first", 7, 5*time.Second))
+			stepSubmissions(r, newSubmission("first", 7, 5*time.Second))
 			writes.Store(1) // the message is written, and what the step decides is not
-			in := newHandIn("m1", 7, -time.Second)
+			in := newSubmission("m1", 7, -time.Second)
 			r.step([]any{in})
 			if a, ok := answered(in); ok && a.status != http.StatusAccepted {
 				t.Errorf("told %+v, and the next process would send it", a)
@@ -108,25 +108,25 @@
 			if how, ok := r.wal.Completed("m1"); a.status != http.StatusServiceUnavailable || !ok || how != wal.Refused {
 				t.Errorf("told %+v, remembered as %v, %v", a, how, ok)
 			}
-			if next := restarted(t, r); next.traces["m1"] != nil {
+			if next := restartRelay(t, r); next.byTrace["m1"] != nil {
 				t.Error("the next process holds it")
 			}
 		})
 	}
 }
 
-func TestNoRefusalIsToldWhileTheLogMayHoldTheMessage(t *testing.T) {
-	for format, change := range stateFormats {
+func TestRefusalIsWithheldWhileLogMayHoldMessage(t *testing.T) {
+	for format, change := range logFormats {
 		t.Run(format, func(t *testing.T) {
 			// All of a write stays, though it fails, and can't be taken away.
-			d := &sickDisk{fault: faultdisk.Fault{Err: syscall.EIO, Reach: faultdisk.All},
+			d := &failingDisk{fault: faultdisk.Fault{Err: syscall.EIO, Reach: faultdisk.All},
 				ops: []faultdisk.Op{faultdisk.Write}}
-			cleaning := &sickDisk{fault: faultdisk.Fault{Err: syscall.EIO}, ops: []faultdisk.Op{faultdisk.Truncate, faultdisk.Open}}
+			cleaning := &failingDisk{fault: faultdisk.Fault{Err: syscall.EIO}, ops: []faultdisk.Op{faultdisk.Truncate, faultdisk.Open}}
 			var erasing atomic.Bool
 			r := newTestRelayOn(t, func(dir string) disk.FS {
 				return &faultdisk.Disk{FS: cleaning.files(dir), Fail: func(op faultdisk.Op, _ string) faultdisk.Fault {
 					switch {
-					case op != faultdisk.Write || !d.sick.Load():
+					case op != faultdisk.Write || !d.failing.Load():
 						return faultdisk.Fault{}
 					case erasing.Swap(true):
 						return cleaning.fault
@@ -134,20 +134,20 @@
 					return d.fault
 				}}
 			}, change)
-			d.sick.Store(true)
-			cleaning.sick.Store(true)
-			first, again := newHandIn("m1", 7, 5*time.Second), newHandIn("m1", 7, 5*time.Second)
+			d.failing.Store(true)
+			cleaning.failing.Store(true)
+			first, again := newSubmission("m1", 7, 5*time.Second), newSubmission("m1", 7, 5*time.Second)
 			r.step([]any{first})
 			r.step([]any{again})
 			r.tend()
-			for _, in := range []*handIn{first, again} {
+			for _, in := range []*submission{first, again} {
 				if a, ok := answered(in); ok {
 					t.Errorf("told %+v, and the next process may send it", a)
 				}
 			}
-			d.sick.Store(false)
-			cleaning.sick.Store(false)
-			for _, in := range []*handIn{first, again} {
+			d.failing.Store(false)
+			cleaning.failing.Store(false)
+			for _, in := range []*submission{first, again} {
 				eventually(t, "answered", func() bool {
 					r.tend()
 					a, ok := answered(in)
@@ -157,25 +157,25 @@
 					return ok
 				})
 			}
-			if next := restarted(t, r); next.traces["m1"] != nil {
+			if next := restartRelay(t, r); next.byTrace["m1"] != nil {
 				t.Error("the next process holds it")
 			}
 		})
 	}
 }
 
-func TestAWithheldAnswerIsGivenUpOnceItsClientHasLeft(t *testing.T) {
-	d := &sickDisk{fault: faultdisk.Fault{Err: syscall.EIO, Reach: faultdisk.All}, ops: []faultdisk.Op{faultdisk.Write, faultdisk.Truncate}}
+func TestWithheldAnswerIsAbandonedAfterLimit(t *testing.T) {
+	d := &failingDisk{fault: faultdisk.Fault{Err: syscall.EIO, Reach: faultdisk.All}, ops: []faultdisk.Op{faultdisk.Write, faultdisk.Truncate}}
 	r := newTestRelayOn(t, d.files)
-	d.sick.Store(true)
-	in := newHandIn("m1", 7, 5*time.Second)
+	d.failing.Store(true)
+	in := newSubmission("m1", 7, 5*time.Second)
 	r.step([]any{in})
 	r.withheld[0].until = time.Now()
 	r.step(nil)
 	if a, ok := answered(in); !ok || a.status != 0 {
 		t.Errorf("answered %+v, %v", a, ok)
 	}
-	late := newHandIn("m1", 7, 5*time.Second)
+	late := newSubmission("m1", 7, 5*time.Second)
 	r.step([]any{late})
 	if a, ok := answered(late); ok {
 		t.Errorf("its id is answered %+v while the log may hold it", a)
--- a/internal/relay/window.go
+++ b/internal/relay/window.go
@@ -70,17 +70,17 @@
 	w.held++
 	m.cell = c
 	if m.sends == 0 {
-		m.place = len(c.unsent)
+		m.unsentIndex = len(c.unsent)
 		c.unsent = append(c.unsent, m)
 		return
 	}
-	m.place = -1
+	m.unsentIndex = -1
 	w.sent++
 }
 
 // sends books a message's first send.
 func (w *window) sends(m *message) {
-	if m.cell != nil && m.place >= 0 {
+	if m.cell != nil && m.unsentIndex >= 0 {
 		w.unlist(m)
 		w.sent++
 	}
@@ -89,9 +89,9 @@
 func (w *window) unlist(m *message) {
 	c := m.cell
 	last := c.unsent[len(c.unsent)-1]
-	c.unsent[m.place], last.place = last, m.place
+	c.unsent[m.unsentIndex], last.unsentIndex = last, m.unsentIndex
 	c.unsent[len(c.unsent)-1] = nil
-	c.unsent, m.place = c.unsent[:len(c.unsent)-1], -1
+	c.unsent, m.unsentIndex = c.unsent[:len(c.unsent)-1], -1
 }
 
 // leave books a message that the module has done with.
@@ -100,7 +100,7 @@
 	if c == nil {
 		return
 	}
-	if m.place >= 0 {
+	if m.unsentIndex >= 0 {
 		w.unlist(m)
 	} else {
 		w.sent--
