--- a/internal/relay/accept.go
+++ b/internal/relay/accept.go
@@ -9,10 +9,10 @@
 	"onyxroad.dev/onyxroad/internal/wal"
 )
 
-// What becomes of a hand-in: a new message, one that is known by its trace id, or a request that is turned away.
+// This file decides what a submission is: a new message, one that is known by its trace id, or a rejected request.
 
-// accept puts new messages in the log and returns the hand-ins that are answered when this step is decided. The
-// others have their answers.
+// accept writes new messages to the log and returns the submissions that are answered once this step is decided. The
+// others are answered without the module.
 func (r *Relay) accept(ins []*submission) (waiting []*submission) {
 	var ms []*wal.Message
 	for _, in := range ins {
@@ -50,8 +50,8 @@
 	return waiting
 }
 
-// refuseAll refuses new messages that the log has not taken, and returns the hand-ins of messages that are held. A full disk is no
-// reason to die: what is held goes on.
+// refuseAll refuses new messages that the log has not accepted, and returns the submissions of messages that are already
+// held. A full disk must not end the process: the messages it holds are still delivered.
 func (r *Relay) refuseAll(waiting []*submission, cause error) (held []*submission) {
 	if !r.logFull {
 		r.log.Warn("refusing new messages", "err", cause)
@@ -72,7 +72,7 @@
 	return held
 }
 
-// refuse refuses a hand-in whose message the log has not taken, or may hold all the same.
+// refuse refuses a submission whose message the log has not accepted, or may hold nevertheless.
 func (r *Relay) refuse(in *submission, cause error) {
 	a := noRoom()
 	if m := in.msg; m.Message == in.m {
@@ -90,8 +90,8 @@
 	in.reply <- a
 }
 
-// resubmit takes a hand-in under an id that is known, old being the message that has it; false if it is a new message. It is
-// answered, or waits with a message that is not answered yet.
+// resubmit handles a submission under a known id; old is the message that has it. It is answered, or waits with a message
+// that is not answered yet. It returns false if the submission is a new message.
 func (r *Relay) resubmit(in *submission, old *message) bool {
 	if old != nil && old.unlogged {
 		in.msg, old.shared = old, true
@@ -112,7 +112,7 @@
 		return ok
 	}
 	if old.Withdrawn && (old.outstanding == 0 || r.cfg.MayDuplicate) {
-		return false // it goes on as another
+		return false // a new message replaces it
 	}
 	if r.join(in, old) {
 		return true
@@ -120,13 +120,13 @@
 	a := r.repeatAnswer(old)
 	r.noteResubmission(in.m, resubmittedPending, a)
 	if old.Withdrawn {
-		r.complete(old, wal.Failed) // by this answer
+		r.complete(old, wal.Failed) // ended by this answer
 	}
 	in.reply <- a
 	return true
 }
 
-// checkAdmission is the answer to a new message that is not taken on, and why; the zero answer if it may be.
+// checkAdmission returns the answer to a new message that is not accepted, and why; a zero answer if it may be.
 func (r *Relay) checkAdmission(m *wal.Message) (answer, stateReason) {
 	switch {
 	case len(r.knownDests) > 0 && !r.knownDests[m.Dest]:
@@ -137,7 +137,7 @@
 	return answer{}, ""
 }
 
-// newMessage begins a message. It goes on from old, a withdrawn one under the same id, if there is one: that may have run.
+// newMessage creates a message. It continues old, a withdrawn message under the same id that may have run, if there is one.
 func (r *Relay) newMessage(w *wal.Message, old *message) *message {
 	r.lastID++
 	w.ID = r.lastID
@@ -154,19 +154,19 @@
 	return m
 }
 
-// repeatAnswer is the answer to a hand-in under the id of a message that is known: the end that this one has, if any.
+// repeatAnswer is the answer to a submission under the id of a known message: that message's end, if it has one.
 func (r *Relay) repeatAnswer(m *message) answer {
 	switch {
-	case m.Withdrawn: // its call is still out, and may not have company
+	case m.Withdrawn: // its call is still in progress, and no second one is allowed
 		return answer{status: http.StatusInternalServerError}
-	case m.Final == nil: // under way, or delivered
+	case m.Final == nil: // in progress, or delivered
 		m.shared = true
 		return answer{status: http.StatusAccepted}
 	}
 	return finalAnswer(*m.Final)
 }
 
-// finalAnswer is what a client is told of a message that is not delivered.
+// finalAnswer is the answer to a client whose message is not delivered.
 func finalAnswer(f wal.Final) answer {
 	if f.Deferred {
 		return answer{status: http.StatusServiceUnavailable, retryAfter: f.Again}
--- a/internal/relay/admin.go
+++ b/internal/relay/admin.go
@@ -15,33 +15,33 @@
 	"onyxroad.dev/onyxroad/internal/wal"
 )
 
-// maxAdminConns bounds the connections of operators' callers. Mute ones make way first, as clients' do.
+// maxAdminConns limits the connections to the admin API. Silent ones are closed first, as for clients.
 const maxAdminConns = 24
 
 const (
-	// maxCountTime is how long every step may look at all routes. Where it takes longer, a share of the time goes to it: the figure
-	// is late then, and the loop is not.
+	// maxCountTime is the longest count of avoided routes that may run in every step. After a slower count, the next one is
+	// delayed by countBackoff times its duration, so that the gauge is late and not the loop.
 	maxCountTime = 100 * time.Microsecond
 	countBackoff = 100
 )
 
-// metrics are what operators read. The loop and the calls write them, the second address reads them: no reader waits
-// for either.
+// metrics are shown to operators. The loop and the calls write them and the admin API reads them; readers wait for
+// neither.
 type metrics struct {
 	names                    []string
 	classes                  []classMetrics
 	current, size, unhealthy atomic.Int64
-	backlog                  atomic.Pointer[string] // nil: none is kept
+	backlog                  atomic.Pointer[string] // nil: no backlog is kept
 }
 
-// classMetrics count the messages of a class, each once, at its first final outcome, and its sends.
+// classMetrics count a class's messages, each once at its first final outcome, and its sends.
 type classMetrics struct{ answered, deferred, errored, sends atomic.Int64 }
 
 func newMetrics(classes []string) *metrics {
 	return &metrics{names: classes, classes: make([]classMetrics, len(classes))}
 }
 
-// forClass are the figures forClass a class; those forClass a class that is no more go nowhere.
+// forClass returns the metrics of a class. Those of a class that no longer exists are discarded.
 func (f *metrics) forClass(class int) *classMetrics {
 	if class < 0 || class >= len(f.classes) {
 		return &classMetrics{}
@@ -49,7 +49,7 @@
 	return &f.classes[class]
 }
 
-// markCounted tells whether m has its markCounted final outcome with this, which alone is counted.
+// markCounted reports whether this is m's first final outcome, the only one that is counted.
 func (m *message) markCounted() bool {
 	was := m.counted
 	m.counted = true
@@ -67,7 +67,7 @@
 	}
 }
 
-// countRejected counts a message of a class that is countRejected away with an answer.
+// countRejected counts a message of a class that is rejected with an answer.
 func (f *metrics) countRejected(class int, a answer) {
 	if a.status == http.StatusServiceUnavailable {
 		f.forClass(class).deferred.Add(1)
@@ -94,10 +94,10 @@
 	return b.String()
 }
 
-// ready tells whether this process serves clients.
+// ready reports whether this process serves clients.
 func (r *Relay) ready() bool { return r.serving.Load() && r.hasList.Load() && !r.shuttingDown.Load() }
 
-// serveAdmin lets operators' callers in until the returned function is called. Each connection has one call.
+// serveAdmin serves the admin API until the returned function is called. Each connection carries one request.
 func (r *Relay) serveAdmin(l net.Listener) (end func()) {
 	conns := newClients(r.log, maxAdminConns, r.handleAdmin)
 	conns.noKeepAlive = true
@@ -105,7 +105,7 @@
 	return func() { l.Close(); conns.close(clock.Now()) }
 }
 
-// updateGauges brings the gauges up to date.
+// updateGauges updates the gauges.
 func (r *Relay) updateGauges() {
 	r.metrics.current.Store(int64(r.held + r.backlog.owing()))
 	r.metrics.size.Store(int64(len(r.routes)))
@@ -120,7 +120,7 @@
 	}
 }
 
-// handleAdmin answers a call at the second address.
+// handleAdmin answers a request to the admin API.
 func (r *Relay) handleAdmin(_ *client, req *http.Request) answer {
 	switch path := req.URL.Path; path {
 	case "/api/ready", "/api/telemetry", "/api/members", "/api/fleet":
@@ -155,10 +155,10 @@
 			return badRequest(`the body is not {"host":"ID"}`)
 		}
 		if change.Duty != "" && (duty.CheckName(change.Duty) != nil || change.Epoch == 0) || change.Duty == "" && change.Epoch != 0 {
-			return badRequest("an order in the name of a duty has its name and an epoch")
+			return badRequest("duty and epoch must be given together and valid")
 		}
 		change.Out = path == "/api/exclude"
 		return r.exclusions.set(change)
 	}
-	return answer{status: http.StatusNotFound, text: "no such call"}
+	return answer{status: http.StatusNotFound, text: "no such path"}
 }
--- a/internal/relay/admin_test.go
+++ b/internal/relay/admin_test.go
@@ -14,7 +14,7 @@
 	"onyxroad.dev/onyxroad/policy"
 )
 
-// serveTestAdmin lets operators' callers in.
+// serveTestAdmin serves the admin API.
 func serveTestAdmin(t *testing.T, r *Relay) (addr string) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -25,7 +25,7 @@
 	return l.Addr().String()
 }
 
-// adminCall makes a call at the second address and returns its answer's status and text.
+// adminCall makes a request to the admin API and returns the response's status and text.
 func adminCall(t *testing.T, addr, method, path, body string) (int, string) {
 	t.Helper()
 	text := fmt.Sprintf("%s %s HTTP/1.1\r\nHost: x\r\nContent-Length: %d\r\n\r\n%s", method, path, len(body), body)
@@ -43,7 +43,7 @@
 func TestAdminAPIStatusCodes(t *testing.T) {
 	r := newTestRelay(t)
 	addr := serveTestAdmin(t, r)
-	// Nobody runs the loop here: no answer may wait for it.
+	// The loop is not running here: no answer may wait for it.
 	for _, c := range []struct {
 		method, path string
 		want         int
@@ -72,11 +72,11 @@
 		dial(t, addr, []string{"", "GET /api/re"}[i%2])
 	}
 	if got, _ := adminCall(t, addr, "GET", "/api/telemetry", ""); got != 200 {
-		t.Errorf("with mute callers about: %d", got)
+		t.Errorf("with silent connections: %d", got)
 	}
 }
 
-// metric returns the line of a metric, without its name.
+// metric returns the value and type of a metric.
 func (r *Relay) metric(name string) string {
 	for line := range strings.Lines(r.metrics.String()) {
 		if value, ok := strings.CutPrefix(strings.TrimSpace(line), "relay."+name+":"); ok {
@@ -102,13 +102,13 @@
 		"sends.order": "0|c", "current": "0|g", "cluster_size": "1|g", "cluster_unhealthy": "0|g"})
 	in := newSubmission("m1", 7, 5*time.Second)
 	stepSubmissions(r, in)
-	r.wantMetrics(t, "once taken", map[string]string{"current": "1|g"})
+	r.wantMetrics(t, "once accepted", map[string]string{"current": "1|g"})
 	m := r.msgs[in.m.ID]
 	c := &call{route: "s-1"}
 	a := &attempt{call: c, m: m, n: 0}
 	m.outstanding++
 	r.finishAttempt(nil, a, result{outcome: policy.OK})
-	r.finishAttempt(nil, a, result{outcome: policy.OK}) // the rest of its call
+	r.finishAttempt(nil, a, result{outcome: policy.OK}) // from the rest of its call
 	r.wantMetrics(t, "once delivered", map[string]string{"answered.order": "1|c", "errored.order": "0|c", "current": "0|g"})
 
 	in = newSubmission("m2", 7, 5*time.Second)
@@ -121,7 +121,7 @@
 	r.cfg.Settings.MaxHeld = 1
 	r.held = 1
 	stepSubmissions(r, newSubmission("m3", 7, 5*time.Second))
-	r.wantMetrics(t, "once turned away", map[string]string{"deferred.order": "1|c", "errored.order": "1|c", "answered.order": "1|c"})
+	r.wantMetrics(t, "once rejected", map[string]string{"deferred.order": "1|c", "errored.order": "1|c", "answered.order": "1|c"})
 }
 
 func TestWrittenCallsAreCounted(t *testing.T) {
@@ -155,31 +155,31 @@
 			t.Errorf("%s %.20q: %d %s, want %d", c.path, c.body, got, text, c.want)
 		}
 	}
-	// The yes is there before any step: what was decided earlier must not leave after the next, nor after a restart.
+	// The endpoint is excluded before any step. A call decided earlier must not be made after the next step or a restart.
 	r.step(nil)
 	r.wantMetrics(t, "out", map[string]string{"cluster_unhealthy": "1|g"})
 	if r.sender.MayStill("s-1", r.now()) {
-		t.Error("a call to it may leave")
+		t.Error("a call to it may be made")
 	}
 	r.applyList(List{Full: true})
 	r = restartRelay(t, r)
 	r.step(nil)
 	if r.sender.MayStill("s-1", r.now()) {
-		t.Error("after a restart a call to it may leave")
+		t.Error("after a restart a call to it may be made")
 	}
 	addr = serveTestAdmin(t, r)
 	if got, _ := adminCall(t, addr, "POST", "/api/include", `{"host":"s-1"}`); got != 200 {
-		t.Errorf("put back: %d", got)
+		t.Errorf("include: %d", got)
 	}
 	r.step(nil)
 	r.wantMetrics(t, "back", map[string]string{"cluster_unhealthy": "0|g"})
 	if !r.sender.MayStill("s-1", r.now()) {
-		t.Error("one call back does not end it")
+		t.Error("one include request does not end the exclusion")
 	}
 }
 
-// What cannot be kept is not promised. It is in force all the same, since the rule holds from 1 s after the call, and it is
-// kept, over a restart too, as soon as the disk takes it.
+// An exclusion that cannot be saved is answered with an error. It is in force nevertheless, because an exclusion must hold
+// from 1 s after the request. It is saved as soon as the disk allows, so that it also survives a restart.
 func TestUnsavedExclusionIsInForce(t *testing.T) {
 	r := newTestRelay(t)
 	dir := r.exclusions.dir
@@ -227,15 +227,15 @@
 	request("/api/exclude", `{"host":"s-1","duty":"release","epoch":7}`, 200)
 	request("/api/include", `{"host":"s-1","duty":"release","epoch":6}`, 409)
 	if !r.exclusions.current()["s-1"] {
-		t.Error("a former holder's order was taken")
+		t.Error("a former holder's request was accepted")
 	}
 	request("/api/include", `{"host":"s-1","duty":"release","epoch":7}`, 200)
-	request("/api/exclude", `{"host":"s-1"}`, 200) // an operator's own
+	request("/api/exclude", `{"host":"s-1"}`, 200) // an operator's own request
 	for _, bad := range []string{`{"host":"s-1","duty":"release"}`, `{"host":"s-1","epoch":9}`, `{"host":"s-1","duty":"a b","epoch":9}`,
 		`{"host":"s-1","duty":"release","epoch":-1}`} {
 		request("/api/exclude", bad, 400)
 	}
-	// The next process knows of the newest epoch.
+	// The next process knows the newest epoch.
 	again := newExclusions(r.log, r.cfg.StateDir)
 	again.load([]string{"s-1"})
 	if a := again.set(exclusionChange{Host: "s-1", Out: true, Duty: "release", Epoch: 6}); a.status != http.StatusConflict {
--- a/internal/relay/clients.go
+++ b/internal/relay/clients.go
@@ -30,33 +30,32 @@
 
 const (
 	maxBodyBytes = 64 << 10
-	maxWireBytes = 8 * maxBodyBytes // a body in chunks, however small
-	maxIDBytes   = 256              // bytes of an id or a key
+	maxWireBytes = 8 * maxBodyBytes // wire size of a chunked body, however small its chunks
+	maxIDBytes   = 256              // of an id or a key
 
-	// A client that sends nothing, or nothing that can be read, is owed an error or a close within 3 s of its
-	// connecting.
+	// A client that sends nothing, or nothing readable, must get an error or a close within 3 s of connecting.
 	requestTimeout = 2 * time.Second
-	idleTimeout    = 2 * time.Minute // an idle connection
+	idleTimeout    = 2 * time.Minute // of an idle connection
 	writeTimeout   = time.Second
-	// What was refused may still be on its way: closed before it has come, the connection would be reset, and the
-	// answer lost with it.
+	// The rest of a refused request may still be in transit. Closing the connection before it has arrived would send a
+	// reset, and the client would lose the answer.
 	lingerTimeout  = 3 * time.Second
 	maxLingerBytes = 128 << 20
 
-	// A connection that waited while accepting failed has the rest of requestFor to come with a request, and this at least.
+	// A connection that waited while accepting failed gets the rest of requestTimeout for its request, but at least this.
 	minRequestTime  = 250 * time.Millisecond
-	stallResetAfter = 100 * time.Millisecond // after the last failure, what waited has been accepted
+	stallResetAfter = 100 * time.Millisecond // by this time after the last failure, all waiting connections have been accepted
 
-	acceptRetryDelay = 10 * time.Millisecond // after an accept that failed
+	acceptRetryDelay = 10 * time.Millisecond // after a failed accept
 
-	silentGrace = 100 * time.Millisecond // after this a connection on which nothing came makes way first
-	idleGrace   = 2 * time.Second        // and an idle one may be closed without need
+	silentGrace = 100 * time.Millisecond // connections that stay silent longer are closed first
+	idleGrace   = 2 * time.Second        // connections idle for longer may be closed without need
 )
 
-// answer is what a client is told of the message that it handed in.
+// answer is the response to a submission.
 type answer struct {
 	status     int
-	retryAfter time.Duration // advice with a refusal; 0: none
+	retryAfter time.Duration // Retry-After of a refusal; 0: none
 	text       string
 }
 
@@ -64,47 +63,48 @@
 	return answer{status: http.StatusBadRequest, text: fmt.Sprintf(format, args...)}
 }
 
-// phase is what a client's connection is at.
+// phase is the state of a client's connection.
 type phase int
 
 const (
-	phaseSilent    phase = iota // nothing has come yet
-	phaseReading                // a request is coming
-	phaseBusy                   // it is being answered
-	phaseIdle                   // it has been
-	phaseLingering              // refused, and closed but for what still comes
+	phaseSilent    phase = iota // nothing has arrived yet
+	phaseReading                // a request is arriving
+	phaseBusy                   // a request is being answered
+	phaseIdle                   // the last request has been answered
+	phaseLingering              // a request was refused; closed except for reading the rest of it
 )
 
-// client is one connection of a client. Its own goroutine, serve, reads it and closes it: no other knows whether a request has
-// been read. Others ask it to end (dismiss); they close it only where no answer is in time any more.
+// client is one connection of a client. Its own goroutine, serve, reads and closes it, because no other knows whether a
+// request has been read. Others only ask for a close (requestClose); they close it themselves only where no answer
+// could be in time.
 type client struct {
 	*conn
-	phase          phase // this and what follows: guarded by clients.mu
+	phase          phase // this and the fields up to closed are guarded by clients.mu
 	since          time.Time
-	closeRequested bool // asked to end: a request that has been read still has its answer
+	closeRequested bool // a request that has been read is still answered
 	closed         bool
 
-	unanswered atomic.Bool // a request was read, its client has not left, and its answer is not being written yet
+	unanswered atomic.Bool // a request was read, its client has not disconnected, and its answer is not being written yet
 }
 
-// clients serves the connections of clients. Where room is short, those that say nothing make way.
+// clients serves client connections. When it runs short of them, it closes silent ones first.
 type clients struct {
 	log            *slog.Logger
 	handler        func(c *client, req *http.Request) answer
-	limit          int // connections
-	keepAliveLimit int // with more than so many, none is kept for long
+	limit          int // most connections
+	keepAliveLimit int // with more connections than this, none is kept alive for long
 
 	mu          sync.Mutex
-	changed     sync.Cond // signalled when a connection ends or falls idle
+	changed     sync.Cond // signalled when a connection ends or becomes idle
 	conns       map[*client]struct{}
-	closing     int  // of them, dismissed
-	noKeepAlive bool // answers end their connections
-	closed      bool // none is accepted any more
+	closing     int  // how many of conns were asked to close
+	noKeepAlive bool // close each connection with its answer
+	closed      bool // no more connections are accepted
 
-	stalledSince, failedAt time.Time // since when accepting has failed, and when it last did; zero: it does not
+	stalledSince, failedAt time.Time // when accepting began to fail, and when it last did; zero: it does not fail
 
 	guard        *invariant.Guard
-	acceptErrors rate.Sometimes // bounds what is logged of them
+	acceptErrors rate.Sometimes // limits how often they are logged
 }
 
 func newClients(log *slog.Logger, most int, answer func(*client, *http.Request) answer) *clients {
@@ -122,8 +122,8 @@
 		case errors.Is(err, net.ErrClosed):
 			return nil
 		case err != nil:
-			// A client that left at once, say, or a machine that is short of what this process can't give back: no reason to
-			// close a connection whose request may be on its way.
+			// The client disconnected at once, or the machine lacks a resource that this process cannot free. Neither is a
+			// reason to close a connection whose request may be in transit.
 			s.noteAccept(true)
 			s.acceptErrors.Do(func() { s.log.Warn("accept", "err", err) })
 			if errors.Is(err, syscall.EMFILE) {
@@ -143,7 +143,7 @@
 	}
 }
 
-// admit enters a new connection; false where none is admitted any more.
+// admit adds a new connection. It returns false if no more are accepted.
 func (s *clients) admit(c *client) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -154,13 +154,13 @@
 	now := clock.Now()
 	c.since = now
 	if !s.stalledSince.IsZero() {
-		c.since = s.stalledSince // it may have waited since then
+		c.since = s.stalledSince // it may have been waiting since then
 	}
 	c.SetReadDeadline(laterOf(c.since.Add(requestTimeout), now.Add(minRequestTime)))
 	return true
 }
 
-// noteAccept notes whether accepting fails. Connections that waited meanwhile are owed an answer or a close from their connecting on.
+// noteAccept records whether accepting fails. The deadline of connections that wait meanwhile runs from their connecting.
 func (s *clients) noteAccept(failed bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -183,7 +183,7 @@
 	return b
 }
 
-// makeRoom waits until another connection may be held, if need be by having one end; forced, it has one end anyway.
+// makeRoom waits until another connection fits, asking one to close if necessary. If forced, it asks one in any case.
 func (s *clients) makeRoom(forced bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -197,8 +197,8 @@
 		}
 		s.changed.Wait()
 	}
-	// Clients that ask once and keep their connections must not fill the table for good. The usual ones seldom pay:
-	// theirs are in use.
+	// Clients that send one request and keep the connection must not fill the table for good. Regular clients are seldom
+	// affected, since their connections are in use.
 	if len(s.conns) > s.keepAliveLimit {
 		for c := range s.conns {
 			if c.phase == phaseIdle && now.Sub(c.since) > idleGrace {
@@ -208,7 +208,7 @@
 	}
 }
 
-// leastNeeded is the connection to end where room is short; nil if all are being answered or about to end.
+// leastNeeded returns the connection to close when room is short; nil if all are being answered or closing.
 func (s *clients) leastNeeded(now time.Time) *client {
 	rank := func(c *client) int {
 		switch age := now.Sub(c.since); {
@@ -232,7 +232,7 @@
 	return least
 }
 
-// requestClose has a connection end as soon as it has read no request that is not answered. Called with mu held.
+// requestClose makes a connection close as soon as no request that it has read is unanswered. Called with mu held.
 func (s *clients) requestClose(c *client) {
 	if !c.closeRequested && !c.closed {
 		c.closeRequested = true
@@ -241,7 +241,7 @@
 	}
 }
 
-// drop closes a connection and forgets it. Called with mu held.
+// drop closes a connection and removes it. Called with mu held.
 func (s *clients) drop(c *client) {
 	if !c.closed {
 		c.closed = true
@@ -254,7 +254,7 @@
 	}
 }
 
-// setPhase notes what a connection is at, and how long it may be read for; false if it was dropped meanwhile, or is to end now.
+// setPhase sets a connection's phase and read deadline. It returns false if the connection was dropped or must close now.
 func (s *clients) setPhase(c *client, p phase) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -265,7 +265,7 @@
 	c.phase, c.since = p, clock.Now()
 	switch p {
 	case phaseReading:
-		if was != phaseSilent { // the time of a first request runs from the connecting
+		if was != phaseSilent { // the time limit of a first request starts at the connect
 			from = c.since
 		}
 		c.SetReadDeadline(laterOf(from.Add(requestTimeout), c.since.Add(minRequestTime)))
@@ -284,22 +284,22 @@
 	return true
 }
 
-// setLimit changes how many connections may be held.
+// setLimit changes the limit on connections.
 func (s *clients) setLimit(most int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.limit, s.keepAliveLimit = most, most*3/8
 }
 
-// disableKeepAlive has each connection closed with its next answer. Idle ones stay open until then: a close could cross a
-// request.
+// disableKeepAlive makes each connection close with its next answer. Idle ones stay open until then, because a close
+// could cross a request.
 func (s *clients) disableKeepAlive() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.noKeepAlive = true
 }
 
-// drain has idle connections end, and the others with their next answer.
+// drain closes idle connections now, and the others with their next answer.
 func (s *clients) drain() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -311,7 +311,7 @@
 	}
 }
 
-// close has the connections end on which nothing comes, waits for the others until by, and closes them too.
+// close closes silent and idle connections, waits until by for the others, and then closes them too.
 func (s *clients) close(by time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -333,7 +333,7 @@
 	}
 }
 
-// serve reads requests off a connection until one side ends it.
+// serve reads requests from a connection until either side closes it.
 func (s *clients) serve(c *client) {
 	defer func() {
 		s.mu.Lock()
@@ -351,13 +351,13 @@
 		if !s.handleRequest(c) {
 			return
 		}
-		if c.r.Buffered() == 0 && !s.setPhase(c, phaseIdle) { // else the next request has been read, and is answered
+		if c.r.Buffered() == 0 && !s.setPhase(c, phaseIdle) { // otherwise the next request has already been read, and is answered
 			return
 		}
 	}
 }
 
-// handleRequest reads a handleRequest and answers it; false if the connection is of no further use.
+// handleRequest reads and answers one request. It returns false if the connection cannot be used further.
 func (s *clients) handleRequest(c *client) bool {
 	c.startCapture()
 	req, err := http.ReadRequest(c.r)
@@ -368,7 +368,7 @@
 	}
 	switch {
 	case hasBothLengths(req, head):
-		// One of the two hides what the other does not count: a request in a body, or the other way round.
+		// A request with both lengths may be read differently elsewhere, which allows request smuggling.
 		return s.refuse(c, badRequest("both Content-Length and Transfer-Encoding"))
 	case req.ContentLength > maxBodyBytes:
 		return s.refuse(c, answer{status: http.StatusRequestEntityTooLarge, text: "body over 64 KiB"})
@@ -383,10 +383,10 @@
 	switch {
 	case a.status == 0:
 		c.unanswered.Store(false)
-		return false // the client has left
+		return false // the client has disconnected
 	case a.status >= 400 && a.status < 500:
 		if bodyBuffered {
-			io.Copy(io.Discard, req.Body) // waits for nothing
+			io.Copy(io.Discard, req.Body) // does not block
 		}
 		if !bodyBuffered || c.r.Buffered() > 0 {
 			return s.refuse(c, a)
@@ -399,19 +399,19 @@
 	return err == nil && !last
 }
 
-// readErrorAnswer is the answer to what cannot be read; none to a client that left or never spoke.
+// readErrorAnswer is the answer to a request that cannot be read.
 func readErrorAnswer(err error) answer {
 	switch {
 	case errors.Is(err, os.ErrDeadlineExceeded):
-		return answer{status: http.StatusRequestTimeout, text: "request not whole in time"}
+		return answer{status: http.StatusRequestTimeout, text: "request timeout"}
 	case errors.Is(err, errTooLarge):
 		return answer{status: http.StatusRequestHeaderFieldsTooLarge, text: "head or body too large"}
 	}
 	return badRequest("unreadable request")
 }
 
-// hasBothLengths tells whether a head gives its body's length in both ways. package http takes one of them and shows the
-// other no more, so the head is read once more, by the reader that package http goes by.
+// hasBothLengths reports whether a head specifies the body's length in both ways. Package http uses one and drops the
+// other, so the head is parsed again with the reader that package http uses.
 func hasBothLengths(req *http.Request, head []byte) bool {
 	if len(req.TransferEncoding) == 0 && req.ProtoAtLeast(1, 1) {
 		return false // there was no Transfer-Encoding
@@ -424,8 +424,8 @@
 	return err != nil || header["Content-Length"] != nil && header["Transfer-Encoding"] != nil
 }
 
-// refuse answers what is not taken. Where the end of it has not come or cannot be told, the connection ends, but not
-// before the rest has come.
+// refuse answers a request that is not accepted. The connection is closed, because the end of the request has not
+// arrived or cannot be determined, but only after the rest has been read.
 func (s *clients) refuse(c *client, a answer) bool {
 	if _, err := s.reply(c, a, true); err != nil || !s.setPhase(c, phaseLingering) {
 		return false
@@ -437,11 +437,11 @@
 	return false
 }
 
-// reply writes an answer, with advice if there is any. It returns whether the connection ends with it, asked for or not.
+// reply writes an answer. It returns whether the connection closes after it, be it for closeConn or for another reason.
 func (s *clients) reply(c *client, a answer, closeConn bool) (bool, error) {
 	s.mu.Lock()
-	// Clients can hold only so many connections, too: where many are held, those that ask once and stay would keep
-	// the others from connecting, long before the table here is full.
+	// Clients can hold only a limited number of connections, too. If there are many, clients that send one request and
+	// stay would keep others from connecting long before the table here is full.
 	closeConn = closeConn || c.r.Buffered() == 0 && (s.noKeepAlive || c.closeRequested || len(s.conns) > s.keepAliveLimit)
 	s.mu.Unlock()
 	res := http.Response{StatusCode: a.status, ProtoMajor: 1, ProtoMinor: 1, Header: http.Header{}, Close: closeConn}
@@ -457,12 +457,12 @@
 		return closeConn, err
 	}
 	c.SetWriteDeadline(clock.Now().Add(writeTimeout))
-	c.unanswered.Store(false) // if it can't be written, its client has left
+	c.unanswered.Store(false) // if the write fails, the client has disconnected
 	_, err := c.Write(text.Bytes())
 	return closeConn, err
 }
 
-// handleClient answers a client's handleClient.
+// handleClient answers a client's request.
 func (r *Relay) handleClient(c *client, req *http.Request) answer {
 	switch {
 	case req.URL.Path == "/_health" && req.Method == http.MethodGet:
@@ -471,12 +471,12 @@
 		}
 		return answer{status: http.StatusOK}
 	case req.Method != http.MethodPost:
-		return answer{status: http.StatusMethodNotAllowed, text: "messages are handed in by POST"}
+		return answer{status: http.StatusMethodNotAllowed, text: "messages are submitted by POST"}
 	}
 	return r.handleSubmission(c, req)
 }
 
-// handleSubmission takes one message. Whatever is malformed ends here and never reaches the decision module.
+// handleSubmission accepts one message. Malformed requests are answered here and never reach the decision module.
 func (r *Relay) handleSubmission(c *client, req *http.Request) answer {
 	received := clock.Now()
 	m, timeLeft, err := r.parseMessage(req)
@@ -490,8 +490,8 @@
 		return readErrorAnswer(err)
 	}
 	if c.r.Buffered() > 0 {
-		// Clients send one request at a time: the length was wrong, and the body is not what was meant.
-		return badRequest("more bytes than the length tells")
+		// Clients send one request at a time, so Content-Length was wrong and the body is not the intended one.
+		return badRequest("body is longer than Content-Length")
 	}
 	if !r.clients.setPhase(c, phaseBusy) {
 		return answer{}
@@ -506,14 +506,14 @@
 	if open, _ := c.unwatch(); open {
 		return a
 	}
-	// A client that has left without the answer hands the message in anew: this one must not be sent as well.
+	// A client that disconnects without an answer submits the message again, so this one must not be sent as well.
 	if m.ID != 0 {
 		r.post(withdrawal{m.ID})
 	}
 	return answer{}
 }
 
-// readBody reads a body, which is as long as its head tells, or comes in chunks.
+// readBody reads a body, with a Content-Length or chunked.
 func readBody(req *http.Request) ([]byte, error) {
 	if req.ContentLength >= 0 {
 		body := make([]byte, req.ContentLength)
@@ -527,26 +527,26 @@
 	return body, err
 }
 
-// parseMessage reads all of a request but its body.
+// parseMessage reads a message from a request, except for its body.
 func (r *Relay) parseMessage(req *http.Request) (m *wal.Message, timeLeft time.Duration, err error) {
 	class := strings.TrimPrefix(req.URL.Path, "/")
 	m = &wal.Message{
 		Trace: req.Header.Get("X-Trace-Id"),
 		Key:   req.Header.Get("Idempotency-Key"),
-		Order: req.URL.Query().Get("key"), // what the message is about, where its class keeps order
+		Order: req.URL.Query().Get("key"), // the ordering key, for classes that keep order
 		Class: slices.Index(r.cfg.Classes, class),
 	}
 	switch {
 	case m.Class < 0:
 		return nil, 0, fmt.Errorf("unknown class %q", class)
 	case req.Header.Get("X-Qos") != class:
-		return nil, 0, errors.New("path and X-Qos differ")
+		return nil, 0, errors.New("the path and X-Qos differ")
 	case m.Trace == "" || max(len(m.Trace), len(m.Key), len(m.Order)) > maxIDBytes:
-		return nil, 0, errors.New("no X-Trace-Id, or an id or key too long")
+		return nil, 0, errors.New("X-Trace-Id is missing, or an id or key is too long")
 	case len(req.Header["X-Trace-Id"]) > 1 || len(req.Header["Idempotency-Key"]) > 1:
-		return nil, 0, errors.New("more than one id or key")
+		return nil, 0, errors.New("more than one X-Trace-Id or Idempotency-Key")
 	case m.Key == "" && r.cfg.Settings.Classes[m.Class].Effect == policy.Keyed:
-		return nil, 0, errors.New("no Idempotency-Key")
+		return nil, 0, errors.New("Idempotency-Key is missing")
 	}
 	if len(r.cfg.Customers) > 0 {
 		if m.Customer = slices.Index(r.cfg.Customers, req.Header.Get("X-Customer")); m.Customer < 0 {
@@ -574,5 +574,5 @@
 			return n, nil
 		}
 	}
-	return 0, errors.New("no dest in the Envelope")
+	return 0, errors.New("Envelope has no dest")
 }
--- a/internal/relay/clients_test.go
+++ b/internal/relay/clients_test.go
@@ -17,7 +17,7 @@
 	"onyxroad.dev/onyxroad/policy"
 )
 
-// expectEOF reads what is left on a connection, to its end; a reset fails the test.
+// expectEOF reads a connection to its end. Further bytes or a reset fail the test.
 func expectEOF(t *testing.T, what string, r *bufio.Reader) {
 	t.Helper()
 	if rest, err := io.ReadAll(r); err != nil || len(rest) > 0 {
@@ -25,7 +25,7 @@
 	}
 }
 
-// What cannot be read, or cannot be, is answered and goes no further.
+// Unreadable and invalid requests are answered and never reach the loop.
 func TestBadRequestsAreRejected(t *testing.T) {
 	hidden := requestText("hidden")
 	chunked := func(proto string) string {
@@ -41,12 +41,12 @@
 	}{
 		"both lengths":            {chunked("HTTP/1.1"), 400},
 		"both lengths, old":       {chunked("HTTP/1.0"), 400},
-		"a length in two ways":    {requestText("a", "Content-Length: 4", "Content-Length: 4\r\nContent-Length: 5"), 400},
-		"noise":                   {"\x16\x03\x01\x02\x00\x01\x00\r\n\r\n", 400},
+		"two Content-Lengths":     {requestText("a", "Content-Length: 4", "Content-Length: 4\r\nContent-Length: 5"), 400},
+		"binary data":             {"\x16\x03\x01\x02\x00\x01\x00\r\n\r\n", 400},
 		"half a head":             {good[:60], 400},
 		"half a body":             {good[:len(good)-2], 400},
-		"a head without end":      {"POST /order HTTP/1.1\r\nHost: x\r\n" + strings.Repeat("X-More: and more\r\n", 4000), 431},
-		"a line without end":      {"POST /" + strings.Repeat("o", 100_000), 431},
+		"endless head":            {"POST /order HTTP/1.1\r\nHost: x\r\n" + strings.Repeat("X-More: and more\r\n", 4000), 431},
+		"endless line":            {"POST /" + strings.Repeat("o", 100_000), 431},
 		"negative length":         {requestText("a", "Length: 4", "Length: -4"), 400},
 		"huge length":             {requestText("a", "Length: 4", "Length: 99999999999999999999"), 400},
 		"large length":            {requestText("a", "Length: 4", "Length: 3000000000"), 413},
@@ -54,15 +54,15 @@
 		"no such class":           {requestText("a", "/order", "/other", "Qos: order", "Qos: other"), 400},
 		"no id":                   {requestText(""), 400},
 		"two ids":                 {requestText("a", "X-Qos", "X-Trace-Id: b\r\nX-Qos"), 400},
-		"a deadline in words":     {requestText("a", "5000", "soon"), 400},
-		"more time than there is": {requestText("a", "5000", "5000000"), 400},
+		"non-numeric deadline":    {requestText("a", "5000", "soon"), 400},
+		"deadline over the limit": {requestText("a", "5000", "5000000"), 400},
 		"no length":               {requestText("a", "Content-Length: 4\r\n", ""), 400},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			r := newTestRelay(t)
 			conn := dial(t, serveTestClients(t, r), "")
-			go func() { // the relay may refuse before all is written
+			go func() { // the relay may refuse before everything is written
 				io.WriteString(conn, c.text)
 				conn.(*net.TCPConn).CloseWrite()
 			}()
@@ -72,13 +72,13 @@
 			}
 			expectEOF(t, name, answers)
 			if n := len(r.events); n > 0 {
-				t.Errorf("%d messages went on", n)
+				t.Errorf("%d messages reached the loop", n)
 			}
 		})
 	}
 }
 
-// A destination that no list has named never reaches the module, which would keep it.
+// A destination that no list has named must not reach the module, which would keep it.
 func TestUnknownDestinationIsRejected(t *testing.T) {
 	r := newTestRelay(t)
 	answers := bufio.NewReader(dial(t, serveTestClients(t, r), requestText("a", "dest=7", "dest=8")))
@@ -88,7 +88,7 @@
 	}
 }
 
-// The answer is not lost with a connection that is reset under it, however much is still on its way.
+// However much data is still in transit, the answer must not be lost to a reset of the connection.
 func TestRefusalArrivesBeforeClose(t *testing.T) {
 	const size = 60 << 20
 	addr := serveTestClients(t, newTestRelay(t))
@@ -104,7 +104,7 @@
 			}
 		}
 		if _, err := io.CopyN(conn, zeroReader{}, size); err != nil {
-			t.Fatalf("not read to its end: %v", err)
+			t.Fatalf("the rest was not read: %v", err)
 		}
 		conn.(*net.TCPConn).CloseWrite()
 		answers := bufio.NewReader(conn)
@@ -119,7 +119,7 @@
 
 func (zeroReader) Read(b []byte) (int, error) { clear(b); return len(b), nil }
 
-// A bad request that has come whole costs a client no connection.
+// A client whose bad request has arrived completely keeps its connection.
 func TestConnectionSurvivesBadRequest(t *testing.T) {
 	r := newTestRelay(t)
 	conn := dial(t, serveTestClients(t, r), requestText("a", "X-Qos: order", "X-Qos: what"))
@@ -128,13 +128,13 @@
 		t.Errorf("status %d", res.StatusCode)
 	}
 	io.WriteString(conn, requestText("b"))
-	stepUntil(t, r, "taken on", func() bool { return r.byTrace["b"] != nil })
+	stepUntil(t, r, "accepted", func() bool { return r.byTrace["b"] != nil })
 	if res := readResponse(t, answers); res.StatusCode != http.StatusAccepted {
 		t.Errorf("status %d", res.StatusCode)
 	}
 }
 
-// Silent connections, and those that are kept for nothing, make way for clients that have something to say.
+// Silent and idle connections are closed to make room for clients that send requests.
 func TestSilentAndIdleConnectionsAreClosedFirst(t *testing.T) {
 	const limit = 4
 	r := newTestRelay(t)
@@ -151,14 +151,14 @@
 			t.Errorf("%d: status %d", i, res.StatusCode)
 		}
 	}
-	expectEOF(t, "the one that was idle longest", kept)
+	expectEOF(t, "the connection that was idle longest", kept)
 	if n := held(); n > limit {
 		t.Errorf("%d connections held", n)
 	}
 }
 
-// Where many connections are held, an answer ends its own, and says so: clients that ask once and stay would else hold
-// all that they all may have.
+// With many connections, each answer announces and causes the close of its connection. Otherwise clients that send one
+// request and stay would hold all connections that there may be.
 func TestNoKeepAliveWithManyConnections(t *testing.T) {
 	r := newTestRelay(t)
 	r.clients.keepAliveLimit = 1
@@ -167,21 +167,21 @@
 	conn := dial(t, addr, health)
 	first := bufio.NewReader(conn)
 	if res := readResponse(t, first); res.Close {
-		t.Error("not kept, though it is alone")
+		t.Error("closed although it is the only connection")
 	}
 	second := bufio.NewReader(dial(t, addr, health))
 	if res := readResponse(t, second); !res.Close {
-		t.Error("kept in a crowd")
+		t.Error("kept alive with many connections")
 	}
 	expectEOF(t, "the second", second)
-	eventually(t, "room again", func() bool { r.clients.mu.Lock(); defer r.clients.mu.Unlock(); return len(r.clients.conns) == 1 })
+	eventually(t, "the second connection is gone", func() bool { r.clients.mu.Lock(); defer r.clients.mu.Unlock(); return len(r.clients.conns) == 1 })
 	io.WriteString(conn, health)
 	if res := readResponse(t, first); res.Close {
-		t.Error("not kept, though it is alone again")
+		t.Error("closed although it is the only connection again")
 	}
 }
 
-// Where all connections are being answered, a newcomer waits for the first that is done.
+// If all connections are being answered, a new one waits for the first that ends.
 func TestNewConnectionWaitsForPendingAnswers(t *testing.T) {
 	r := newTestRelay(t)
 	r.clients.limit = 1
@@ -193,13 +193,13 @@
 	if res := readResponse(t, first); res.StatusCode != http.StatusAccepted {
 		t.Errorf("status %d", res.StatusCode)
 	}
-	stepUntil(t, r, "the second is taken on", func() bool { return r.byTrace["m2"] != nil })
+	stepUntil(t, r, "the second is accepted", func() bool { return r.byTrace["m2"] != nil })
 	if res := readResponse(t, second); res.StatusCode != http.StatusAccepted {
 		t.Errorf("status %d", res.StatusCode)
 	}
 }
 
-// A connection on which nothing comes is closed within the 3 s that such a client is owed.
+// A silent connection must be closed within 3 s.
 func TestSilentConnectionIsClosedInTime(t *testing.T) {
 	began := time.Now()
 	expectEOF(t, "silent", bufio.NewReader(dial(t, serveTestClients(t, newTestRelay(t)), "")))
@@ -208,7 +208,7 @@
 	}
 }
 
-// stepSubmissions has the loop take all of these hand-ins in one step.
+// stepSubmissions runs one step with all of these submissions and returns their answers.
 func stepSubmissions(r *Relay, ins ...*submission) (answers []answer) {
 	batch := make([]any, len(ins))
 	for i, in := range ins {
@@ -226,7 +226,7 @@
 	return &submission{m: m, reply: make(chan answer, 1)}
 }
 
-// A second copy of what is refused in the same step is not told that it is taken on.
+// A duplicate of a message that is refused in the same step must not be told that it is accepted.
 func TestDuplicateInOneStepGetsSameAnswer(t *testing.T) {
 	r := newTestRelay(t)
 	for i, a := range stepSubmissions(r, newSubmission("m1", 7, -time.Second), newSubmission("m1", 7, time.Second)) {
@@ -242,7 +242,7 @@
 	}
 }
 
-// The client that handed a message in first may leave: the one that was told the same of the same id is still owed it.
+// The first client of a message may disconnect: the message is still owed to a second client that was told the same.
 func TestIDAcceptedTwiceIsNotWithdrawn(t *testing.T) {
 	r := newTestRelay(t)
 	first := newSubmission("m1", 7, 5*time.Second)
@@ -254,7 +254,7 @@
 	}
 }
 
-// What was given up on, and only waits for its notice, is owed no more than that.
+// A message that was given up and only waits for its notice is owed nothing more. Its id gets the same answer.
 func TestRefusedIDGetsSameRefusal(t *testing.T) {
 	r := newTestRelay(t)
 	in := newSubmission("m1", 7, 5*time.Second)
@@ -266,11 +266,11 @@
 	}
 }
 
-// A withdrawn message that may have run keeps its attempts, its window and its zone when it comes once more under its
-// id, also when the process ends in between, before or after.
+// A withdrawn message that may have run keeps its attempts, its repeat window and its zone when it is submitted again
+// under its id, even if the process restarts before or after that.
 func TestResubmittedMessageKeepsItsAttempts(t *testing.T) {
 	for restart := range 3 {
-		const dest = 8 // listed once, and without a host now: nothing is sent but what the test says
+		const dest = 8 // listed before, but without a host now: nothing is sent except by the test
 		r := newTestRelay(t)
 		r.knownDests[dest] = true
 		in := newSubmission("m1", dest, 5*time.Second)
@@ -302,13 +302,13 @@
 	}
 }
 
-// restartRelay is a relay on what another left behind.
+// restartRelay returns a relay that starts from another one's state.
 func restartRelay(t *testing.T, old *Relay) *Relay {
 	t.Helper()
 	if err := old.wal.Flush(); err != nil {
 		t.Fatal(err)
 	}
-	old.logLock.Close() // as its process ends
+	old.logLock.Close() // as at the end of its process
 	r, err := New(t.Context(), old.cfg, discardLogger())
 	if err != nil {
 		t.Fatal(err)
@@ -318,7 +318,7 @@
 	return r
 }
 
-// A Send of a message that is not held must not end the loop.
+// A Send of a message that is not held must not crash the loop.
 func TestSendOfUnknownMessageIsIgnored(t *testing.T) {
 	r := newTestRelay(t)
 	r.carryOut([]policy.Action{{Kind: policy.Send, ID: 4711, Route: "s-1", At: time.Minute}}, nil)
@@ -337,10 +337,10 @@
 		c.startCapture()
 		req, err := http.ReadRequest(c.r)
 		if err == nil && len(req.TransferEncoding) > 0 && bytes.Contains(bytes.ToLower(c.captured), []byte("\ncontent-length:")) {
-			// The head alone counts, so what stands behind it may still hold that text.
+			// Only the head counts: the data behind it may contain the same text.
 			head, _, _ := bytes.Cut(c.captured, []byte("\r\n\r\n"))
 			if bytes.Contains(bytes.ToLower(head), []byte("\r\ncontent-length:")) && !hasBothLengths(req, c.captured) {
-				t.Errorf("%q passes", data)
+				t.Errorf("%q is accepted", data)
 			}
 		}
 	})
@@ -355,7 +355,7 @@
 
 func (c readConn) Read(b []byte) (int, error) { return c.r.Read(b) }
 
-// pausedReader is a connection whose owner stands still with what it has read in its hands, until it is let go.
+// pausedReader is a connection whose Read pauses after it has read data, until it may proceed.
 type pausedReader struct {
 	net.Conn
 	hasRead, proceed chan struct{}
@@ -370,8 +370,8 @@
 	return n, err
 }
 
-// A connection counts as idle until its reader has said otherwise, though the request is read by then. What asked such connections
-// to end once closed them under a request that nobody else would answer.
+// A connection counts as idle until its reader reports otherwise, even if the request has been read by then. Asking such a
+// connection to close used to close it under a request that nobody else would answer.
 func TestReadRequestIsAnsweredWhenConnectionCloses(t *testing.T) {
 	for name, end := range map[string]func(s *clients){
 		"shutting down": func(s *clients) { s.drain() },
@@ -412,7 +412,7 @@
 				io.WriteString(out, requestText("a", "Content-Length: 4\r\n", "Content-Length: 0\r\n")[:len(requestText("a"))-4])
 				<-slow.hasRead
 				if i == 1 {
-					end(s) // the connection has been idle, and the second request is in the reader's hands
+					end(s) // the connection has been idle, and its reader holds the second request
 				}
 				slow.proceed <- struct{}{}
 				if res := readResponse(t, r); res.StatusCode != 202 || res.Close != (i == 1) {
@@ -424,8 +424,8 @@
 	}
 }
 
-// A client that sends its next request before it has its answer has that read with the first. Whatever ends the connection then, both
-// have their answers.
+// A client that sends its next request before it has the answer has both read together. Whatever ends the connection then,
+// both must be answered.
 func TestPipelinedRequestIsAnswered(t *testing.T) {
 	for name, end := range map[string]func(s *clients, c *client){
 		"the relay ends":  func(s *clients, _ *client) { s.disableKeepAlive() },
--- a/internal/relay/conn.go
+++ b/internal/relay/conn.go
@@ -9,7 +9,7 @@
 )
 
 const (
-	maxHeadBytes   = 16 << 10 // bytes of a request's or an answer's head
+	maxHeadBytes   = 16 << 10 // bytes of a request's or a response's head
 	readBufferSize = 4 << 10  // bytes read ahead
 )
 
@@ -18,14 +18,14 @@
 	pastDeadline = time.Unix(1, 0)
 )
 
-// conn is a connection that messages of HTTP are read from. It bounds what a peer can have read of it, shows what
-// came beyond a message, and notices a peer that speaks or leaves out of turn.
+// conn is a connection from which HTTP messages are read. It limits how much of a peer's data is read, exposes the bytes
+// that follow a message, and detects a peer that sends or disconnects out of turn.
 type conn struct {
 	net.Conn
 	r           *bufio.Reader
-	allowance   int // bytes that may still come
+	allowance   int // bytes that may still be read
 	capturing   bool
-	captured    []byte // what came since keepFrom
+	captured    []byte // raw bytes since startCapture
 	watchResult chan error
 }
 
@@ -35,10 +35,10 @@
 	return x
 }
 
-// allow lets n more bytes come. Guards against heads and bodies without end.
+// allow lets n more bytes be read. It guards against endless heads and bodies.
 func (c *conn) allow(n int) { c.allowance = n }
 
-// Read is for the buffered reader.
+// Read implements io.Reader for the buffered reader.
 func (c *conn) Read(b []byte) (int, error) {
 	if c.allowance <= 0 {
 		return 0, errTooLarge
@@ -51,9 +51,9 @@
 	return n, err
 }
 
-// startCapture has all that comes from here on kept as it is on the wire, in kept, until keepNone.
+// startCapture keeps a raw copy of all further input in captured, until stopCapture.
 func (c *conn) startCapture() {
-	ahead, _ := c.r.Peek(c.r.Buffered()) // cannot fail: it is there
+	ahead, _ := c.r.Peek(c.r.Buffered()) // cannot fail: the bytes are buffered
 	c.capturing, c.captured = true, append(c.captured[:0], ahead...)
 }
 
@@ -63,7 +63,7 @@
 	}
 }
 
-// watch looks out for a peer that speaks or leaves while nothing is due from it, and tells noticed, if not nil.
+// watch detects a peer that sends or disconnects while nothing is expected from it, and calls noticed, if not nil.
 func (c *conn) watch(noticed func()) {
 	c.allow(readBufferSize)
 	watched := make(chan error, 1)
@@ -77,7 +77,7 @@
 	}()
 }
 
-// unwatch ends a watch. open is false if the peer has left, quiet is false if it left or spoke.
+// unwatch ends a watch. open is false if the peer has disconnected; quiet is false if it disconnected or sent something.
 func (c *conn) unwatch() (open, quiet bool) {
 	c.SetReadDeadline(pastDeadline)
 	err := <-c.watchResult
--- a/internal/relay/exclusions.go
+++ b/internal/relay/exclusions.go
@@ -17,14 +17,14 @@
 
 const (
 	exclusionsFile     = "excluded.json"
-	maxExclusionsBytes = 16 << 10 // bytes of the set on disk
-	maxSeenIDs         = 8192     // ids that the list has named, those no longer on it among them
-	// stateReserve is the part of the disk limit that is kept from the log: the set, a new one beside it, and the rest.
+	maxExclusionsBytes = 16 << 10 // size of the set on disk, in bytes
+	maxSeenIDs         = 8192     // ids that a list has ever named, including those no longer listed
+	// stateReserve is the part of the disk limit that the log may not use: the set, a temporary copy of it, and the rest.
 	stateReserve = 64 << 10
 )
 
-// exclusionChange is an operator's: an endpoint is taken out by hand, or put back. One in the name of a duty carries the epoch of its
-// holder.
+// exclusionChange is an operator's request to exclude an endpoint, or to include it again. One that a duty's holder makes
+// carries the holder's epoch.
 type exclusionChange struct {
 	Host  string `json:",omitempty"`
 	Out   bool   `json:",omitempty"`
@@ -32,36 +32,37 @@
 	Epoch uint64 `json:",omitempty"`
 }
 
-// exclusions is the set of endpoints that operators have taken out by hand. It alone writes the set, to the state
-// folder and before the yes. Callers change it without waiting for the loop, which hears of it by changed.
+// exclusions is the set of endpoints that operators have excluded. Only this type writes the set to the state folder, and
+// it does so before a change is confirmed. Callers change the set without waiting for the loop, which is notified by
+// changed.
 type exclusions struct {
 	log     *slog.Logger
 	dir     string
-	changed chan struct{} // holds one
+	changed chan struct{} // capacity 1
 
 	mu        sync.Mutex // held while the set is handed over
-	owned     bool       // this process has the set
-	successor *link      // else the process that has it; nil if none has it yet
+	owned     bool       // this process owns the set
+	successor *link      // otherwise the process that owns it; nil if none does yet
 	excluded  map[string]bool
 	seen      map[string]bool
-	seenOrder []string    // those of seen, by age
-	fence     *duty.Fence // of orders in the name of a duty; nil until one comes
+	seenOrder []string    // the ids of seen, oldest first
+	fence     *duty.Fence // for changes made in the name of a duty; nil until the first one
 
-	unsaved bool // the set on disk is an older one
+	unsaved bool // the set on disk is outdated
 }
 
 func newExclusions(log *slog.Logger, dir string) *exclusions {
 	return &exclusions{log: log, dir: dir, changed: make(chan struct{}, 1), excluded: map[string]bool{}, seen: map[string]bool{}}
 }
 
-// load takes the set over from an earlier process. Whoever calls has the log's lock.
-// The error is one that may pass: nothing is taken over then.
+// load takes the set over from an earlier process. The caller must hold the log's lock. An error is transient, and then
+// nothing is taken over.
 func (x *exclusions) load(seen []string) error {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	data, err := os.ReadFile(filepath.Join(x.dir, exclusionsFile))
 	if isTransient(err) {
-		return fmt.Errorf("relay: endpoints out by hand: %w", err)
+		return fmt.Errorf("relay: read excluded endpoints: %w", err)
 	}
 	x.owned = true
 	x.addSeen(seen)
@@ -70,16 +71,16 @@
 		err = json.Unmarshal(data, &ids)
 	}
 	if err != nil && !errors.Is(err, os.ErrNotExist) {
-		x.log.Error("endpoints out by hand are not known", "err", err)
+		x.log.Error("cannot read the set of excluded endpoints", "err", err)
 	}
 	for _, id := range ids {
-		x.excluded[id] = true // nobody has seen it yet
+		x.excluded[id] = true // not shared with readers yet
 	}
 	x.notify()
 	return nil
 }
 
-// unload gives the set up again: the earlier process has kept it.
+// unload gives the set up again, because the earlier process keeps it.
 func (x *exclusions) unload() {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -93,7 +94,7 @@
 	}
 }
 
-// noteListed notes ids that discovery's list names. Of those not on it for long the oldest are forgotten.
+// noteListed records ids from discovery's list. If there are too many, the oldest that are no longer listed are dropped.
 func (x *exclusions) noteListed(ids []string, isListed func(id string) bool) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -118,14 +119,14 @@
 	}
 }
 
-// set takes an endpoint out, or puts it back.
+// set excludes an endpoint, or includes it again.
 func (x *exclusions) set(o exclusionChange) answer {
 	id, out := o.Host, o.Out
 	x.mu.Lock()
-	if heir := x.successor; heir != nil {
+	if successor := x.successor; successor != nil {
 		x.mu.Unlock()
 		in := &submission{exclusionChange: o, reply: make(chan answer, 1)}
-		heir.ask(in)
+		successor.ask(in)
 		return <-in.reply
 	}
 	defer x.mu.Unlock()
@@ -133,27 +134,27 @@
 	case !x.owned:
 		return answer{status: http.StatusServiceUnavailable, text: "not serving"}
 	case !x.excluded[id] && !x.seen[id]:
-		return answer{status: http.StatusNotFound, text: "no such endpoint was ever listed"}
+		return answer{status: http.StatusNotFound, text: "this endpoint was never listed"}
 	}
 	if err := x.checkFence(o); errors.Is(err, duty.ErrFenced) {
 		return answer{status: http.StatusConflict, text: err.Error()}
 	} else if err != nil {
-		x.log.Error("order in the name of a duty", "duty", o.Duty, "epoch", o.Epoch, "err", err)
-		return answer{status: http.StatusServiceUnavailable, text: "not kept: " + err.Error()}
+		x.log.Error("cannot check the epoch of a duty's request", "duty", o.Duty, "epoch", o.Epoch, "err", err)
+		return answer{status: http.StatusServiceUnavailable, text: "not saved: " + err.Error()}
 	}
 	if x.excluded[id] != out {
 		next, err := x.withChange(id, out)
 		if err != nil {
 			return answer{status: http.StatusServiceUnavailable, text: err.Error()}
 		}
-		// In force at once, and with a no as well: the rule holds from 1 s after the call, whatever the disk does.
+		// In force at once, even if saving fails: an exclusion must hold from 1 s after the request, whatever the disk does.
 		x.excluded, x.unsaved = next, true
-		x.log.Info("endpoint out by hand", "id", id, "out", out)
+		x.log.Info("endpoint exclusion changed", "id", id, "out", out)
 		x.notify()
 	}
 	if err := x.save(); err != nil {
-		x.log.Error("endpoint out by hand", "id", id, "out", out, "err", err)
-		return answer{status: http.StatusServiceUnavailable, text: "in force, and not kept yet: " + err.Error()}
+		x.log.Error("endpoint exclusion not saved", "id", id, "out", out, "err", err)
+		return answer{status: http.StatusServiceUnavailable, text: "in force, but not saved yet: " + err.Error()}
 	}
 	if out {
 		return answer{status: http.StatusOK, text: "out"}
@@ -161,8 +162,8 @@
 	return answer{status: http.StatusOK, text: "back"}
 }
 
-// checkFence refuses an order of a duty's former holder; with mu held. That a newer one was heard is on disk before anything of it
-// is done.
+// checkFence refuses a change by a former holder of a duty; mu must be held. A newer epoch is saved to disk before
+// anything in its name is done.
 func (x *exclusions) checkFence(o exclusionChange) (err error) {
 	if o.Duty == "" {
 		return nil
@@ -175,7 +176,7 @@
 	return x.fence.Pass(o.Duty, o.Epoch)
 }
 
-// withChange is the set withChange one endpoint taken out or put back.
+// withChange returns the set with one endpoint excluded or included.
 func (x *exclusions) withChange(id string, out bool) (map[string]bool, error) {
 	next := maps.Clone(x.excluded)
 	if next[id] = true; !out {
@@ -191,16 +192,16 @@
 	return next, nil
 }
 
-// retrySave tries once more to put the set on disk where that has failed.
+// retrySave tries again to save the set if saving has failed.
 func (x *exclusions) retrySave() {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	if x.owned && x.unsaved && x.save() == nil {
-		x.log.Info("endpoints out by hand are kept again")
+		x.log.Info("excluded endpoints are saved again")
 	}
 }
 
-// save puts the set on disk, whole or not at all, if an older one stands there.
+// save replaces the set on disk atomically, if it is outdated.
 func (x *exclusions) save() error {
 	if !x.unsaved {
 		return nil
@@ -220,7 +221,7 @@
 	return nil
 }
 
-// current is the set as it is now: a change makes a new one.
+// current returns the set. It is never modified: a change makes a new one.
 func (x *exclusions) current() map[string]bool {
 	x.mu.Lock()
 	defer x.mu.Unlock()
--- a/internal/relay/fleet.go
+++ b/internal/relay/fleet.go
@@ -12,10 +12,10 @@
 	"onyxroad.dev/onyxroad/internal/membership"
 )
 
-// joinRetryDelay is the time between two attempts to join: while a process that hands over still has the address, say.
+// joinRetryDelay is the pause between attempts to join. Joining fails while a process that hands over still has the address.
 const joinRetryDelay = 250 * time.Millisecond
 
-// fleet is the relay's part in its fleet. No message waits for it, whatever becomes of it.
+// fleet is the relay's membership in its fleet. Message delivery never waits for it.
 type fleet struct {
 	mu     sync.Mutex
 	member membership.Fleet // nil: not joined
@@ -23,7 +23,7 @@
 	left   bool
 }
 
-// joinFleet joins the fleet, and tries again until that works or the relay ends.
+// joinFleet joins the fleet. It retries until that succeeds or the relay ends.
 func (r *Relay) joinFleet(ctx context.Context) {
 	if r.cfg.Join == nil {
 		return
@@ -35,7 +35,7 @@
 			return
 		}
 		if !logged {
-			r.log.Warn("not in the fleet yet", "err", err)
+			r.log.Warn("cannot join the fleet yet", "err", err)
 			logged = true
 		}
 		select {
@@ -57,7 +57,7 @@
 	m.Become(f.state)
 }
 
-// setState tells the fleet of a state, now or once it is joined.
+// setState announces a state to the fleet, now or once it is joined.
 func (f *fleet) setState(s membership.State) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -66,7 +66,7 @@
 	}
 }
 
-// leave ends the relay's part: in order, or without a word where a newer process takes its place.
+// leave ends the membership: with an announcement, or silently if a newer process takes this one's place.
 func (f *fleet) leave(inOrder bool) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -81,7 +81,7 @@
 	return m.Close()
 }
 
-// view is the fleet as it is known; false without one.
+// view returns the known view of the fleet; false if it is not joined.
 func (f *fleet) view() (v membership.View, ok bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -91,11 +91,12 @@
 	return f.member.View(), true
 }
 
-// Duties is what a relay may hold of the fleet's duties. Nothing of a message's way depends on it.
+// Duties are the fleet's duties that a relay may hold. No message depends on them.
 type Duties interface {
-	// Run claims duties and works on those that are held, until ctx ends. members tells who is present.
+	// Run claims duties and does their work while they are held, until ctx ends. members returns the members present.
 	Run(ctx context.Context, members func() []membership.Process)
-	// Figures are the fleet's, in the second address's form, where this process holds them; else who does, perhaps.
+	// Figures returns the fleet's metrics in the format of /api/telemetry if this process holds them; otherwise the
+	// holder, if it is known.
 	Figures() (text string, held bool)
 }
 
@@ -111,7 +112,7 @@
 	return answer{status: http.StatusOK, text: text}
 }
 
-// presentMembers are the processes that are present; none without a fleet.
+// presentMembers returns the processes that are present; none if the fleet is not joined.
 func (f *fleet) presentMembers() (all []membership.Process) {
 	v, _ := f.view()
 	for _, m := range v.Members {
@@ -122,7 +123,7 @@
 	return all
 }
 
-// handleMembers answers GET /api/handleMembers.
+// handleMembers answers GET /api/members.
 func (r *Relay) handleMembers() answer {
 	v, ok := r.fleet.view()
 	if !ok {
@@ -135,7 +136,7 @@
 	return answer{status: http.StatusOK, text: string(text)}
 }
 
-// metricsText are the fleet's, in the second address's form.
+// metricsText formats the fleet's metrics for /api/telemetry.
 func (f *fleet) metricsText() string {
 	v, ok := f.view()
 	if !ok {
--- a/internal/relay/fleet_test.go
+++ b/internal/relay/fleet_test.go
@@ -12,7 +12,7 @@
 	"onyxroad.dev/onyxroad/internal/membership"
 )
 
-// fakeFleet is a fleet that remembers what it was told.
+// fakeFleet records what it is told.
 type fakeFleet struct {
 	states []membership.State
 	ended  string
@@ -46,7 +46,7 @@
 	r.joinFleet(t.Context())
 	r.fleet.setState(membership.Draining)
 	if len(member.states) != 2 || member.states[0] != membership.Serving || member.states[1] != membership.Draining {
-		t.Errorf("told %v", member.states)
+		t.Errorf("announced %v", member.states)
 	}
 	status, body := adminCall(t, admin, http.MethodGet, "/api/members", "")
 	var v membership.View
@@ -55,19 +55,19 @@
 	}
 	if _, text := adminCall(t, admin, http.MethodGet, "/api/telemetry", ""); !strings.Contains(text, "fleet.careful:5|g") ||
 		!strings.Contains(text, "fleet.agreed:0|g") || !strings.Contains(text, "fleet.bytes:17|c") {
-		t.Errorf("figures %s", text)
+		t.Errorf("metrics %s", text)
 	}
 	if err := r.fleet.leave(true); err != nil || member.ended != "left" {
 		t.Errorf("%q, %v", member.ended, err)
 	}
-	// One that is joined when the relay has ended already is let go.
+	// A fleet that is joined after the relay has left is closed again.
 	late := &fakeFleet{}
 	r.cfg.Join = func(membership.Config, func(membership.View)) (membership.Fleet, error) { return late, nil }
 	r.joinFleet(t.Context())
 	if late.ended != "closed" {
 		t.Errorf("joined late: %q", late.ended)
 	}
-	// And one that can't join does not hold up the end.
+	// A relay that cannot join must still be able to end.
 	ctx, cancel := context.WithTimeout(t.Context(), time.Millisecond)
 	defer cancel()
 	r.cfg.Join = func(membership.Config, func(membership.View)) (membership.Fleet, error) {
--- a/internal/relay/guards.go
+++ b/internal/relay/guards.go
@@ -10,13 +10,13 @@
 	"onyxroad.dev/onyxroad/policy"
 )
 
-// What the guards of package invariant are told. Nothing here decides anything.
+// This file reports to the guards of package invariant, and makes no decisions.
 
-// checkSends tells the guard of a call that is about to leave.
+// checkSends reports a call that is about to be made.
 func (r *Relay) checkSends(c *call) {
 	now := clock.Now()
 	for _, a := range c.attempts {
-		_, completed := r.wal.Completed(a.m.Trace) // a message of its own under the id of one that has ended
+		_, completed := r.wal.Completed(a.m.Trace) // a separate message under the id of an ended one
 		r.guard.Sending(invariant.Send{
 			Trace: a.m.Trace, Endpoint: c.route, Recorded: a.isRecorded(), Ended: a.m.ended || completed, EndOfSends: r.noSends,
 			Draining: r.outOfService.duration(c.route, now), Left: a.m.Deadline.Sub(now),
@@ -25,12 +25,12 @@
 	}
 }
 
-// isRecorded tells whether the log has an attempt as one that may run.
+// isRecorded reports whether the log has the attempt as one that may run.
 func (a *attempt) isRecorded() bool {
 	return slices.ContainsFunc(a.m.MayRun, func(x wal.Attempt) bool { return x.N == a.n })
 }
 
-// checkRepeat tells the guard of an attempt of a message of which an earlier one may have run.
+// checkRepeat reports an attempt if an earlier one of the same message may have run.
 func (r *Relay) checkRepeat(a *attempt, now time.Time) {
 	first := slices.IndexFunc(a.m.MayRun, func(x wal.Attempt) bool { return x.N != a.n })
 	if first < 0 || a.m.Class < 0 || a.m.Class >= len(r.cfg.Settings.Classes) {
@@ -45,17 +45,17 @@
 	r.guard.Repeating(repeat)
 }
 
-// outages are the endpoints that may get nothing new, with the moment since when.
+// outages maps the endpoints that must receive nothing new to the time since when.
 type outages map[string]time.Time
 
-// add notes that an endpoint may get nothing new from now on.
+// add records that an endpoint must receive nothing new from now on.
 func (o outages) add(route string) {
 	if _, ok := o[route]; !ok {
 		o[route] = clock.Now()
 	}
 }
 
-// duration is for how long an endpoint may have got nothing new; 0 if it may.
+// duration is how long an endpoint has had to receive nothing new; 0 if it is in service.
 func (o outages) duration(route string, now time.Time) time.Duration {
 	if at, ok := o[route]; ok {
 		return now.Sub(at)
@@ -63,7 +63,7 @@
 	return 0
 }
 
-// updateOutage brings one endpoint up to date with the list and with what operators have taken out.
+// updateOutage updates one endpoint's entry from the list and from the operators' exclusions.
 func (r *Relay) updateOutage(route string) {
 	if t, listed := r.routes[route]; listed && t.InService && !r.excluded[route] {
 		delete(r.outOfService, route)
@@ -73,14 +73,14 @@
 	if len(r.outOfService) <= maxSeenIDs {
 		return
 	}
-	for old := range r.outOfService { // long gone, as good as all of them
+	for old := range r.outOfService { // unlisted ones, nearly all of them long gone
 		if _, listed := r.routes[old]; !listed {
 			delete(r.outOfService, old)
 		}
 	}
 }
 
-// checkLimits tells the guard of what the relay holds.
+// checkLimits reports the resources that the relay uses.
 func (r *Relay) checkLimits() {
 	sockets := r.cfg.Limits.Sockets
 	r.guard.Bound("connections of clients", int64(r.clients.count()), int64(sockets*9/20))
@@ -88,14 +88,14 @@
 	r.guard.Bound("bytes of the log", r.wal.Size(), int64(r.cfg.Limits.DiskMB*1e6))
 }
 
-// count is how many connections there are.
+// count returns the number of connections.
 func (s *clients) count() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.conns)
 }
 
-// openCount is how many connections there are, idle or not.
+// openCount returns the number of connections, idle or not.
 func (p *pool) openCount() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/relay/job.go
+++ b/internal/relay/job.go
@@ -10,17 +10,17 @@
 	"onyxroad.dev/onyxroad/policy"
 )
 
-// storeJob is one round at the store. What is removed and put is durable before anything is read.
+// storeJob is one round of writes and reads at the backlog's store. Writes are durable before anything is read.
 type storeJob struct {
 	put    []owed.Entry
 	remove []owed.Ref
 	loads  []load
-	due    int64 // 0: nothing
+	due    int64 // read entries that expire by then; 0: none
 
-	putMessages, removedMessages []*message // whose entries are put and removed
+	putMessages, removedMessages []*message // messages whose entries are put and removed
 	removedRefs                  []owed.Ref
 
-	full    bool // no room for what was to be put
+	full    bool // there was no room for put
 	err     error
 	loaded  []owed.Entry
 	expired []owed.Entry
@@ -28,7 +28,7 @@
 	bytes   int64
 }
 
-// run does a job's reading and writing.
+// run does the job's writes and reads.
 func (j *storeJob) run(s owed.Store) {
 	defer func() { j.bytes = s.Disk() }()
 	if len(j.put)+len(j.remove) > 0 {
@@ -62,7 +62,8 @@
 	}
 }
 
-// maintain ends what is on its way for too long, and has the next job begin. The loop calls it after each step and now and then.
+// maintain ends messages that expire while in transit and starts the next job. The loop calls it after each step and
+// periodically.
 func (o *overflow) maintain() {
 	if o == nil {
 		return
@@ -90,7 +91,7 @@
 	}
 }
 
-// expireMoving tells the ends of messages whose time is up on their way.
+// expireMoving reports the ends of messages in transit whose deadline has passed.
 func (o *overflow) expireMoving(all []*message, now time.Time) {
 	var ended []*message
 	for _, m := range all {
@@ -106,7 +107,7 @@
 	o.relay.tellEnds(ended)
 }
 
-// nextJob is what is to be done at the store; nil if nothing is.
+// nextJob returns the next work for the store; nil if there is none.
 func (o *overflow) nextJob(now time.Time) *storeJob {
 	durable := o.relay.wal.Durable()
 	j := &storeJob{}
@@ -142,7 +143,7 @@
 	return j
 }
 
-// jobFinished takes a job's end, and returns what the module has to hear of it.
+// jobFinished applies a job's results and returns the events that the module has to see.
 func (o *overflow) jobFinished(evs []policy.Event, j *storeJob) []policy.Event {
 	o.job, o.bytes = nil, j.bytes
 	for _, l := range j.loads {
@@ -154,19 +155,19 @@
 		j.putMessages = nil
 	}
 	if o.worn {
-		// Whether it was applied is not known: applied once more it does no harm.
+		// It is unknown whether the writes were applied; applying them again is harmless.
 		o.in, o.gone = append(j.removedMessages, o.in...), append(j.removedRefs, o.gone...)
 		return evs
 	}
 	for _, m := range j.putMessages {
 		if m.dropped || m.ended {
-			m.move = entering // off the disk again, and over then
+			m.move = entering // remove it from disk again; then it is over
 			o.in = append(o.in, m)
 			continue
 		}
 		m.move = staying
 		o.movedOut++
-		o.relay.wal.End(m.Message) // it lies on disk
+		o.relay.wal.End(m.Message) // it is durable on disk
 		m.ended = true
 		o.relay.retire(m)
 	}
@@ -193,7 +194,7 @@
 	return evs
 }
 
-// noteDiskState notes whether the disk takes what it is given.
+// noteDiskState tracks whether the disk accepts writes.
 func (o *overflow) noteDiskState(j *storeJob) {
 	log := o.relay.log
 	if j.err != nil {
@@ -204,7 +205,7 @@
 		return
 	}
 	if o.worn {
-		log.Info("the backlog goes on")
+		log.Info("the backlog's disk accepts writes again")
 	}
 	o.worn = false
 	if j.full {
@@ -218,7 +219,7 @@
 	}
 }
 
-// loadedEvent tells the module of a message from the disk.
+// loadedEvent tells the module about a message from the disk.
 func (o *overflow) loadedEvent(m *message) policy.Event {
 	o.relay.held++
 	o.movedIn++
@@ -229,13 +230,13 @@
 	return o.relay.takenEvent(m)
 }
 
-// endExpired tells the ends of messages whose time is up on disk. They leave it once the platform has taken that.
+// endExpired reports the ends of messages that expired on disk. They are removed once the platform accepts the notice.
 func (r *Relay) endExpired(all []owed.Entry) {
 	o := r.backlog
 	var notices []notice
 	for _, e := range all {
 		if r.msgs[e.ID] != nil || o.ending[e.ID].ID != 0 {
-			continue // on its way, or told
+			continue // in transit, or already reported
 		}
 		o.ending[e.ID] = e.Ref
 		o.ended++
@@ -247,7 +248,7 @@
 	r.finals.add(notices...)
 }
 
-// acceptLoaded has messages that were read from disk stand in the log again. Where that has no room they stay where they are.
+// acceptLoaded writes messages read from disk to the log again. If the log has no room, they stay on disk.
 func (r *Relay) acceptLoaded(all []owed.Entry) {
 	o := r.backlog
 	var ms []*message
@@ -258,7 +259,7 @@
 		}
 		m, err := wal.Unmarshal(e.Data)
 		if err != nil {
-			r.log.Error("a message of the backlog can't be read", "id", e.Trace, "err", err)
+			r.log.Error("cannot read a message of the backlog", "id", e.Trace, "err", err)
 			o.ending[e.ID] = e.Ref
 			r.finals.add(newNotice(e.ID, e.Trace, wal.Final{}))
 			continue
--- a/internal/relay/lifecycle.go
+++ b/internal/relay/lifecycle.go
@@ -8,21 +8,20 @@
 	"onyxroad.dev/onyxroad/policy"
 )
 
-// A message's life, one line for each change of its state, at level debug: grep for its trace id gives it whole, over
-// processes. With the level off a
-// line costs one comparison.
+// Every change of a message's state is logged as one line at level debug, so a search for its trace id shows the message's
+// whole life, across processes. With the level off, a line costs one comparison.
 
-// messageState is where a message stands.
+// messageState is the state of a message.
 type messageState string
 
-// The states.
+// The states, as they are logged.
 const (
 	stateNew       messageState = "new"
-	stateHeld      messageState = "held"      // taken on, and to be sent
-	stateOut       messageState = "out"       // a call is out
-	stateEnded     messageState = "ended"     // decided, and its final answer is due
-	stateTold      messageState = "told"      // its final answer went to the platform
-	stateDelivered messageState = "delivered" // an endpoint has taken it
+	stateHeld      messageState = "held"      // accepted, and to be sent
+	stateOut       messageState = "out"       // a call is in progress
+	stateEnded     messageState = "ended"     // decided, and its final notice is due
+	stateTold      messageState = "told"      // its final notice was queued for the platform
+	stateDelivered messageState = "delivered" // accepted by an endpoint
 	stateGone      messageState = "gone"      // nothing more is owed
 )
 
@@ -45,13 +44,13 @@
 	reasonNotice      stateReason = "notice"
 )
 
-// outcomeReasons are the reasons of calls' ends.
+// outcomeReasons maps a call's outcome to the reason that is logged.
 var outcomeReasons = map[policy.Outcome]stateReason{
 	policy.OK: "ok", policy.Error: "error", policy.Full: "turned_away", policy.ConnectFailed: "connect_failed", policy.Reset: "reset",
 	policy.Timeout: "timeout", policy.Cancelled: "cancelled", policy.Moot: "not_sent",
 }
 
-// endReason is why a message that is not delivered ends.
+// endReason is the reason for the end of an undelivered message.
 func endReason(f wal.Final) stateReason {
 	if f.Deferred {
 		return reasonRefused
@@ -59,7 +58,7 @@
 	return reasonFailed
 }
 
-// logTransition tells of a change of a message's state.
+// logTransition logs a change of a message's state.
 func (r *Relay) logTransition(m *message, from, to messageState, why stateReason, more ...slog.Attr) {
 	if !r.traced {
 		return
--- a/internal/relay/lifecycle_test.go
+++ b/internal/relay/lifecycle_test.go
@@ -14,7 +14,7 @@
 	"onyxroad.dev/onyxroad/policy"
 )
 
-// lockedBuffer is a log's text, which other goroutines write as well.
+// lockedBuffer is a log's output, which other goroutines write as well.
 type lockedBuffer struct {
 	mu   sync.Mutex
 	text bytes.Buffer
@@ -26,7 +26,7 @@
 	return b.text.Write(p)
 }
 
-// One trace id gives a message's whole life: every line of it, each going on where the one before ended.
+// The lines of one trace id show a message's whole life: each state change starts where the previous one ended.
 func TestLogShowsMessageLifecycle(t *testing.T) {
 	var out lockedBuffer
 	r := newTestRelay(t)
@@ -58,7 +58,7 @@
 	}
 	const first, end = "accepted send connect_failed ", " failed notice confirmed"
 	if got := strings.Join(reasons, " "); !strings.HasPrefix(got, first) || !strings.HasSuffix(got, end) {
-		t.Errorf("its life: %s", got)
+		t.Errorf("its reasons: %s", got)
 	}
 }
 
@@ -90,6 +90,6 @@
 		}
 	}
 	if want := "m1refused503 true"; len(again) != 2 || again[0] != want || again[1] != want {
-		t.Errorf("told %q", again)
+		t.Errorf("logged %q", again)
 	}
 }
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -1,8 +1,9 @@
-// Package relay carries out on real sockets what package policy decides: it takes messages from clients, calls
-// hosts, follows discovery's list, and keeps what it owes in a write-ahead log. It decides nothing itself.
+// Package relay carries out on real sockets what package policy decides. It takes messages from clients, calls
+// hosts, follows discovery's list, and records its obligations in a write-ahead log. It makes no delivery
+// decisions itself.
 //
-// One goroutine, the loop, owns the decision module and the log. Everything that happens comes to it as an
-// event, so that no send leaves on a decision older than what the loop has learned.
+// One goroutine, the event loop, owns the decision module and the log. Everything that happens
+// reaches it as an event, so no send is based on older state than the loop has seen.
 package relay
 
 import (
@@ -31,30 +32,30 @@
 
 const (
 	eventQueueSize = 1024
-	maxBatchEvents = 512                    // events in a step
-	gaugeInterval  = 200 * time.Millisecond // between steps the gauges are brought up to date so often
+	maxBatchEvents = 512                    // per step
+	gaugeInterval  = 200 * time.Millisecond // how often the gauges are updated between steps
 
-	// unknownAge is for what happened at a time that is not known.
+	// unknownAge stands in for the age of an event whose time is unknown.
 	unknownAge = 24 * time.Hour
 
-	// moduleClockStart keeps the module's clock away from 0, which it takes for never.
+	// moduleClockStart keeps the module's clock away from 0, which means "never" to the module.
 	moduleClockStart = time.Second
 
-	// The parts of a planned end, from SIGTERM, after which SIGKILL comes no sooner than 3.7 s. New connections
-	// go on coming for up to 0.4 s.
+	// Phases of a planned shutdown, measured from SIGTERM. SIGKILL follows no sooner than 3.7 s later. New
+	// connections keep arriving for up to 0.4 s.
 	acceptGrace     = 500 * time.Millisecond
-	answerGrace     = time.Second             // requests that were read by then have their answers
-	sendGrace       = 2200 * time.Millisecond // no new calls after this: they would be cut off with no outcome
+	answerGrace     = time.Second             // requests read by then are answered
+	sendGrace       = 2200 * time.Millisecond // no new calls after this: they would be cut off without an outcome
 	shutdownTimeout = 3300 * time.Millisecond
 )
 
-// The events of the loop, besides policy's own.
+// Events of the loop, besides policy's own.
 type (
 	submission struct {
 		m               *wal.Message
-		msg             *message    // what it was taken for
-		exclusionChange             // instead of a message; passed on only
-		reply           chan answer // takes one without waiting
+		msg             *message    // what the loop has made of m, or the known message with the same id
+		exclusionChange             // set in place of a message; only between processes during a handover
+		reply           chan answer // buffered: sending never blocks
 	}
 	withdrawal   struct{ id uint32 }
 	callFinished struct {
@@ -67,36 +68,36 @@
 		ids   []uint32
 		reply chan bool
 	}
-	noticesConfirmed struct{ ids []uint32 } // their notices were taken
-	stopIntake       struct{}               // no more messages come
-	stopSending      struct{}               // from here on only outcomes are noted
-	wakeLoop         struct{}               // asks for a step
+	noticesConfirmed struct{ ids []uint32 } // the platform has accepted these messages' notices
+	stopIntake       struct{}               // no more messages will arrive
+	stopSending      struct{}               // from now on only outcomes are recorded
+	wakeLoop         struct{}               // triggers a step
 )
 
-// message is a message that the relay has not done with.
+// message is a message that the relay has not finished with.
 type message struct {
 	*wal.Message
-	sends       int  // as the module counts them
-	outstanding int  // attempts without an outcome
-	ended       bool // the module has done with it
-
-	counted      bool     // its outcome is counted, or need not be
-	notified     bool     // its end was told to the platform
-	unlogged     bool     // taken on in this step, which may yet refuse it
-	seq          uint64   // the write in the log that took it on
-	shared       bool     // others were told that it is taken on, too: it cannot be withdrawn
-	continuation *message // withdrawn and handed in once more: what it goes on as
-
-	// Where a backlog is kept; see overflow and window.
+	sends       int  // as counted by the module
+	outstanding int  // attempts without an outcome yet
+	ended       bool // the module has finished with it
+
+	counted      bool     // its outcome is counted, or must not be
+	notified     bool     // its end was reported to the platform
+	unlogged     bool     // accepted in this step, which may still refuse it
+	seq          uint64   // sequence number of the log write that accepted it
+	shared       bool     // another client was also told that it is accepted, so it cannot be withdrawn
+	continuation *message // the message that replaced it when it was submitted again after its withdrawal
+
+	// Only used with a backlog; see overflow and window.
 	cell        *cell // nil: the module does not have it
-	unsentIndex int   // among those of the cell that were never sent; -1: sent
+	unsentIndex int   // index among the cell's messages that were never sent; -1: sent
 	move        move
-	dropped     bool // on its way, and owed no more
-	refused     bool // its client was told so, without a notice
-	confirmed   bool // on its way, and its notice was taken
+	dropped     bool // in transit to or from the disk, and no longer owed
+	refused     bool // its client was told of the refusal, so no notice is due
+	confirmed   bool // in transit, and its notice was accepted
 }
 
-// Relay is one relay.
+// Relay accepts messages from clients and delivers them to the hosts that discovery lists.
 type Relay struct {
 	cfg          Config
 	log          *slog.Logger
@@ -106,79 +107,79 @@
 	agent        *agent
 	events       chan any
 	loopDone     chan struct{} // closed when the loop has ended
-	drained      chan struct{} // closed when the relay is stopping and nothing is left to wait for
+	drained      chan struct{} // closed when the relay is stopping and has nothing left to wait for
 	metrics      *metrics
-	serving      atomic.Bool // it has recovered and lets clients in
-	hasList      atomic.Bool // it holds a list
-	shuttingDown atomic.Bool // SIGTERM came
+	serving      atomic.Bool // recovered and accepting clients
+	hasList      atomic.Bool // a list of hosts is known
+	shuttingDown atomic.Bool // SIGTERM received
 	callWG       sync.WaitGroup
 	exclusions   *exclusions
 	guard        *invariant.Guard
-	traced       bool // changes of messages' states are logged
+	traced       bool // log every change of a message's state
 	pid          int
-	startupBegan time.Time // since when the process could have been ready
+	startupBegan time.Time // when the process could first have become ready
 	fleet        fleet
-	handedOver   chan struct{} // closed when the relay has handed over
+	handedOver   chan struct{} // closed once the relay has handed over
 
 	resubmitted resubmissions
 
-	// Set before the loop begins.
-	listener       *net.TCPListener // nil until it is there
-	predecessor    *link            // to the process that handed over to this one; nil if none did
-	inheritedState estate           // what that one told
-	memoryLimit    int64            // the limit of all processes
+	// Set before the loop starts.
+	listener       *net.TCPListener // nil until Run listens, unless a predecessor passed it on
+	predecessor    *link            // link to the process that handed over to this one; nil if there was none
+	inheritedState estate           // state that the predecessor passed on
+	memoryLimit    int64            // memory limit, shared by both processes during a handover
 	stopAdmin      func()
 
 	// Owned by the loop.
 	callCtx             context.Context
-	started             time.Time
+	started             time.Time // the zero of the module's clock
 	sender              *policy.Sender
 	wal                 *wal.Log
-	recovery            wal.Recovery // until it is taken up
+	recovery            wal.Recovery // read from the log, until restore applies it
 	rejected            []rejection  // in this step
 	msgs                map[uint32]*message
 	byTrace             map[string]*message
 	routes              map[string]target
-	knownDests          map[int]bool // destinations that the list has named
-	withdrawn           []*message   // withdrawn, may have run; by deadline, more or less
-	held                int          // messages that the module has not done with
-	callsOut            int          // calls
+	knownDests          map[int]bool // destinations that a list has named
+	withdrawn           []*message   // withdrawn messages that may have run, roughly by deadline
+	held                int          // messages that the module has not finished with
+	callsOut            int          // calls in progress
 	lastID              uint32
-	inFlight            map[*call]struct{}  // calls out
-	logLock             *os.File            // the log's; nil without it
-	successor           *link               // to the process that this one has handed over to
-	predecessorAttempts map[outKey]*attempt // out at the process before
-	excluded            map[string]bool     // endpoints out by hand, as the module has heard
-	outOfService        outages             // endpoints that may get nothing new
-	wakeAt              time.Time           // zero: none asked for
+	inFlight            map[*call]struct{}  // calls in progress
+	logLock             *os.File            // the log's lock file; nil while this process does not hold it
+	successor           *link               // link to the process that this one has handed over to
+	predecessorAttempts map[outKey]*attempt // attempts in progress at the predecessor
+	excluded            map[string]bool     // endpoints excluded by operators, as last reported to the module
+	outOfService        outages             // endpoints that must receive nothing new
+	wakeAt              time.Time           // zero: no wake-up requested
 	nextEvents          []policy.Event      // for the next step
-	logFull             bool                // the log took no new work last
+	logFull             bool                // the log refused new work last time
 	backlog             *overflow           // nil: no backlog is kept
-	postponed           []any               // came while the loop waited for a job, for the next step
+	postponed           []any               // events received while the loop waited for a job, for the next step
 
-	promises        []promise // wait for the disk, oldest first
+	promises        []promise // waiting for the disk, oldest first
 	withheld        []withheldAnswer
-	syncDone        chan struct{} // holds one: the disk has something more
+	syncDone        chan struct{} // capacity 1: more data has become durable
 	logFailed       bool          // the disk has failed the log
-	clockBehind     time.Duration // the wall clock, to what the log has seen; 0 unless it was set back
-	recalled        memories      // of a process before, until taken up
+	clockBehind     time.Duration // how far the wall clock is behind the log's latest time; 0 unless it was set back
+	recalled        memories      // memories of an earlier process, until they are applied
 	memoriesSavedAt time.Time
-	nextCountAt     time.Time   // the routes that are avoided are counted no sooner
+	nextCountAt     time.Time   // the routes that are avoided are not counted before this
 	savingMemories  atomic.Bool // memories are being written
 
-	saveFailed atomic.Bool
+	saveFailed atomic.Bool // a failure to write memories has been logged
 
 	stopping, noSends, drainSignalled bool
 }
 
-// target is what the relay keeps of a listed host.
+// target is a listed host and its address.
 type target struct {
 	policy.Listing
 	addr string
 }
 
-// New returns a relay that has read what an earlier process left in the log. While another process has the log and does
-// not hand it over, New waits, until ctx ends.
+// New returns a relay that has read what an earlier process left in the log. While another process holds the log and
+// does not hand it over, New waits until ctx ends.
 func New(ctx context.Context, cfg Config, log *slog.Logger) (*Relay, error) {
 	sender, err := policy.New(cfg.Settings, cfg.Seed)
 	if err != nil {
@@ -200,11 +201,11 @@
 			r.metrics.forClass(a.m.Class).sends.Add(1)
 		}
 	}
-	// Clients hold a third of the descriptors with their requests; more is for those that are slow to leave.
+	// Clients with requests need a third of the file descriptors. The rest of this limit is for slow disconnects.
 	r.clients = newClients(log, cfg.Limits.Sockets*9/20, r.handleClient)
 	r.clients.guard, r.hosts.guard = r.guard, r.guard
 	r.finals = newFinals(log, r.agent, func(ids []uint32) { r.post(noticesConfirmed{ids}) })
-	// Before the old process gives anything away: what can fail has failed by then.
+	// Listen before the old process gives anything up, so that a failure leaves it in place.
 	if cfg.Admin != "" {
 		l, err := listen(ctx, log, "operators", cfg.Admin)
 		if err != nil {
@@ -219,7 +220,7 @@
 	return r, nil
 }
 
-// Run serves until ctx ends, and then ends in order: see endBy.
+// Run serves until ctx ends, then shuts down in order; see shutdownTimeout.
 func (r *Relay) Run(ctx context.Context) error {
 	defer r.stopAdmin()
 	if r.listener == nil {
@@ -245,7 +246,7 @@
 	list := watcher{
 		log: r.log, agent: r.agent, silence: watchSilence, version: r.cfg.Known.Version,
 		fleet: r.cfg.Settings.Senders, random: rand.Float64, sleep: sleep, now: clock.Now,
-		// A list that the process before handed over has to be followed at once: together the two know no less.
+		// A list from the predecessor must be followed at once: the two processes together know no less than one.
 		held: len(r.cfg.Known.Entries) > 0 && r.predecessor == nil,
 		told: func(l List) { r.post(l) },
 	}
@@ -268,7 +269,7 @@
 		r.shutDown(r.listener)
 	case <-r.handedOver:
 		stopPeers()
-		// The new process has a newer incarnation, and the address, once this one lets it go.
+		// The new process joins with a newer incarnation and takes the address once this one releases it.
 		if err := r.fleet.leave(false); err != nil {
 			r.log.Warn("fleet", "err", err)
 		}
@@ -276,7 +277,7 @@
 	}
 	stopPeers()
 	stopCalls()
-	r.callWG.Wait() // their outcomes reach the log
+	r.callWG.Wait() // their outcomes must reach the log
 	stopLoop()
 	<-r.loopDone
 	r.hosts.close()
@@ -288,14 +289,14 @@
 	return err
 }
 
-// Reload takes on what may change while the relay runs: discovery's address. All else takes a restart.
+// Reload applies the settings that may change at run time: discovery's address. All others need a restart.
 func (r *Relay) Reload(cfg Config) {
 	r.log.Info("configuration read again", "discovery", cfg.Discovery)
 	r.agent.move(cfg.Discovery)
 }
 
-// shutDown is the planned end. Connections that are idle close at once, and a request that crosses that comes
-// once more on a new connection, which is still taken; what was read is answered, and running calls may finish.
+// shutDown is the planned shutdown. Idle connections close at once. A request that crosses the close is repeated by its
+// client on a new connection, which is still accepted. Requests already read are answered, and running calls may finish.
 func (r *Relay) shutDown(listener net.Listener) {
 	began := clock.Now()
 	by := func(d time.Duration) <-chan time.Time { return time.After(clock.Until(began.Add(d))) }
@@ -326,7 +327,7 @@
 	}
 }
 
-// post hands an event to the loop; false if that has ended.
+// post hands an event to the loop. It returns false if the loop has ended.
 func (r *Relay) post(e any) bool {
 	select {
 	case r.events <- e:
@@ -338,7 +339,7 @@
 
 func (r *Relay) now() time.Duration { return clock.Since(r.started) }
 
-// restore hands the module the known list and what an earlier process left, in one step.
+// restore gives the module the known list and the state that an earlier process left, in one step.
 func (r *Relay) restore() {
 	found := r.recovery
 	r.recovery = wal.Recovery{}
@@ -350,7 +351,7 @@
 	}
 	evs = r.exclusionEvents(evs)
 	if r.predecessor != nil {
-		// The list first: what is remembered needs it.
+		// The list must come first: memories refer to its routes.
 		r.carryOut(r.sender.Step(r.now(), evs), nil)
 		r.sender.Remember(r.inheritedState.Memories)
 		evs = nil
@@ -377,7 +378,7 @@
 			m.outstanding++
 		}
 		if out != nil && (w.Withdrawn || w.Final != nil) {
-			// Over, but its call has a slot until it ends.
+			// The message is over, but its call occupies a slot until it ends.
 			evs = append(evs, r.resumedEvent(m, out), policy.Event{Kind: policy.Withdrawn, ID: m.ID})
 		}
 		switch {
@@ -388,7 +389,7 @@
 			m.ended, m.counted = true, true
 			r.notify(m, true)
 		case found.Damaged:
-			// What it has sent may be missing from the log: nothing can be promised.
+			// The log may lack sends of this message, so a repeat could run it twice: end it.
 			m.ended = true
 			r.metrics.countEnd(m, wal.Final{})
 			r.wal.Decide(w, wal.Final{})
@@ -413,8 +414,8 @@
 	r.carryOut(r.sender.Step(r.now(), evs), nil)
 }
 
-// resumedEvent tells the module of a message of an earlier process, in the module's own time. out is the attempt that is
-// out there, if any: whether that runs is yet to be told.
+// resumedEvent tells the module about an earlier process's message, with times on the module's clock. out is the attempt
+// that is still in progress, if any; whether it runs is not known yet.
 func (r *Relay) resumedEvent(m *message, out *policy.Out) policy.Event {
 	e := r.takenEvent(m)
 	e.Resumed = &policy.Resumed{Attempts: m.Attempts, Out: out}
@@ -425,7 +426,7 @@
 		e.Resumed.RanAgo = max(0, clock.Since(first.At))
 	}
 	if m.Doubt || len(ran) > 0 && r.clockBehind > 0 {
-		e.Resumed.Ran, e.Resumed.RanAgo = true, unknownAge // when is not known: no window holds
+		e.Resumed.Ran, e.Resumed.RanAgo = true, unknownAge // the time is unknown, so treat it as outside every window
 	}
 	return e
 }
@@ -437,8 +438,8 @@
 	}
 }
 
-// loop is the one goroutine that decides. A step takes what has come in since the last one, no more often than
-// the settings' tick: what comes together can then travel together.
+// loop is the goroutine that makes all decisions. A step handles the events since the last one, at most once per tick, so
+// that messages that arrive together can share a call.
 func (r *Relay) loop(ctx context.Context) {
 	defer close(r.loopDone)
 	timer := time.NewTimer(0)
@@ -461,7 +462,7 @@
 			r.tend()
 			continue
 		case <-gauges.C:
-			r.updateGauges() // a skip may have run out
+			r.updateGauges() // a skipped endpoint may have become available
 			r.backlog.tell()
 			r.checkLimits()
 			if r.successor == nil {
@@ -497,7 +498,7 @@
 	}
 }
 
-// drainEvents answers and notes what came before the end, without deciding anything more.
+// drainEvents answers and records the events that arrived before the end, without making new decisions.
 func (r *Relay) drainEvents() {
 	r.noSends = true
 	for {
@@ -510,8 +511,8 @@
 	}
 }
 
-// applyList takes a applyList of hosts, or changes to it. An entry that cannot be read is passed over; if it names a host
-// that is known, that host stays as it was.
+// applyList applies a list of hosts, or changes to it. It skips entries that cannot be read; a known host that such an
+// entry names stays as it was.
 func (r *Relay) applyList(l List) policy.Event {
 	e := policy.Event{Kind: policy.ListChanges}
 	if l.Full {
@@ -568,7 +569,7 @@
 	return e
 }
 
-// exclusionEvents tells the module which endpoints were taken out by hand or put back since it last heard.
+// exclusionEvents tells the module which endpoints operators have excluded or included since its last call.
 func (r *Relay) exclusionEvents(evs []policy.Event) []policy.Event {
 	current := r.exclusions.current()
 	for _, id := range slices.Sorted(maps.Keys(current)) {
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -44,7 +44,7 @@
 	"services.0.goal_time_ms=3000.0 services.0.give_up_ms=16000.0 services.0.repeat_window_ms=10000.0 services.0.value=1.0 " +
 	"services.0.by_arrival=true weight_kind=nominal"
 
-// The relay's configuration and the simulator's wire give the module the same settings.
+// The relay's configuration and the simulator's wire protocol must yield the same settings.
 func TestConfigMatchesWireSettings(t *testing.T) {
 	c, err := parseConfig([]byte(`{"name":"n3","listen":"127.0.0.1:0","seed":"8c1f30d27a5be964","settings":` + settingsJSON + `}`))
 	if err != nil {
@@ -60,19 +60,19 @@
 	}
 	if c.ConnectTimeout != 1500*time.Millisecond || c.KeepAlive != 15*time.Second || c.Tick != 5*time.Millisecond ||
 		c.Seed != 0x8c1f30d27a5be964 || !reflect.DeepEqual(c.Customers, []string{"acme", "bolt"}) {
-		t.Errorf("the relay's own part: %+v", c)
+		t.Errorf("the relay's own settings: %+v", c)
 	}
 }
 
 func discardLogger() *slog.Logger { return slog.New(slog.DiscardHandler) }
 
-// newTestRelay is a relay whose loop is not running: the test takes its part.
+// newTestRelay returns a relay whose loop is not running: the test calls step in its place.
 func newTestRelay(t *testing.T) *Relay {
 	t.Helper()
 	return newTestRelayOn(t, func(string) disk.FS { return nil })
 }
 
-// newTestRelayOn is such a relay on a disk of the test's own.
+// newTestRelayOn is newTestRelay with a file system and configuration changes of the test's own.
 func newTestRelayOn(t *testing.T, files func(dir string) disk.FS, change ...func(*Config)) *Relay {
 	t.Helper()
 	c, err := parseConfig([]byte(`{"name":"n3","listen":"127.0.0.1:0","discovery":"127.0.0.1:1","settings":` + settingsJSON +
@@ -99,7 +99,7 @@
 	return r
 }
 
-// serveTestClients lets clients in.
+// serveTestClients lets clients connect.
 func serveTestClients(t *testing.T, r *Relay) (addr string) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -111,14 +111,14 @@
 	return l.Addr().String()
 }
 
-// requestText is a hand-in as it stands on the wire; edit may spoil it.
+// requestText is a submission as sent on the wire. edit holds pairs of replacements in it.
 func requestText(id string, edit ...string) string {
 	text := "POST /order HTTP/1.1\r\nHost: x\r\nX-Trace-Id: " + id + "\r\nX-Qos: order\r\nX-Customer: bolt\r\n" +
 		"Idempotency-Key: k\r\nEnvelope: dest=7\r\nX-Expires-In-Ms: 5000\r\nContent-Length: 4\r\n\r\nbody"
 	return strings.NewReplacer(edit...).Replace(text)
 }
 
-// dial opens a connection and writes text on it.
+// dial opens a connection and writes text to it.
 func dial(t *testing.T, addr, text string) net.Conn {
 	t.Helper()
 	c, err := net.Dial("tcp", addr)
@@ -133,7 +133,7 @@
 	return c
 }
 
-// readResponse reads an answer.
+// readResponse reads a response and its body.
 func readResponse(t *testing.T, r *bufio.Reader) *http.Response {
 	t.Helper()
 	res, err := http.ReadResponse(r, nil)
@@ -146,7 +146,7 @@
 	return res
 }
 
-// postMessage hands a message in and has the loop decide on it.
+// postMessage submits a message and runs steps until the loop has handled it.
 func postMessage(t *testing.T, r *Relay, addr, id string) *http.Response {
 	t.Helper()
 	c := dial(t, addr, requestText(id))
@@ -158,14 +158,14 @@
 	return readResponse(t, bufio.NewReader(c))
 }
 
-// stepNext takes the loop's stepNext event and decides on it.
+// stepNext waits for the loop's next event and runs a step with it.
 func (r *Relay) stepNext() any {
 	e := <-r.events
 	r.step([]any{e})
 	return e
 }
 
-// stepUntil has the loop decide until ok holds.
+// stepUntil runs steps until ok holds.
 func stepUntil(t *testing.T, r *Relay, what string, ok func() bool) {
 	t.Helper()
 	eventually(t, what, func() bool {
@@ -179,10 +179,10 @@
 	})
 }
 
-// awaitDisconnect waits until the only client's connection is seen to be closed.
+// awaitDisconnect waits until the relay sees that the connection of its only client is closed.
 func awaitDisconnect(t *testing.T, r *Relay) {
 	t.Helper()
-	eventually(t, "the client is seen to leave", func() bool {
+	eventually(t, "the disconnect is seen", func() bool {
 		r.clients.mu.Lock()
 		defer r.clients.mu.Unlock()
 		for c := range r.clients.conns {
@@ -194,7 +194,7 @@
 	})
 }
 
-// A client that gave up waiting hands the message in anew, under another id: the first must not be sent again.
+// A client that stops waiting submits its message again under another id, so the first one must not be sent again.
 func TestDisconnectBeforeAnswerWithdrawsMessage(t *testing.T) {
 	r := newTestRelay(t)
 	c := dial(t, serveTestClients(t, r), requestText("m1"))
@@ -207,10 +207,10 @@
 			break
 		}
 	}
-	stepUntil(t, r, "forgotten", func() bool { return len(r.msgs) == 0 && r.held == 0 }) // its call may still be out
+	stepUntil(t, r, "forgotten", func() bool { return len(r.msgs) == 0 && r.held == 0 }) // its call may still be in progress
 }
 
-// A message that comes once more because its connection closed crosswise is the same message.
+// A client may repeat a submission because its connection closed while the request was in transit: that is one message.
 func TestRepeatedSubmissionIsAcceptedOnce(t *testing.T) {
 	r := newTestRelay(t)
 	addr := serveTestClients(t, r)
@@ -224,10 +224,10 @@
 	}
 }
 
-// With the log's folder gone, as with a full disk, new work is refused and nothing is sent unrecorded.
+// When the log cannot be written, as on a full disk, new messages are refused and nothing is sent without a record.
 func TestFailedLogRefusesNewMessages(t *testing.T) {
 	r := newTestRelay(t)
-	if err := r.wal.Close(); err != nil { // every write fails from here on
+	if err := r.wal.Close(); err != nil { // every write fails from now on
 		t.Fatal(err)
 	}
 	res := postMessage(t, r, serveTestClients(t, r), "m1")
@@ -252,7 +252,8 @@
 	}
 }
 
-// A watch that is cut off says nothing: silence alone tells, and the next resumes where it ended.
+// A watch whose connection is cut gives no error. Only the missing lines reveal it, and the next watch must continue at
+// the last version.
 func TestSilentWatchIsRestarted(t *testing.T) {
 	indexes := make(chan string, 10)
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
@@ -274,7 +275,7 @@
 		select {
 		case got := <-indexes:
 			if l := <-told; got != want || l.Version != 9 || !l.Full {
-				t.Errorf("watch from %s, want %s; told %+v", got, want, l)
+				t.Errorf("watch from %s, want %s; got %+v", got, want, l)
 			}
 		case <-time.After(patience):
 			t.Fatalf("no watch from %s", want)
@@ -282,21 +283,21 @@
 	}
 }
 
-// Calls that are turned away are work, too: a fleet spreads its calls, and comes again less and less often.
+// Rejected calls cost discovery work, too. The relays of a fleet must spread their calls and retry less and less often.
 func TestFleetSpreadsDiscoveryCalls(t *testing.T) {
 	for _, c := range []struct {
 		fleet int
 		held  bool
 		want  string
 	}{
-		{3, true, "[0s 1s 2s 4s 4.125s 4.125s 50ms 1s 100ms]"}, // no longer than news may take, 6 s and what a call takes
+		{3, true, "[0s 1s 2s 4s 4.125s 4.125s 50ms 1s 100ms]"}, // within the 6 s for news, less the time of a call
 		{40, true, "[125ms 4s 5s 4.125s 4.125s 4.125s 3.05s 4s 3.1s]"},
 		{300, true, "[125ms 4s 5s 4.125s 4.125s 4.125s 3.05s 4s 3.1s]"},
-		{40, false, "[4s 5s 4.125s 4.125s 4.125s 3.05s 4s 3.1s]"}, // nothing to go by: no wait at first
+		{40, false, "[4s 5s 4.125s 4.125s 4.125s 3.05s 4s 3.1s]"}, // no list yet: no wait at first
 	} {
 		var calls atomic.Int32
 		s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
-			if n := calls.Add(1); n != 6 && n != 8 { // those end with no answer
+			if n := calls.Add(1); n != 6 && n != 8 { // those end without an answer
 				w.WriteHeader(http.StatusServiceUnavailable)
 			}
 		}))
@@ -321,16 +322,17 @@
 	}
 }
 
-// Whatever became of a call, what discovery has had since counts as told 6 s later, 4 s after a move. A watch that was silent from the
-// start, or ended at once, once spread its next call over 6 s more, and one that was turned away over 18.
+// News that discovery has had since the last call, whatever its outcome, must arrive within 6 s, or within 4 s after a
+// move. A watch that was silent from the start, or ended at once, used to spread its next call over 6 s more, and a
+// rejected one over 18 s.
 func TestWatchPauseStaysWithinNewsDeadline(t *testing.T) {
 	hangAfterFlush := func(w http.ResponseWriter, req *http.Request) {
 		w.(http.Flusher).Flush()
 		<-req.Context().Done()
 	}
 	for name, c := range map[string]struct {
-		answer http.HandlerFunc // nil: nobody is there
-		took   time.Duration    // the call, by the watcher's clock
+		answer http.HandlerFunc // nil: nothing listens
+		took   time.Duration    // duration of the call, by the watcher's clock
 		moved  bool
 		most   time.Duration
 	}{
@@ -366,14 +368,14 @@
 				}
 				clock = clock.Add(d)
 			}
-			// A call takes its time between its last sign of life and the pause.
+			// The call takes time between the last line received and the pause.
 			w.log = slog.New(lineHook{slog.DiscardHandler, func() { clock = clock.Add(c.took) }})
 			w.run(ctx)
 		})
 	}
 }
 
-// lineHook is a log handler that is told of each line.
+// lineHook is a log handler that runs line for each record.
 type lineHook struct {
 	slog.Handler
 	line func()
@@ -383,11 +385,11 @@
 
 func (h lineHook) Handle(context.Context, slog.Record) error { h.line(); return nil }
 
-// Relays of a fleet of 300 once went without a list for up to 45 s after their start, or after a watch that had been
-// served, and sent to what drained meanwhile.
+// Relays of a fleet of 300 used to have no list for up to 45 s after their start, or after a watch that had been served.
+// Meanwhile they sent to draining endpoints.
 func TestServedWatchIsRestartedSoon(t *testing.T) {
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
-		fmt.Fprint(w, "\n\n") // and its end
+		fmt.Fprint(w, "\n\n") // and the watch ends
 	}))
 	defer s.Close()
 	ctx, cancel := context.WithCancel(t.Context())
@@ -408,7 +410,7 @@
 	}
 }
 
-// A move of the agent ends a pause: the new one may have news.
+// A move of the discovery agent ends a pause, because the new agent may have news.
 func TestAgentMoveEndsPause(t *testing.T) {
 	away := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		w.WriteHeader(http.StatusServiceUnavailable)
@@ -432,12 +434,12 @@
 	go func() { w.run(ctx); close(ended) }()
 	<-ended
 	if l := <-told; l.Version != 9 || !l.Full {
-		t.Errorf("told %+v", l)
+		t.Errorf("got %+v", l)
 	}
 }
 
-// A line that cannot be read would come again and again if it were asked for by its version: the whole list makes up
-// for it, and changes that it holds already are not undone by older lines.
+// A line that cannot be read would arrive again and again if its version were requested, so the whole list is fetched
+// instead. Older lines must not undo changes that the whole list already contains.
 func TestUnreadableWatchLineFetchesWholeList(t *testing.T) {
 	var watches atomic.Int32
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
@@ -463,10 +465,10 @@
 		select {
 		case l := <-told:
 			if l.Version != want || l.Full != (want == 7) {
-				t.Errorf("told %+v, want version %d", l, want)
+				t.Errorf("got %+v, want version %d", l, want)
 			}
 		case <-time.After(patience):
-			t.Fatalf("never told version %d", want)
+			t.Fatalf("never got version %d", want)
 		}
 	}
 	if n := watches.Load(); n != 1 {
@@ -504,15 +506,15 @@
 	select {
 	case ids := <-taken:
 		if len(ids) != 2 || lines != 2 || posts != 3 {
-			t.Errorf("taken %v after %d requests, %d lines", ids, posts, lines)
+			t.Errorf("accepted %v after %d requests, %d lines", ids, posts, lines)
 		}
 	case <-time.After(patience):
-		t.Fatal("never taken")
+		t.Fatal("never accepted")
 	}
 }
 
-// One request that falls silent once held back all notices behind it for a second, when 300 ms after its message's time each is
-// late.
+// One hanging request used to hold back all notices behind it for a second, although a notice is late 300 ms after its
+// message's deadline.
 func TestHangingNoticeRequestIsRetriedSoon(t *testing.T) {
 	silent := make(chan struct{})
 	var posts atomic.Int32
@@ -535,14 +537,14 @@
 	select {
 	case <-taken:
 		if took := time.Since(began); took > noticeMost*3/4 {
-			t.Errorf("the notice was taken after %v", took)
+			t.Errorf("the notice was accepted after %v", took)
 		}
 	case <-time.After(patience):
-		t.Fatal("never taken")
+		t.Fatal("never accepted")
 	}
 }
 
-// Together the messages of a bundle may be larger than any body may.
+// The messages of a bundle must not add up to more than the largest allowed body.
 func TestBundleStaysWithinBodyLimit(t *testing.T) {
 	r := newTestRelay(t)
 	r.routes["s-1"] = target{Listing: policy.Listing{Route: "s-1", Kind: 0, InService: true}, addr: "127.0.0.1:1"}
@@ -563,7 +565,7 @@
 	}
 }
 
-// Which messages share a call is decided: after a failure each has its own, though all leave in one step.
+// The module decides which messages share a call. After a failure each has its own call, even within one step.
 func TestMessagesShareCallsAsDecided(t *testing.T) {
 	r := newTestRelay(t)
 	r.routes["s-1"] = target{Listing: policy.Listing{Route: "s-1", Kind: 0, InService: true}, addr: "127.0.0.1:1"}
@@ -577,7 +579,7 @@
 	}
 }
 
-// A damaged log may lack sends: what it holds is ended, not repeated.
+// A damaged log may lack sends, so the messages that it holds are ended and not repeated.
 func TestDamagedLogRepeatsNoSends(t *testing.T) {
 	r := newTestRelay(t)
 	addr := serveTestClients(t, r)
@@ -606,7 +608,7 @@
 	}
 }
 
-// Whatever discovery says, an entry that passes can be used, and none ends the relay.
+// Every entry that is accepted must be usable, and none may crash the relay.
 func FuzzLists(f *testing.F) {
 	f.Add([]byte(`{"version":2,"full":true,"servers":[{"id":"s-2","addr":"127.0.0.1:2","zone":"b","kind":"store","cell":3,
 		"state":"ready","weight":5}]}`))
@@ -623,7 +625,7 @@
 		for _, raw := range l.Entries {
 			entry, addr, err := c.listing(raw)
 			if err == nil && (entry.Route == "" || !entry.Gone && (addr == "" || entry.Zone < 0 || entry.Kind < 0)) {
-				t.Errorf("%s passes as %+v at %q", raw, entry, addr)
+				t.Errorf("%s is accepted as %+v at %q", raw, entry, addr)
 			}
 		}
 	})
@@ -635,7 +637,7 @@
 	f.Fuzz(func(t *testing.T, data []byte) {
 		c, err := parseConfig(data)
 		if err == nil && (c.Limits.Sockets <= 0 || c.ConnectTimeout <= 0 || c.KeepAlive <= 0) {
-			t.Errorf("%s passes as %+v", data, c)
+			t.Errorf("%s is accepted as %+v", data, c)
 		}
 	})
 }
--- a/internal/relay/resubmission.go
+++ b/internal/relay/resubmission.go
@@ -13,13 +13,13 @@
 	"onyxroad.dev/onyxroad/policy"
 )
 
-// A trace id that comes again is answered by what became of it. A message that has ended, whoever hands its id in, is never taken
-// on anew: by the platform's rules nothing may be sent for it any more.
+// A trace id that is submitted again is answered with its message's outcome. The id of an ended message is never accepted
+// as a new message, whoever submits it: the platform's rules forbid any further send for it.
 
-// resubmission is what became of an id that comes again.
+// resubmission is the outcome of the message whose id is submitted again.
 type resubmission int
 
-// The ways, in the order of resubmissionNames.
+// The outcomes, in the order of resubmissionNames.
 const (
 	resubmittedPending resubmission = iota
 	resubmittedDelivered
@@ -30,15 +30,15 @@
 
 var resubmissionNames = [resubmissionCount]string{"pending", "delivered", "refused", "failed"}
 
-// resubmissions counts ids that came again. The loop counts, the second address reads.
+// resubmissions counts the ids that were submitted again. The loop writes the counters and the admin API reads them.
 type resubmissions struct {
 	counts     [resubmissionCount]atomic.Int64
-	remembered atomic.Int64 // ends in the log
-	evicted    atomic.Int64 // ends that it has forgotten before their time
+	remembered atomic.Int64 // outcomes that the log remembers
+	evicted    atomic.Int64 // outcomes that the log dropped before their time
 	logLimit   rate.Sometimes
 }
 
-// String is the counters in the form of the second address.
+// String formats the counters for /api/telemetry.
 func (s *resubmissions) String() string {
 	var b strings.Builder
 	for way, name := range resubmissionNames {
@@ -48,7 +48,7 @@
 	return b.String()
 }
 
-// completionAnswer is what the id of a message that has ended is answered, and how that is counted.
+// completionAnswer returns the answer for the id of an ended message, and how to count it.
 func completionAnswer(how wal.Completion) (answer, resubmission) {
 	switch how {
 	case wal.Delivered:
@@ -59,7 +59,7 @@
 	return finalAnswer(wal.Final{}), resubmittedFailed
 }
 
-// completedAnswer is the answer to a hand-in under the id of a message that has completedAnswer; false if none is remembered.
+// completedAnswer answers a submission under the id of an ended message. It returns false if no such end is remembered.
 func (r *Relay) completedAnswer(m *wal.Message) (answer, bool) {
 	if how, ok := r.wal.Completed(m.Trace); ok {
 		a, way := completionAnswer(how)
@@ -69,7 +69,7 @@
 	return answer{}, false
 }
 
-// noteResubmission notes that an id came again, and what it was answered.
+// noteResubmission counts and logs that an id was submitted again, and its answer.
 func (r *Relay) noteResubmission(m *wal.Message, way resubmission, a answer) {
 	r.resubmitted.counts[way].Add(1)
 	r.logTransition(&message{Message: m}, stateNew, stateGone, reasonResubmitted, slog.String("ended_as", resubmissionNames[way]),
@@ -81,7 +81,7 @@
 	}
 }
 
-// reject remembers that a request is not taken on. It is answered at the end of the step, once the log has been told.
+// reject records that a request is not accepted. It is answered at the end of the step, once the log has been told.
 func (r *Relay) reject(in *submission, a answer, why stateReason) {
 	how := wal.Failed
 	if a.status == http.StatusServiceUnavailable {
@@ -95,14 +95,14 @@
 	r.rejected = append(r.rejected, rejection{in, a})
 }
 
-// rejection is a request that is not taken on, with its answer.
+// rejection is a request that is not accepted, with its answer.
 type rejection struct {
 	in     *submission
 	answer answer
 }
 
-// answerRejected answers the requests that were not taken on in this step. Nothing of them was, so that an answer waits for no
-// disk that fails.
+// answerRejected answers the requests rejected in this step. The log holds no message of theirs, so the answers need not
+// wait for a failing disk.
 func (r *Relay) answerRejected() {
 	for _, t := range r.rejected {
 		t.in.reply <- t.answer
--- a/internal/relay/resubmission_test.go
+++ b/internal/relay/resubmission_test.go
@@ -12,10 +12,10 @@
 	"onyxroad.dev/onyxroad/policy"
 )
 
-// unlistedDest was listed once and has no endpoint now: nothing is sent but what the test says.
+// unlistedDest was listed before but has no endpoint now: nothing is sent except by the test.
 const unlistedDest = 8
 
-// sentMessage takes a message on, and has the log know of an attempt of it.
+// sentMessage accepts a message and records an attempt of it in the log.
 func sentMessage(t *testing.T, r *Relay, id string) *message {
 	t.Helper()
 	r.knownDests[unlistedDest] = true
@@ -101,7 +101,7 @@
 	if _, ok, _ := b.s.Find("late"); !ok {
 		t.Fatal("not on disk")
 	}
-	eventually(t, "its end is told", func() bool {
+	eventually(t, "its end is reported", func() bool {
 		b.step(nil)
 		if len(b.jobs) > 0 {
 			j := b.jobs[0]
--- a/internal/relay/revoked_test.go
+++ b/internal/relay/revoked_test.go
@@ -37,11 +37,12 @@
 	}
 	left := newCall(addr, "left")
 	if h.do(t.Context(), left, yes); left.revoke() {
-		t.Error("a call was revoked that had left")
+		t.Error("a call was revoked after it was sent")
 	}
 }
 
-// newConnectingRelay is a relay with one endpoint that takes several messages in a call, whose connections come up when told.
+// newConnectingRelay returns a relay with one endpoint that takes several messages per call. Its connections are established
+// only once up is closed.
 func newConnectingRelay(t *testing.T) (r *Relay, up chan struct{}, sent func(id string) bool) {
 	var mu sync.Mutex
 	bodies := ""
@@ -58,7 +59,7 @@
 		c.Known.Entries = []json.RawMessage{entry}
 	})
 	up = make(chan struct{})
-	t.Cleanup(func() { // before the relay's own, which waits for its calls
+	t.Cleanup(func() { // before the relay's own cleanup, which waits for its calls
 		select {
 		case <-up:
 		default:
@@ -81,7 +82,7 @@
 	for name, end := range map[string]func(r *Relay, a *attempt){
 		"refused":     func(r *Relay, a *attempt) { r.carryOut([]policy.Action{{Kind: policy.Refuse, ID: a.m.ID}}, nil) },
 		"client left": func(r *Relay, a *attempt) { r.step([]any{withdrawal{a.m.ID}}) },
-		"cut off":     func(r *Relay, a *attempt) { r.step([]any{attemptTimeout{a}}) },
+		"timed out":   func(r *Relay, a *attempt) { r.step([]any{attemptTimeout{a}}) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			r, up, sent := newConnectingRelay(t)
@@ -94,18 +95,18 @@
 			}
 			a := c.attempts[0]
 			end(r, a)
-			if name != "cut off" && a.m.outstanding != 1 {
+			if name != "timed out" && a.m.outstanding != 1 {
 				t.Errorf("%d attempts out", a.m.outstanding)
 			}
 			if c.progress.Load() != callRevoked {
-				t.Error("its call may still leave")
+				t.Error("its call may still be sent")
 			}
 			close(up)
 			for ended := false; !ended; {
 				_, ended = r.stepNext().(*callFinished)
 			}
-			stepUntil(t, r, "what was cut off is sent anew", func() bool { return r.callsOut == 0 })
-			if id := a.m.Trace; name != "cut off" && sent(id) {
+			stepUntil(t, r, "the rest of the call is sent again", func() bool { return r.callsOut == 0 })
+			if id := a.m.Trace; name != "timed out" && sent(id) {
 				t.Errorf("%s was sent after its end", id)
 			}
 		})
--- a/internal/relay/step.go
+++ b/internal/relay/step.go
@@ -10,9 +10,9 @@
 	"onyxroad.dev/onyxroad/policy"
 )
 
-// What a step takes in: hand-ins, outcomes and ends, in the log and for the module.
+// This file applies a step's input, such as submissions, outcomes and ends, to the log and to the module.
 
-// step takes a batch of events to the module and carries out what it decides.
+// step passes a batch of events to the module and carries out its decisions.
 func (r *Relay) step(batch []any) {
 	now := r.now()
 	if !r.wakeAt.IsZero() && !clock.Now().Before(r.wakeAt) {
@@ -72,7 +72,7 @@
 	if !r.noSends {
 		for _, in := range waiting {
 			switch m := in.msg; {
-			case m.Message != in.m: // a twin of one before it, or of one that is not on disk yet
+			case m.Message != in.m: // a duplicate of one before it, or of one that is not on disk yet
 			case r.backlog.divert(m):
 			case m.Attempts > 0:
 				r.backlog.enter(m)
@@ -105,7 +105,7 @@
 	}
 }
 
-// allFinished tells whether all is ended, and all outcomes are in.
+// allFinished reports whether every message has ended and every outcome has arrived.
 func (r *Relay) allFinished() bool {
 	for _, m := range r.msgs {
 		if m.outstanding > 0 || !m.Withdrawn && m.move == staying {
@@ -115,7 +115,7 @@
 	return true
 }
 
-// withdraw ends a message whose client has left before its answer.
+// withdraw ends a message whose client has disconnected before the answer.
 func (r *Relay) withdraw(evs []policy.Event, id uint32) []policy.Event {
 	m := r.msgs[id]
 	switch {
@@ -131,13 +131,13 @@
 	}
 	r.logTransition(m, stateHeld, stateGone, reasonWithdrawn)
 	r.markDone(m)
-	m.counted = true // its client hands it in anew, and that one counts
+	m.counted = true // its client submits it again, and that submission is counted
 	r.release(m)
 	return append(evs, policy.Event{Kind: policy.Withdrawn, ID: id})
 }
 
-// release ends a message that is no more owed. One that may have run is remembered as long as its client may hand it in
-// once more under its id: that must not make it a new one.
+// release ends a message that is no longer owed. One that may have run is kept for as long as its client may submit it
+// again under the same id, so that it does not become a new message.
 func (r *Relay) release(m *message) {
 	if m.Final != nil || m.refused {
 		r.complete(m, wal.CompletionOf(m.clientFinal()))
@@ -152,14 +152,14 @@
 	r.withdrawn = append(r.withdrawn, m)
 }
 
-// complete ends a message whose end its client, the platform or an endpoint knows. Its id is remembered: nothing may be sent for
-// it any more.
+// complete ends a message whose outcome is known to its client, the platform or an endpoint. The log remembers its id,
+// because nothing may be sent for it again.
 func (r *Relay) complete(m *message, how wal.Completion) {
 	r.wal.Complete(m.Message, how)
 	r.retire(m)
 }
 
-// completeDelivered ends a message that was completeDelivered after all, and what it goes on as.
+// completeDelivered ends a message that turned out to be delivered, and every message that replaced it.
 func (r *Relay) completeDelivered(evs []policy.Event, m *message) []policy.Event {
 	for ; m != nil; m = m.continuation {
 		if m.markCounted() {
@@ -174,8 +174,8 @@
 	return evs
 }
 
-// forgetWithdrawn drops messages that were withdrawn once their time is up, once it is certain that they never ran, or once
-// they go on as others, which know all that these did.
+// forgetWithdrawn drops withdrawn messages once their deadline has passed, once they are known not to have run, or once
+// they have been replaced by messages that carry their attempts.
 func (r *Relay) forgetWithdrawn() {
 	now := clock.Now()
 	r.withdrawn = slices.DeleteFunc(r.withdrawn, func(m *message) bool {
@@ -192,7 +192,7 @@
 	})
 }
 
-// finishCall takes the end of a call.
+// finishCall records the end of a call.
 func (r *Relay) finishCall(evs []policy.Event, e *callFinished) []policy.Event {
 	r.callsOut--
 	delete(r.inFlight, e.c)
@@ -202,12 +202,12 @@
 	return evs
 }
 
-// finishAttempt takes the outcome of an attempt: in the log, and for the module.
+// finishAttempt records the outcome of an attempt in the log and for the module.
 func (r *Relay) finishAttempt(evs []policy.Event, a *attempt, res result) []policy.Event {
 	m := a.m
 	ok := res.outcome == policy.OK
 	if a.over {
-		// It was cut off, and its call went on for others. A delivery still ends the message.
+		// The attempt timed out and its call went on for other messages. A delivery still ends the message.
 		if ok {
 			evs = r.completeDelivered(evs, m)
 		}
@@ -249,7 +249,7 @@
 	})
 }
 
-// markDone books that the module has markDone with a message.
+// markDone records that the module has finished with a message.
 func (r *Relay) markDone(m *message) {
 	if !m.ended {
 		m.ended = true
@@ -259,7 +259,7 @@
 	}
 }
 
-// clientFinal is the end of a message that its client was told of.
+// clientFinal returns the final outcome that the client was told.
 func (m *message) clientFinal() wal.Final {
 	if m.Final != nil {
 		return *m.Final
@@ -267,8 +267,8 @@
 	return wal.Final{Deferred: m.refused, Again: policy.RetryAdvice}
 }
 
-// revokeCalls has no call be made any more with a message, but those whose requests are being written. What else such a call
-// carries is sent anew.
+// revokeCalls cancels all calls that carry a message, except those whose requests are being written. The other messages
+// of a cancelled call are sent again.
 func (r *Relay) revokeCalls(m *message) {
 	for c := range r.inFlight {
 		if slices.ContainsFunc(c.attempts, func(a *attempt) bool { return a.m == m }) {
@@ -277,7 +277,8 @@
 	}
 }
 
-// timeoutResult is how an attempt ends whose time is up before that of its call. The rest of a call that was not made is sent anew.
+// timeoutResult is the result of an attempt that times out before its call does. If the call was not made yet, it is
+// cancelled and its other messages are sent again.
 func (a *attempt) timeoutResult() result {
 	if a.call != nil && a.revoke() {
 		return result{outcome: policy.ConnectFailed}
@@ -285,7 +286,7 @@
 	return result{outcome: policy.Timeout, took: clock.Since(a.sent)}
 }
 
-// retire forgets a message for which nothing is owed and nothing is out.
+// retire forgets a message once it has no attempts in progress and the log owes nothing for it.
 func (r *Relay) retire(m *message) {
 	if m.outstanding == 0 && m.ended && !r.wal.Owes(m.Message) {
 		delete(r.msgs, m.ID)
--- a/internal/relay/transient.go
+++ b/internal/relay/transient.go
@@ -16,17 +16,17 @@
 	"onyxroad.dev/onyxroad/internal/wal"
 )
 
-// Calls of the system that fail for a moment are made again: no start is refused for one.
+// System calls that fail temporarily are retried, so that such a failure does not prevent a start.
 
 const (
-	// startRetryLimit is for how long a start makes a call again that fails. A relay has 30 s to be ready.
+	// startRetryLimit is how long a start retries a failing call. A relay has 30 s to become ready.
 	startRetryLimit = 20 * time.Second
 	retryDelay      = 20 * time.Millisecond
 
 	forever = time.Duration(math.MaxInt64)
 )
 
-// transientErrors are errors that may pass by themselves.
+// transientErrors may go away by themselves.
 var transientErrors = []syscall.Errno{
 	syscall.EAGAIN, syscall.EINTR, syscall.EMFILE, syscall.ENFILE, syscall.ENOMEM, syscall.ENOBUFS,
 	syscall.EIO, syscall.ENOSPC, syscall.EDQUOT, syscall.EROFS, syscall.ENOLCK,
@@ -34,25 +34,26 @@
 	syscall.ETIMEDOUT, syscall.EPROTO,
 }
 
-// localErrors are errors of socket and connect that come from this machine, whatever becomes of the one that is called.
+// localErrors are errors of socket and connect that this machine causes, independent of the remote host.
 var localErrors = []syscall.Errno{
 	syscall.EMFILE, syscall.ENFILE, syscall.ENOMEM, syscall.ENOBUFS, syscall.EADDRNOTAVAIL, syscall.ENETUNREACH, syscall.ECONNABORTED,
 	syscall.EINTR, syscall.EAGAIN,
 }
 
-// isLocalFailure tells whether a call has failed on this machine, and has reached nobody.
+// isLocalFailure reports whether a call failed on this machine, without reaching the remote host.
 func isLocalFailure(err error) bool {
 	var errno syscall.Errno
 	return errors.As(err, &errno) && slices.Contains(localErrors, errno)
 }
 
-// isTransient tells whether a call that failed may succeed if it is made again.
+// isTransient reports whether a call that failed may succeed if it is repeated.
 func isTransient(err error) bool {
 	var errno syscall.Errno
 	return errors.As(err, &errno) && slices.Contains(transientErrors, errno)
 }
 
-// retryTransient makes a call until it succeeds, fails for good, ctx ends or most is over, and returns its last error.
+// retryTransient repeats a call until it succeeds, fails permanently, ctx ends or limit has passed. It returns its last
+// error.
 func retryTransient(ctx context.Context, log *slog.Logger, what string, limit time.Duration, call func() error) error {
 	began := clock.Now()
 	for logged := false; ; logged = true {
@@ -74,14 +75,14 @@
 }
 
 const (
-	// configRetryLimit is for how long a start reads a configuration again that can't be read.
+	// configRetryLimit is how long a start retries reading an unreadable configuration.
 	configRetryLimit = 5 * time.Second
-	// reloadRetryLimit is for how long a configuration is read again that can't be read, or makes no sense: it may be half
-	// written. What it tells counts as told 4 s after SIGHUP.
+	// reloadRetryLimit is how long a reload retries an unreadable or invalid configuration, which may be half written. A
+	// new configuration must be in force 4 s after SIGHUP.
 	reloadRetryLimit = 2 * time.Second
 )
 
-// LoadConfigWithRetry is LoadConfig, made again while the file can't be read for a reason that may pass.
+// LoadConfigWithRetry calls LoadConfig, and repeats it while reading the file fails with a transient error.
 func LoadConfigWithRetry(ctx context.Context, getenv func(string) string) (c Config, err error) {
 	err = retryTransient(ctx, slog.Default(), "read the configuration", configRetryLimit, func() error {
 		c, err = LoadConfig(getenv)
@@ -90,7 +91,7 @@
 	return c, err
 }
 
-// ReloadConfigWithRetry is ReloadConfig, made again for a while whatever its error.
+// ReloadConfigWithRetry calls ReloadConfig, and repeats it for a while after any error.
 func ReloadConfigWithRetry(ctx context.Context, getenv func(string) string) (c Config, err error) {
 	for began := clock.Now(); ; sleep(ctx, retryDelay) {
 		if c, err = ReloadConfig(getenv); err == nil || clock.Since(began) >= reloadRetryLimit || ctx.Err() != nil {
@@ -99,7 +100,7 @@
 	}
 }
 
-// listen listens on an address.
+// listen listens on an address, retrying transient failures.
 func listen(ctx context.Context, log *slog.Logger, what, addr string) (l *net.TCPListener, err error) {
 	err = retryTransient(ctx, log, "listen for "+what, startRetryLimit, func() error {
 		l, err = sockets.ListenTCP(addr)
@@ -111,11 +112,11 @@
 	return l, nil
 }
 
-// acquireLog takes the log over, from a process that serves now or from one that has ended. One that has it and does not hand it over
-// is waited for, until ctx ends.
+// acquireLog takes over the log from a running process or from one that has ended. If a process holds the log and does not
+// hand it over, acquireLog waits until ctx ends.
 func (r *Relay) acquireLog(ctx context.Context) error {
 	for {
-		err := retryTransient(ctx, r.log, "take the log over", startRetryLimit, r.takeUp)
+		err := retryTransient(ctx, r.log, "take over the log", startRetryLimit, r.takeUp)
 		if !errors.Is(err, wal.ErrHeld) || ctx.Err() != nil {
 			return err
 		}
--- a/internal/relay/transient_test.go
+++ b/internal/relay/transient_test.go
@@ -18,11 +18,11 @@
 	"onyxroad.dev/onyxroad/policy"
 )
 
-// transientErrnos are the errors with which Linux lets accept, socket and connect fail for a moment.
+// transientErrnos are the errors with which accept, socket and connect fail temporarily on Linux.
 var transientErrnos = []syscall.Errno{syscall.ECONNABORTED, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EADDRNOTAVAIL,
 	syscall.ENETUNREACH, syscall.EINTR, syscall.EPROTO}
 
-// callFaults has calls fail, each a number of times.
+// callFaults makes system calls fail, each for a number of times.
 type callFaults struct {
 	errno     syscall.Errno
 	remaining map[sockets.Call]*atomic.Int64
@@ -46,7 +46,7 @@
 
 func (f *callFaults) Most(n int) int { return n }
 
-// exhausted tells whether all calls that were to fail have.
+// exhausted reports whether all faults have occurred.
 func (f *callFaults) exhausted() bool {
 	for _, n := range f.remaining {
 		if n.Load() > 0 {
@@ -56,8 +56,8 @@
 	return true
 }
 
-// An accept that fails for want of what this process can't give back is no reason to close a connection whose request is on its
-// way, be it new or idle.
+// An accept that fails for lack of a resource that this process cannot free must not close a connection, new or idle,
+// whose request may be in transit.
 func TestFailedAcceptClosesNoConnection(t *testing.T) {
 	for _, errno := range transientErrnos {
 		t.Run(errno.Error(), func(t *testing.T) {
@@ -75,11 +75,11 @@
 			})
 			r.clients.mu.Lock()
 			for c := range r.clients.conns {
-				c.since = c.since.Add(-time.Second) // longer than a silent one is spared
+				c.since = c.since.Add(-time.Second) // longer than silentGrace
 			}
 			r.clients.mu.Unlock()
 			fault.remaining[sockets.Accept].Store(5)
-			dial(t, addr, "") // has accept be called once more
+			dial(t, addr, "") // makes the relay call accept once more
 			dial(t, addr, "")
 			eventually(t, "accept has failed", fault.exhausted)
 			for name, c := range map[string]struct {
@@ -91,14 +91,14 @@
 					continue
 				}
 				if res := readResponse(t, c.r); res.Close {
-					t.Errorf("%s: the connection ends with its answer", name)
+					t.Errorf("%s: the connection closes with its answer", name)
 				}
 			}
 		})
 	}
 }
 
-// No call of a start that fails for a moment may refuse it.
+// A system call that fails temporarily must not prevent a start.
 func TestStartRetriesTransientFailures(t *testing.T) {
 	cfg := newTestRelay(t).cfg
 	cfg.Admin = "127.0.0.1:0"
@@ -108,14 +108,14 @@
 		r, err := New(ctx, cfg, discardLogger())
 		if err != nil {
 			cancel()
-			t.Fatalf("refused: %v", err)
+			t.Fatalf("the start failed: %v", err)
 		}
 		done := make(chan error, 1)
 		go func() { done <- r.Run(ctx) }()
 		defer func() {
 			cancel()
 			if err := <-done; err != nil {
-				t.Errorf("the end: %v", err)
+				t.Errorf("shutdown: %v", err)
 			}
 		}()
 		until := time.After(patience)
@@ -123,7 +123,7 @@
 			select {
 			case err := <-done:
 				done <- err
-				t.Fatalf("refused: %v", err)
+				t.Fatalf("the start failed: %v", err)
 			case <-until:
 				t.Fatal("never ready")
 			case <-time.After(time.Millisecond):
@@ -160,8 +160,8 @@
 	}
 }
 
-// An end that is told without a record is forgotten by a restart, which would send the message after all. While the disk takes
-// nothing it waits; once the message's time is up nothing can be sent any more, and it is told.
+// An end that is reported without a record is lost in a restart, which would send the message after all. So the report
+// waits while the disk fails. Once the message's deadline has passed, nothing can be sent for it, and its end is reported.
 func TestEndIsReportedOnceLoggedOrOverdue(t *testing.T) {
 	for _, recovers := range []bool{true, false} {
 		t.Run(fmt.Sprintf("the disk heals %v", recovers), func(t *testing.T) {
@@ -181,32 +181,32 @@
 			failing.Store(true)
 			r.carryOut([]policy.Action{{Kind: policy.Fail, ID: m.ID}}, nil)
 			if len(r.finals.queue) > 0 {
-				t.Error("told before it is in the log")
+				t.Error("reported before it is in the log")
 			}
 			if recovers {
 				failing.Store(false)
 			}
 			reportedAt := time.Time{}
-			eventually(t, "the end is told", func() bool {
+			eventually(t, "the end is reported", func() bool {
 				r.tend()
 				reportedAt = time.Now()
 				return len(r.finals.queue) > 0
 			})
 			late := reportedAt.Sub(m.Deadline)
 			if recovers && late > 0 {
-				t.Errorf("told %v after its time, though the disk was well again", late)
+				t.Errorf("reported %v after its deadline, although the disk worked again", late)
 			}
 			if !recovers && (late < 0 || late > 200*time.Millisecond) {
-				t.Errorf("told %v after its time", late)
+				t.Errorf("reported %v after its deadline", late)
 			}
 		})
 	}
 }
 
-// While the disk takes nothing no call is made, no endpoint is blamed for that, and none is lost: once the disk is well again the
-// call leaves.
+// While the disk fails, no call is made, no endpoint is blamed for it, and no call is lost: it is made once the disk works
+// again.
 func TestCallWaitsForFailingDisk(t *testing.T) {
-	var writes atomic.Int64 // that succeed
+	var writes atomic.Int64 // number of writes that succeed
 	writes.Store(1)
 	r := newTestRelayOn(t, func(dir string) disk.FS {
 		return &faultdisk.Disk{FS: disk.Dir(dir), Fail: func(op faultdisk.Op, _ string) faultdisk.Fault {
@@ -219,7 +219,7 @@
 	in := newSubmission("m1", 7, 5*time.Second)
 	r.step([]any{in}) // one write for the message, another for its send
 	if a, ok := answered(in); !ok || a.status != http.StatusAccepted {
-		t.Errorf("the message is in the log, and its client is told %+v, %v", a, ok)
+		t.Errorf("the message is in the log, but its client is answered %+v, %v", a, ok)
 	}
 	m := r.byTrace["m1"]
 	for range 5 {
@@ -230,16 +230,16 @@
 		t.Errorf("while the disk fails: %d calls out, %d sends", r.callsOut, m.sends)
 	}
 	if n := r.sender.Avoided(r.now()); n > 0 {
-		t.Errorf("%d endpoints avoided for what the disk did", n)
+		t.Errorf("%d endpoints avoided because of the disk", n)
 	}
 	writes.Store(1000)
-	eventually(t, "the call leaves", func() bool { r.step(nil); r.tend(); return r.callsOut > 0 })
+	eventually(t, "the call is made", func() bool { r.step(nil); r.tend(); return r.callsOut > 0 })
 	if len(m.MayRun) != 1 {
 		t.Errorf("recorded %+v", m.MayRun)
 	}
 }
 
-// Connections that fail for some seconds hold notices back no longer than that: one is late 300 ms after its message's time.
+// Failing connections must delay notices no longer than they last: a notice is late 300 ms after its message's deadline.
 func TestNoticesAreSentOnceConnectionsSucceed(t *testing.T) {
 	const tries = 8
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
@@ -258,18 +258,18 @@
 	select {
 	case <-taken:
 	case <-time.After(2 * patience):
-		t.Fatal("never taken")
+		t.Fatal("never accepted")
 	}
 	var last time.Time
 	for range tries {
 		last = <-failed
 	}
 	if late := time.Since(last); late > 250*time.Millisecond {
-		t.Errorf("taken %v after the last connection failed", late)
+		t.Errorf("accepted %v after the last connection failed", late)
 	}
 }
 
-// reportingFaults tells when calls failed.
+// reportingFaults reports the time of each failure.
 type reportingFaults struct {
 	*callFaults
 	failed chan time.Time
@@ -283,8 +283,8 @@
 	return errno
 }
 
-// A call to discovery that fails on this machine is no work for discovery, and says nothing of it: the next one comes at once, in a
-// fleet of any size, or what the agent has meanwhile is not heeded.
+// A call to discovery that fails on this machine causes discovery no work and says nothing about it. In a fleet of any
+// size the next call must follow at once, or the agent's news in the meantime is missed.
 func TestLocalFailureRetriesWatchSoon(t *testing.T) {
 	for _, errno := range []syscall.Errno{syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EADDRNOTAVAIL, syscall.ENETUNREACH,
 		syscall.ECONNABORTED} {
@@ -307,7 +307,7 @@
 		cancel()
 		restore()
 		if longest > 150*time.Millisecond {
-			t.Errorf("%v: the next call comes %v after one that failed here", errno, longest)
+			t.Errorf("%v: the next call follows %v after a local failure", errno, longest)
 		}
 	}
 }
--- a/internal/relay/unwritten_test.go
+++ b/internal/relay/unwritten_test.go
@@ -14,7 +14,7 @@
 	"onyxroad.dev/onyxroad/policy"
 )
 
-// failingDisk has calls of a folder fail while it is sick.
+// failingDisk makes operations on a folder fail while failing is set.
 type failingDisk struct {
 	fault   faultdisk.Fault
 	ops     []faultdisk.Op
@@ -30,7 +30,7 @@
 	}}
 }
 
-// logFormats are the ways in which the log is kept where a process's end is all that it has to outlast.
+// logFormats are the formats of the log when it only has to survive the end of the process, not a power failure.
 var logFormats = map[string]func(*Config){
 	"one file":    func(*Config) {},
 	"in segments": func(c *Config) { c.Segments = true },
@@ -43,14 +43,14 @@
 			ops   []faultdisk.Op
 			full  bool
 		}{
-			"a write fails":         {faultdisk.Fault{Err: syscall.EIO}, []faultdisk.Op{faultdisk.Write}, false},
-			"half a write stays":    {faultdisk.Fault{Err: syscall.ENOSPC, Reach: faultdisk.Part}, []faultdisk.Op{faultdisk.Write}, false},
-			"no room, and none had": {faultdisk.Fault{Err: syscall.ENOSPC}, []faultdisk.Op{faultdisk.Open}, true},
+			"a write fails":       {faultdisk.Fault{Err: syscall.EIO}, []faultdisk.Op{faultdisk.Write}, false},
+			"a write is partial":  {faultdisk.Fault{Err: syscall.ENOSPC, Reach: faultdisk.Part}, []faultdisk.Op{faultdisk.Write}, false},
+			"no space for a file": {faultdisk.Fault{Err: syscall.ENOSPC}, []faultdisk.Op{faultdisk.Open}, true},
 		} {
 			t.Run(format+" "+name, func(t *testing.T) {
 				d := &failingDisk{fault: c.fault, ops: c.ops}
 				r := newTestRelayOn(t, d.files, change)
-				const dest = 8 // listed once, and without an endpoint now
+				const dest = 8 // listed before, but without an endpoint now
 				r.knownDests[dest] = true
 				if a := stepSubmissions(r, newSubmission("m1", dest, 5*time.Second))[0]; a.status != http.StatusAccepted {
 					t.Fatalf("%+v", a)
@@ -62,11 +62,11 @@
 				}
 				r.carryOut([]policy.Action{{Kind: policy.Refuse, ID: r.byTrace["m1"].ID}}, nil)
 				if len(r.finals.queue) > 0 {
-					t.Error("told, and the next process would send it")
+					t.Error("reported, but the next process would send it")
 				}
 				d.failing.Store(false)
 				r.wal.Limit = limit
-				eventually(t, "its end is told once it is in the log", func() bool { r.tend(); return len(r.finals.queue) > 0 })
+				eventually(t, "its end is reported once it is in the log", func() bool { r.tend(); return len(r.finals.queue) > 0 })
 				next := restartRelay(t, r)
 				if m := next.byTrace["m1"]; m == nil || m.Final == nil || !m.Final.Deferred || next.held != 0 {
 					t.Errorf("the next process has %+v, %d held", m, next.held)
@@ -76,7 +76,8 @@
 	}
 }
 
-// A client that is told that its message has no effect while the log has it, and not its end.
+// A refusal tells the client that its message has no effect. It must not be given while the log has the message but not
+// its end.
 func TestRefusalIsAnsweredOnlyOnceLogged(t *testing.T) {
 	for format, change := range logFormats {
 		t.Run(format, func(t *testing.T) {
@@ -91,11 +92,11 @@
 				}}
 			}, change)
 			stepSubmissions(r, newSubmission("first", 7, 5*time.Second))
-			writes.Store(1) // the message is written, and what the step decides is not
+			writes.Store(1) // the message is written, but not what the step decides
 			in := newSubmission("m1", 7, -time.Second)
 			r.step([]any{in})
 			if a, ok := answered(in); ok && a.status != http.StatusAccepted {
-				t.Errorf("told %+v, and the next process would send it", a)
+				t.Errorf("answered %+v, but the next process would send it", a)
 			}
 			writes.Store(1 << 30)
 			var a answer
@@ -106,7 +107,7 @@
 				return ok
 			})
 			if how, ok := r.wal.Completed("m1"); a.status != http.StatusServiceUnavailable || !ok || how != wal.Refused {
-				t.Errorf("told %+v, remembered as %v, %v", a, how, ok)
+				t.Errorf("answered %+v, remembered as %v, %v", a, how, ok)
 			}
 			if next := restartRelay(t, r); next.byTrace["m1"] != nil {
 				t.Error("the next process holds it")
@@ -118,7 +119,7 @@
 func TestRefusalIsWithheldWhileLogMayHoldMessage(t *testing.T) {
 	for format, change := range logFormats {
 		t.Run(format, func(t *testing.T) {
-			// All of a write stays, though it fails, and can't be taken away.
+			// A failed write leaves all of its data behind, and the data cannot be removed.
 			d := &failingDisk{fault: faultdisk.Fault{Err: syscall.EIO, Reach: faultdisk.All},
 				ops: []faultdisk.Op{faultdisk.Write}}
 			cleaning := &failingDisk{fault: faultdisk.Fault{Err: syscall.EIO}, ops: []faultdisk.Op{faultdisk.Truncate, faultdisk.Open}}
@@ -142,7 +143,7 @@
 			r.tend()
 			for _, in := range []*submission{first, again} {
 				if a, ok := answered(in); ok {
-					t.Errorf("told %+v, and the next process may send it", a)
+					t.Errorf("answered %+v, but the next process may send it", a)
 				}
 			}
 			d.failing.Store(false)
@@ -152,7 +153,7 @@
 					r.tend()
 					a, ok := answered(in)
 					if ok && a.status != http.StatusServiceUnavailable && a.status != 0 {
-						t.Errorf("told %+v", a)
+						t.Errorf("answered %+v", a)
 					}
 					return ok
 				})
--- a/internal/relay/withheld.go
+++ b/internal/relay/withheld.go
@@ -7,11 +7,11 @@
 	"onyxroad.dev/onyxroad/internal/clock"
 )
 
-// An answer which says that a message is over is withheld while the log may still hold the message: the next process would send it.
-// It is given once the log has the end, or can no longer hold the message; a client that has left by then hands its message in anew,
-// and what is sent under the old id counts for nothing.
+// An answer that declares a message over is withheld while the log may still hold the message, because the next process
+// would send it. The answer is given once the log has recorded the end or can no longer hold the message. A client that
+// has disconnected by then submits its message again, and sends under the old id do not count.
 
-// withholdLimit is how long an answer is withheld at most. By the platform's protocol clients have left after 400 ms.
+// withholdLimit is the longest time that an answer is withheld. By the platform's protocol clients disconnect after 400 ms.
 const withholdLimit = 420 * time.Millisecond
 
 // withheldAnswer is an answer that waits for the log.
@@ -19,10 +19,11 @@
 	in        *submission
 	answer    answer
 	until     time.Time
-	abandoned bool // its client has left; the id is still not to be taken on
+	abandoned bool // its client has disconnected; the id must still not be accepted
 }
 
-// answerOnceRecorded answers a hand-in whose message is over, at once if no later process can find the message open.
+// answerOnceRecorded answers a submission whose message is over: at once if no later process can find the message open,
+// otherwise once the log has recorded the end.
 func (r *Relay) answerOnceRecorded(in *submission, a answer) {
 	if r.logUpToDate() {
 		in.reply <- a
@@ -32,10 +33,11 @@
 	time.AfterFunc(withholdLimit, func() { r.post(wakeLoop{}) })
 }
 
-// logUpToDate tells whether the log is well and has all that was noted.
+// logUpToDate reports whether the log works and has recorded everything.
 func (r *Relay) logUpToDate() bool { return r.wal.Failure() == nil && r.record(nil) == nil }
 
-// joinWithheld joinWithheld the answer to a hand-in under the id of a message whose answer is withheld; false if there is none.
+// joinWithheld withholds the answer to a submission under an id whose answer is already withheld. It returns false if
+// there is none.
 func (r *Relay) joinWithheld(in *submission) bool {
 	i := slices.IndexFunc(r.withheld, func(w withheldAnswer) bool { return w.in.m.Trace == in.m.Trace })
 	if i >= 0 {
@@ -44,7 +46,7 @@
 	return i >= 0
 }
 
-// releaseWithheld gives the answers that need no longer be withheld, and gives up those whose clients have left.
+// releaseWithheld gives the answers that no longer need to be withheld, and abandons those whose clients have disconnected.
 func (r *Relay) releaseWithheld() {
 	if len(r.withheld) == 0 {
 		return
@@ -60,7 +62,7 @@
 		w := &r.withheld[i]
 		if !w.abandoned && !now.Before(w.until) {
 			w.abandoned = true
-			w.in.reply <- answer{} // to nobody
+			w.in.reply <- answer{} // nobody is waiting for it
 		}
 	}
 }
