--- a/internal/relay/accept.go
+++ b/internal/relay/accept.go
@@ -23,8 +23,8 @@
 			}
 			continue
 		}
-		if a, why := r.checkAdmission(in.m); a.status != 0 {
-			r.reject(in, a, why)
+		if a, reason := r.checkAdmission(in.m); a.status != 0 {
+			r.reject(in, a, reason)
 			continue
 		}
 		in.msg = r.newMessage(in.m, old)
--- a/internal/relay/clients.go
+++ b/internal/relay/clients.go
@@ -107,8 +107,8 @@
 	acceptErrors rate.Sometimes // limits how often they are logged
 }
 
-func newClients(log *slog.Logger, most int, answer func(*client, *http.Request) answer) *clients {
-	s := &clients{log: log, handler: answer, limit: most, keepAliveLimit: most * 3 / 8, conns: map[*client]struct{}{},
+func newClients(log *slog.Logger, limit int, handler func(*client, *http.Request) answer) *clients {
+	s := &clients{log: log, handler: handler, limit: limit, keepAliveLimit: limit * 3 / 8, conns: map[*client]struct{}{},
 		guard: invariant.New(log), acceptErrors: rate.Sometimes{First: 1, Interval: time.Second}}
 	s.changed.L = &s.mu
 	return s
@@ -285,10 +285,10 @@
 }
 
 // setLimit changes the limit on connections.
-func (s *clients) setLimit(most int) {
+func (s *clients) setLimit(limit int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.limit, s.keepAliveLimit = most, most*3/8
+	s.limit, s.keepAliveLimit = limit, limit*3/8
 }
 
 // disableKeepAlive makes each connection close with its next answer. Idle ones stay open until then, because a close
--- a/internal/relay/exclusions.go
+++ b/internal/relay/exclusions.go
@@ -120,12 +120,12 @@
 }
 
 // set excludes an endpoint, or includes it again.
-func (x *exclusions) set(o exclusionChange) answer {
-	id, out := o.Host, o.Out
+func (x *exclusions) set(change exclusionChange) answer {
+	id, out := change.Host, change.Out
 	x.mu.Lock()
 	if successor := x.successor; successor != nil {
 		x.mu.Unlock()
-		in := &submission{exclusionChange: o, reply: make(chan answer, 1)}
+		in := &submission{exclusionChange: change, reply: make(chan answer, 1)}
 		successor.ask(in)
 		return <-in.reply
 	}
@@ -136,10 +136,10 @@
 	case !x.excluded[id] && !x.seen[id]:
 		return answer{status: http.StatusNotFound, text: "this endpoint was never listed"}
 	}
-	if err := x.checkFence(o); errors.Is(err, duty.ErrFenced) {
+	if err := x.checkFence(change); errors.Is(err, duty.ErrFenced) {
 		return answer{status: http.StatusConflict, text: err.Error()}
 	} else if err != nil {
-		x.log.Error("cannot check the epoch of a duty's request", "duty", o.Duty, "epoch", o.Epoch, "err", err)
+		x.log.Error("cannot check the epoch of a duty's request", "duty", change.Duty, "epoch", change.Epoch, "err", err)
 		return answer{status: http.StatusServiceUnavailable, text: "not saved: " + err.Error()}
 	}
 	if x.excluded[id] != out {
@@ -164,8 +164,8 @@
 
 // checkFence refuses a change by a former holder of a duty; mu must be held. A newer epoch is saved to disk before
 // anything in its name is done.
-func (x *exclusions) checkFence(o exclusionChange) (err error) {
-	if o.Duty == "" {
+func (x *exclusions) checkFence(change exclusionChange) (err error) {
+	if change.Duty == "" {
 		return nil
 	}
 	if x.fence == nil {
@@ -173,7 +173,7 @@
 			return err
 		}
 	}
-	return x.fence.Pass(o.Duty, o.Epoch)
+	return x.fence.Pass(change.Duty, change.Epoch)
 }
 
 // withChange returns the set with one endpoint excluded or included.
--- a/internal/relay/lifecycle.go
+++ b/internal/relay/lifecycle.go
@@ -59,11 +59,11 @@
 }
 
 // logTransition logs a change of a message's state.
-func (r *Relay) logTransition(m *message, from, to messageState, why stateReason, more ...slog.Attr) {
+func (r *Relay) logTransition(m *message, from, to messageState, reason stateReason, more ...slog.Attr) {
 	if !r.traced {
 		return
 	}
 	all := append([]slog.Attr{slog.String("trace", m.Trace), slog.String("from", string(from)), slog.String("to", string(to)),
-		slog.String("reason", string(why)), slog.Int("pid", r.pid)}, more...)
+		slog.String("reason", string(reason)), slog.Int("pid", r.pid)}, more...)
 	r.log.LogAttrs(context.Background(), slog.LevelDebug, "message", all...)
 }
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -361,10 +361,10 @@
 		evs = nil
 	}
 	var ended []*message
-	outs := map[uint32]*policy.Out{}
+	attemptsOut := map[uint32]*policy.Out{}
 	for _, o := range r.inheritedState.Out {
 		if !o.Cut {
-			outs[o.ID] = &o.Out
+			attemptsOut[o.ID] = &o.Out
 		}
 	}
 	for _, w := range found.Messages {
@@ -373,7 +373,7 @@
 			slog.Int64("left_ms", clock.Until(w.Deadline).Milliseconds()))
 		r.msgs[m.ID], r.byTrace[m.Trace] = m, m
 		r.lastID = max(r.lastID, m.ID)
-		out := outs[m.ID]
+		out := attemptsOut[m.ID]
 		if out != nil {
 			m.outstanding++
 		}
--- a/internal/relay/resubmission.go
+++ b/internal/relay/resubmission.go
@@ -41,8 +41,8 @@
 // String formats the counters for /api/telemetry.
 func (s *resubmissions) String() string {
 	var b strings.Builder
-	for way, name := range resubmissionNames {
-		fmt.Fprintf(&b, "\nrelay.resubmitted.%s:%d|c", name, s.counts[way].Load())
+	for outcome, name := range resubmissionNames {
+		fmt.Fprintf(&b, "\nrelay.resubmitted.%s:%d|c", name, s.counts[outcome].Load())
 	}
 	fmt.Fprintf(&b, "\nrelay.completions:%d|g\nrelay.completions_evicted:%d|c", s.remembered.Load(), s.evicted.Load())
 	return b.String()
@@ -62,27 +62,27 @@
 // completedAnswer answers a submission under the id of an ended message. It returns false if no such end is remembered.
 func (r *Relay) completedAnswer(m *wal.Message) (answer, bool) {
 	if how, ok := r.wal.Completed(m.Trace); ok {
-		a, way := completionAnswer(how)
-		r.noteResubmission(m, way, a)
+		a, outcome := completionAnswer(how)
+		r.noteResubmission(m, outcome, a)
 		return a, true
 	}
 	return answer{}, false
 }
 
 // noteResubmission counts and logs that an id was submitted again, and its answer.
-func (r *Relay) noteResubmission(m *wal.Message, way resubmission, a answer) {
-	r.resubmitted.counts[way].Add(1)
-	r.logTransition(&message{Message: m}, stateNew, stateGone, reasonResubmitted, slog.String("ended_as", resubmissionNames[way]),
+func (r *Relay) noteResubmission(m *wal.Message, outcome resubmission, a answer) {
+	r.resubmitted.counts[outcome].Add(1)
+	r.logTransition(&message{Message: m}, stateNew, stateGone, reasonResubmitted, slog.String("ended_as", resubmissionNames[outcome]),
 		slog.Int("status", a.status))
-	if way != resubmittedPending {
+	if outcome != resubmittedPending {
 		r.resubmitted.logLimit.Do(func() {
-			r.log.Info("the id of a request that has ended came again", "trace", m.Trace, "ended_as", resubmissionNames[way], "status", a.status)
+			r.log.Info("the id of a request that has ended came again", "trace", m.Trace, "ended_as", resubmissionNames[outcome], "status", a.status)
 		})
 	}
 }
 
 // reject records that a request is not accepted. It is answered at the end of the step, once the log has been told.
-func (r *Relay) reject(in *submission, a answer, why stateReason) {
+func (r *Relay) reject(in *submission, a answer, reason stateReason) {
 	how := wal.Failed
 	if a.status == http.StatusServiceUnavailable {
 		how = wal.Refused
@@ -90,7 +90,7 @@
 	if a.status >= http.StatusInternalServerError {
 		r.metrics.countRejected(in.m.Class, a)
 	}
-	r.logTransition(&message{Message: in.m}, stateNew, stateGone, why, slog.Int("status", a.status))
+	r.logTransition(&message{Message: in.m}, stateNew, stateGone, reason, slog.Int("status", a.status))
 	r.wal.TurnAway(in.m.Trace, in.m.Deadline, how)
 	r.rejected = append(r.rejected, rejection{in, a})
 }
