--- a/internal/program/program.go
+++ b/internal/program/program.go
@@ -111,7 +111,7 @@
 	if fileSettings.Membership != nil && parts.Join == nil || fileSettings.Backlog != nil && parts.Backlog == nil {
 		return execFleetProgram()
 	}
-	cfg, err := relay.LoadConfigWithin(ctx, os.Getenv)
+	cfg, err := relay.LoadConfigWithRetry(ctx, os.Getenv)
 	if err != nil {
 		return err
 	}
@@ -157,7 +157,7 @@
 	}
 	go func() {
 		for range reload {
-			cfg, err := relay.ReloadConfigWithin(ctx, os.Getenv)
+			cfg, err := relay.ReloadConfigWithRetry(ctx, os.Getenv)
 			if err != nil {
 				slog.Warn("reload failed, keeping the current configuration", "err", err)
 				continue
--- a/internal/relay/fleet.go
+++ b/internal/relay/fleet.go
@@ -12,44 +12,44 @@
 	"onyxroad.dev/onyxroad/internal/membership"
 )
 
-// joinPause is the time between two attempts to join: while a process that hands over still has the address, say.
-const joinPause = 250 * time.Millisecond
+// joinRetryDelay is the pause between attempts to join. Joining fails while a process that hands over still has the address.
+const joinRetryDelay = 250 * time.Millisecond
 
-// fleet is the relay's part in its fleet. No message waits for it, whatever becomes of it.
+// fleet is the relay's membership in its fleet. Message delivery never waits for it.
 type fleet struct {
 	mu     sync.Mutex
 	member membership.Fleet // nil: not joined
 	state  membership.State
-	ended  bool
+	left   bool
 }
 
-// joinFleet joins the fleet, and tries again until that works or the relay ends.
+// joinFleet joins the fleet. It retries until that succeeds or the relay ends.
 func (r *Relay) joinFleet(ctx context.Context) {
 	if r.cfg.Join == nil {
 		return
 	}
-	for told := false; ; {
+	for logged := false; ; {
 		m, err := r.cfg.Join(r.cfg.Membership, nil)
 		if err == nil {
-			r.fleet.joined(m)
+			r.fleet.setMember(m)
 			return
 		}
-		if !told {
-			r.log.Warn("not in the fleet yet", "err", err)
-			told = true
+		if !logged {
+			r.log.Warn("cannot join the fleet yet", "err", err)
+			logged = true
 		}
 		select {
 		case <-ctx.Done():
 			return
-		case <-time.After(joinPause):
+		case <-time.After(joinRetryDelay):
 		}
 	}
 }
 
-func (f *fleet) joined(m membership.Fleet) {
+func (f *fleet) setMember(m membership.Fleet) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.ended {
+	if f.left {
 		m.Close()
 		return
 	}
@@ -57,8 +57,8 @@
 	m.Become(f.state)
 }
 
-// become tells the fleet of a state, now or once it is joined.
-func (f *fleet) become(s membership.State) {
+// setState announces a state to the fleet, now or once it is joined.
+func (f *fleet) setState(s membership.State) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.state = s; f.member != nil {
@@ -66,12 +66,12 @@
 	}
 }
 
-// end ends the relay's part: in order, or without a word where a newer process takes its place.
-func (f *fleet) end(inOrder bool) error {
+// leave ends the membership: with an announcement, or silently if a newer process takes this one's place.
+func (f *fleet) leave(inOrder bool) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	m := f.member
-	f.member, f.ended = nil, true
+	f.member, f.left = nil, true
 	switch {
 	case m == nil:
 		return nil
@@ -81,7 +81,7 @@
 	return m.Close()
 }
 
-// view is the fleet as it is known; false without one.
+// view returns the known view of the fleet; false if it is not joined.
 func (f *fleet) view() (v membership.View, ok bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -91,16 +91,17 @@
 	return f.member.View(), true
 }
 
-// Duties is what a relay may hold of the fleet's duties. Nothing of a message's way depends on it.
+// Duties are the fleet's duties that a relay may hold. No message depends on them.
 type Duties interface {
-	// Run claims duties and works on those that are held, until ctx ends. members tells who is present.
+	// Run claims duties and does their work while they are held, until ctx ends. members returns the members present.
 	Run(ctx context.Context, members func() []membership.Process)
-	// Figures are the fleet's, in the second address's form, where this process holds them; else who does, perhaps.
+	// Figures returns the fleet's metrics in the format of /api/telemetry if this process holds them; otherwise the
+	// holder, if it is known.
 	Figures() (text string, held bool)
 }
 
-// fleetFigures answers GET /api/fleet.
-func (r *Relay) fleetFigures() answer {
+// handleFleet answers GET /api/fleet.
+func (r *Relay) handleFleet() answer {
 	if r.cfg.Duties == nil {
 		return answer{status: http.StatusNotFound, text: "no duties"}
 	}
@@ -111,8 +112,8 @@
 	return answer{status: http.StatusOK, text: text}
 }
 
-// members are the processes that are present; none without a fleet.
-func (f *fleet) members() (all []membership.Process) {
+// presentMembers returns the processes that are present; none if the fleet is not joined.
+func (f *fleet) presentMembers() (all []membership.Process) {
 	v, _ := f.view()
 	for _, m := range v.Members {
 		if m.Away == membership.Present {
@@ -122,8 +123,8 @@
 	return all
 }
 
-// members answers GET /api/members.
-func (r *Relay) members() answer {
+// handleMembers answers GET /api/members.
+func (r *Relay) handleMembers() answer {
 	v, ok := r.fleet.view()
 	if !ok {
 		return answer{status: http.StatusNotFound, text: "not in a fleet"}
@@ -135,8 +136,8 @@
 	return answer{status: http.StatusOK, text: string(text)}
 }
 
-// figures are the fleet's, in the second address's form.
-func (f *fleet) figures() string {
+// metricsText formats the fleet's metrics for /api/telemetry.
+func (f *fleet) metricsText() string {
 	v, ok := f.view()
 	if !ok {
 		return ""
--- a/internal/relay/guards.go
+++ b/internal/relay/guards.go
@@ -10,27 +10,27 @@
 	"onyxroad.dev/onyxroad/policy"
 )
 
-// What the guards of package invariant are told. Nothing here decides anything.
+// This file reports to the guards of package invariant, and makes no decisions.
 
-// checkSends tells the guard of a call that is about to leave.
+// checkSends reports a call that is about to be made.
 func (r *Relay) checkSends(c *call) {
 	now := clock.Now()
 	for _, a := range c.attempts {
-		_, completed := r.wal.Completed(a.m.Trace) // a message of its own under the id of one that has ended
+		_, completed := r.wal.Completed(a.m.Trace) // a separate message under the id of an ended one
 		r.guard.CheckSend(invariant.Send{
-			Trace: a.m.Trace, Endpoint: c.route, Recorded: a.recorded(), Ended: a.m.ended || completed, EndOfSends: r.noSends,
-			Draining: r.outOfService.since(c.route, now), Left: a.m.Deadline.Sub(now),
+			Trace: a.m.Trace, Endpoint: c.route, Recorded: a.isRecorded(), Ended: a.m.ended || completed, EndOfSends: r.noSends,
+			Draining: r.outOfService.duration(c.route, now), Left: a.m.Deadline.Sub(now),
 		})
 		r.checkRepeat(a, now)
 	}
 }
 
-// recorded tells whether the log has an attempt as one that may run.
-func (a *attempt) recorded() bool {
+// isRecorded reports whether the log has the attempt as one that may run.
+func (a *attempt) isRecorded() bool {
 	return slices.ContainsFunc(a.m.MayRun, func(x wal.Attempt) bool { return x.N == a.n })
 }
 
-// checkRepeat tells the guard of an attempt of a message of which an earlier one may have run.
+// checkRepeat reports an attempt if an earlier one of the same message may have run.
 func (r *Relay) checkRepeat(a *attempt, now time.Time) {
 	first := slices.IndexFunc(a.m.MayRun, func(x wal.Attempt) bool { return x.N != a.n })
 	if first < 0 || a.m.Class < 0 || a.m.Class >= len(r.cfg.Settings.Classes) {
@@ -45,58 +45,58 @@
 	r.guard.CheckRepeat(repeat)
 }
 
-// outages are the endpoints that may get nothing new, with the moment since when.
+// outages maps the endpoints that must receive nothing new to the time since when.
 type outages map[string]time.Time
 
-// begin notes that an endpoint may get nothing new from now on.
-func (o outages) begin(route string) {
+// add records that an endpoint must receive nothing new from now on.
+func (o outages) add(route string) {
 	if _, ok := o[route]; !ok {
 		o[route] = clock.Now()
 	}
 }
 
-// since is for how long an endpoint may have got nothing new; 0 if it may.
-func (o outages) since(route string, now time.Time) time.Duration {
+// duration is how long an endpoint has had to receive nothing new; 0 if it is in service.
+func (o outages) duration(route string, now time.Time) time.Duration {
 	if at, ok := o[route]; ok {
 		return now.Sub(at)
 	}
 	return 0
 }
 
-// followOutage brings one endpoint up to date with the list and with what operators have taken out.
-func (r *Relay) followOutage(route string) {
-	if t, listed := r.routes[route]; listed && t.InService && !r.barred[route] {
+// updateOutage updates one endpoint's entry from the list and from the operators' exclusions.
+func (r *Relay) updateOutage(route string) {
+	if t, listed := r.routes[route]; listed && t.InService && !r.excluded[route] {
 		delete(r.outOfService, route)
 		return
 	}
-	r.outOfService.begin(route)
-	if len(r.outOfService) <= seenMost {
+	r.outOfService.add(route)
+	if len(r.outOfService) <= maxSeenIDs {
 		return
 	}
-	for old := range r.outOfService { // long gone, as good as all of them
+	for old := range r.outOfService { // unlisted ones, nearly all of them long gone
 		if _, listed := r.routes[old]; !listed {
 			delete(r.outOfService, old)
 		}
 	}
 }
 
-// checkBounds tells the guard of what the relay holds.
-func (r *Relay) checkBounds() {
+// checkLimits reports the resources that the relay uses.
+func (r *Relay) checkLimits() {
 	sockets := r.cfg.Limits.Sockets
-	r.guard.CheckBound("connections of clients", int64(r.clients.held()), int64(sockets*9/20))
-	r.guard.CheckBound("connections to endpoints", int64(r.hosts.held()), int64(sockets*3/8))
+	r.guard.CheckBound("connections of clients", int64(r.clients.count()), int64(sockets*9/20))
+	r.guard.CheckBound("connections to endpoints", int64(r.hosts.openCount()), int64(sockets*3/8))
 	r.guard.CheckBound("bytes of the log", r.wal.Size(), int64(r.cfg.Limits.DiskMB*1e6))
 }
 
-// held is how many connections there are.
-func (s *clients) held() int {
+// count returns the number of connections.
+func (s *clients) count() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.conns)
 }
 
-// held is how many connections there are, idle or not.
-func (p *pool) held() int {
+// openCount returns the number of connections, idle or not.
+func (p *pool) openCount() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.open
--- a/internal/relay/lifecycle_test.go
+++ b/internal/relay/lifecycle_test.go
@@ -14,7 +14,7 @@
 	"onyxroad.dev/onyxroad/policy"
 )
 
-// lockedBuffer is a log's text, which other goroutines write as well.
+// lockedBuffer is a log's output, which other goroutines write as well.
 type lockedBuffer struct {
 	mu   sync.Mutex
 	text bytes.Buffer
@@ -26,19 +26,19 @@
 	return b.text.Write(p)
 }
 
-// One trace id gives a message's whole life: every line of it, each going on where the one before ended.
-func TestATraceIDGivesAMessagesWholeLife(t *testing.T) {
+// The lines of one trace id show a message's whole life: each state change starts where the previous one ended.
+func TestLogShowsMessageLifecycle(t *testing.T) {
 	var out lockedBuffer
 	r := newTestRelay(t)
 	r.log, r.traced = slog.New(slog.NewJSONHandler(&out, &slog.HandlerOptions{Level: slog.LevelDebug})), true
 	for _, id := range []string{"other", "m1"} {
-		decide(r, newHandIn(id, 7, 5*time.Second))
+		stepSubmissions(r, newSubmission(id, 7, 5*time.Second))
 	}
-	m := r.traces["m1"]
-	settle(t, r, "its first call ends", func() bool { return m.out == 0 })
+	m := r.byTrace["m1"]
+	stepUntil(t, r, "its first call ends", func() bool { return m.outstanding == 0 })
 	r.carryOut([]policy.Action{{Kind: policy.Fail, ID: m.ID}}, nil)
-	r.step([]any{confirmed{[]uint32{m.ID}}})
-	var life []string
+	r.step([]any{noticesConfirmed{[]uint32{m.ID}}})
+	var reasons []string
 	last := string(stateNew)
 	out.mu.Lock()
 	defer out.mu.Unlock()
@@ -54,26 +54,26 @@
 			t.Errorf("from %s, after %s: %s", change.From, last, line)
 		}
 		last = change.To
-		life = append(life, change.Reason)
+		reasons = append(reasons, change.Reason)
 	}
 	const first, end = "accepted send connect_failed ", " failed notice confirmed"
-	if got := strings.Join(life, " "); !strings.HasPrefix(got, first) || !strings.HasSuffix(got, end) {
-		t.Errorf("its life: %s", got)
+	if got := strings.Join(reasons, " "); !strings.HasPrefix(got, first) || !strings.HasSuffix(got, end) {
+		t.Errorf("its reasons: %s", got)
 	}
 }
 
-func TestATraceIDTellsWhyARequestWasNotSentAgain(t *testing.T) {
+func TestLogShowsResubmissionOutcome(t *testing.T) {
 	var out lockedBuffer
 	traced := func(r *Relay) *Relay {
 		r.log, r.traced = slog.New(slog.NewJSONHandler(&out, &slog.HandlerOptions{Level: slog.LevelDebug})), true
-		r.cells[unlistedDest] = true
+		r.knownDests[unlistedDest] = true
 		return r
 	}
 	r := traced(newTestRelay(t))
-	handIn := func(left time.Duration) { decide(r, newHandIn("m1", unlistedDest, left)) }
+	handIn := func(left time.Duration) { stepSubmissions(r, newSubmission("m1", unlistedDest, left)) }
 	handIn(-time.Second) // refused
 	handIn(time.Second)
-	r = traced(restarted(t, r))
+	r = traced(restartRelay(t, r))
 	handIn(time.Second)
 	var again []string
 	for line := range strings.Lines(out.text.String()) {
@@ -90,6 +90,6 @@
 		}
 	}
 	if want := "m1refused503 true"; len(again) != 2 || again[0] != want || again[1] != want {
-		t.Errorf("told %q", again)
+		t.Errorf("logged %q", again)
 	}
 }
--- a/internal/relay/revoked_test.go
+++ b/internal/relay/revoked_test.go
@@ -17,7 +17,7 @@
 	"onyxroad.dev/onyxroad/policy"
 )
 
-func TestACallWhoseMessageEndedDoesNotLeaveOnAKeptConnection(t *testing.T) {
+func TestRevokedCallIsNotSentOnIdleConnection(t *testing.T) {
 	addr, requests := rawHost(t, func(_ int, conn net.Conn, _ *http.Request) bool {
 		fmt.Fprint(conn, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
 		return true
@@ -37,12 +37,13 @@
 	}
 	left := newCall(addr, "left")
 	if h.do(t.Context(), left, yes); left.revoke() {
-		t.Error("a call was revoked that had left")
+		t.Error("a call was revoked after it was sent")
 	}
 }
 
-// connecting is a relay with one endpoint that takes several messages in a call, whose connections come up when told.
-func connecting(t *testing.T) (r *Relay, up chan struct{}, sent func(id string) bool) {
+// newConnectingRelay returns a relay with one endpoint that takes several messages per call. Its connections are established
+// only once up is closed.
+func newConnectingRelay(t *testing.T) (r *Relay, up chan struct{}, sent func(id string) bool) {
 	var mu sync.Mutex
 	bodies := ""
 	s := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, req *http.Request) {
@@ -58,7 +59,7 @@
 		c.Known.Entries = []json.RawMessage{entry}
 	})
 	up = make(chan struct{})
-	t.Cleanup(func() { // before the relay's own, which waits for its calls
+	t.Cleanup(func() { // before the relay's own cleanup, which waits for its calls
 		select {
 		case <-up:
 		default:
@@ -77,35 +78,35 @@
 	}
 }
 
-func TestAMessageThatEndsWhileItsConnectionComesUpDoesNotLeaveWithTheRest(t *testing.T) {
+func TestMessageEndedDuringConnectIsNotSent(t *testing.T) {
 	for name, end := range map[string]func(r *Relay, a *attempt){
 		"refused":     func(r *Relay, a *attempt) { r.carryOut([]policy.Action{{Kind: policy.Refuse, ID: a.m.ID}}, nil) },
 		"client left": func(r *Relay, a *attempt) { r.step([]any{withdrawal{a.m.ID}}) },
-		"cut off":     func(r *Relay, a *attempt) { r.step([]any{cutOff{a}}) },
+		"timed out":   func(r *Relay, a *attempt) { r.step([]any{attemptTimeout{a}}) },
 	} {
 		t.Run(name, func(t *testing.T) {
-			r, up, sent := connecting(t)
-			decide(r, newHandIn("first", 7, 5*time.Second), newHandIn("second", 7, 5*time.Second))
+			r, up, sent := newConnectingRelay(t)
+			stepSubmissions(r, newSubmission("first", 7, 5*time.Second), newSubmission("second", 7, 5*time.Second))
 			var c *call
-			for c = range r.flying {
+			for c = range r.inFlight {
 			}
 			if c == nil || len(c.attempts) != 2 {
-				t.Fatalf("%d calls, %d held, call %+v", len(r.flying), r.held, c)
+				t.Fatalf("%d calls, %d held, call %+v", len(r.inFlight), r.held, c)
 			}
 			a := c.attempts[0]
 			end(r, a)
-			if name != "cut off" && a.m.out != 1 {
-				t.Errorf("%d attempts out", a.m.out)
+			if name != "timed out" && a.m.outstanding != 1 {
+				t.Errorf("%d attempts out", a.m.outstanding)
 			}
 			if c.progress.Load() != callRevoked {
-				t.Error("its call may still leave")
+				t.Error("its call may still be sent")
 			}
 			close(up)
 			for ended := false; !ended; {
-				_, ended = r.next().(*callEnd)
+				_, ended = r.stepNext().(*callFinished)
 			}
-			settle(t, r, "what was cut off is sent anew", func() bool { return r.out == 0 })
-			if id := a.m.Trace; name != "cut off" && sent(id) {
+			stepUntil(t, r, "the rest of the call is sent again", func() bool { return r.callsOut == 0 })
+			if id := a.m.Trace; name != "timed out" && sent(id) {
 				t.Errorf("%s was sent after its end", id)
 			}
 		})
--- a/internal/relay/transient_test.go
+++ b/internal/relay/transient_test.go
@@ -18,37 +18,37 @@
 	"onyxroad.dev/onyxroad/policy"
 )
 
-// momentary are the errors with which Linux lets accept, socket and connect fail for a moment.
-var momentary = []syscall.Errno{syscall.ECONNABORTED, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EADDRNOTAVAIL,
+// transientErrnos are the errors with which accept, socket and connect fail temporarily on Linux.
+var transientErrnos = []syscall.Errno{syscall.ECONNABORTED, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EADDRNOTAVAIL,
 	syscall.ENETUNREACH, syscall.EINTR, syscall.EPROTO}
 
-// failing has calls fail, each a number of times.
-type failing struct {
-	errno syscall.Errno
-	left  map[sockets.Call]*atomic.Int64
+// callFaults makes system calls fail, each for a number of times.
+type callFaults struct {
+	errno     syscall.Errno
+	remaining map[sockets.Call]*atomic.Int64
 }
 
-func newFailing(errno syscall.Errno, times int64, calls ...sockets.Call) *failing {
-	f := &failing{errno, map[sockets.Call]*atomic.Int64{}}
+func newCallFaults(errno syscall.Errno, times int64, calls ...sockets.Call) *callFaults {
+	f := &callFaults{errno, map[sockets.Call]*atomic.Int64{}}
 	for _, c := range calls {
-		f.left[c] = &atomic.Int64{}
-		f.left[c].Store(times)
+		f.remaining[c] = &atomic.Int64{}
+		f.remaining[c].Store(times)
 	}
 	return f
 }
 
-func (f *failing) Fail(call sockets.Call) syscall.Errno {
-	if n := f.left[call]; n != nil && n.Add(-1) >= 0 {
+func (f *callFaults) Fail(call sockets.Call) syscall.Errno {
+	if n := f.remaining[call]; n != nil && n.Add(-1) >= 0 {
 		return f.errno
 	}
 	return 0
 }
 
-func (f *failing) MaxBytes(n int) int { return n }
+func (f *callFaults) MaxBytes(n int) int { return n }
 
-// exhausted tells whether all calls that were to fail have.
-func (f *failing) exhausted() bool {
-	for _, n := range f.left {
+// exhausted reports whether all faults have occurred.
+func (f *callFaults) exhausted() bool {
+	for _, n := range f.remaining {
 		if n.Load() > 0 {
 			return false
 		}
@@ -56,18 +56,18 @@
 	return true
 }
 
-// An accept that fails for want of what this process can't give back is no reason to close a connection whose request is on its
-// way, be it new or idle.
-func TestAFailedAcceptClosesNoConnection(t *testing.T) {
-	for _, errno := range momentary {
+// An accept that fails for lack of a resource that this process cannot free must not close a connection, new or idle,
+// whose request may be in transit.
+func TestFailedAcceptClosesNoConnection(t *testing.T) {
+	for _, errno := range transientErrnos {
 		t.Run(errno.Error(), func(t *testing.T) {
 			r := newTestRelay(t)
-			fault := newFailing(errno, 0, sockets.Accept)
+			fault := newCallFaults(errno, 0, sockets.Accept)
 			defer sockets.SetFaults(fault)()
-			addr := door(t, r)
+			addr := serveTestClients(t, r)
 			silentOne, idleOne := dial(t, addr, ""), dial(t, addr, "GET /_health HTTP/1.1\r\nHost: x\r\n\r\n")
 			idle := bufio.NewReader(idleOne)
-			read(t, idle)
+			readResponse(t, idle)
 			eventually(t, "both are held", func() bool {
 				r.clients.mu.Lock()
 				defer r.clients.mu.Unlock()
@@ -75,11 +75,11 @@
 			})
 			r.clients.mu.Lock()
 			for c := range r.clients.conns {
-				c.since = c.since.Add(-time.Second) // longer than a silent one is spared
+				c.since = c.since.Add(-time.Second) // longer than silentGrace
 			}
 			r.clients.mu.Unlock()
-			fault.left[sockets.Accept].Store(5)
-			dial(t, addr, "") // has accept be called once more
+			fault.remaining[sockets.Accept].Store(5)
+			dial(t, addr, "") // makes the relay call accept once more
 			dial(t, addr, "")
 			eventually(t, "accept has failed", fault.exhausted)
 			for name, c := range map[string]struct {
@@ -90,32 +90,32 @@
 					t.Errorf("%s: %v", name, err)
 					continue
 				}
-				if res := read(t, c.r); res.Close {
-					t.Errorf("%s: the connection ends with its answer", name)
+				if res := readResponse(t, c.r); res.Close {
+					t.Errorf("%s: the connection closes with its answer", name)
 				}
 			}
 		})
 	}
 }
 
-// No call of a start that fails for a moment may refuse it.
-func TestAStartOutlastsCallsThatFailForAMoment(t *testing.T) {
+// A system call that fails temporarily must not prevent a start.
+func TestStartRetriesTransientFailures(t *testing.T) {
 	cfg := newTestRelay(t).cfg
 	cfg.Admin = "127.0.0.1:0"
 	start := func(t *testing.T, cfg Config) {
 		t.Helper()
 		ctx, cancel := context.WithCancel(t.Context())
-		r, err := New(ctx, cfg, quiet())
+		r, err := New(ctx, cfg, discardLogger())
 		if err != nil {
 			cancel()
-			t.Fatalf("refused: %v", err)
+			t.Fatalf("the start failed: %v", err)
 		}
 		done := make(chan error, 1)
 		go func() { done <- r.Run(ctx) }()
 		defer func() {
 			cancel()
 			if err := <-done; err != nil {
-				t.Errorf("the end: %v", err)
+				t.Errorf("shutdown: %v", err)
 			}
 		}()
 		until := time.After(patience)
@@ -123,7 +123,7 @@
 			select {
 			case err := <-done:
 				done <- err
-				t.Fatalf("refused: %v", err)
+				t.Fatalf("the start failed: %v", err)
 			case <-until:
 				t.Fatal("never ready")
 			case <-time.After(time.Millisecond):
@@ -135,7 +135,7 @@
 			t.Run(fmt.Sprint(call, " ", errno), func(t *testing.T) {
 				cfg := cfg
 				cfg.StateDir = t.TempDir()
-				defer sockets.SetFaults(newFailing(errno, 3, call))()
+				defer sockets.SetFaults(newCallFaults(errno, 3, call))()
 				start(t, cfg)
 			})
 		}
@@ -160,53 +160,53 @@
 	}
 }
 
-// An end that is told without a record is forgotten by a restart, which would send the message after all. While the disk takes
-// nothing it waits; once the message's time is up nothing can be sent any more, and it is told.
-func TestAnEndIsToldOnceItIsInTheLog(t *testing.T) {
-	for _, heals := range []bool{true, false} {
-		t.Run(fmt.Sprintf("the disk heals %v", heals), func(t *testing.T) {
-			var sick atomic.Bool
+// An end that is reported without a record is lost in a restart, which would send the message after all. So the report
+// waits while the disk fails. Once the message's deadline has passed, nothing can be sent for it, and its end is reported.
+func TestEndIsReportedOnceLoggedOrOverdue(t *testing.T) {
+	for _, recovers := range []bool{true, false} {
+		t.Run(fmt.Sprintf("the disk heals %v", recovers), func(t *testing.T) {
+			var failing atomic.Bool
 			r := newTestRelayOn(t, func(dir string) disk.FS {
 				return &faultdisk.Disk{FS: disk.Dir(dir), Fail: func(op faultdisk.Op, _ string) faultdisk.Fault {
-					if sick.Load() && op == faultdisk.Write {
+					if failing.Load() && op == faultdisk.Write {
 						return faultdisk.Fault{Err: syscall.EIO}
 					}
 					return faultdisk.Fault{}
 				}}
 			})
-			if a := decide(r, newHandIn("m1", 7, time.Second))[0]; a.status != http.StatusAccepted {
+			if a := stepSubmissions(r, newSubmission("m1", 7, time.Second))[0]; a.status != http.StatusAccepted {
 				t.Fatalf("%+v", a)
 			}
-			m := r.traces["m1"]
-			sick.Store(true)
+			m := r.byTrace["m1"]
+			failing.Store(true)
 			r.carryOut([]policy.Action{{Kind: policy.Fail, ID: m.ID}}, nil)
 			if len(r.finals.queue) > 0 {
-				t.Error("told before it is in the log")
+				t.Error("reported before it is in the log")
 			}
-			if heals {
-				sick.Store(false)
+			if recovers {
+				failing.Store(false)
 			}
-			told := time.Time{}
-			eventually(t, "the end is told", func() bool {
+			reportedAt := time.Time{}
+			eventually(t, "the end is reported", func() bool {
 				r.tend()
-				told = time.Now()
+				reportedAt = time.Now()
 				return len(r.finals.queue) > 0
 			})
-			late := told.Sub(m.Deadline)
-			if heals && late > 0 {
-				t.Errorf("told %v after its time, though the disk was well again", late)
+			late := reportedAt.Sub(m.Deadline)
+			if recovers && late > 0 {
+				t.Errorf("reported %v after its deadline, although the disk worked again", late)
 			}
-			if !heals && (late < 0 || late > 200*time.Millisecond) {
-				t.Errorf("told %v after its time", late)
+			if !recovers && (late < 0 || late > 200*time.Millisecond) {
+				t.Errorf("reported %v after its deadline", late)
 			}
 		})
 	}
 }
 
-// While the disk takes nothing no call is made, no endpoint is blamed for that, and none is lost: once the disk is well again the
-// call leaves.
-func TestACallWaitsForAFailingDisk(t *testing.T) {
-	var writes atomic.Int64 // that succeed
+// While the disk fails, no call is made, no endpoint is blamed for it, and no call is lost: it is made once the disk works
+// again.
+func TestCallWaitsForFailingDisk(t *testing.T) {
+	var writes atomic.Int64 // number of writes that succeed
 	writes.Store(1)
 	r := newTestRelayOn(t, func(dir string) disk.FS {
 		return &faultdisk.Disk{FS: disk.Dir(dir), Fail: func(op faultdisk.Op, _ string) faultdisk.Fault {
@@ -216,31 +216,31 @@
 			return faultdisk.Fault{}
 		}}
 	})
-	in := newHandIn("m1", 7, 5*time.Second)
+	in := newSubmission("m1", 7, 5*time.Second)
 	r.step([]any{in}) // one write for the message, another for its send
 	if a, ok := answered(in); !ok || a.status != http.StatusAccepted {
-		t.Errorf("the message is in the log, and its client is told %+v, %v", a, ok)
+		t.Errorf("the message is in the log, but its client is answered %+v, %v", a, ok)
 	}
-	m := r.traces["m1"]
+	m := r.byTrace["m1"]
 	for range 5 {
 		r.step(nil)
 		r.tend()
 	}
-	if r.out > 0 || m.sends != 1 || m.out != 1 {
-		t.Errorf("while the disk fails: %d calls out, %d sends", r.out, m.sends)
+	if r.callsOut > 0 || m.sends != 1 || m.outstanding != 1 {
+		t.Errorf("while the disk fails: %d calls out, %d sends", r.callsOut, m.sends)
 	}
 	if n := r.sender.Avoided(r.now()); n > 0 {
-		t.Errorf("%d endpoints avoided for what the disk did", n)
+		t.Errorf("%d endpoints avoided because of the disk", n)
 	}
 	writes.Store(1000)
-	eventually(t, "the call leaves", func() bool { r.step(nil); r.tend(); return r.out > 0 })
+	eventually(t, "the call is made", func() bool { r.step(nil); r.tend(); return r.callsOut > 0 })
 	if len(m.MayRun) != 1 {
 		t.Errorf("recorded %+v", m.MayRun)
 	}
 }
 
-// Connections that fail for some seconds hold notices back no longer than that: one is late 300 ms after its message's time.
-func TestNoticesLeaveAsSoonAsConnectionsComeUp(t *testing.T) {
+// Failing connections must delay notices no longer than they last: a notice is late 300 ms after its message's deadline.
+func TestNoticesAreSentOnceConnectionsSucceed(t *testing.T) {
 	const tries = 8
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
 		io.Copy(io.Discard, req.Body)
@@ -248,9 +248,9 @@
 	}))
 	defer s.Close()
 	failed := make(chan time.Time, tries)
-	defer sockets.SetFaults(tellingFaults{newFailing(syscall.ENETUNREACH, tries, sockets.Connect), failed})()
+	defer sockets.SetFaults(reportingFaults{newCallFaults(syscall.ENETUNREACH, tries, sockets.Connect), failed})()
 	taken := make(chan []uint32, 1)
-	f := newFinals(quiet(), newAgent(addrOf(s)), func(ids []uint32) { taken <- ids })
+	f := newFinals(discardLogger(), newAgent(addrOf(s)), func(ids []uint32) { taken <- ids })
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
 	f.add(notice{id: 1, ID: "a", Status: "undeliverable"})
@@ -258,43 +258,43 @@
 	select {
 	case <-taken:
 	case <-time.After(2 * patience):
-		t.Fatal("never taken")
+		t.Fatal("never accepted")
 	}
 	var last time.Time
 	for range tries {
 		last = <-failed
 	}
 	if late := time.Since(last); late > 250*time.Millisecond {
-		t.Errorf("taken %v after the last connection failed", late)
+		t.Errorf("accepted %v after the last connection failed", late)
 	}
 }
 
-// tellingFaults tells when calls failed.
-type tellingFaults struct {
-	*failing
+// reportingFaults reports the time of each failure.
+type reportingFaults struct {
+	*callFaults
 	failed chan time.Time
 }
 
-func (f tellingFaults) Fail(call sockets.Call) syscall.Errno {
-	errno := f.failing.Fail(call)
+func (f reportingFaults) Fail(call sockets.Call) syscall.Errno {
+	errno := f.callFaults.Fail(call)
 	if errno != 0 {
 		f.failed <- time.Now()
 	}
 	return errno
 }
 
-// A call to discovery that fails on this machine is no work for discovery, and says nothing of it: the next one comes at once, in a
-// fleet of any size, or what the agent has meanwhile is not heeded.
-func TestCallsThatFailHerePutOffNoNews(t *testing.T) {
+// A call to discovery that fails on this machine causes discovery no work and says nothing about it. In a fleet of any
+// size the next call must follow at once, or the agent's news in the meantime is missed.
+func TestLocalFailureRetriesWatchSoon(t *testing.T) {
 	for _, errno := range []syscall.Errno{syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EADDRNOTAVAIL, syscall.ENETUNREACH,
 		syscall.ECONNABORTED} {
 		const tries = 20
-		fault := newFailing(errno, tries, sockets.Connect)
+		fault := newCallFaults(errno, tries, sockets.Connect)
 		restore := sockets.SetFaults(fault)
 		ctx, cancel := context.WithCancel(t.Context())
 		var longest time.Duration
 		w := watcher{
-			log: quiet(), agent: newAgent("127.0.0.1:1"), silence: patience, fleet: 300, random: func() float64 { return 1 }, now: time.Now,
+			log: discardLogger(), agent: newAgent("127.0.0.1:1"), silence: patience, fleet: 300, random: func() float64 { return 1 }, now: time.Now,
 			sleep: func(_ context.Context, d time.Duration) {
 				if fault.exhausted() {
 					cancel()
@@ -307,7 +307,7 @@
 		cancel()
 		restore()
 		if longest > 150*time.Millisecond {
-			t.Errorf("%v: the next call comes %v after one that failed here", errno, longest)
+			t.Errorf("%v: the next call follows %v after a local failure", errno, longest)
 		}
 	}
 }
