--- a/policy/api.go
+++ b/policy/api.go
@@ -62,8 +62,8 @@
 	MaxRetryAfter  time.Duration // longest advice that a client heeds; 0: none is given
 	RoughWeights   bool          // listed weights may be up to half too high or too low
 	NoWeights      bool          // listed weights tell nothing
-	AskList        bool          // list changes come only after Watch
-	Carriage       []float64     // fee for each zone of a separate route
+	AskList        bool          `json:"AskList"`  // list changes come only after Watch
+	Carriage       []float64     `json:"Carriage"` // fee for each zone of a separate route
 	ColdShare      float64       // share of its capacity that a destination has after an outage; default 0.1
 	WarmWithin     time.Duration // and all of it after this; default 30 s
 	OverloadFactor float64       // sent more than this multiple of its capacity; default 1
@@ -101,8 +101,8 @@
 
 // Report is what a destination tells of its limit. It is late and noisy.
 type Report struct {
-	Told  bool
-	Left  float64 // share of the limit that is left
+	Told  bool    `json:"Told"`
+	Left  float64 `json:"Left"` // share of the limit that is left
 	Limit float64 // calls a second; 0: no limit
 }
 
--- a/policy/handover.go
+++ b/policy/handover.go
@@ -14,18 +14,42 @@
 	Route string
 
 	// The gate's.
-	Wait, HalvedAt, CreptAt, TokensAt, ColdAt, ColdLeft, GotAt time.Duration
-	Pace, Ceiling, Under, Tokens, Credit, Limit, Got           float64
-	Guessed                                                    bool
-	GateStreak, Tights                                         int
-	Sent                                                       []time.Duration
+	Wait       time.Duration `json:"Wait"`
+	HalvedAt   time.Duration
+	CreptAt    time.Duration `json:"CreptAt"`
+	TokensAt   time.Duration
+	ColdAt     time.Duration `json:"ColdAt"`
+	ColdLeft   time.Duration `json:"ColdLeft"`
+	GotAt      time.Duration `json:"GotAt"`
+	Pace       float64
+	Ceiling    float64
+	Under      float64 `json:"Under"`
+	Tokens     float64
+	Credit     float64
+	Limit      float64
+	Got        float64 `json:"Got"`
+	Guessed    bool
+	GateStreak int             `json:"GateStreak"`
+	Tights     int             `json:"Tights"`
+	Sent       []time.Duration `json:"Sent"`
 
 	// The route's.
-	SkipUntil, SkipLen, Back, RefusedAt, OKAt, OKSent, Mean, Dev time.Duration
-	Down, Cold, Slight                                           bool
-	Run, Streak, Refusals                                        int
-	Recent                                                       uint8
-	Lot                                                          uint64
+	SkipUntil time.Duration
+	SkipLen   time.Duration
+	Back      time.Duration `json:"Back"`
+	RefusedAt time.Duration
+	OKAt      time.Duration
+	OKSent    time.Duration
+	Mean      time.Duration
+	Dev       time.Duration
+	Down      bool
+	Cold      bool `json:"Cold"`
+	Slight    bool `json:"Slight"`
+	Run       int  `json:"Run"`
+	Streak    int  `json:"Streak"`
+	Refusals  int
+	Recent    uint8  `json:"Recent"`
+	Lot       uint64 `json:"Lot"`
 }
 
 // Out is an attempt that is out at a process which hands over. Attempts of one Call share it.
@@ -34,7 +58,7 @@
 	Attempt int
 	Route   string
 	Sent    time.Duration
-	Cut     time.Duration // it times out then
+	Cut     time.Duration `json:"Cut"` // it times out then
 }
 
 // Memories is what this Sender knows, route by route.
