--- a/internal/relay/admin.go
+++ b/internal/relay/admin.go
@@ -113,7 +113,7 @@
 	r.resubmitted.remembered.Store(int64(remembered))
 	r.resubmitted.evicted.Store(evicted)
 	if now := clock.Now(); !now.Before(r.countAt) {
-		r.figures.unhealthy.Store(int64(r.sender.Avoided(r.now())))
+		r.figures.unhealthy.Store(int64(r.sender.AvoidedRoutes(r.now())))
 		if took := clock.Since(now); took > countMost {
 			r.countAt = now.Add(countShare * took)
 		}
--- a/internal/relay/admin_test.go
+++ b/internal/relay/admin_test.go
@@ -158,13 +158,13 @@
 	// The yes is there before any step: what was decided earlier must not leave after the next, nor after a restart.
 	r.step(nil)
 	r.wantFigures(t, "out", map[string]string{"cluster_unhealthy": "1|g"})
-	if r.sender.MayStill("s-1", r.now()) {
+	if r.sender.StillAllowed("s-1", r.now()) {
 		t.Error("a call to it may leave")
 	}
 	r.list(List{Full: true})
 	r = restarted(t, r)
 	r.step(nil)
-	if r.sender.MayStill("s-1", r.now()) {
+	if r.sender.StillAllowed("s-1", r.now()) {
 		t.Error("after a restart a call to it may leave")
 	}
 	addr = adminOf(t, r)
@@ -173,7 +173,7 @@
 	}
 	r.step(nil)
 	r.wantFigures(t, "back", map[string]string{"cluster_unhealthy": "0|g"})
-	if !r.sender.MayStill("s-1", r.now()) {
+	if !r.sender.StillAllowed("s-1", r.now()) {
 		t.Error("one call back does not end it")
 	}
 }
@@ -189,7 +189,7 @@
 			t.Errorf("out %v: status %d", out, a.status)
 		}
 		r.step(nil)
-		if r.sender.MayStill("s-1", r.now()) == out {
+		if r.sender.StillAllowed("s-1", r.now()) == out {
 			t.Errorf("out %v: not in force", out)
 		}
 		r.byHand.keepLate()
--- a/internal/relay/backlog.go
+++ b/internal/relay/backlog.go
@@ -43,7 +43,7 @@
 )
 
 // outOfTime is the end of a message whose time is up on disk, or on its way.
-var outOfTime = wal.Final{Deferred: policy.Unsent == policy.Refuse, Again: policy.RetryAdvice}
+var outOfTime = wal.Final{Deferred: policy.ExpiredUnsent == policy.Refuse, Again: policy.MinRetryAfter}
 
 // Backlog says how a relay keeps one.
 type Backlog struct {
@@ -420,5 +420,5 @@
 
 // noRoom is the answer to a message that would have to go to a disk which takes nothing.
 func noRoom() answer {
-	return answer{status: http.StatusServiceUnavailable, again: policy.RetryAdvice}
+	return answer{status: http.StatusServiceUnavailable, again: policy.MinRetryAfter}
 }
--- a/internal/relay/backlog_test.go
+++ b/internal/relay/backlog_test.go
@@ -205,7 +205,7 @@
 		b.settle()
 	}
 	b.once(1000)
-	if b.held > 64 || len(b.msgs) > 64 || b.sender.Avoided(b.now()) != 0 {
+	if b.held > 64 || len(b.msgs) > 64 || b.sender.AvoidedRoutes(b.now()) != 0 {
 		t.Errorf("%d at the module, %d in memory", b.held, len(b.msgs))
 	}
 	// One that is handed in again under its id is known, wherever it lies.
@@ -450,7 +450,7 @@
 					if m.move == staying && !m.ended && m.cell != nil && rng.IntN(3) == 0 {
 						if rng.IntN(2) == 0 {
 							if m.sends == 0 { // a send that stays out
-								b.carryOut([]policy.Action{{Kind: policy.Send, ID: id, Route: "s-1", At: b.now() + time.Hour}}, nil)
+								b.carryOut([]policy.Action{{Kind: policy.Send, ID: id, Route: "s-1", TimeoutAt: b.now() + time.Hour}}, nil)
 								sent[m.Trace] = true
 							}
 						} else if m.sends == 0 {
--- a/internal/relay/carry.go
+++ b/internal/relay/carry.go
@@ -97,7 +97,7 @@
 		c = &call{number: a.Call, route: a.Route, addr: t.addr, zone: t.Zone, sent: clock.Now()}
 		calls = append(calls, c)
 	}
-	until := r.started.Add(a.At)
+	until := r.started.Add(a.TimeoutAt)
 	c.size += size
 	c.attempts = append(c.attempts, &attempt{call: c, m: m, n: m.sends, until: until})
 	r.owed.sends(m)
--- a/internal/relay/clients.go
+++ b/internal/relay/clients.go
@@ -500,7 +500,7 @@
 	c.watch(nil)
 	if !r.post(in) {
 		c.unwatch()
-		return answer{status: http.StatusServiceUnavailable, again: policy.RetryAdvice}
+		return answer{status: http.StatusServiceUnavailable, again: policy.MinRetryAfter}
 	}
 	a := <-in.reply
 	if open, _ := c.unwatch(); open {
--- a/internal/relay/clients_test.go
+++ b/internal/relay/clients_test.go
@@ -296,7 +296,7 @@
 			t.Fatalf("restart %d: %+v", restart, again)
 		}
 		e := r.resumed(again, nil).Resumed
-		if e.Attempts != 1 || !e.Ran || e.RanZone != 1 || e.RanAgo < time.Second || !again.MayRun[0].At.Equal(sent.At) {
+		if e.Attempts != 1 || !e.MayHaveRun || e.FirstRunZone != 1 || e.FirstRunAgo < time.Second || !again.MayRun[0].At.Equal(sent.At) {
 			t.Errorf("restart %d: resumed as %+v, may have run %+v", restart, e, again.MayRun)
 		}
 	}
@@ -321,7 +321,7 @@
 // A Send of a message that is not held must not end the loop.
 func TestASendOfNothingEndsNothing(t *testing.T) {
 	r := newTestRelay(t)
-	r.carryOut([]policy.Action{{Kind: policy.Send, ID: 4711, Route: "s-1", At: time.Minute}}, nil)
+	r.carryOut([]policy.Action{{Kind: policy.Send, ID: 4711, Route: "s-1", TimeoutAt: time.Minute}}, nil)
 	if r.out != 0 {
 		t.Errorf("%d calls", r.out)
 	}
--- a/internal/relay/durable.go
+++ b/internal/relay/durable.go
@@ -140,7 +140,7 @@
 	for _, a := range c.attempts {
 		ids = append(ids, a.m.ID)
 	}
-	return !r.noSends && clock.Now().Before(c.until) && r.sender.MayStill(c.route, r.now(), ids...)
+	return !r.noSends && clock.Now().Before(c.until) && r.sender.StillAllowed(c.route, r.now(), ids...)
 }
 
 // tend has the log go on after the disk has failed it, and ends the waits of those who have waited too long.
@@ -194,7 +194,7 @@
 
 // overdue ends a message that is not on the disk in time, and is what its client is told.
 func (r *Relay) overdue(m *message) answer {
-	turned := answer{status: 503, again: policy.RetryAdvice}
+	turned := answer{status: 503, again: policy.MinRetryAfter}
 	if m.Withdrawn || !r.wal.Owes(m.Message) {
 		return turned // a second client of the same message
 	}
--- a/internal/relay/durable_test.go
+++ b/internal/relay/durable_test.go
@@ -147,7 +147,7 @@
 func TestWhatIsNotKnownIsTakenToHaveRunLongAgo(t *testing.T) {
 	r := newTestRelay(t)
 	m := &message{Message: &wal.Message{ID: 1, Dest: 7, Deadline: time.Now().Add(time.Minute), Doubt: true}}
-	if e := r.resumed(m, nil); !e.Resumed.Ran || e.Resumed.RanAgo < time.Hour {
+	if e := r.resumed(m, nil); !e.Resumed.MayHaveRun || e.Resumed.FirstRunAgo < time.Hour {
 		t.Errorf("in doubt: %+v", e.Resumed)
 	}
 	// The clock was set back by an hour: what has been out for seconds may have been out for that long.
@@ -155,8 +155,8 @@
 	m = &message{Message: &wal.Message{ID: 2, Dest: 7, Deadline: sent.Add(5 * time.Second), MayRun: []wal.Attempt{{At: sent}}}}
 	r.resumeAt(wal.Recovery{Messages: []*wal.Message{m.Message}}, sent)
 	e := r.resumed(m, nil)
-	if e.Left > 6*time.Second || !e.Resumed.Ran || e.Resumed.RanAgo < time.Hour {
-		t.Errorf("after the clock was set back: left %v, %+v", e.Left, e.Resumed)
+	if e.TimeLeft > 6*time.Second || !e.Resumed.MayHaveRun || e.Resumed.FirstRunAgo < time.Hour {
+		t.Errorf("after the clock was set back: left %v, %+v", e.TimeLeft, e.Resumed)
 	}
 }
 
--- a/internal/relay/handover.go
+++ b/internal/relay/handover.go
@@ -50,7 +50,7 @@
 	LastID   uint32
 	Members  []member
 	Seen     []string // ids that the list has ever named
-	Memories []policy.Memory
+	Memories []policy.RouteState
 	Out      []outCall
 }
 
@@ -80,7 +80,7 @@
 
 // outCall is an attempt that is out. Cut: its message was told of a time-out, and its call goes on for others.
 type outCall struct {
-	policy.Out
+	policy.OutstandingAttempt
 	ID  uint32
 	Cut bool
 }
@@ -136,7 +136,7 @@
 )
 
 // turnedBack answers a hand-in that cannot be passed on.
-var turnedBack = answer{status: http.StatusServiceUnavailable, again: policy.RetryAdvice}
+var turnedBack = answer{status: http.StatusServiceUnavailable, again: policy.MinRetryAfter}
 
 // link joins the two processes.
 type link struct {
@@ -275,7 +275,7 @@
 }
 
 func (r *Relay) estate() estate {
-	e := estate{Began: r.started, Clock: r.readClock(), LastID: r.lastID, Seen: r.byHand.ids, Memories: r.sender.Memories()}
+	e := estate{Began: r.started, Clock: r.readClock(), LastID: r.lastID, Seen: r.byHand.ids, Memories: r.sender.RouteStates()}
 	for _, t := range r.routes {
 		cell, state := t.Destination, "draining"
 		if t.InService {
@@ -289,8 +289,8 @@
 	for c := range r.flying {
 		number++
 		for _, a := range c.attempts {
-			e.Out = append(e.Out, outCall{policy.Out{Call: number, Attempt: a.n, Route: c.route, Sent: c.sent.Sub(r.started),
-				Cut: a.until.Sub(r.started)}, a.m.ID, a.over})
+			e.Out = append(e.Out, outCall{policy.OutstandingAttempt{Call: number, Attempt: a.n, Route: c.route, Sent: c.sent.Sub(r.started),
+				TimeoutAt: a.until.Sub(r.started)}, a.m.ID, a.over})
 		}
 	}
 	slices.SortFunc(e.Out, func(a, b outCall) int { return cmp.Or(cmp.Compare(a.Sent, b.Sent), int(int64(a.ID)-int64(b.ID))) })
--- a/internal/relay/hosts.go
+++ b/internal/relay/hosts.go
@@ -416,9 +416,9 @@
 		}
 		switch name {
 		case "x0":
-			rep.Left = x
+			rep.Remaining = x
 		case "x1":
-			rep.Limit, rep.Told = x, true
+			rep.Limit, rep.Present = x, true
 		}
 	}
 	return rep
--- a/internal/relay/hosts_test.go
+++ b/internal/relay/hosts_test.go
@@ -385,7 +385,7 @@
 		{302, http.Header{"Location": {"/elsewhere"}}, result{outcome: policy.Error}},
 		{418, nil, result{outcome: policy.Error}},
 		{200, http.Header{"Endpoint-Load-Metrics": {"TEXT x0=0.4, x1=25, y=7"}},
-			result{outcome: policy.OK, report: policy.Report{Told: true, Left: 0.4, Limit: 25}}},
+			result{outcome: policy.OK, report: policy.Report{Present: true, Remaining: 0.4, Limit: 25}}},
 	} {
 		s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 			if r.URL.Path != "/events" {
--- a/internal/relay/memories.go
+++ b/internal/relay/memories.go
@@ -26,7 +26,7 @@
 type memories struct {
 	Saved    time.Time     // on the log's timeline
 	Clock    time.Duration // and by the module's clock
-	Memories []policy.Memory
+	Memories []policy.RouteState
 }
 
 // memoriesMost is the file's size at most, in bytes.
@@ -50,7 +50,7 @@
 }
 
 func (r *Relay) memoriesNow() ([]byte, error) {
-	text, err := json.Marshal(memories{r.wal.Stamp(clock.Now()), r.now(), r.sender.Memories()})
+	text, err := json.Marshal(memories{r.wal.Stamp(clock.Now()), r.now(), r.sender.RouteStates()})
 	if err != nil {
 		return nil, fmt.Errorf("relay: memories: %w", err)
 	}
@@ -109,7 +109,7 @@
 		return
 	}
 	age := clock.Since(r.wal.Local(m.Saved))
-	r.sender.Recall(m.Memories, m.Clock, age)
+	r.sender.RestoreRouteStates(m.Memories, m.Clock, age)
 	r.log.Info("recalled partners", "routes", len(m.Memories), "age", age)
 	r.recalled = memories{}
 }
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -352,7 +352,7 @@
 	if r.parent != nil {
 		// The list first: what is remembered needs it.
 		r.carryOut(r.sender.Step(r.now(), evs), nil)
-		r.sender.Remember(r.legacy.Memories)
+		r.sender.LoadRouteStates(r.legacy.Memories)
 		evs = nil
 	} else if len(r.recalled.Memories) > 0 && len(r.routes) > 0 {
 		r.carryOut(r.sender.Step(r.now(), evs), nil)
@@ -360,10 +360,10 @@
 		evs = nil
 	}
 	var ended []*message
-	outs := map[uint32]*policy.Out{}
+	outs := map[uint32]*policy.OutstandingAttempt{}
 	for _, o := range r.legacy.Out {
 		if !o.Cut {
-			outs[o.ID] = &o.Out
+			outs[o.ID] = &o.OutstandingAttempt
 		}
 	}
 	for _, w := range found.Messages {
@@ -415,25 +415,25 @@
 
 // resumed tells the module of a message of an earlier process, in the module's own time. out is the attempt that is
 // out there, if any: whether that runs is yet to be told.
-func (r *Relay) resumed(m *message, out *policy.Out) policy.Event {
+func (r *Relay) resumed(m *message, out *policy.OutstandingAttempt) policy.Event {
 	e := r.taken(m)
-	e.Resumed = &policy.Resumed{Attempts: m.Attempts, Out: out}
+	e.Resumed = &policy.ResumedMessage{Attempts: m.Attempts, Outstanding: out}
 	ran := slices.DeleteFunc(slices.Clone(m.MayRun), func(a wal.Attempt) bool { return out != nil && a.N == out.Attempt })
 	if len(ran) > 0 {
 		first := ran[0]
-		e.Resumed.Ran, e.Resumed.RanZone = true, first.Zone
-		e.Resumed.RanAgo = max(0, clock.Since(first.At))
+		e.Resumed.MayHaveRun, e.Resumed.FirstRunZone = true, first.Zone
+		e.Resumed.FirstRunAgo = max(0, clock.Since(first.At))
 	}
 	if m.Doubt || len(ran) > 0 && r.behind > 0 {
-		e.Resumed.Ran, e.Resumed.RanAgo = true, unknownAgo // when is not known: no window holds
+		e.Resumed.MayHaveRun, e.Resumed.FirstRunAgo = true, unknownAgo // when is not known: no window holds
 	}
 	return e
 }
 
 func (r *Relay) taken(m *message) policy.Event {
 	return policy.Event{
-		Kind: policy.Taken, ID: m.ID, Key: m.Order, Class: m.Class, Customer: m.Customer, Destination: m.Dest,
-		Left: clock.Until(m.Deadline),
+		Kind: policy.Accepted, ID: m.ID, Key: m.Order, Class: m.Class, Customer: m.Customer, Destination: m.Dest,
+		TimeLeft: clock.Until(m.Deadline),
 	}
 }
 
@@ -515,7 +515,7 @@
 func (r *Relay) list(l List) policy.Event {
 	e := policy.Event{Kind: policy.ListChanges}
 	if l.Full {
-		e.Kind = policy.ListWhole
+		e.Kind = policy.ListFull
 	}
 	routes := map[string]target{}
 	var gone []string
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -549,7 +549,7 @@
 	var calls []*call
 	for i, size := range []int{20_000, 20_000, 20_000, 0, 64 << 10, 5} {
 		m := &message{Message: &wal.Message{Trace: fmt.Sprint("<", i, ">"), Key: "&&&&", Body: make([]byte, size)}}
-		calls = r.addSend(calls, m, policy.Action{Kind: policy.Send, Route: "s-1", At: time.Minute})
+		calls = r.addSend(calls, m, policy.Action{Kind: policy.Send, Route: "s-1", TimeoutAt: time.Minute})
 	}
 	sent := 0
 	for _, c := range calls {
@@ -570,7 +570,7 @@
 	var calls []*call
 	for i, number := range []uint32{1, 1, 2, 3} {
 		m := &message{Message: &wal.Message{Trace: fmt.Sprint(i)}}
-		calls = r.addSend(calls, m, policy.Action{Kind: policy.Send, Route: "s-1", Call: number, At: time.Minute})
+		calls = r.addSend(calls, m, policy.Action{Kind: policy.Send, Route: "s-1", Call: number, TimeoutAt: time.Minute})
 	}
 	if len(calls) != 3 || len(calls[0].attempts) != 2 {
 		t.Errorf("%d calls, want 3, the first with two messages", len(calls))
--- a/internal/relay/resubmission.go
+++ b/internal/relay/resubmission.go
@@ -54,7 +54,7 @@
 	case wal.Delivered:
 		return answer{status: http.StatusAccepted}, resubmittedDelivered
 	case wal.Refused:
-		return finalAnswer(wal.Final{Deferred: true, Again: policy.RetryAdvice}), resubmittedRefused
+		return finalAnswer(wal.Final{Deferred: true, Again: policy.MinRetryAfter}), resubmittedRefused
 	}
 	return finalAnswer(wal.Final{}), resubmittedFailed
 }
--- a/internal/relay/step.go
+++ b/internal/relay/step.go
@@ -87,7 +87,7 @@
 		r.carryOut(nil, waiting)
 	}
 	for _, c := range asked {
-		c.reply <- !r.noSends && r.sender.MayStill(c.route, r.now(), c.ids...)
+		c.reply <- !r.noSends && r.sender.StillAllowed(c.route, r.now(), c.ids...)
 	}
 	if r.stopping && !r.idled && len(r.promises) == 0 && (r.owesNothing() || r.noSends && r.out == 0) {
 		r.idled = true
@@ -245,7 +245,7 @@
 	r.retire(m)
 	return append(evs, policy.Event{
 		Kind: policy.Finished, ID: m.ID, Attempt: a.n, Route: a.route, Outcome: res.outcome, Took: res.took,
-		Ended: ok || res.gone, Wait: res.wait, Report: res.report,
+		MessageEnded: ok || res.gone, RetryAfter: res.wait, Report: res.report,
 	})
 }
 
@@ -264,7 +264,7 @@
 	if m.Final != nil {
 		return *m.Final
 	}
-	return wal.Final{Deferred: m.refused, Again: policy.RetryAdvice}
+	return wal.Final{Deferred: m.refused, Again: policy.MinRetryAfter}
 }
 
 // revokeCalls has no call be made any more with a message, but those whose requests are being written. What else such a call
--- a/internal/relay/transient_test.go
+++ b/internal/relay/transient_test.go
@@ -229,7 +229,7 @@
 	if r.out > 0 || m.sends != 1 || m.out != 1 {
 		t.Errorf("while the disk fails: %d calls out, %d sends", r.out, m.sends)
 	}
-	if n := r.sender.Avoided(r.now()); n > 0 {
+	if n := r.sender.AvoidedRoutes(r.now()); n > 0 {
 		t.Errorf("%d endpoints avoided for what the disk did", n)
 	}
 	writes.Store(1000)
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -42,7 +42,7 @@
 		MaxAttempts:    p.integer("bounds.send_cap"),
 		RoughWeights:   p.values["weight_kind"] == "rough",
 		NoWeights:      p.values["weight_kind"] == "none",
-		AskList:        p.values["membership_mode"] == "ask",
+		WatchRequired:        p.values["membership_mode"] == "ask",
 		ColdShare:      p.number("rules.cold_from"),
 		WarmWithin:     p.ms("rules.warm_within_ms"),
 		OverloadFactor: p.number("rules.overload_factor"),
@@ -53,7 +53,7 @@
 		set.MaxRetryAfter = p.ms("bounds.max_retry_after_ms")
 	}
 	for _, x := range p.list("extra.carriage") {
-		set.Carriage = append(set.Carriage, p.parse("extra.carriage", x))
+		set.ZoneFees = append(set.ZoneFees, p.parse("extra.carriage", x))
 	}
 	for i := range p.count("services") {
 		set.Classes = append(set.Classes, p.class(fmt.Sprintf("services.%d.", i)))
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -177,14 +177,14 @@
 func (r *Reader) parseEvent(name string, f *fields, e *policy.Event, sc *schema) (known bool, err error) {
 	switch name {
 	case "KNOCK":
-		e.Kind = policy.Taken
+		e.Kind = policy.Accepted
 		e.ID = f.id()
 		e.Key = f.optional()
 		f.integer()
 		e.Customer = f.optionalInteger()
 		f.optional()
 		e.Class = f.integer()
-		e.Left = f.ms()
+		e.TimeLeft = f.ms()
 		e.Destination = f.integer()
 	case "FINISHED":
 		e.Kind = policy.Finished
@@ -193,10 +193,10 @@
 		e.Route = f.word()
 		e.Outcome = f.outcome()
 		e.Took = f.ms()
-		e.Ended = f.boolean()
+		e.MessageEnded = f.boolean()
 		note := f.optionalInteger()
 		if e.Outcome == policy.Full {
-			e.Wait = time.Duration(note) * time.Millisecond
+			e.RetryAfter = time.Duration(note) * time.Millisecond
 		}
 		e.Report = f.report(sc)
 	case "PONG":
@@ -217,7 +217,7 @@
 		buffer := f.optionalInteger()
 		switch mode {
 		case "full", "cached":
-			e.Kind = policy.ListWhole
+			e.Kind = policy.ListFull
 		case "delta":
 			e.Kind = policy.ListChanges
 		case "failed":
@@ -393,9 +393,9 @@
 		}
 		switch name {
 		case sc.left:
-			rep.Left = x
+			rep.Remaining = x
 		case sc.limit:
-			rep.Limit, rep.Told = x, true
+			rep.Limit, rep.Present = x, true
 		}
 	}
 	return rep
@@ -419,7 +419,7 @@
 			w.head("SUBMIT_TO", instance)
 			w.id(a.ID)
 			w.text(a.Route)
-			w.ms(a.At)
+			w.ms(a.TimeoutAt)
 		case policy.Refuse:
 			w.head("REJECT", instance)
 			w.id(a.ID)
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -33,15 +33,15 @@
 		lines string
 		want  policy.Event
 	}{
-		{"KNOCK 3 1564119492 obj/kd6 1 2 12.0 0 240.0 57\n", policy.Event{Kind: policy.Taken, ID: 1564119492,
-			Key: "obj/kd6", Customer: 2, Left: 240 * time.Millisecond, Destination: 57}},
-		{"KNOCK 3 4294967295 - 0 - - 1 0.5 0\n", policy.Event{Kind: policy.Taken, ID: 4294967295, Class: 1,
-			Left: 500 * time.Microsecond}},
+		{"KNOCK 3 1564119492 obj/kd6 1 2 12.0 0 240.0 57\n", policy.Event{Kind: policy.Accepted, ID: 1564119492,
+			Key: "obj/kd6", Customer: 2, TimeLeft: 240 * time.Millisecond, Destination: 57}},
+		{"KNOCK 3 4294967295 - 0 - - 1 0.5 0\n", policy.Event{Kind: policy.Accepted, ID: 4294967295, Class: 1,
+			TimeLeft: 500 * time.Microsecond}},
 		{"FINISHED 3 9 2 host.a ok 18.5 1 - -\n", policy.Event{Kind: policy.Finished, ID: 9, Attempt: 2,
-			Route: "host.a", Took: 18500 * time.Microsecond, Ended: true}},
+			Route: "host.a", Took: 18500 * time.Microsecond, MessageEnded: true}},
 		{"FINISHED 3 9 0 host.a full 1.0 0 450 x0:0.25,x9:7,x1:3.5\n", policy.Event{Kind: policy.Finished, ID: 9,
-			Route: "host.a", Outcome: policy.Full, Took: time.Millisecond, Wait: 450 * time.Millisecond,
-			Report: policy.Report{Told: true, Left: 0.25, Limit: 3.5}}},
+			Route: "host.a", Outcome: policy.Full, Took: time.Millisecond, RetryAfter: 450 * time.Millisecond,
+			Report: policy.Report{Present: true, Remaining: 0.25, Limit: 3.5}}},
 		{"FINISHED 3 9 0 host.a moot 0 0 1 -\n", policy.Event{Kind: policy.Finished, ID: 9, Route: "host.a",
 			Outcome: policy.Moot}},
 		{"PONG 3 host.a connect_failed 1.5 -\n", policy.Event{Kind: policy.Probed, Route: "host.a",
@@ -50,7 +50,7 @@
 		{"TICK_DUE 3 9223372036854775808\n", policy.Event{Kind: policy.Woken}},
 		{"TARGETS 3 failed 41 -\n", policy.Event{Kind: policy.ListFailed}},
 		{"POOL 0 2\nHOST in_service 0 57 0 - host.abu 1\nHOST terminating 1 57 1 6100.0 host.azk odd\n" +
-			"TARGETS 3 cached 41 0\n", policy.Event{Kind: policy.ListWhole, List: []policy.Listing{
+			"TARGETS 3 cached 41 0\n", policy.Event{Kind: policy.ListFull, List: []policy.Listing{
 			{Route: "host.abu", Destination: 57, Weight: 1, InService: true},
 			{Route: "host.azk", Destination: 57, Kind: 1, Zone: 1}}}},
 		{"POOL 15 1\nHOST terminated 0 5 0 - host.abu -\nTARGETS 3 delta 42 15\n",
@@ -106,7 +106,7 @@
 		Kinds:     []policy.Kind{{PerCall: 10}, {Separate: true, PerCall: 1}},
 		Customers: []policy.Customer{{Quota: 52}, {}},
 		Senders:   2, Slots: 38, MaxHeld: 438, MaxAttempts: 8, MaxRetryAfter: 3 * time.Second,
-		RoughWeights: true, AskList: true, Carriage: []float64{0, 0.03},
+		RoughWeights: true, WatchRequired: true, ZoneFees: []float64{0, 0.03},
 		ColdShare: 0.18, WarmWithin: 14 * time.Second, OverloadFactor: 2, OverloadWindow: 3 * time.Second,
 		OrderPause: 100 * time.Millisecond,
 	}
@@ -119,7 +119,7 @@
 	var out bytes.Buffer
 	w := NewWriter(&out)
 	w.Actions(3, []policy.Action{
-		{Kind: policy.Send, ID: 1564119492, Route: "host.a", At: 8492250 * time.Microsecond},
+		{Kind: policy.Send, ID: 1564119492, Route: "host.a", TimeoutAt: 8492250 * time.Microsecond},
 		{Kind: policy.Refuse, ID: 2, Delay: 250 * time.Millisecond}, {Kind: policy.Fail, ID: 5},
 		{Kind: policy.Wake, Delay: 500 * time.Microsecond}, {Kind: policy.CloseIdle, Route: "host.a"},
 		{Kind: policy.Watch},
--- a/policy/api.go
+++ b/policy/api.go
@@ -62,8 +62,8 @@
 	MaxRetryAfter  time.Duration // longest advice that a client heeds; 0: none is given
 	RoughWeights   bool          // listed weights may be up to half too high or too low
 	NoWeights      bool          // listed weights tell nothing
-	AskList        bool          `json:"AskList"`  // list changes come only after Watch
-	Carriage       []float64     `json:"Carriage"` // fee for each zone of a separate route
+	WatchRequired        bool          `json:"AskList"`  // list changes come only after Watch
+	ZoneFees       []float64     `json:"Carriage"` // fee for each zone of a separate route
 	ColdShare      float64       // share of its capacity that a destination has after an outage; default 0.1
 	WarmWithin     time.Duration // and all of it after this; default 30 s
 	OverloadFactor float64       // sent more than this multiple of its capacity; default 1
@@ -87,10 +87,10 @@
 
 // The kinds of event.
 const (
-	Taken       EventKind = iota // a message was handed in
+	Accepted       EventKind = iota // a message was handed in
 	Finished                     // an attempt has its outcome
 	Withdrawn                    // the client has gone
-	ListWhole                    // the whole list of routes
+	ListFull                    // the whole list of routes
 	ListChanges                  // changes to the list
 	ListFailed                   // a call for the list failed
 	Woken                        // a wake came due
@@ -101,23 +101,23 @@
 
 // Report is what a destination tells of its limit. It is late and noisy.
 type Report struct {
-	Told  bool    `json:"Told"`
-	Left  float64 `json:"Left"` // share of the limit that is left
+	Present  bool    `json:"Told"`
+	Remaining  float64 `json:"Left"` // share of the limit that is left
 	Limit float64 // calls a second; 0: no limit
 }
 
-// Resumed is what became of a message before the process that had taken it on ended. A call that was out then
+// ResumedMessage is what became of a message before the process that had taken it on ended. A call that was out then
 // may have run.
-type Resumed struct {
+type ResumedMessage struct {
 	Attempts int           // sends used
-	Ran      bool          // one may have run
-	RanAgo   time.Duration // how long ago the first of them was sent
-	RanZone  int           // and to which zone
-	Out      *Out          // one is out still, at a process that handed over; nil if none
+	MayHaveRun      bool          // one may have run
+	FirstRunAgo   time.Duration // how long ago the first of them was sent
+	FirstRunZone  int           // and to which zone
+	Outstanding      *OutstandingAttempt          // one is out still, at a process that handed over; nil if none
 }
 
-// RetryAdvice is the least time that a client turned away is told to stay away.
-const RetryAdvice = retryAdvice
+// MinRetryAfter is the least time that a client turned away is told to stay away.
+const MinRetryAfter = minRetryAfter
 
 // Event is one thing that a Sender observes.
 type Event struct {
@@ -129,16 +129,16 @@
 	Class       int
 	Customer    int
 	Destination int
-	Left        time.Duration // time left to the deadline
-	Resumed     *Resumed      // taken on by an earlier process; nil if new
+	TimeLeft        time.Duration // time left to the deadline
+	Resumed     *ResumedMessage      // taken on by an earlier process; nil if new
 
 	// Finished, Probed; of Excluded and Included Route alone
 	Attempt int
 	Route   string
 	Outcome Outcome
 	Took    time.Duration
-	Ended   bool          // the message is over
-	Wait    time.Duration // the wait told with the outcome; 0: none
+	MessageEnded   bool          // the message is over
+	RetryAfter    time.Duration // the wait told with the outcome; 0: none
 	Report  Report
 
 	// ListWhole, ListChanges
@@ -158,9 +158,9 @@
 	Watch                       // subscribe to list changes
 )
 
-// Unsent is how a message ends whose time is up before any send of it, where it waited outside a Sender: it has not run, so
+// ExpiredUnsent is how a message ends whose time is up before any send of it, where it waited outside a Sender: it has not run, so
 // that its client may come again.
-const Unsent = Refuse
+const ExpiredUnsent = Refuse
 
 // Action is one thing that a Sender decides.
 type Action struct {
@@ -168,6 +168,6 @@
 	ID    uint32
 	Route string
 	Call  uint32        // Send: its call; those with one number travel together
-	At    time.Duration // Send: time to drop the attempt
+	TimeoutAt    time.Duration // Send: time to drop the attempt
 	Delay time.Duration // Refuse: advice to the client; Wake: time from now
 }
--- a/policy/bench_test.go
+++ b/policy/bench_test.go
@@ -27,9 +27,9 @@
 			InService: i%400 < 200})
 	}
 	now := time.Minute
-	evs := []Event{{Kind: ListWhole, List: list}}
+	evs := []Event{{Kind: ListFull, List: list}}
 	for i := range backlog {
-		evs = append(evs, Event{Kind: Taken, ID: uint32(1e9) + uint32(i), Destination: 200 + i, Left: time.Hour})
+		evs = append(evs, Event{Kind: Accepted, ID: uint32(1e9) + uint32(i), Destination: 200 + i, TimeLeft: time.Hour})
 	}
 	s.Step(now, evs)
 	b.ReportAllocs()
@@ -37,7 +37,7 @@
 		now += 10 * ms
 		id := uint32(i)
 		route := ""
-		for _, a := range s.Step(now, []Event{{Kind: Taken, ID: id, Destination: i % 200, Left: time.Minute}}) {
+		for _, a := range s.Step(now, []Event{{Kind: Accepted, ID: id, Destination: i % 200, TimeLeft: time.Minute}}) {
 			if a.Kind == Send {
 				route = a.Route
 			}
@@ -46,7 +46,7 @@
 			b.Fatalf("message %d was not sent", i)
 		}
 		now += 10 * ms
-		s.Step(now, []Event{{Kind: Finished, ID: id, Route: route, Outcome: OK, Took: 10 * ms, Ended: true}})
+		s.Step(now, []Event{{Kind: Finished, ID: id, Route: route, Outcome: OK, Took: 10 * ms, MessageEnded: true}})
 	}
 }
 
@@ -69,18 +69,18 @@
 		list = append(list, Listing{Route: fmt.Sprint("r", d), Destination: d, Weight: 50})
 	}
 	now := time.Minute
-	evs := []Event{{Kind: ListWhole, List: list}}
+	evs := []Event{{Kind: ListFull, List: list}}
 	for i := range held {
-		evs = append(evs, Event{Kind: Taken, ID: uint32(1e9) + uint32(i), Destination: i % destinations, Left: 6 * time.Hour})
+		evs = append(evs, Event{Kind: Accepted, ID: uint32(1e9) + uint32(i), Destination: i % destinations, TimeLeft: 6 * time.Hour})
 	}
 	s.Step(now, evs)
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
 		now += ms
 		id := uint32(i)
-		if len(s.Step(now, []Event{{Kind: Taken, ID: id, Destination: destinations, Left: time.Minute}})) == 0 {
+		if len(s.Step(now, []Event{{Kind: Accepted, ID: id, Destination: destinations, TimeLeft: time.Minute}})) == 0 {
 			b.Fatalf("message %d was not sent", i)
 		}
-		s.Step(now, []Event{{Kind: Finished, ID: id, Route: "up", Outcome: OK, Took: ms, Ended: true}})
+		s.Step(now, []Event{{Kind: Finished, ID: id, Route: "up", Outcome: OK, Took: ms, MessageEnded: true}})
 	}
 }
--- a/policy/byhand.go
+++ b/policy/byhand.go
@@ -4,34 +4,34 @@
 
 // Routes that operators take out of use by hand.
 
-// bar takes a route out, whatever the list says of it from here on, or puts it back. It counts as in doubt then: its
+// setExcluded takes a route out, whatever the list says of it from here on, or puts it back. It counts as in doubt then: its
 // endpoint is restarted meanwhile, as a rule, and returns cold.
-func (s *Sender) bar(id string, out bool) {
-	if out {
-		s.barred[id] = true
+func (s *Sender) setExcluded(route string, excluded bool) {
+	if excluded {
+		s.excluded[route] = true
 	} else {
-		delete(s.barred, id)
+		delete(s.excluded, route)
 	}
-	r := s.routes[id]
-	if r == nil || r.barred == out {
+	r := s.routes[route]
+	if r == nil || r.excluded == excluded {
 		return
 	}
-	if r.barred = out; !out {
+	if r.excluded = excluded; !excluded {
 		r.okAt = 0 // what it answered before tells nothing
-		s.doubt(r)
+		s.markSuspect(r)
 	}
-	s.touch(r.gate.dest)
+	s.markReady(r.group.dest)
 }
 
-// open tells whether a route may be sent to as far as the list and operators say.
-func (r *route) open() bool { return r.InService && !r.Gone && !r.barred }
+// usable tells whether a route may be sent to as far as the list and operators say.
+func (r *route) usable() bool { return r.InService && !r.Gone && !r.excluded }
 
-// Avoided is how many listed routes take nothing for now, by hand or by choice.
-func (s *Sender) Avoided(now time.Duration) (n int) {
+// AvoidedRoutes is how many listed routes take nothing for now, by hand or by choice.
+func (s *Sender) AvoidedRoutes(now time.Duration) (n int) {
 	for _, d := range s.order {
-		for _, g := range d.gates {
+		for _, g := range d.groups {
 			for _, r := range g.routes {
-				if r.barred || r.down || now < r.skipUntil {
+				if r.excluded || r.down || now < r.skipUntil {
 					n++
 				}
 			}
--- a/policy/example_test.go
+++ b/policy/example_test.go
@@ -24,11 +24,11 @@
 		}
 	}
 	show(sender.Step(time.Second, []policy.Event{
-		{Kind: policy.ListWhole, List: []policy.Listing{
+		{Kind: policy.ListFull, List: []policy.Listing{
 			{Route: "b", Destination: 7, InService: true},
 			{Route: "a", Destination: 7, InService: true},
 		}},
-		{Kind: policy.Taken, ID: 1, Destination: 7, Left: 20 * time.Second},
+		{Kind: policy.Accepted, ID: 1, Destination: 7, TimeLeft: 20 * time.Second},
 	}))
 	show(sender.Step(2*time.Second, []policy.Event{
 		{Kind: policy.Finished, ID: 1, Route: "a", Outcome: policy.Full, Took: time.Second},
--- a/policy/fleet_test.go
+++ b/policy/fleet_test.go
@@ -19,13 +19,13 @@
 	demand  float64 // messages, as a multiple of the limit
 	fails   float64 // share of the calls that fail in the outage
 	listed  bool    // the limit is listed; else no sender ever knows it
-	told    bool    // the limit is told in answers
+	reported    bool    // the limit is told in answers
 	skew    int     // each tenth sender has so many times the traffic of the others; 0: half of them have most
 }
 
 func (c fleetCase) String() string {
 	return fmt.Sprintf("%d senders, limit %v, demand %v, fails %v, listed %v, told %v",
-		c.senders, c.limit, c.demand, c.fails, c.listed, c.told)
+		c.senders, c.limit, c.demand, c.fails, c.listed, c.reported)
 }
 
 const (
@@ -43,18 +43,18 @@
 	}
 }
 
-// fleetWorld is the route, the senders' messages and the books of the judge.
-type fleetWorld struct {
-	c      fleetCase
+// fleetSimulation is the route, the senders' messages and the books of the judge.
+type fleetSimulation struct {
+	testCase      fleetCase
 	rng    *rand.Rand
 	now    time.Duration
 	fleet  []*Sender
 	inbox  [][]Event
 	due    map[time.Duration][]fleetEvent
-	room   float64        // calls that the limit leaves
-	told   []bool         // by sender: of a failure or refusal in the outage
-	pushes []fleetPush    // since the return
-	tries  map[uint32]int // of each message
+	capacity   float64        // calls that the limit leaves
+	informed   []bool         // by sender: of a failure or refusal in the outage
+	calls []fleetCall    // since the return
+	attempts  map[uint32]int // of each message
 	served int            // in the whole day
 }
 
@@ -63,60 +63,60 @@
 	ev     Event
 }
 
-type fleetPush struct {
+type fleetCall struct {
 	at   time.Duration
-	told bool
+	informed bool
 }
 
-func (w *fleetWorld) start(i int, seed uint64) error {
-	s, err := New(fleetSettings(w.c), seed)
+func (w *fleetSimulation) start(i int, seed uint64) error {
+	s, err := New(fleetSettings(w.testCase), seed)
 	if err != nil {
 		return err
 	}
 	w.fleet[i] = s
-	w.inbox[i] = []Event{{Kind: ListWhole, List: []Listing{{Route: "a", Weight: w.c.limit, InService: true}}}}
+	w.inbox[i] = []Event{{Kind: ListFull, List: []Listing{{Route: "a", Weight: w.testCase.limit, InService: true}}}}
 	return nil
 }
 
-// call plays one call at the route: its outcome comes a tick or two later.
-func (w *fleetWorld) call(i int, a Action) {
+// startAttempt plays one startAttempt at the route: its outcome comes a tick or two later.
+func (w *fleetSimulation) startAttempt(i int, a Action) {
 	failing := w.now >= fleetFailing && w.now < fleetReturn
 	if w.now >= fleetReturn {
-		w.pushes = append(w.pushes, fleetPush{w.now, w.told[i]})
+		w.calls = append(w.calls, fleetCall{w.now, w.informed[i]})
 	}
-	e := Event{Kind: Finished, ID: a.ID, Attempt: w.tries[a.ID], Route: "a", Took: 2 * fleetTick}
-	w.tries[a.ID]++
+	e := Event{Kind: Finished, ID: a.ID, Attempt: w.attempts[a.ID], Route: "a", Took: 2 * fleetTick}
+	w.attempts[a.ID]++
 	switch {
-	case w.room < 1:
+	case w.capacity < 1:
 		e.Outcome = Full
 	default:
-		w.room--
-		if failing && w.rng.Float64() < w.c.fails {
+		w.capacity--
+		if failing && w.rng.Float64() < w.testCase.fails {
 			e.Outcome = Error
 		}
 	}
-	if w.c.told {
-		e.Report = Report{Told: true, Limit: w.c.limit}
+	if w.testCase.reported {
+		e.Report = Report{Present: true, Limit: w.testCase.limit}
 	}
-	if e.Ended = e.Outcome == OK; e.Ended {
+	if e.MessageEnded = e.Outcome == OK; e.MessageEnded {
 		w.served++
 	} else if failing {
-		w.told[i] = true
+		w.informed[i] = true
 	}
-	w.later(i, 2*fleetTick, e)
+	w.schedule(i, 2*fleetTick, e)
 }
 
-func (w *fleetWorld) later(i int, after time.Duration, e Event) {
+func (w *fleetSimulation) schedule(i int, after time.Duration, e Event) {
 	at := (w.now + after + fleetTick - 1) / fleetTick * fleetTick
 	w.due[at] = append(w.due[at], fleetEvent{i, e})
 }
 
-// playFleet runs a day. Half of the senders carry most of the traffic, a third restart inside the outage.
-func playFleet(t *testing.T, c fleetCase, seed uint64) *fleetWorld {
+// runFleet runs a day. Half of the senders carry most of the traffic, a third restart inside the outage.
+func runFleet(t *testing.T, c fleetCase, seed uint64) *fleetSimulation {
 	t.Helper()
-	w := &fleetWorld{c: c, rng: rand.New(rand.NewPCG(seed, 3)), now: time.Minute, fleet: make([]*Sender, c.senders),
-		inbox: make([][]Event, c.senders), due: map[time.Duration][]fleetEvent{}, told: make([]bool, c.senders),
-		tries: map[uint32]int{}}
+	w := &fleetSimulation{testCase: c, rng: rand.New(rand.NewPCG(seed, 3)), now: time.Minute, fleet: make([]*Sender, c.senders),
+		inbox: make([][]Event, c.senders), due: map[time.Duration][]fleetEvent{}, informed: make([]bool, c.senders),
+		attempts: map[uint32]int{}}
 	restarts := fleetFailing + 7*time.Second
 	for i := range w.fleet {
 		if err := w.start(i, w.rng.Uint64()); err != nil {
@@ -125,7 +125,7 @@
 	}
 	id := uint32(0)
 	for ; w.now < fleetEnd; w.now += fleetTick {
-		w.room = math.Min(1+0.5*c.limit, w.room+c.limit*fleetTick.Seconds())
+		w.capacity = math.Min(1+0.5*c.limit, w.capacity+c.limit*fleetTick.Seconds())
 		if w.now == restarts {
 			for i := 0; i < c.senders; i += 3 {
 				if err := w.start(i, w.rng.Uint64()); err != nil {
@@ -143,7 +143,7 @@
 				i = w.rng.IntN((c.senders + 1) / 2)
 			}
 			id++
-			w.later(i, 0, Event{Kind: Taken, ID: id, Left: 28 * time.Second})
+			w.schedule(i, 0, Event{Kind: Accepted, ID: id, TimeLeft: 28 * time.Second})
 		}
 		for _, e := range w.due[w.now] {
 			w.inbox[e.sender] = append(w.inbox[e.sender], e.ev)
@@ -157,9 +157,9 @@
 			for _, a := range w.fleet[i].Step(w.now, evs) {
 				switch a.Kind {
 				case Send:
-					w.call(i, a)
+					w.startAttempt(i, a)
 				case Wake:
-					w.later(i, max(a.Delay, fleetTick), Event{Kind: Woken})
+					w.schedule(i, max(a.Delay, fleetTick), Event{Kind: Woken})
 				}
 			}
 		}
@@ -169,25 +169,25 @@
 
 // window tells the budget of the window that ends with push i, how many calls reached the route in it, and how many of these came
 // from senders told.
-func (w *fleetWorld) window(i int) (budget, all, told float64) {
-	set, last := fleetSettings(w.c), w.pushes[i]
+func (w *fleetSimulation) window(i int) (budget, total, informed float64) {
+	set, last := fleetSettings(w.testCase), w.calls[i]
 	share := set.ColdShare + (1-set.ColdShare)*float64(last.at-fleetReturn)/float64(set.WarmWithin)
-	for _, p := range w.pushes[:i+1] {
+	for _, p := range w.calls[:i+1] {
 		if p.at > last.at-set.OverloadWindow {
-			all++
-			if p.told {
-				told++
+			total++
+			if p.informed {
+				informed++
 			}
 		}
 	}
-	return set.OverloadFactor * share * w.c.limit * set.OverloadWindow.Seconds(), all, told
+	return set.OverloadFactor * share * w.testCase.limit * set.OverloadWindow.Seconds(), total, informed
 }
 
-// fell tells whether a window since the return broke failback: more calls than the budget of its length, two
+// brokeFailback tells whether a window since the return broke failback: more calls than the budget of its length, two
 // standard deviations of it allowed for chance, two thirds of them from senders told. Beside it stands the
 // greatest share of the part of senders told that a window used.
-func (w *fleetWorld) fell() (broken bool, used float64) {
-	for i := range w.pushes {
+func (w *fleetSimulation) brokeFailback() (broken bool, used float64) {
+	for i := range w.calls {
 		budget, all, told := w.window(i)
 		broken = broken || all > budget+2*math.Sqrt(budget) && told >= all*2/3
 		used = math.Max(used, told/(2.0/3*(budget+2*math.Sqrt(budget))))
@@ -210,8 +210,8 @@
 			{senders, 3, 2, 1, false, false, 0},
 		} {
 			for seed := range uint64(3) {
-				w := playFleet(t, c, seed)
-				broken, used := w.fell()
+				w := runFleet(t, c, seed)
+				broken, used := w.brokeFailback()
 				if broken {
 					t.Errorf("%v, seed %d: pushed over, %.2f of the part of senders told used", c, seed, used)
 				}
@@ -223,15 +223,15 @@
 	}
 }
 
-// over tells by how many calls the worst window since the return passed its budget of N calls and what is chance, 2 roots of N
+// budgetExcess tells by how many calls the worst window since the return passed its budget of N calls and what is chance, 2 roots of N
 // and 2, whoever sent them; and the same of the calls of senders told.
-func (w *fleetWorld) over() (all, told float64) {
-	all, told = math.Inf(-1), math.Inf(-1)
-	for i := range w.pushes {
+func (w *fleetSimulation) budgetExcess() (total, informed float64) {
+	total, informed = math.Inf(-1), math.Inf(-1)
+	for i := range w.calls {
 		n, a, b := w.window(i)
-		all, told = math.Max(all, a-n-2*math.Sqrt(n)-2), math.Max(told, b-n-2*math.Sqrt(n)-2)
+		total, informed = math.Max(total, a-n-2*math.Sqrt(n)-2), math.Max(informed, b-n-2*math.Sqrt(n)-2)
 	}
-	return all, told
+	return total, informed
 }
 
 // Some tens of senders, some with many times the traffic of others, a third of them restarted in the outage.
@@ -239,12 +239,12 @@
 	for _, senders := range []int{5, 20, 30} {
 		for _, limit := range []float64{3, 10, 30} {
 			for _, demand := range []float64{0.9, 2} {
-				for _, know := range []fleetCase{{listed: true}, {told: true}, {}} {
+				for _, know := range []fleetCase{{listed: true}, {reported: true}, {}} {
 					for _, fails := range []float64{1, 0.8} {
-						c := fleetCase{senders, limit, demand, fails, know.listed, know.told, 10}
+						c := fleetCase{senders, limit, demand, fails, know.listed, know.reported, 10}
 						for seed := range uint64(10) {
-							w := playFleet(t, c, seed)
-							if all, told := w.over(); all > 0 {
+							w := runFleet(t, c, seed)
+							if all, told := w.budgetExcess(); all > 0 {
 								t.Errorf("%v, seed %d: %.1f calls over the budget, %.1f of senders told", c, seed, all, told)
 							}
 						}
@@ -255,12 +255,12 @@
 	}
 }
 
-// excess tells by how many calls the worst window since the return passed what the site's page allows: its budget of N calls,
+// worstExcess tells by how many calls the worst window since the return passed what the site's page allows: its budget of N calls,
 // 2 roots of N and 2; 3 roots of N and 3 under 30 calls.
-func (w *fleetWorld) excess() (worst float64) {
+func (w *fleetSimulation) worstExcess() (worst float64) {
 	const few = 30 // calls
 	worst = math.Inf(-1)
-	for i := range w.pushes {
+	for i := range w.calls {
 		n, all, _ := w.window(i)
 		k := 2.0
 		if n < few {
@@ -279,7 +279,7 @@
 			for _, fails := range []float64{1, 0.8} {
 				c := fleetCase{senders, limit, 2, fails, false, false, 10}
 				for seed := range uint64(24) {
-					if excess := playFleet(t, c, 1000+seed).excess(); excess > 0 {
+					if excess := runFleet(t, c, 1000+seed).worstExcess(); excess > 0 {
 						t.Errorf("%v, seed %d: %.1f calls over the budget", c, seed, excess)
 					}
 				}
@@ -297,7 +297,7 @@
 		seed    uint64
 	}{{4, 10, 5012}, {6, 30, 5091}, {6, 60, 5008}, {6, 60, 5020}} {
 		c := fleetCase{x.senders, x.limit, 2, 0.8, false, false, 10}
-		if excess := playFleet(t, c, x.seed).excess(); excess > 0 {
+		if excess := runFleet(t, c, x.seed).worstExcess(); excess > 0 {
 			t.Errorf("%v, seed %d: %.1f calls over the budget", c, x.seed, excess)
 		}
 	}
--- a/policy/handover_test.go
+++ b/policy/handover_test.go
@@ -8,14 +8,14 @@
 	"time"
 )
 
-// successor is a sender that knows what s knows, by way of JSON as between processes.
-func successor(t *testing.T, s *Sender, set Settings, at time.Duration) *Sender {
+// newSuccessor is a sender that knows what s knows, by way of JSON as between processes.
+func newSuccessor(t *testing.T, s *Sender, set Settings, at time.Duration) *Sender {
 	t.Helper()
-	text, err := json.Marshal(s.Memories())
+	text, err := json.Marshal(s.RouteStates())
 	if err != nil {
 		t.Fatal(err)
 	}
-	var ms []Memory
+	var ms []RouteState
 	if err := json.Unmarshal(text, &ms); err != nil {
 		t.Fatal(err)
 	}
@@ -24,11 +24,11 @@
 		t.Fatal(err)
 	}
 	next.Step(at, []Event{twoZones()})
-	next.Remember(ms)
+	next.LoadRouteStates(ms)
 	return next
 }
 
-func sends(acts []Action) (routes []string) {
+func sentRoutes(acts []Action) (routes []string) {
 	for _, a := range acts {
 		if a.Kind == Send {
 			routes = append(routes, a.Route)
@@ -37,36 +37,36 @@
 	return routes
 }
 
-func TestASuccessorKnowsWhatWasTold(t *testing.T) {
+func TestSuccessorKeepsRetryAfter(t *testing.T) {
 	set := resumeSettings()
 	s, err := New(set, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
-	taken := func(id uint32) Event { return Event{Kind: Taken, ID: id, Destination: 5, Left: 8 * time.Second} }
-	if got := sends(s.Step(time.Second, []Event{twoZones(), taken(1)})); len(got) != 1 || got[0] != "best" {
+	taken := func(id uint32) Event { return Event{Kind: Accepted, ID: id, Destination: 5, TimeLeft: 8 * time.Second} }
+	if got := sentRoutes(s.Step(time.Second, []Event{twoZones(), taken(1)})); len(got) != 1 || got[0] != "best" {
 		t.Fatalf("sent to %v", got)
 	}
 	s.Step(1100*time.Millisecond, []Event{{
-		Kind: Finished, ID: 1, Route: "best", Outcome: Full, Wait: 2 * time.Second, Report: Report{Told: true, Limit: 40},
+		Kind: Finished, ID: 1, Route: "best", Outcome: Full, RetryAfter: 2 * time.Second, Report: Report{Present: true, Limit: 40},
 	}})
-	next := successor(t, s, set, 1200*time.Millisecond)
-	if got := sends(next.Step(1200*time.Millisecond, []Event{taken(2)})); len(got) != 1 || got[0] != "other" {
+	next := newSuccessor(t, s, set, 1200*time.Millisecond)
+	if got := sentRoutes(next.Step(1200*time.Millisecond, []Event{taken(2)})); len(got) != 1 || got[0] != "other" {
 		t.Errorf("during a told wait: sent to %v", got)
 	}
-	if next.MayStill("best", 2*time.Second) || !next.MayStill("best", 3200*time.Millisecond) {
+	if next.StillAllowed("best", 2*time.Second) || !next.StillAllowed("best", 3200*time.Millisecond) {
 		t.Error("the told wait is not kept to its end")
 	}
 }
 
 // Every field of a memory gets across.
-func TestAMemoryIsWhole(t *testing.T) {
+func TestRouteStateRoundTrip(t *testing.T) {
 	next, err := New(resumeSettings(), 1)
 	if err != nil {
 		t.Fatal(err)
 	}
 	next.Step(time.Second, []Event{twoZones()})
-	want := Memory{Route: "best"}
+	want := RouteState{Route: "best"}
 	v := reflect.ValueOf(&want).Elem()
 	for i := 1; i < v.NumField(); i++ {
 		switch f := v.Field(i); f.Kind() {
@@ -82,8 +82,8 @@
 			f.SetInt(int64(i))
 		}
 	}
-	next.Remember([]Memory{want, {Route: "gone by now"}})
-	for _, got := range next.Memories() {
+	next.LoadRouteStates([]RouteState{want, {Route: "gone by now"}})
+	for _, got := range next.RouteStates() {
 		if got.Route == "best" && !reflect.DeepEqual(got, want) {
 			t.Errorf("%+v\nbecame\n%+v", want, got)
 		}
@@ -91,25 +91,25 @@
 }
 
 // A call that is out at the process before has its slot here, and whether it ran is told by its outcome alone.
-func TestACallOutAtTheProcessBeforeGoesOn(t *testing.T) {
+func TestOutstandingCallIsAdopted(t *testing.T) {
 	set := resumeSettings()
 	set.Classes[0].Effect, set.Slots = Unsafe, 1
 	s, err := New(set, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
-	next := successor(t, s, set, time.Second)
-	out := &Out{Call: 1, Route: "best", Sent: 900 * time.Millisecond, Cut: 5 * time.Second}
-	got := sends(next.Step(time.Second, []Event{
-		{Kind: Taken, ID: 1, Destination: 5, Left: 8 * time.Second, Resumed: &Resumed{Attempts: 1, Out: out}},
-		{Kind: Taken, ID: 2, Destination: 5, Left: 8 * time.Second},
+	next := newSuccessor(t, s, set, time.Second)
+	out := &OutstandingAttempt{Call: 1, Route: "best", Sent: 900 * time.Millisecond, TimeoutAt: 5 * time.Second}
+	got := sentRoutes(next.Step(time.Second, []Event{
+		{Kind: Accepted, ID: 1, Destination: 5, TimeLeft: 8 * time.Second, Resumed: &ResumedMessage{Attempts: 1, Outstanding: out}},
+		{Kind: Accepted, ID: 2, Destination: 5, TimeLeft: 8 * time.Second},
 	}))
 	if len(got) != 0 {
 		t.Fatalf("with the one slot taken: sent to %v", got)
 	}
 	acts := next.Step(1100*time.Millisecond, []Event{{Kind: Finished, ID: 1, Route: "best", Outcome: ConnectFailed}})
-	if len(sends(acts)) != 1 {
-		t.Errorf("once the slot is free: sent to %v", sends(acts))
+	if len(sentRoutes(acts)) != 1 {
+		t.Errorf("once the slot is free: sent to %v", sentRoutes(acts))
 	}
 	for _, a := range acts {
 		if a.Kind == Fail {
@@ -119,32 +119,32 @@
 }
 
 // What was known fades while no process is there, a told wait ends, and what is old is not known any more.
-func TestARestartRecallsWhatIsYoung(t *testing.T) {
+func TestRestartRestoresRecentState(t *testing.T) {
 	set := resumeSettings()
 	s, err := New(set, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
-	taken := func(id uint32) Event { return Event{Kind: Taken, ID: id, Destination: 5, Left: 8 * time.Second} }
+	taken := func(id uint32) Event { return Event{Kind: Accepted, ID: id, Destination: 5, TimeLeft: 8 * time.Second} }
 	s.Step(time.Minute, []Event{twoZones(), taken(1)})
 	s.Step(time.Minute+100*time.Millisecond, []Event{{
-		Kind: Finished, ID: 1, Route: "best", Outcome: Full, Wait: 5 * time.Second, Report: Report{Told: true, Limit: 40},
+		Kind: Finished, ID: 1, Route: "best", Outcome: Full, RetryAfter: 5 * time.Second, Report: Report{Present: true, Limit: 40},
 	}})
-	before := s.Memories()
+	before := s.RouteStates()
 	recall := func(age time.Duration) *Sender {
 		next, err := New(set, 2)
 		if err != nil {
 			t.Fatal(err)
 		}
 		next.Step(time.Second, []Event{twoZones()})
-		next.Recall(slices.Clone(before), time.Minute+200*time.Millisecond, age)
+		next.RestoreRouteStates(slices.Clone(before), time.Minute+200*time.Millisecond, age)
 		return next
 	}
 	young := recall(time.Second)
-	if !young.MayStill("best", time.Second) {
+	if !young.StillAllowed("best", time.Second) {
 		t.Error("the told wait outlasts the restart")
 	}
-	for i, m := range young.Memories() {
+	for i, m := range young.RouteStates() {
 		if m.Pace != before[i].Pace || m.Limit != before[i].Limit {
 			t.Errorf("%s: pace %v under limit %v became %v under %v", m.Route, before[i].Pace, before[i].Limit, m.Pace, m.Limit)
 		}
@@ -152,11 +152,11 @@
 			t.Errorf("%s: refused at %v of the old clock, %v of the new one", m.Route, was, m.HalvedAt)
 		}
 	}
-	if len(young.Memories()) == 0 || young.Memories()[0].Limit != 40 {
-		t.Fatalf("nothing recalled: %+v", young.Memories())
+	if len(young.RouteStates()) == 0 || young.RouteStates()[0].Limit != 40 {
+		t.Fatalf("nothing recalled: %+v", young.RouteStates())
 	}
 	for _, age := range []time.Duration{-time.Second, time.Hour} {
-		if m := recall(age).Memories()[0]; m.Limit != 0 || m.Pace != 0 {
+		if m := recall(age).RouteStates()[0]; m.Limit != 0 || m.Pace != 0 {
 			t.Errorf("recalled from %v ago: %+v", age, m)
 		}
 	}
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -10,12 +10,12 @@
 
 const ms = time.Millisecond
 
-// desk drives one Sender with an explicit clock.
-type desk struct {
+// harness drives one Sender with an explicit clock.
+type harness struct {
 	t     *testing.T
-	s     *Sender
+	sender     *Sender
 	now   time.Duration
-	tries map[uint32]int
+	attempts map[uint32]int
 }
 
 func settings() Settings {
@@ -31,24 +31,24 @@
 	}
 }
 
-func newDesk(t *testing.T, set Settings, list ...Listing) *desk {
+func newHarness(t *testing.T, set Settings, list ...Listing) *harness {
 	t.Helper()
 	s, err := New(set, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
-	d := &desk{t: t, s: s, now: time.Minute, tries: map[uint32]int{}}
+	d := &harness{t: t, sender: s, now: time.Minute, attempts: map[uint32]int{}}
 	for i := range list {
 		list[i].InService = true
 	}
-	d.step(Event{Kind: ListWhole, List: list})
+	d.step(Event{Kind: ListFull, List: list})
 	return d
 }
 
 // step gives events at the present time and keeps the actions other than wakes.
-func (d *desk) step(evs ...Event) []Action {
+func (d *harness) step(evs ...Event) []Action {
 	var acts []Action
-	for _, a := range d.s.Step(d.now, evs) {
+	for _, a := range d.sender.Step(d.now, evs) {
 		if a.Kind != Wake {
 			acts = append(acts, a)
 		}
@@ -56,26 +56,26 @@
 	return acts
 }
 
-func (d *desk) take(id uint32, class int) []Action {
-	return d.step(Event{Kind: Taken, ID: id, Class: class, Left: 60 * time.Second})
+func (d *harness) accept(id uint32, class int) []Action {
+	return d.step(Event{Kind: Accepted, ID: id, Class: class, TimeLeft: 60 * time.Second})
 }
 
-func (d *desk) end(id uint32, route string, o Outcome, after, wait time.Duration) []Action {
+func (d *harness) finish(id uint32, route string, o Outcome, after, wait time.Duration) []Action {
 	d.now += after
-	n := d.tries[id]
-	d.tries[id]++
-	return d.step(Event{Kind: Finished, ID: id, Attempt: n, Route: route, Outcome: o, Took: after, Wait: wait,
-		Ended: o == OK})
+	n := d.attempts[id]
+	d.attempts[id]++
+	return d.step(Event{Kind: Finished, ID: id, Attempt: n, Route: route, Outcome: o, Took: after, RetryAfter: wait,
+		MessageEnded: o == OK})
 }
 
 // wake lets time pass and wakes the Sender.
-func (d *desk) wake(after time.Duration) []Action {
+func (d *harness) wake(after time.Duration) []Action {
 	d.now += after
 	return d.step(Event{Kind: Woken})
 }
 
-// goesTo tells where the first Send of the actions goes; "" if none.
-func goesTo(acts []Action) string {
+// firstSend tells where the first Send of the actions goes; "" if none.
+func firstSend(acts []Action) string {
 	for _, a := range acts {
 		if a.Kind == Send {
 			return a.Route
@@ -88,15 +88,15 @@
 	return slices.ContainsFunc(acts, func(a Action) bool { return a.Kind == k })
 }
 
-func TestRoutesGoByWeightFeeAndLot(t *testing.T) {
+func TestRouteOrder(t *testing.T) {
 	set := settings()
-	set.Carriage = []float64{0, 0.03}
-	d := newDesk(t, set, Listing{Route: "a", Kind: 1, Zone: 1, Weight: 5}, Listing{Route: "c", Kind: 1, Weight: 5},
+	set.ZoneFees = []float64{0, 0.03}
+	d := newHarness(t, set, Listing{Route: "a", Kind: 1, Zone: 1, Weight: 5}, Listing{Route: "c", Kind: 1, Weight: 5},
 		Listing{Route: "b", Kind: 1, Weight: 5}, Listing{Route: "z", Kind: 1, Zone: 1, Weight: 9})
 	var got []string
-	got = append(got, goesTo(d.take(1, 0)))
+	got = append(got, firstSend(d.accept(1, 0)))
 	for range 3 {
-		got = append(got, goesTo(d.end(1, got[len(got)-1], Full, 10*ms, 0)))
+		got = append(got, firstSend(d.finish(1, got[len(got)-1], Full, 10*ms, 0)))
 	}
 	// Each refusal leaves its gate a pace with nothing saved, so the message moves on.
 	slices.Sort(got[1:3]) // equal routes go by lot
@@ -110,13 +110,13 @@
 	for _, separate := range []int{0, 1} {
 		set := settings()
 		set.Zone = 1
-		d := newDesk(t, set, Listing{Route: "a", Kind: separate}, Listing{Route: "b", Kind: separate, Zone: 1},
+		d := newHarness(t, set, Listing{Route: "a", Kind: separate}, Listing{Route: "b", Kind: separate, Zone: 1},
 			Listing{Route: "c", Kind: separate, Zone: 1, Weight: -1})
-		if got := goesTo(d.take(1, 0)); got != "b" {
+		if got := firstSend(d.accept(1, 0)); got != "b" {
 			t.Errorf("kind %d: message to %q, want the first of the own zone", separate, got)
 		}
 		d.step(Event{Kind: ListChanges, List: []Listing{{Route: "z", Kind: separate, Weight: 2, InService: true}}})
-		if got := goesTo(d.take(2, 0)); got != "z" {
+		if got := firstSend(d.accept(2, 0)); got != "z" {
 			t.Errorf("kind %d: message to %q, want the one of more weight", separate, got)
 		}
 	}
@@ -133,10 +133,10 @@
 			t.Fatal(err)
 		}
 		acts := s.Step(time.Minute, []Event{
-			{Kind: ListWhole, List: []Listing{{Route: "a", InService: true}, {Route: "b", InService: true},
+			{Kind: ListFull, List: []Listing{{Route: "a", InService: true}, {Route: "b", InService: true},
 				{Route: "c", InService: true}}},
-			{Kind: Taken, ID: 1, Left: 9 * time.Second}})
-		first[goesTo(acts)]++
+			{Kind: Accepted, ID: 1, TimeLeft: 9 * time.Second}})
+		first[firstSend(acts)]++
 	}
 	if first["a"] < 10 || first["b"] < 10 || first["c"] < 10 {
 		t.Errorf("first choices of 60 senders: %v", first)
@@ -151,20 +151,20 @@
 		o    sample
 		skip bool
 	}{
-		{"shut", route{}, sample{outcome: Full, wait: 5 * time.Second}, true},
-		{"shut", route{refusals: shutRefusals, refusedAt: now - shutSpan}, sample{outcome: Full}, true},
-		{"full", route{refusals: shutRefusals, refusedAt: now - shutSpan + 1}, sample{outcome: Full, wait: time.Second}, false},
+		{"shut", route{}, sample{outcome: Full, retryAfter: 5 * time.Second}, true},
+		{"shut", route{refusals: outageRefusals, refusedAt: now - outageRefusalSpan}, sample{outcome: Full}, true},
+		{"full", route{refusals: outageRefusals, refusedAt: now - outageRefusalSpan + 1}, sample{outcome: Full, retryAfter: time.Second}, false},
 		{"trial failed", route{down: true}, sample{outcome: Error}, true},
-		{"crowded", route{streak: 1}, sample{outcome: ConnectFailed, tight: true}, false},
-		{"failed", route{streak: 1}, sample{outcome: ConnectFailed}, false},
-		{"in a row", route{streak: 3, okAt: now - time.Second}, sample{outcome: ConnectFailed}, true},
-		{"mostly failing", route{streak: 1, recent: 0b10111010}, sample{outcome: Error}, true},
-		{"failed", route{streak: 1, recent: 0b1011010}, sample{outcome: Error}, false},
-		{"failed", route{streak: 2}, sample{outcome: Timeout}, false},
+		{"crowded", route{failStreak: 1}, sample{outcome: ConnectFailed, tableFull: true}, false},
+		{"failed", route{failStreak: 1}, sample{outcome: ConnectFailed}, false},
+		{"in a row", route{failStreak: 3, okAt: now - time.Second}, sample{outcome: ConnectFailed}, true},
+		{"mostly failing", route{failStreak: 1, recentFailures: 0b10111010}, sample{outcome: Error}, true},
+		{"failed", route{failStreak: 1, recentFailures: 0b1011010}, sample{outcome: Error}, false},
+		{"failed", route{failStreak: 2}, sample{outcome: Timeout}, false},
 	} {
 		s := &Sender{now: now}
 		r := &c.r
-		i := slices.IndexFunc(failureRules, func(f rule) bool { return f.match(s, r, c.o) })
+		i := slices.IndexFunc(failureRules, func(f failureRule) bool { return f.match(s, r, c.o) })
 		if i < 0 || failureRules[i].name != c.rule || failureRules[i].skip != c.skip {
 			t.Errorf("%+v, %+v: rule %d, want %q with skip %v", c.r, c.o, i, c.rule, c.skip)
 		}
@@ -172,137 +172,137 @@
 }
 
 func TestSkipExpires(t *testing.T) {
-	d := newDesk(t, settings(), Listing{Route: "a", Kind: 1, Weight: 9}, Listing{Route: "b", Kind: 1, Weight: 5})
+	d := newHarness(t, settings(), Listing{Route: "a", Kind: 1, Weight: 9}, Listing{Route: "b", Kind: 1, Weight: 5})
 	for id := range uint32(3) {
 		d.now += time.Second // the recovery budget of a route in doubt
-		if got := goesTo(d.take(id, 0)); got != "a" {
+		if got := firstSend(d.accept(id, 0)); got != "a" {
 			t.Fatalf("message %d to %q before the skip", id, got)
 		}
-		d.end(id, "a", Error, 10*ms, 0)
+		d.finish(id, "a", Error, 10*ms, 0)
 		d.step(Event{Kind: Withdrawn, ID: id})
 	}
-	if got := goesTo(d.take(10, 0)); got != "b" {
+	if got := firstSend(d.accept(10, 0)); got != "b" {
 		t.Errorf("message to %q while a is skipped", got)
 	}
-	d.now += time.Duration(float64(skipFirst) * (1 + skipJitter))
-	if got := goesTo(d.take(11, 0)); got != "a" {
+	d.now += time.Duration(float64(firstSkip) * (1 + skipJitter))
+	if got := firstSend(d.accept(11, 0)); got != "a" {
 		t.Errorf("message to %q after the skip", got)
 	}
-	if got := goesTo(d.take(12, 0)); got != "b" {
+	if got := firstSend(d.accept(12, 0)); got != "b" {
 		t.Errorf("second message to %q during the trial", got)
 	}
-	if got := goesTo(d.take(13, 2)); got != "b" {
+	if got := firstSend(d.accept(13, 2)); got != "b" {
 		t.Errorf("unsafe message to %q during the trial", got)
 	}
 }
 
-func TestPaceHalvesCreepsAndRestarts(t *testing.T) {
-	d := newDesk(t, settings(), Listing{Route: "a", Kind: 1, Weight: 2})
+func TestPaceHalvesGrowsAndRestarts(t *testing.T) {
+	d := newHarness(t, settings(), Listing{Route: "a", Kind: 1, Weight: 2})
 	for id := range uint32(8) {
-		d.take(id, 0)
+		d.accept(id, 0)
 	}
-	g := d.s.routes["a"].gate
+	g := d.sender.routes["a"].group
 	if g.pace != 0 {
 		t.Fatalf("the pace starts at %v, want free", g.pace)
 	}
-	d.end(0, "a", Full, 100*ms, 0)
+	d.finish(0, "a", Full, 100*ms, 0)
 	if g.pace != 4 {
 		t.Errorf("pace %v after a refusal at 8 in the last second, want 4", g.pace)
 	}
-	d.end(1, "a", Full, ms, 0)
+	d.finish(1, "a", Full, ms, 0)
 	if g.pace != 4 {
 		t.Errorf("pace %v after a refusal of the same burst, want 4", g.pace)
 	}
-	d.end(2, "a", OK, ms, 0)
-	if want := 4 * (1 + paceCreep); g.pace != want {
+	d.finish(2, "a", OK, ms, 0)
+	if want := 4 * (1 + paceGrowth); g.pace != want {
 		t.Errorf("pace %v after a delivery, want %v", g.pace, want)
 	}
 	for id := uint32(3); id < 6; id++ {
-		d.end(id, "a", Error, ms, 0)
+		d.finish(id, "a", Error, ms, 0)
 	}
-	r := d.s.routes["a"]
+	r := d.sender.routes["a"]
 	if !r.down {
 		t.Fatal("three failures in a row did not skip the route")
 	}
-	d.s.learn(r, sample{outcome: OK, sent: d.now}, ms)
-	if want := paceRestart * (1 + paceCreep); r.down || g.pace != want {
+	d.sender.recordOutcome(r, sample{outcome: OK, sent: d.now}, ms)
+	if want := paceAfterSkip * (1 + paceGrowth); r.down || g.pace != want {
 		t.Errorf("pace %v at the end of a skip, want %v", g.pace, want)
 	}
 }
 
 // Halving counts of few calls a second again and again starved gates whose limit was known.
-func TestPaceKeepsItsEvenPart(t *testing.T) {
-	d := newDesk(t, settings(), Listing{Route: "a", Kind: 1, Weight: 20})
-	r := d.s.routes["a"]
+func TestPaceKeepsItsFloor(t *testing.T) {
+	d := newHarness(t, settings(), Listing{Route: "a", Kind: 1, Weight: 20})
+	r := d.sender.routes["a"]
 	for range 5 {
 		d.now += time.Second
-		d.s.now = d.now
-		d.s.halve(r, sample{outcome: Full, sent: d.now})
+		d.sender.now = d.now
+		d.sender.halvePace(r, sample{outcome: Full, sent: d.now})
 	}
-	if want := 20 * paceSure; r.gate.pace != want {
-		t.Errorf("pace %v after five refusals, want %v", r.gate.pace, want)
+	if want := 20 * minPaceShare; r.group.pace != want {
+		t.Errorf("pace %v after five refusals, want %v", r.group.pace, want)
 	}
 }
 
 // Half of one call a second, at each of hundreds of senders refused, once was several times what the limit takes.
-func TestRefusedSparseSendersAddUpToTheLimit(t *testing.T) {
+func TestRefusedSparseSendersStayWithinTheLimit(t *testing.T) {
 	const limit, senders = 40, 300
 	set := settings()
 	set.Senders, set.NoWeights = senders, true
 	sum := 0.0
 	for range senders {
-		d := newDesk(t, set, Listing{Route: "a", Kind: 1})
-		d.take(1, 0)
+		d := newHarness(t, set, Listing{Route: "a", Kind: 1})
+		d.accept(1, 0)
 		d.now += 100 * ms
-		d.step(Event{Kind: Finished, ID: 1, Route: "a", Outcome: Full, Report: Report{Told: true, Limit: limit}})
-		sum += d.s.routes["a"].gate.pace
+		d.step(Event{Kind: Finished, ID: 1, Route: "a", Outcome: Full, Report: Report{Present: true, Limit: limit}})
+		sum += d.sender.routes["a"].group.pace
 	}
-	if sum > limit || sum < limit*paceSure {
+	if sum > limit || sum < limit*minPaceShare {
 		t.Errorf("paces add up to %.1f calls a second after a refusal each, under a limit of %d", sum, limit)
 	}
 }
 
 // A sparse sender refused twice once crawled far under its part of the limit, long after the others had their share.
-func TestADeliveryTakesASparsePaceToItsPart(t *testing.T) {
+func TestDeliveryRaisesSparsePaceToSenderShare(t *testing.T) {
 	set := settings()
 	set.Senders, set.NoWeights = 300, true
-	d := newDesk(t, set, Listing{Route: "a", Kind: 1})
-	r := d.s.routes["a"]
-	d.s.now = d.now
-	d.s.report(r, Report{Told: true, Limit: 40})
+	d := newHarness(t, set, Listing{Route: "a", Kind: 1})
+	r := d.sender.routes["a"]
+	d.sender.now = d.now
+	d.sender.recordLimit(r, Report{Present: true, Limit: 40})
 	for range 2 {
-		d.s.now += time.Second
-		d.s.halve(r, sample{outcome: Full, sent: d.s.now})
+		d.sender.now += time.Second
+		d.sender.halvePace(r, sample{outcome: Full, sent: d.sender.now})
 	}
-	g := r.gate
-	if g.pace >= d.s.part(g) {
-		t.Fatalf("pace %v after two refusals, its part is %v", g.pace, d.s.part(g))
+	g := r.group
+	if g.pace >= d.sender.senderShare(g) {
+		t.Fatalf("pace %v after two refusals, its part is %v", g.pace, d.sender.senderShare(g))
 	}
 	for range 2 {
-		d.s.now += time.Second
-		was := d.s.part(g)
-		if d.s.creep(g); g.pace < was*(1+paceCreep) {
-			t.Errorf("pace %v after a delivery, want %v or more", g.pace, was*(1+paceCreep))
+		d.sender.now += time.Second
+		was := d.sender.senderShare(g)
+		if d.sender.growPace(g); g.pace < was*(1+paceGrowth) {
+			t.Errorf("pace %v after a delivery, want %v or more", g.pace, was*(1+paceGrowth))
 		}
 	}
 }
 
 // A pace once crawled near a rate that was refused while the limit was low, long after a higher one was told.
-func TestPaceCreepsAgainUnderAHigherLimit(t *testing.T) {
-	for _, c := range []struct{ limit, growth float64 }{{4, paceCrawl}, {16, paceCreep}} {
+func TestPaceGrowsFasterUnderAHigherLimit(t *testing.T) {
+	for _, c := range []struct{ limit, growth float64 }{{4, paceGrowthNearCeiling}, {16, paceGrowth}} {
 		set := settings()
 		set.NoWeights = true
-		d := newDesk(t, set, Listing{Route: "a"})
-		r := d.s.routes["a"]
-		d.s.report(r, Report{Told: true, Limit: 4})
+		d := newHarness(t, set, Listing{Route: "a"})
+		r := d.sender.routes["a"]
+		d.sender.recordLimit(r, Report{Present: true, Limit: 4})
 		for id := range uint32(8) {
-			d.take(id, 0)
+			d.accept(id, 0)
 		}
-		d.end(0, "a", Full, 100*ms, 0)
-		g := r.gate
+		d.finish(0, "a", Full, 100*ms, 0)
+		g := r.group
 		g.pace = g.ceiling
-		d.s.report(r, Report{Told: true, Limit: c.limit})
-		d.end(1, "a", OK, 100*ms, 0)
+		d.sender.recordLimit(r, Report{Present: true, Limit: c.limit})
+		d.finish(1, "a", OK, 100*ms, 0)
 		if want := g.ceiling * (1 + c.growth); math.Abs(g.pace-want) > 1e-9 {
 			t.Errorf("limit %v: pace %v after a delivery, want %v", c.limit, g.pace, want)
 		}
@@ -313,15 +313,15 @@
 func TestPaceRisesToTheFloorOfAHigherLimit(t *testing.T) {
 	set := settings()
 	set.NoWeights = true
-	d := newDesk(t, set, Listing{Route: "a"})
-	r := d.s.routes["a"]
-	d.s.report(r, Report{Told: true, Limit: 1})
-	d.take(0, 0)
-	d.end(0, "a", Full, 100*ms, 0)
-	d.s.report(r, Report{Told: true, Limit: 40})
-	d.s.creep(r.gate)
-	if least := 40 * paceSure; r.gate.pace < least {
-		t.Errorf("pace %v after a delivery, want %v or more", r.gate.pace, least)
+	d := newHarness(t, set, Listing{Route: "a"})
+	r := d.sender.routes["a"]
+	d.sender.recordLimit(r, Report{Present: true, Limit: 1})
+	d.accept(0, 0)
+	d.finish(0, "a", Full, 100*ms, 0)
+	d.sender.recordLimit(r, Report{Present: true, Limit: 40})
+	d.sender.growPace(r.group)
+	if least := 40 * minPaceShare; r.group.pace < least {
+		t.Errorf("pace %v after a delivery, want %v or more", r.group.pace, least)
 	}
 }
 
@@ -337,10 +337,10 @@
 		{1, Timeout, Fail, true},    // keyed, may have run: no repeat is dropped after 10 s
 		{2, ConnectFailed, Refuse, false},
 	} {
-		d := newDesk(t, settings(), Listing{Route: "a"})
-		d.take(1, c.class)
+		d := newHarness(t, settings(), Listing{Route: "a"})
+		d.accept(1, c.class)
 		d.step(Event{Kind: ListChanges, List: []Listing{{Route: "a", Gone: true}}})
-		d.end(1, "a", c.outcome, time.Second, 0)
+		d.finish(1, "a", c.outcome, time.Second, 0)
 		if acts := d.wake(58900 * ms); has(acts, c.want) != c.early || !c.early && len(acts) != 0 {
 			t.Errorf("%+v: %+v before the deadline", c, acts)
 		}
@@ -351,27 +351,27 @@
 			t.Errorf("%+v: %+v at the deadline", c, acts)
 		}
 	}
-	d := newDesk(t, settings(), Listing{Route: "a"})
-	d.take(1, 2)
-	if acts := d.end(1, "a", Timeout, time.Second, 0); !has(acts, Fail) || has(acts, Send) {
+	d := newHarness(t, settings(), Listing{Route: "a"})
+	d.accept(1, 2)
+	if acts := d.finish(1, "a", Timeout, time.Second, 0); !has(acts, Fail) || has(acts, Send) {
 		t.Errorf("an unsafe message that may have run: %+v", acts)
 	}
 }
 
 func TestDrainedRouteTakesNothing(t *testing.T) {
-	d := newDesk(t, settings(), Listing{Route: "a"})
+	d := newHarness(t, settings(), Listing{Route: "a"})
 	acts := d.step(Event{Kind: ListChanges, List: []Listing{{Route: "a"}}},
-		Event{Kind: Taken, ID: 1, Left: 9 * time.Second})
+		Event{Kind: Accepted, ID: 1, TimeLeft: 9 * time.Second})
 	if has(acts, Send) {
 		t.Errorf("sent to a draining route: %+v", acts)
 	}
 }
 
-func TestToldWaitHoldsTheGate(t *testing.T) {
-	d := newDesk(t, settings(), Listing{Route: "a"}, Listing{Route: "b"})
-	d.take(1, 0)
-	d.end(1, "a", Full, 10*ms, 700*ms)
-	if acts := d.take(2, 0); has(acts, Send) {
+func TestRetryAfterHoldsTheGroup(t *testing.T) {
+	d := newHarness(t, settings(), Listing{Route: "a"}, Listing{Route: "b"})
+	d.accept(1, 0)
+	d.finish(1, "a", Full, 10*ms, 700*ms)
+	if acts := d.accept(2, 0); has(acts, Send) {
 		t.Errorf("sent during a wait: %+v", acts)
 	}
 	if acts := d.wake(699 * ms); has(acts, Send) {
@@ -383,35 +383,35 @@
 }
 
 // A wait told to one message of a call whose others were delivered was once lost.
-func TestWaitOfAMixedCall(t *testing.T) {
-	d := newDesk(t, settings(), Listing{Route: "a", Kind: 2})
-	d.step(Event{Kind: Taken, ID: 1, Left: 9 * time.Second}, Event{Kind: Taken, ID: 2, Left: 9 * time.Second})
-	d.step(Event{Kind: Finished, ID: 1, Route: "a", Outcome: OK, Ended: true},
-		Event{Kind: Finished, ID: 2, Route: "a", Outcome: Full, Wait: time.Second})
-	if got := d.s.routes["a"].gate.wait; got != d.now+time.Second {
+func TestRetryAfterOfAPartlyDeliveredCall(t *testing.T) {
+	d := newHarness(t, settings(), Listing{Route: "a", Kind: 2})
+	d.step(Event{Kind: Accepted, ID: 1, TimeLeft: 9 * time.Second}, Event{Kind: Accepted, ID: 2, TimeLeft: 9 * time.Second})
+	d.step(Event{Kind: Finished, ID: 1, Route: "a", Outcome: OK, MessageEnded: true},
+		Event{Kind: Finished, ID: 2, Route: "a", Outcome: Full, RetryAfter: time.Second})
+	if got := d.sender.routes["a"].group.waitUntil; got != d.now+time.Second {
 		t.Errorf("wait until %v, want %v", got, d.now+time.Second)
 	}
 }
 
 func TestRecoverySpacesCalls(t *testing.T) {
-	d := newDesk(t, settings(), Listing{Route: "a", Kind: 1, Weight: 5})
-	r := d.s.routes["a"]
-	d.s.now = d.now
-	d.s.doubt(r)
-	r.gate.credit = 0
+	d := newHarness(t, settings(), Listing{Route: "a", Kind: 1, Weight: 5})
+	r := d.sender.routes["a"]
+	d.sender.now = d.now
+	d.sender.markSuspect(r)
+	r.group.credit = 0
 	// 2/3 of what topples at the window's end, 2*0.36*5*2 calls, less half a call, in a window that lapses late.
-	rate := (toldShare*2*0.36*5*2 - 0.5) / (2 * (1 + lapseShare)) * (1 - ownPart)
-	if got, want := d.s.coldUntil(r), d.now+span(rate); got != want {
+	rate := (informedShare*2*0.36*5*2 - 0.5) / (2 * (1 + creditLapseShare)) * (1 - ownTrafficShare)
+	if got, want := d.sender.recoveryOpensAt(r), d.now+interval(rate); got != want {
 		t.Errorf("next call at %v, want %v", got, want)
 	}
-	r.back, d.s.now = d.now, d.now+10*time.Second
-	if got := d.s.coldUntil(r); got != 0 || r.cold {
+	r.recoveringSince, d.sender.now = d.now, d.now+10*time.Second
+	if got := d.sender.recoveryOpensAt(r); got != 0 || r.suspect {
 		t.Errorf("after the warm-up: next call at %v", got)
 	}
 }
 
 // Senders told to wait until a destination opens once all called as it did: their budget had filled meanwhile.
-func TestWaitSavesNoBudgetUp(t *testing.T) {
+func TestRetryAfterAccruesNoCredit(t *testing.T) {
 	set := settings()
 	set.Senders = 400
 	open := 0
@@ -420,12 +420,12 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		s.Step(time.Minute, []Event{{Kind: ListWhole, List: []Listing{{Route: "a", Weight: 400, InService: true}}}})
+		s.Step(time.Minute, []Event{{Kind: ListFull, List: []Listing{{Route: "a", Weight: 400, InService: true}}}})
 		r := s.routes["a"]
-		r.gate.wait = s.now + 10*time.Second
-		s.learn(r, sample{outcome: Full, wait: 10 * time.Second, sent: s.now}, ms)
-		s.coldUntil(r)
-		if s.now = r.gate.wait; s.coldUntil(r) <= s.now {
+		r.group.waitUntil = s.now + 10*time.Second
+		s.recordOutcome(r, sample{outcome: Full, retryAfter: 10 * time.Second, sent: s.now}, ms)
+		s.recoveryOpensAt(r)
+		if s.now = r.group.waitUntil; s.recoveryOpensAt(r) <= s.now {
 			open++
 		}
 	}
@@ -435,57 +435,57 @@
 }
 
 // A sender of hundreds may see one failure of an outage: that is enough to doubt, and one delivery to clear.
-func TestSparseSenderDoubtsOnOneFailure(t *testing.T) {
+func TestSparseSenderSuspectsOnOneFailure(t *testing.T) {
 	for _, c := range []struct {
 		senders int
 		cold    bool
 	}{{1, false}, {3, false}, {100, true}, {400, true}} {
 		set := settings()
 		set.Senders = c.senders
-		d := newDesk(t, set, Listing{Route: "a", Weight: 4})
-		r := d.s.routes["a"]
-		d.s.now = d.now
-		d.s.learn(r, sample{outcome: Timeout, sent: d.now}, time.Second)
-		if r.cold != c.cold {
-			t.Errorf("%d senders: in doubt %v after one failure", c.senders, r.cold)
+		d := newHarness(t, set, Listing{Route: "a", Weight: 4})
+		r := d.sender.routes["a"]
+		d.sender.now = d.now
+		d.sender.recordOutcome(r, sample{outcome: Timeout, sent: d.now}, time.Second)
+		if r.suspect != c.cold {
+			t.Errorf("%d senders: in doubt %v after one failure", c.senders, r.suspect)
 		}
-		d.s.learn(r, sample{outcome: OK, sent: d.now}, ms)
-		if r.cold {
+		d.sender.recordOutcome(r, sample{outcome: OK, sent: d.now}, ms)
+		if r.suspect {
 			t.Errorf("%d senders: in doubt after a delivery", c.senders)
 		}
 	}
 }
 
 // A shut destination was pushed over by hundreds of senders that it had refused twice each.
-func TestSparseSenderDoubtsOnTwoRefusals(t *testing.T) {
+func TestSparseSenderSuspectsOnTwoRefusals(t *testing.T) {
 	for _, c := range []struct {
 		senders   int
 		gap, wait time.Duration
 		cold      bool
 	}{
-		{20, shutSpan, 0, true},
-		{20, shutSpan - ms, 0, false},  // a clump: over by then
-		{20, shutSpan, 500 * ms, true}, // waits are told by shut destinations too
-		{10, shutSpan, 0, true},        // its part is more than a call in the span of a fall: a warm-up follows
-		{1, shutSpan, 0, false},
+		{20, outageRefusalSpan, 0, true},
+		{20, outageRefusalSpan - ms, 0, false},  // a clump: over by then
+		{20, outageRefusalSpan, 500 * ms, true}, // waits are told by shut destinations too
+		{10, outageRefusalSpan, 0, true},        // its part is more than a call in the span of a fall: a warm-up follows
+		{1, outageRefusalSpan, 0, false},
 	} {
 		set := settings()
 		set.Senders = c.senders
-		d := newDesk(t, set, Listing{Route: "a", Weight: 4})
-		r := d.s.routes["a"]
-		d.s.now = d.now
-		d.s.learn(r, sample{outcome: Full, sent: d.now, wait: c.wait}, ms)
-		d.s.now += c.gap
-		d.s.learn(r, sample{outcome: Full, sent: d.s.now, wait: c.wait}, ms)
-		if r.cold != c.cold {
-			t.Errorf("%+v: in doubt %v", c, r.cold)
+		d := newHarness(t, set, Listing{Route: "a", Weight: 4})
+		r := d.sender.routes["a"]
+		d.sender.now = d.now
+		d.sender.recordOutcome(r, sample{outcome: Full, sent: d.now, retryAfter: c.wait}, ms)
+		d.sender.now += c.gap
+		d.sender.recordOutcome(r, sample{outcome: Full, sent: d.sender.now, retryAfter: c.wait}, ms)
+		if r.suspect != c.cold {
+			t.Errorf("%+v: in doubt %v", c, r.suspect)
 		}
 	}
 }
 
 // Hundreds of senders refused once by a shut destination, or told by one failed connection of a crashed one,
 // pushed it over together as it came back. Most of them doubt now; where each sees more of a route, none does yet.
-func TestHintsCastDoubtByChance(t *testing.T) {
+func TestWeakEvidenceSuspectsByChance(t *testing.T) {
 	for _, c := range []struct {
 		senders     int
 		outcome     Outcome
@@ -506,14 +506,14 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			s.Step(time.Minute, []Event{{Kind: ListWhole, List: []Listing{{Route: "a", Weight: 4, InService: true}}}})
+			s.Step(time.Minute, []Event{{Kind: ListFull, List: []Listing{{Route: "a", Weight: 4, InService: true}}}})
 			r := s.routes["a"]
-			s.scarce[0] = s.now + time.Minute
+			s.connScarceUntil[0] = s.now + time.Minute
 			if c.alive {
-				s.delivered(r, s.now, ms)
+				s.recordDelivery(r, s.now, ms)
 			}
-			s.learn(r, sample{outcome: c.outcome, sent: s.now}, ms)
-			if r.cold {
+			s.recordOutcome(r, sample{outcome: c.outcome, sent: s.now}, ms)
+			if r.suspect {
 				n++
 			}
 		}
@@ -524,73 +524,73 @@
 }
 
 // Short-lived messages once had two tries of half their time each, both cut off before the answer.
-func TestShortTimeGoesToOneTry(t *testing.T) {
-	d := newDesk(t, settings(), Listing{Route: "a"})
+func TestShortTimeLeftGoesToOneAttempt(t *testing.T) {
+	d := newHarness(t, settings(), Listing{Route: "a"})
 	for _, c := range []struct{ left, want time.Duration }{
-		{1200 * ms, 1200*ms - endMargin},
+		{1200 * ms, 1200*ms - deadlineMargin},
 		{8 * time.Second, 1600 * ms}, // what an answer not measured yet may take
 	} {
-		acts := d.step(Event{Kind: Taken, ID: uint32(c.left), Left: c.left})
-		if len(acts) != 1 || acts[0].Kind != Send || acts[0].At-d.now != c.want {
+		acts := d.step(Event{Kind: Accepted, ID: uint32(c.left), TimeLeft: c.left})
+		if len(acts) != 1 || acts[0].Kind != Send || acts[0].TimeoutAt-d.now != c.want {
 			t.Errorf("%v left: %+v, want one try cut after %v", c.left, acts, c.want)
 		}
 	}
 }
 
 // Messages once waited to their deadlines at destinations that would open after them.
-func TestWhatWaitsForNothingIsRefused(t *testing.T) {
+func TestUnreachableMessagesAreRefused(t *testing.T) {
 	set := settings()
 	set.Senders = 400
-	d := newDesk(t, set, Listing{Route: "a", Weight: 4})
-	r := d.s.routes["a"]
-	d.s.now = d.now
-	d.s.doubt(r)
-	r.gate.credit = 0
-	if acts := d.take(1, 0); !has(acts, Refuse) {
-		t.Errorf("opens in %v: %+v, want a refusal", d.s.coldUntil(r)-d.now, acts)
-	}
-	if acts := d.take(2, 2); has(acts, Refuse) != d.s.mayRefuse(&message{class: &set.Classes[2]}) {
+	d := newHarness(t, set, Listing{Route: "a", Weight: 4})
+	r := d.sender.routes["a"]
+	d.sender.now = d.now
+	d.sender.markSuspect(r)
+	r.group.credit = 0
+	if acts := d.accept(1, 0); !has(acts, Refuse) {
+		t.Errorf("opens in %v: %+v, want a refusal", d.sender.recoveryOpensAt(r)-d.now, acts)
+	}
+	if acts := d.accept(2, 2); has(acts, Refuse) != d.sender.mayRefuse(&message{class: &set.Classes[2]}) {
 		t.Errorf("unsafe, nothing sent: %+v", acts)
 	}
-	r.gate.credit = 1 - d.s.coldRate(r) // opens in a second
-	d.s.touch(r.gate.dest)
-	if acts := d.take(3, 0); has(acts, Refuse) {
+	r.group.credit = 1 - d.sender.recoveryRate(r) // opens in a second
+	d.sender.markReady(r.group.dest)
+	if acts := d.accept(3, 0); has(acts, Refuse) {
 		t.Errorf("opens in a second: %+v, want it held", acts)
 	}
 }
 
 // Calls saved up by hundreds of senders through a long outage once went out together at its end.
-func TestDueCallsLapse(t *testing.T) {
+func TestUnusedCreditLapses(t *testing.T) {
 	set := settings()
-	d := newDesk(t, set, Listing{Route: "a", Kind: 1, Weight: 4})
-	r := d.s.routes["a"]
-	d.s.now = d.now
-	d.s.doubt(r)
-	r.gate.credit = 0
-	rate := d.s.coldRate(r)
+	d := newHarness(t, set, Listing{Route: "a", Kind: 1, Weight: 4})
+	r := d.sender.routes["a"]
+	d.sender.now = d.now
+	d.sender.markSuspect(r)
+	r.group.credit = 0
+	rate := d.sender.recoveryRate(r)
 	open := 0
 	const steps = 10000
 	for range steps {
-		d.s.now += 10 * ms
-		if d.s.coldUntil(r) <= d.s.now {
+		d.sender.now += 10 * ms
+		if d.sender.recoveryOpensAt(r) <= d.sender.now {
 			open++
 		}
 	}
-	want := rate * lapseShare * set.OverloadWindow.Seconds()
+	want := rate * creditLapseShare * set.OverloadWindow.Seconds()
 	if got := float64(open) / steps; math.Abs(got-want) > 0.1*want {
 		t.Errorf("a call is due %.3f of the time, want %.3f", got, want)
 	}
 }
 
 // A wake that came a fraction early was taken as still to come, and the message it was for had no answer.
-func TestEarlyWakeIsAskedForAgain(t *testing.T) {
-	d := newDesk(t, settings())
-	d.take(1, 0)
+func TestEarlyWakeIsRequestedAgain(t *testing.T) {
+	d := newHarness(t, settings())
+	d.accept(1, 0)
 	d.now += 1500 * ms
 	at := d.now
-	d.s.wake(at + 500*time.Nanosecond)
-	d.s.wakeAt, d.s.wantWake = d.s.wantWake, 0
-	acts := d.s.Step(at, []Event{{Kind: Woken}})
+	d.sender.requestWake(at + 500*time.Nanosecond)
+	d.sender.wakeAt, d.sender.wantWake = d.sender.wantWake, 0
+	acts := d.sender.Step(at, []Event{{Kind: Woken}})
 	if !has(acts, Wake) {
 		t.Errorf("no wake asked for: %+v", acts)
 	}
@@ -604,11 +604,11 @@
 	}{{fewSenders, false}, {100, true}} {
 		set := settings()
 		set.Senders = c.senders
-		d := newDesk(t, set, Listing{Route: "a"}, Listing{Route: "b", Destination: 1})
-		d.take(1, 0)
-		d.end(1, "a", ConnectFailed, 10*ms, 0)
-		d.step(Event{Kind: Taken, ID: 2, Destination: 1, Left: 9 * time.Second})
-		if got := has(d.end(2, "b", OK, 10*ms, 0), CloseIdle); got != c.want {
+		d := newHarness(t, set, Listing{Route: "a"}, Listing{Route: "b", Destination: 1})
+		d.accept(1, 0)
+		d.finish(1, "a", ConnectFailed, 10*ms, 0)
+		d.step(Event{Kind: Accepted, ID: 2, Destination: 1, TimeLeft: 9 * time.Second})
+		if got := has(d.finish(2, "b", OK, 10*ms, 0), CloseIdle); got != c.want {
 			t.Errorf("%d senders: closed %v after a failed connection of the kind", c.senders, got)
 		}
 	}
@@ -622,19 +622,19 @@
 		cold           bool
 	}{
 		{20, 2, 10 * ms, false},             // a full table
-		{100, tightMost + 3, 10 * ms, true}, // an outage after all
+		{100, maxTableFull + 3, 10 * ms, true}, // an outage after all
 		{100, 3, time.Second, true},         // not at once: silence
 		{3, 3, 10 * ms, true},               // few senders fill no table
 	} {
 		set := settings()
 		set.Senders = c.senders
-		d := newDesk(t, set, Listing{Route: "a", Weight: 4}, Listing{Route: "b", Weight: 4})
-		d.s.now = d.now
-		d.s.scarce[0] = d.now + time.Minute
+		d := newHarness(t, set, Listing{Route: "a", Weight: 4}, Listing{Route: "b", Weight: 4})
+		d.sender.now = d.now
+		d.sender.connScarceUntil[0] = d.now + time.Minute
 		for range c.fails {
-			d.s.learn(d.s.routes["a"], sample{outcome: ConnectFailed, sent: d.now - c.took}, c.took)
+			d.sender.recordOutcome(d.sender.routes["a"], sample{outcome: ConnectFailed, sent: d.now - c.took}, c.took)
 		}
-		if got := d.s.routes["a"].cold; got != c.cold {
+		if got := d.sender.routes["a"].suspect; got != c.cold {
 			t.Errorf("%+v: in doubt %v", c, got)
 		}
 	}
@@ -642,35 +642,35 @@
 
 // At a call in some seconds a pace once recovered thirty times slower than at ten a second.
 func TestPaceRecoversWithTime(t *testing.T) {
-	d := newDesk(t, settings(), Listing{Route: "a", Kind: 1})
-	g := d.s.routes["a"].gate
+	d := newHarness(t, settings(), Listing{Route: "a", Kind: 1})
+	g := d.sender.routes["a"].group
 	g.pace, g.halvedAt, g.tokensAt = 0.1, d.now, d.now
-	d.s.now = d.now + 4*time.Second
-	d.s.creep(g)
-	if want := 0.1 * math.Pow(1+paceCreep, 4); math.Abs(g.pace-want) > 1e-9 {
+	d.sender.now = d.now + 4*time.Second
+	d.sender.growPace(g)
+	if want := 0.1 * math.Pow(1+paceGrowth, 4); math.Abs(g.pace-want) > 1e-9 {
 		t.Errorf("pace %v after a success in 4 s, want %v", g.pace, want)
 	}
 }
 
 // A replacement listed during an outage was once sent to at full pace.
-func TestReplacementInheritsDoubt(t *testing.T) {
-	d := newDesk(t, settings(), Listing{Route: "a"})
+func TestReplacementIsSuspect(t *testing.T) {
+	d := newHarness(t, settings(), Listing{Route: "a"})
 	for id := range uint32(3) {
-		d.take(id, 0)
-		d.end(id, "a", ConnectFailed, time.Second, 0)
+		d.accept(id, 0)
+		d.finish(id, "a", ConnectFailed, time.Second, 0)
 		d.step(Event{Kind: Withdrawn, ID: id})
 	}
 	d.step(Event{Kind: ListChanges, List: []Listing{{Route: "a", Gone: true}, {Route: "n", InService: true}}})
-	if d.s.coldUntil(d.s.routes["n"]) == 0 {
+	if d.sender.recoveryOpensAt(d.sender.routes["n"]) == 0 {
 		t.Error("the replacement of a failing route is not under the recovery budget")
 	}
 }
 
-func TestKeyTakesTurnsAndRests(t *testing.T) {
-	d := newDesk(t, settings(), Listing{Route: "a"})
-	d.step(Event{Kind: Taken, ID: 1, Key: "k", Class: 2, Left: 9 * time.Second},
-		Event{Kind: Taken, ID: 2, Key: "k", Class: 2, Left: 9 * time.Second})
-	if acts := d.end(1, "a", Timeout, time.Second, 0); has(acts, Send) {
+func TestMessagesOfAKeyAreOrderedAndPaused(t *testing.T) {
+	d := newHarness(t, settings(), Listing{Route: "a"})
+	d.step(Event{Kind: Accepted, ID: 1, Key: "k", Class: 2, TimeLeft: 9 * time.Second},
+		Event{Kind: Accepted, ID: 2, Key: "k", Class: 2, TimeLeft: 9 * time.Second})
+	if acts := d.finish(1, "a", Timeout, time.Second, 0); has(acts, Send) {
 		t.Errorf("sent while the key rests: %+v", acts)
 	}
 	if acts := d.wake(99 * ms); has(acts, Send) {
@@ -683,32 +683,32 @@
 
 // Time-outs of calls that later ones overtook once skipped routes that lost single calls.
 func TestLostCallIsNoEvidence(t *testing.T) {
-	d := newDesk(t, settings(), Listing{Route: "a"})
-	r := d.s.routes["a"]
-	d.s.now = d.now
-	d.s.learn(r, sample{outcome: OK, sent: d.now}, ms)
+	d := newHarness(t, settings(), Listing{Route: "a"})
+	r := d.sender.routes["a"]
+	d.sender.now = d.now
+	d.sender.recordOutcome(r, sample{outcome: OK, sent: d.now}, ms)
 	for range 5 {
-		d.s.learn(r, sample{outcome: Timeout, sent: d.now - time.Second}, time.Second)
+		d.sender.recordOutcome(r, sample{outcome: Timeout, sent: d.now - time.Second}, time.Second)
 	}
-	if r.down || r.cold || r.streak != 0 {
-		t.Errorf("down %v, cold %v, streak %d after lost calls", r.down, r.cold, r.streak)
+	if r.down || r.suspect || r.failStreak != 0 {
+		t.Errorf("down %v, cold %v, streak %d after lost calls", r.down, r.suspect, r.failStreak)
 	}
 }
 
 // Scattered resets once put living routes under the recovery budget.
-func TestResetAtALivingRouteIsNoEvidence(t *testing.T) {
-	d := newDesk(t, settings(), Listing{Route: "a"})
-	r := d.s.routes["a"]
-	d.s.now = d.now
-	d.s.learn(r, sample{outcome: OK, sent: d.now}, ms)
-	d.s.learn(r, sample{outcome: Reset, sent: d.now + 1}, ms)
-	d.s.learn(r, sample{outcome: Reset, sent: d.now + 1}, ms)
-	if r.cold {
+func TestResetAtAWorkingRouteIsNoEvidence(t *testing.T) {
+	d := newHarness(t, settings(), Listing{Route: "a"})
+	r := d.sender.routes["a"]
+	d.sender.now = d.now
+	d.sender.recordOutcome(r, sample{outcome: OK, sent: d.now}, ms)
+	d.sender.recordOutcome(r, sample{outcome: Reset, sent: d.now + 1}, ms)
+	d.sender.recordOutcome(r, sample{outcome: Reset, sent: d.now + 1}, ms)
+	if r.suspect {
 		t.Error("in doubt after two resets within 3 s of an answer")
 	}
-	d.s.now += aliveSpan
+	d.sender.now += recentAnswerSpan
 	for range 3 {
-		d.s.learn(r, sample{outcome: Reset, sent: d.now + 1}, ms)
+		d.sender.recordOutcome(r, sample{outcome: Reset, sent: d.now + 1}, ms)
 	}
 	if !r.down {
 		t.Error("not skipped after three resets in a row and no answer for 3 s")
@@ -717,58 +717,58 @@
 
 // Under loss without resets, each time-out once restarted the warm-up of a route that went on answering.
 func TestTimeOutsBetweenAnswersKeepTheWarmUp(t *testing.T) {
-	d := newDesk(t, settings(), Listing{Route: "a"})
-	r := d.s.routes["a"]
-	d.s.now = d.now
-	d.s.doubt(r)
-	d.s.learn(r, sample{outcome: OK, sent: d.now}, ms)
-	back := r.back
+	d := newHarness(t, settings(), Listing{Route: "a"})
+	r := d.sender.routes["a"]
+	d.sender.now = d.now
+	d.sender.markSuspect(r)
+	d.sender.recordOutcome(r, sample{outcome: OK, sent: d.now}, ms)
+	back := r.recoveringSince
 	for range 6 {
-		d.s.now += time.Second
-		d.s.learn(r, sample{outcome: Timeout, sent: d.s.now - ms}, time.Second)
-		d.s.learn(r, sample{outcome: OK, sent: d.s.now}, ms)
+		d.sender.now += time.Second
+		d.sender.recordOutcome(r, sample{outcome: Timeout, sent: d.sender.now - ms}, time.Second)
+		d.sender.recordOutcome(r, sample{outcome: OK, sent: d.sender.now}, ms)
 	}
-	if back == 0 || r.back != back || r.down {
-		t.Errorf("back at %v, then %v, down %v", back, r.back, r.down)
+	if back == 0 || r.recoveringSince != back || r.down {
+		t.Errorf("back at %v, then %v, down %v", back, r.recoveringSince, r.down)
 	}
-	d.s.now += time.Second
+	d.sender.now += time.Second
 	for range 2 {
-		d.s.learn(r, sample{outcome: Timeout, sent: d.s.now}, time.Second)
+		d.sender.recordOutcome(r, sample{outcome: Timeout, sent: d.sender.now}, time.Second)
 	}
-	if r.back != 0 {
+	if r.recoveringSince != 0 {
 		t.Error("two time-outs in a row did not restart the warm-up")
 	}
 }
 
 // Calls cut off after milliseconds once kept recovered routes skipped.
 func TestShortCallSkipsNothing(t *testing.T) {
-	d := newDesk(t, settings(), Listing{Route: "a"})
-	r := d.s.routes["a"]
-	d.s.now = d.now
+	d := newHarness(t, settings(), Listing{Route: "a"})
+	r := d.sender.routes["a"]
+	d.sender.now = d.now
 	for range 5 {
-		d.s.learn(r, sample{outcome: Timeout, sent: d.now, short: true}, ms)
+		d.sender.recordOutcome(r, sample{outcome: Timeout, sent: d.now, cutShort: true}, ms)
 	}
-	if r.down || !r.cold {
-		t.Errorf("down %v, cold %v after short calls", r.down, r.cold)
+	if r.down || !r.suspect {
+		t.Errorf("down %v, cold %v after short calls", r.down, r.suspect)
 	}
 }
 
 // Calls of a route whose last call failed carry one message: ten once shared each failed trial.
 func TestBatches(t *testing.T) {
-	d := newDesk(t, settings(), Listing{Route: "a", Kind: 2})
+	d := newHarness(t, settings(), Listing{Route: "a", Kind: 2})
 	three := func(first uint32) int {
 		var evs []Event
 		for i := range uint32(3) {
-			evs = append(evs, Event{Kind: Taken, ID: first + i, Left: 9 * time.Second})
+			evs = append(evs, Event{Kind: Accepted, ID: first + i, TimeLeft: 9 * time.Second})
 		}
-		before := len(d.s.routes["a"].calls)
+		before := len(d.sender.routes["a"].calls)
 		d.step(evs...)
-		return len(d.s.routes["a"].calls) - before
+		return len(d.sender.routes["a"].calls) - before
 	}
 	if n := three(1); n != 1 {
 		t.Errorf("three messages in %d calls, want 1", n)
 	}
-	d.s.routes["a"].streak = 1
+	d.sender.routes["a"].failStreak = 1
 	if n := three(4); n != 3 {
 		t.Errorf("three messages in %d calls after a failure, want 3", n)
 	}
@@ -777,11 +777,11 @@
 func TestOverdueCallsKeepSlotsFree(t *testing.T) {
 	set := settings()
 	set.Slots = 8
-	d := newDesk(t, set, Listing{Route: "a", Kind: 1})
-	d.take(1, 0)
-	d.take(2, 0)
+	d := newHarness(t, set, Listing{Route: "a", Kind: 1})
+	d.accept(1, 0)
+	d.accept(2, 0)
 	d.now += 5 * time.Second
-	if acts := d.take(3, 0); has(acts, Send) {
+	if acts := d.accept(3, 0); has(acts, Send) {
 		t.Errorf("a third call to a silent route: %+v", acts)
 	}
 }
@@ -790,46 +790,46 @@
 func TestSilentRoutesHoldFewSlots(t *testing.T) {
 	set := settings()
 	set.Slots = 40
-	d := newDesk(t, set, Listing{Route: "a", Kind: 1})
-	for id := range uint32(firstCalls) {
-		if acts := d.take(id, 0); !has(acts, Send) {
+	d := newHarness(t, set, Listing{Route: "a", Kind: 1})
+	for id := range uint32(maxUnansweredCalls) {
+		if acts := d.accept(id, 0); !has(acts, Send) {
 			t.Fatalf("message %d: %+v", id, acts)
 		}
 	}
-	if acts := d.take(10, 0); has(acts, Send) {
+	if acts := d.accept(10, 0); has(acts, Send) {
 		t.Errorf("one call more to a route that has not answered: %+v", acts)
 	}
-	if acts := d.end(0, "a", OK, 10*ms, 0); !has(acts, Send) {
+	if acts := d.finish(0, "a", OK, 10*ms, 0); !has(acts, Send) {
 		t.Errorf("none more to a route that has: %+v", acts)
 	}
-	d.end(1, "a", OK, 10*ms, 0)
-	if acts := d.take(11, 0); !has(acts, Send) {
+	d.finish(1, "a", OK, 10*ms, 0)
+	if acts := d.accept(11, 0); !has(acts, Send) {
 		t.Errorf("only so many to a route that has: %+v", acts)
 	}
 	d.now += 5 * time.Second
-	if acts := d.take(12, 0); has(acts, Send) {
+	if acts := d.accept(12, 0); has(acts, Send) {
 		t.Errorf("one more while the oldest is overdue: %+v", acts)
 	}
 }
 
-func TestRoomIsMadeFromTheLongestQueue(t *testing.T) {
+func TestLoadIsShedFromTheLongestQueue(t *testing.T) {
 	set := settings()
 	set.MaxHeld = 10
-	d := newDesk(t, set)
+	d := newHarness(t, set)
 	for id := range uint32(9) {
-		d.take(id, 0)
+		d.accept(id, 0)
 	}
-	acts := d.step(Event{Kind: Taken, ID: 20, Destination: 4, Left: 60 * time.Second})
+	acts := d.step(Event{Kind: Accepted, ID: 20, Destination: 4, TimeLeft: 60 * time.Second})
 	if len(acts) != 1 || acts[0].Kind != Refuse || acts[0].ID == 20 {
 		t.Errorf("with little room left: %+v", acts)
 	}
 }
 
 func TestLateMessagesGoAfterThoseInTime(t *testing.T) {
-	d := newDesk(t, settings())
-	d.take(1, 0)
+	d := newHarness(t, settings())
+	d.accept(1, 0)
 	d.wake(3 * time.Second)
-	d.take(2, 0)
+	d.accept(2, 0)
 	acts := d.step(Event{Kind: ListChanges, List: []Listing{{Route: "a", InService: true}}})
 	if len(acts) != 2 || acts[0].ID != 2 || acts[1].ID != 1 {
 		t.Errorf("order of sends: %+v", acts)
@@ -837,19 +837,19 @@
 }
 
 // While slots are short, what is late already keeps nothing from being in time, for as long as it has.
-func TestALateMessageWaitsOutTheQueue(t *testing.T) {
-	d := newDesk(t, settings())
-	d.take(1, 0)
+func TestLateMessageWaitsForTheQueue(t *testing.T) {
+	d := newHarness(t, settings())
+	d.accept(1, 0)
 	d.wake(3 * time.Second)
 	d.wake(37 * time.Second)
-	d.take(2, 0)
+	d.accept(2, 0)
 	acts := d.step(Event{Kind: ListChanges, List: []Listing{{Route: "a", InService: true}}})
 	if len(acts) != 2 || acts[0].ID != 2 || acts[1].ID != 1 {
 		t.Errorf("order of sends: %+v", acts)
 	}
 }
 
-func TestNewRefusesSettingsWithoutSense(t *testing.T) {
+func TestNewRejectsInvalidSettings(t *testing.T) {
 	for name, spoil := range map[string]func(*Settings){
 		"no class":       func(s *Settings) { s.Classes = nil },
 		"negative slots": func(s *Settings) { s.Slots = -1 },
@@ -869,54 +869,54 @@
 // A message of no known class ends once, under the strictest rules; a weight that is no number tells nothing.
 func TestUnknownClassAndWeight(t *testing.T) {
 	for _, class := range []int{-1, 99} {
-		d := newDesk(t, settings(), Listing{Route: "a", Weight: math.NaN()}, Listing{Route: "b", Kind: 77})
-		if got := goesTo(d.take(1, class)); got == "" {
+		d := newHarness(t, settings(), Listing{Route: "a", Weight: math.NaN()}, Listing{Route: "b", Kind: 77})
+		if got := firstSend(d.accept(1, class)); got == "" {
 			t.Fatalf("class %d: not sent", class)
 		}
-		if acts := d.end(1, "a", Timeout, time.Second, 0); !has(acts, Fail) || has(acts, Send) {
+		if acts := d.finish(1, "a", Timeout, time.Second, 0); !has(acts, Fail) || has(acts, Send) {
 			t.Errorf("class %d: %+v after a time-out", class, acts)
 		}
 	}
 }
 
-func TestSpanIsBounded(t *testing.T) {
-	if span(0) != time.Hour || span(1e-9) != time.Hour || span(math.Inf(1)) != 0 || span(4) != 250*ms {
-		t.Errorf("spans %v %v %v", span(0), span(1e-9), span(4))
+func TestIntervalIsBounded(t *testing.T) {
+	if interval(0) != time.Hour || interval(1e-9) != time.Hour || interval(math.Inf(1)) != 0 || interval(4) != 250*ms {
+		t.Errorf("spans %v %v %v", interval(0), interval(1e-9), interval(4))
 	}
 }
 
 // Turns were once kept for good when their rest outlasted their last message, and destinations always.
-func TestNothingIsHeldForWhatHasGone(t *testing.T) {
+func TestStateOfRemovedRoutesIsReleased(t *testing.T) {
 	set := settings()
 	set.Slots, set.MaxHeld = 50, 100
-	d := newDesk(t, set)
+	d := newHarness(t, set)
 	for i := range 300 {
 		id, name := uint32(i), fmt.Sprint("r", i)
 		d.step(Event{Kind: ListChanges, List: []Listing{{Route: name, Destination: i, InService: true}}})
-		d.step(Event{Kind: Taken, ID: id, Key: name, Class: 2, Destination: i, Left: 9 * time.Second})
-		d.end(id, name, Timeout, time.Second, 0)
+		d.step(Event{Kind: Accepted, ID: id, Key: name, Class: 2, Destination: i, TimeLeft: 9 * time.Second})
+		d.finish(id, name, Timeout, time.Second, 0)
 		d.step(Event{Kind: ListChanges, List: []Listing{{Route: name, Destination: i, Gone: true}}})
 	}
 	d.now += time.Minute
 	d.step(Event{Kind: Woken}, Event{Kind: ListChanges})
-	s := d.s
-	if n := len(s.turns) + len(s.dests) + len(s.order) + len(s.routes) + len(s.msgs) + len(s.active) + len(s.bare); n != 0 {
+	s := d.sender
+	if n := len(s.keyQueues) + len(s.dests) + len(s.order) + len(s.routes) + len(s.msgs) + len(s.active) + len(s.routeless); n != 0 {
 		t.Errorf("held: %d turns, %d destinations (%d in order), %d routes, %d messages, %d active, %d bare",
-			len(s.turns), len(s.dests), len(s.order), len(s.routes), len(s.msgs), len(s.active), len(s.bare))
+			len(s.keyQueues), len(s.dests), len(s.order), len(s.routes), len(s.msgs), len(s.active), len(s.routeless))
 	}
 }
 
 // Destinations with nothing to do are not looked at: the next dispatch once walked them all.
-func TestOnlyTouchedDestinationsAreLookedAt(t *testing.T) {
-	d := newDesk(t, settings(), Listing{Route: "a"}, Listing{Route: "b", Destination: 1})
-	d.take(1, 0)
-	d.end(1, "a", Full, ms, 5*time.Second)
-	if len(d.s.active) != 1 || d.s.active[0].opens <= d.now {
-		t.Fatalf("active %d, want the one destination that waits, closed", len(d.s.active))
-	}
-	opens := d.s.active[0].opens
-	d.step(Event{Kind: Taken, ID: 2, Destination: 1, Left: 9 * time.Second})
-	if len(d.s.active) != 1 || d.s.active[0].opens != opens {
+func TestOnlyReadyDestinationsAreExamined(t *testing.T) {
+	d := newHarness(t, settings(), Listing{Route: "a"}, Listing{Route: "b", Destination: 1})
+	d.accept(1, 0)
+	d.finish(1, "a", Full, ms, 5*time.Second)
+	if len(d.sender.active) != 1 || d.sender.active[0].opensAt <= d.now {
+		t.Fatalf("active %d, want the one destination that waits, closed", len(d.sender.active))
+	}
+	opens := d.sender.active[0].opensAt
+	d.step(Event{Kind: Accepted, ID: 2, Destination: 1, TimeLeft: 9 * time.Second})
+	if len(d.sender.active) != 1 || d.sender.active[0].opensAt != opens {
 		t.Error("a message for another destination had the closed one looked at again")
 	}
 }
--- a/policy/property_test.go
+++ b/policy/property_test.go
@@ -12,69 +12,69 @@
 // by the six rules. The checker keeps its own books and shares nothing with the module's guards. To show
 // that it can fail, TestCheckerSeesMissingGuards blinds a Sender for one guard at a time.
 
-// blind changes what the Sender is told, as if one of its guards were taken out.
-type blind struct {
+// mutation changes what the Sender is told, as if one of its guards were taken out.
+type mutation struct {
 	name     string
 	rule     int
 	settings func(*Settings)
 	event    func(*Event)
 }
 
-type trial struct {
+type attemptRecord struct {
 	route string
 	sent  time.Duration
 	out   bool // no outcome yet
-	ran   bool // may have run
+	mayHaveRun   bool // may have run
 }
 
-type held struct {
+type messageRecord struct {
 	id       uint32
 	class    Class
 	key      string
 	dest     int
 	deadline time.Duration
-	tries    []trial
+	attempts    []attemptRecord
 	ended    bool
 }
 
-type due struct {
+type scheduledEvent struct {
 	at time.Duration
-	ev Event
-	c  *callOut
+	event Event
+	call  *callRecord
 }
 
-// callOut is one call of the world: messages to one route in one reply.
-type callOut struct{ left int }
+// callRecord is one call of the world: messages to one route in one reply.
+type callRecord struct{ pending int }
 
-// world is the clients, the routes and the checker.
-type world struct {
+// simulation is the clients, the routes and the checker.
+type simulation struct {
 	rng      *rand.Rand
 	set      Settings
 	now      time.Duration
 	routes   []Listing
-	listed   map[string]Listing // as told
-	msgs     map[uint32]*held
-	keys     map[string][]*held
-	rest     map[string]time.Duration
-	waits    map[string]time.Duration   // by scope
+	listings   map[string]Listing // as told
+	msgs     map[uint32]*messageRecord
+	keys     map[string][]*messageRecord
+	restUntil     map[string]time.Duration
+	waitUntil    map[string]time.Duration   // by scope
 	outage   map[int][2]time.Duration   // by destination: from, to
-	told     map[string]int             // failures told in a row, by scope
+	failuresSeen     map[string]int             // failures told in a row, by scope
 	sends    map[string][]time.Duration // by scope, since the return
-	pending  []due
+	pending  []scheduledEvent
 	nextID   uint32
 	slots    int
-	broken   map[int]string
+	violations   map[int]string
 	answered int
-	ends     [3]int // sends, refusals, failures
+	actionCounts     [3]int // sends, refusals, failures
 }
 
-func (w *world) fail(rule int, format string, args ...any) {
-	if w.broken[rule] == "" {
-		w.broken[rule] = fmt.Sprintf("at %v: ", w.now) + fmt.Sprintf(format, args...)
+func (w *simulation) violate(rule int, format string, args ...any) {
+	if w.violations[rule] == "" {
+		w.violations[rule] = fmt.Sprintf("at %v: ", w.now) + fmt.Sprintf(format, args...)
 	}
 }
 
-func (w *world) scope(l Listing) string {
+func (w *simulation) scope(l Listing) string {
 	if w.set.Kinds[l.Kind].Separate {
 		return l.Route
 	}
@@ -99,9 +99,9 @@
 	}
 }
 
-func newWorld(seed uint64) *world {
+func newSimulation(seed uint64) *simulation {
 	rng := rand.New(rand.NewPCG(seed, 7))
-	w := &world{rng: rng, set: randomSettings(rng), now: time.Minute, broken: map[int]string{}, nextID: 1}
+	w := &simulation{rng: rng, set: randomSettings(rng), now: time.Minute, violations: map[int]string{}, nextID: 1}
 	w.outage = map[int][2]time.Duration{}
 	for d := range 4 {
 		for i := range 1 + rng.IntN(3) {
@@ -112,33 +112,33 @@
 		from := w.now + time.Duration(5+rng.IntN(20))*time.Second
 		w.outage[d] = [2]time.Duration{from, from + time.Duration(6+rng.IntN(8))*time.Second}
 	}
-	w.forget()
+	w.reset()
 	return w
 }
 
-// forget starts the books anew, as for a fresh Sender.
-func (w *world) forget() {
-	w.listed, w.msgs, w.keys = map[string]Listing{}, map[uint32]*held{}, map[string][]*held{}
-	w.rest, w.waits, w.told = map[string]time.Duration{}, map[string]time.Duration{}, map[string]int{}
+// reset starts the books anew, as for a fresh Sender.
+func (w *simulation) reset() {
+	w.listings, w.msgs, w.keys = map[string]Listing{}, map[uint32]*messageRecord{}, map[string][]*messageRecord{}
+	w.restUntil, w.waitUntil, w.failuresSeen = map[string]time.Duration{}, map[string]time.Duration{}, map[string]int{}
 	w.sends, w.pending, w.slots = map[string][]time.Duration{}, nil, 0
 }
 
 // due events up to now, and new ones by chance.
-func (w *world) events(quiet bool) []Event {
+func (w *simulation) events(quiet bool) []Event {
 	var evs []Event
-	slices.SortStableFunc(w.pending, func(a, b due) int { return int(a.at - b.at) })
+	slices.SortStableFunc(w.pending, func(a, b scheduledEvent) int { return int(a.at - b.at) })
 	for len(w.pending) > 0 && w.pending[0].at <= w.now {
 		p := w.pending[0]
 		w.pending = w.pending[1:]
-		if p.c != nil {
-			if p.c.left--; p.c.left == 0 {
+		if p.call != nil {
+			if p.call.pending--; p.call.pending == 0 {
 				w.slots--
 			}
 		}
-		if p.ev.Kind == Finished {
-			w.note(&p.ev)
+		if p.event.Kind == Finished {
+			w.recordOutcome(&p.event)
 		}
-		evs = append(evs, p.ev)
+		evs = append(evs, p.event)
 	}
 	if quiet {
 		return evs
@@ -149,7 +149,7 @@
 		if w.set.Classes[c].Ordered {
 			key = fmt.Sprint("k", w.rng.IntN(5))
 		}
-		m := &held{id: w.nextID, class: w.set.Classes[c], key: key, dest: w.rng.IntN(5)}
+		m := &messageRecord{id: w.nextID, class: w.set.Classes[c], key: key, dest: w.rng.IntN(5)}
 		left := m.class.GiveUp - time.Duration(w.rng.IntN(2000))*time.Millisecond
 		m.deadline = w.now + left
 		w.nextID++
@@ -157,23 +157,23 @@
 		if key != "" {
 			w.keys[key] = append(w.keys[key], m)
 		}
-		evs = append(evs, Event{Kind: Taken, ID: m.id, Key: key, Class: c, Customer: w.rng.IntN(2),
-			Destination: m.dest, Left: left})
+		evs = append(evs, Event{Kind: Accepted, ID: m.id, Key: key, Class: c, Customer: w.rng.IntN(2),
+			Destination: m.dest, TimeLeft: left})
 	}
 	switch w.rng.IntN(400) {
 	case 0: // a route drains, or comes back
 		l := &w.routes[w.rng.IntN(len(w.routes))]
 		l.InService = !l.InService
-		w.listed[l.Route] = *l
+		w.listings[l.Route] = *l
 		evs = append(evs, Event{Kind: ListChanges, List: []Listing{*l}})
 	case 1: // a route goes for good and another takes its place
 		i := w.rng.IntN(len(w.routes))
 		old := w.routes[i]
 		old.Gone, old.InService = true, false
-		w.listed[old.Route] = old
+		w.listings[old.Route] = old
 		w.routes[i].Route += "n"
 		w.routes[i].InService = true
-		w.listed[w.routes[i].Route] = w.routes[i]
+		w.listings[w.routes[i].Route] = w.routes[i]
 		evs = append(evs, Event{Kind: ListChanges, List: []Listing{old, w.routes[i]}})
 	case 2: // a client goes
 		for id := uint32(1); id < w.nextID; id++ {
@@ -190,113 +190,113 @@
 	return evs
 }
 
-// note books an outcome before the Sender hears of it.
-func (w *world) note(e *Event) {
+// recordOutcome books an outcome before the Sender hears of it.
+func (w *simulation) recordOutcome(e *Event) {
 	m := w.msgs[e.ID]
 	if m == nil {
 		return
 	}
-	t := &m.tries[e.Attempt]
+	t := &m.attempts[e.Attempt]
 	t.out = false
-	t.ran = e.Outcome != Full && e.Outcome != ConnectFailed && e.Outcome != Moot
+	t.mayHaveRun = e.Outcome != Full && e.Outcome != ConnectFailed && e.Outcome != Moot
 	if e.Outcome == OK {
 		m.ended = true
 		w.answered++
 	}
-	e.Ended = m.ended
+	e.MessageEnded = m.ended
 	if e.Outcome == Timeout || e.Outcome == Reset || e.Outcome == Cancelled {
-		w.rest[m.key] = max(w.rest[m.key], w.now+w.set.OrderPause)
+		w.restUntil[m.key] = max(w.restUntil[m.key], w.now+w.set.OrderPause)
 	}
-	l := w.listed[e.Route]
-	if e.Wait > 0 {
-		w.waits[w.scope(l)] = max(w.waits[w.scope(l)], w.now+e.Wait)
+	l := w.listings[e.Route]
+	if e.RetryAfter > 0 {
+		w.waitUntil[w.scope(l)] = max(w.waitUntil[w.scope(l)], w.now+e.RetryAfter)
 	}
 	switch e.Outcome {
 	case OK:
-		w.told[w.scope(l)] = 0
+		w.failuresSeen[w.scope(l)] = 0
 	case Timeout, ConnectFailed, Error, Reset:
 		if span := w.outage[m.dest]; w.now-e.Took >= span[0] && w.now < span[1] {
-			w.told[w.scope(l)]++
+			w.failuresSeen[w.scope(l)]++
 		}
 	}
 }
 
-func (w *world) act(acts []Action) {
-	calls := map[string]*callOut{}
+func (w *simulation) act(acts []Action) {
+	calls := map[string]*callRecord{}
 	for _, a := range acts {
 		m := w.msgs[a.ID]
 		if (a.Kind == Send || a.Kind == Refuse || a.Kind == Fail) && m == nil {
-			w.fail(1, "an action for unknown message %d", a.ID)
+			w.violate(1, "an action for unknown message %d", a.ID)
 			continue
 		}
 		switch a.Kind {
 		case Send:
-			w.ends[0]++
-			w.judgeSend(m, a)
-			w.call(m, a, calls)
+			w.actionCounts[0]++
+			w.checkSend(m, a)
+			w.startAttempt(m, a, calls)
 		case Refuse:
-			w.ends[1]++
+			w.actionCounts[1]++
 			free := m.class.Effect == Safe || m.class.Effect == Keyed && m.class.GroupAll
-			for _, t := range m.tries {
-				if (t.ran || t.out) && !free {
-					w.fail(2, "message %d refused though it may have run", m.id)
+			for _, t := range m.attempts {
+				if (t.mayHaveRun || t.out) && !free {
+					w.violate(2, "message %d refused though it may have run", m.id)
 				}
 			}
 			m.ended = true
 		case Fail:
-			w.ends[2]++
+			w.actionCounts[2]++
 			m.ended = true
 		case Wake:
-			w.pending = append(w.pending, due{at: w.now + a.Delay, ev: Event{Kind: Woken}})
+			w.pending = append(w.pending, scheduledEvent{at: w.now + a.Delay, event: Event{Kind: Woken}})
 		}
 	}
 }
 
-func (w *world) judgeSend(m *held, a Action) {
-	l, known := w.listed[a.Route]
-	if m.ended || w.now >= m.deadline || len(m.tries) >= w.set.MaxAttempts {
-		w.fail(1, "message %d sent after its end", m.id)
+func (w *simulation) checkSend(m *messageRecord, a Action) {
+	l, known := w.listings[a.Route]
+	if m.ended || w.now >= m.deadline || len(m.attempts) >= w.set.MaxAttempts {
+		w.violate(1, "message %d sent after its end", m.id)
 	}
-	for _, t := range m.tries {
+	for _, t := range m.attempts {
 		if t.out {
-			w.fail(2, "message %d sent twice at once", m.id)
+			w.violate(2, "message %d sent twice at once", m.id)
 		}
 	}
-	if i := slices.IndexFunc(m.tries, func(t trial) bool { return t.ran }); i >= 0 {
-		first := m.tries[i]
+	if i := slices.IndexFunc(m.attempts, func(t attemptRecord) bool { return t.mayHaveRun }); i >= 0 {
+		first := m.attempts[i]
 		switch {
 		case m.class.Effect == Unsafe:
-			w.fail(2, "unsafe message %d sent again", m.id)
+			w.violate(2, "unsafe message %d sent again", m.id)
 		case m.class.Effect == Keyed && w.now >= first.sent+m.class.Window:
-			w.fail(2, "keyed message %d sent after its window", m.id)
-		case m.class.Effect == Keyed && !m.class.GroupAll && w.listed[first.route].Zone != l.Zone:
-			w.fail(2, "keyed message %d sent outside its group", m.id)
+			w.violate(2, "keyed message %d sent after its window", m.id)
+		case m.class.Effect == Keyed && !m.class.GroupAll && w.listings[first.route].Zone != l.Zone:
+			w.violate(2, "keyed message %d sent outside its group", m.id)
 		}
 	}
 	if !known || !l.InService || l.Gone || l.Destination != m.dest {
-		w.fail(3, "message %d sent to %s, which is not in service", m.id, a.Route)
+		w.violate(3, "message %d sent to %s, which is not in service", m.id, a.Route)
 	}
-	if w.waits[w.scope(l)] > w.now {
-		w.fail(5, "message %d sent to %s during a wait", m.id, a.Route)
+	if w.waitUntil[w.scope(l)] > w.now {
+		w.violate(5, "message %d sent to %s during a wait", m.id, a.Route)
 	}
 	if m.key != "" {
 		for _, o := range w.keys[m.key] {
 			if o == m {
 				break
 			}
-			if !o.ended || slices.ContainsFunc(o.tries, func(t trial) bool { return t.out }) {
-				w.fail(6, "message %d sent before %d", m.id, o.id)
+			if !o.ended || slices.ContainsFunc(o.attempts, func(t attemptRecord) bool { return t.out }) {
+				w.violate(6, "message %d sent before %d", m.id, o.id)
 			}
 		}
-		if len(m.tries) == 0 && w.rest[m.key] > w.now {
-			w.fail(6, "message %d sent while its key rests", m.id)
+		if len(m.attempts) == 0 && w.restUntil[m.key] > w.now {
+			w.violate(6, "message %d sent while its key rests", m.id)
 		}
 	}
 }
 
-// judgeReturn checks the budget of a destination that came back cold: calls of any window since the
+// checkRecovery checks the budget of a destination that came back cold: calls of any window since the
 // return, for a Sender told of its failures.
-func (w *world) judgeReturn(d string, back time.Duration) {
+func (w *simulation) checkRecovery(d string, back time.Duration) {
 	w.sends[d] = append(w.sends[d], w.now)
 	n := 0
 	for _, at := range w.sends[d] {
@@ -310,29 +310,29 @@
 	}
 	most := w.set.OverloadFactor*share*6*w.set.OverloadWindow.Seconds() + 1.5 // 6: the listed weight
 	if float64(n) > most {
-		w.fail(4, "%d calls to %s in %v, %.1f at most", n, d, w.set.OverloadWindow, most)
+		w.violate(4, "%d calls to %s in %v, %.1f at most", n, d, w.set.OverloadWindow, most)
 	}
 }
 
-// call plays an attempt: its outcome comes later, at its cut at the latest.
-func (w *world) call(m *held, a Action, calls map[string]*callOut) {
-	l := w.listed[a.Route]
-	e := Event{Kind: Finished, ID: m.id, Attempt: len(m.tries), Route: a.Route}
-	m.tries = append(m.tries, trial{route: a.Route, sent: w.now, out: true})
+// startAttempt plays an attempt: its outcome comes later, at its cut at the latest.
+func (w *simulation) startAttempt(m *messageRecord, a Action, calls map[string]*callRecord) {
+	l := w.listings[a.Route]
+	e := Event{Kind: Finished, ID: m.id, Attempt: len(m.attempts), Route: a.Route}
+	m.attempts = append(m.attempts, attemptRecord{route: a.Route, sent: w.now, out: true})
 	c := calls[a.Route]
-	if c == nil || c.left >= w.set.Kinds[l.Kind].PerCall {
-		c = &callOut{}
+	if c == nil || c.pending >= w.set.Kinds[l.Kind].PerCall {
+		c = &callRecord{}
 		calls[a.Route] = c
 		if w.slots++; w.slots > w.set.Slots {
-			w.fail(1, "%d calls out, %d at most", w.slots, w.set.Slots)
+			w.violate(1, "%d calls out, %d at most", w.slots, w.set.Slots)
 		}
 		span := w.outage[m.dest]
 		sc := w.scope(l)
-		if w.now >= span[1] && w.now < span[1]+w.set.WarmWithin && (w.told[sc] >= 3 || w.sends[sc] != nil) {
-			w.judgeReturn(sc, span[1])
+		if w.now >= span[1] && w.now < span[1]+w.set.WarmWithin && (w.failuresSeen[sc] >= 3 || w.sends[sc] != nil) {
+			w.checkRecovery(sc, span[1])
 		}
 	}
-	c.left++
+	c.pending++
 	took := time.Duration(20+w.rng.IntN(400)) * time.Millisecond
 	down := w.now >= w.outage[m.dest][0] && w.now < w.outage[m.dest][1]
 	switch n := w.rng.IntN(40); {
@@ -345,7 +345,7 @@
 	case n < 4:
 		e.Outcome = Full
 		if n < 2 {
-			e.Wait = time.Duration(200+w.rng.IntN(900)) * time.Millisecond
+			e.RetryAfter = time.Duration(200+w.rng.IntN(900)) * time.Millisecond
 		}
 	case n == 4:
 		e.Outcome = []Outcome{Error, Reset, Cancelled, Moot}[w.rng.IntN(4)]
@@ -356,17 +356,17 @@
 		took = min(took, 300*time.Millisecond)
 	}
 	at := w.now + took
-	if cut := min(a.At, m.deadline); at > cut {
-		at, e.Outcome, e.Wait = max(cut, w.now+time.Millisecond), Timeout, 0
+	if cut := min(a.TimeoutAt, m.deadline); at > cut {
+		at, e.Outcome, e.RetryAfter = max(cut, w.now+time.Millisecond), Timeout, 0
 	}
 	e.Took = at - w.now
-	w.pending = append(w.pending, due{at: at, ev: e, c: c})
+	w.pending = append(w.pending, scheduledEvent{at: at, event: e, call: c})
 }
 
-// play runs one world and returns the rules broken.
-func play(t *testing.T, seed uint64, b blind) *world {
+// runSimulation runs one world and returns the rules broken.
+func runSimulation(t *testing.T, seed uint64, b mutation) *simulation {
 	t.Helper()
-	w := newWorld(seed)
+	w := newSimulation(seed)
 	start := func() (*Sender, []Event) {
 		set := w.set
 		set.Classes = slices.Clone(set.Classes)
@@ -377,11 +377,11 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		w.forget()
+		w.reset()
 		for _, l := range w.routes {
-			w.listed[l.Route] = l
+			w.listings[l.Route] = l
 		}
-		return s, []Event{{Kind: ListWhole, List: slices.Clone(w.routes)}}
+		return s, []Event{{Kind: ListFull, List: slices.Clone(w.routes)}}
 	}
 	s, first := start()
 	restart := w.now + time.Duration(30+w.rng.IntN(10))*time.Second
@@ -403,9 +403,9 @@
 			w.act(s.Step(w.now, evs))
 		}
 		for id, m := range w.msgs {
-			over := m.ended && !slices.ContainsFunc(m.tries, func(t trial) bool { return t.out })
+			over := m.ended && !slices.ContainsFunc(m.attempts, func(t attemptRecord) bool { return t.out })
 			if !m.ended && w.now > m.deadline+20*time.Millisecond {
-				w.fail(1, "message %d has no answer at its deadline", id)
+				w.violate(1, "message %d has no answer at its deadline", id)
 				m.ended = true
 			}
 			if over && m.key == "" {
@@ -418,22 +418,22 @@
 
 func TestSixRules(t *testing.T) {
 	for seed := range uint64(60) {
-		w := play(t, seed, blind{})
+		w := runSimulation(t, seed, mutation{})
 		for rule := 1; rule <= 6; rule++ {
-			if w.broken[rule] != "" {
-				t.Errorf("seed %d, rule %d: %s", seed, rule, w.broken[rule])
+			if w.violations[rule] != "" {
+				t.Errorf("seed %d, rule %d: %s", seed, rule, w.violations[rule])
 			}
 		}
-		if w.answered < 150 || w.ends[1] == 0 || w.ends[2] == 0 {
+		if w.answered < 150 || w.actionCounts[1] == 0 || w.actionCounts[2] == 0 {
 			t.Errorf("seed %d: %d answered, %v sends, refusals, failures: the run shows too little",
-				seed, w.answered, w.ends)
+				seed, w.answered, w.actionCounts)
 		}
 	}
 }
 
-func TestCheckerSeesMissingGuards(t *testing.T) {
-	for _, b := range []blind{
-		{name: "deadline", rule: 1, event: func(e *Event) { e.Left += time.Second }},
+func TestCheckerDetectsMissingGuards(t *testing.T) {
+	for _, b := range []mutation{
+		{name: "deadline", rule: 1, event: func(e *Event) { e.TimeLeft += time.Second }},
 		{name: "unsafe", rule: 2, settings: func(s *Settings) { s.Classes[3].Effect = Safe }},
 		{name: "group", rule: 2, settings: func(s *Settings) { s.Classes[1].GroupAll = true }},
 		{name: "window", rule: 2, settings: func(s *Settings) { s.Classes[1].Window = time.Hour }},
@@ -443,13 +443,13 @@
 			}
 		}},
 		{name: "recovery", rule: 4, settings: func(s *Settings) { s.OverloadFactor = 1000 }},
-		{name: "wait", rule: 5, event: func(e *Event) { e.Wait = 0 }},
+		{name: "wait", rule: 5, event: func(e *Event) { e.RetryAfter = 0 }},
 		{name: "turn", rule: 6, settings: func(s *Settings) { s.Classes[3].Ordered, s.Classes[4].Ordered = false, false }},
 		{name: "rest", rule: 6, settings: func(s *Settings) { s.OrderPause = 0 }},
 	} {
 		t.Run(b.name, func(t *testing.T) {
 			for seed := range uint64(12) {
-				if play(t, seed, b).broken[b.rule] != "" {
+				if runSimulation(t, seed, b).violations[b.rule] != "" {
 					return
 				}
 			}
@@ -460,8 +460,8 @@
 
 // Equal events give equal actions.
 func TestDeterminism(t *testing.T) {
-	a, b := play(t, 3, blind{}), play(t, 3, blind{})
-	if a.ends != b.ends || a.answered != b.answered || a.nextID != b.nextID {
-		t.Errorf("two runs differ: %v %d, %v %d", a.ends, a.answered, b.ends, b.answered)
+	a, b := runSimulation(t, 3, mutation{}), runSimulation(t, 3, mutation{})
+	if a.actionCounts != b.actionCounts || a.answered != b.answered || a.nextID != b.nextID {
+		t.Errorf("two runs differ: %v %d, %v %d", a.actionCounts, a.answered, b.actionCounts, b.answered)
 	}
 }
--- a/policy/resume_test.go
+++ b/policy/resume_test.go
@@ -18,33 +18,33 @@
 
 // twoZones is a list of a better route in zone 1 and another in zone 0.
 func twoZones() Event {
-	return Event{Kind: ListWhole, List: []Listing{
+	return Event{Kind: ListFull, List: []Listing{
 		{Route: "best", Destination: 5, Zone: 1, Weight: 50, InService: true},
 		{Route: "other", Destination: 5, Zone: 0, Weight: 20, InService: true},
 	}}
 }
 
-func resumeStep(t *testing.T, r *Resumed) []Action {
+func resumeStep(t *testing.T, r *ResumedMessage) []Action {
 	t.Helper()
 	s, err := New(resumeSettings(), 1)
 	if err != nil {
 		t.Fatal(err)
 	}
 	return s.Step(time.Second, []Event{
-		twoZones(), {Kind: Taken, ID: 1, Destination: 5, Left: 8 * time.Second, Resumed: r},
+		twoZones(), {Kind: Accepted, ID: 1, Destination: 5, TimeLeft: 8 * time.Second, Resumed: r},
 	})
 }
 
 func TestResumedMessagesKeepTheirZoneAndWindow(t *testing.T) {
 	for _, c := range []struct {
 		name    string
-		resumed Resumed
+		resumed ResumedMessage
 		route   string // "" if none may be tried
 	}{
-		{"nothing ran", Resumed{Attempts: 1}, "best"},
-		{"one may have run in zone 0", Resumed{Attempts: 1, Ran: true, RanAgo: 5 * time.Second}, "other"},
-		{"too long ago", Resumed{Attempts: 1, Ran: true, RanAgo: 11 * time.Second}, ""},
-		{"no attempts left", Resumed{Attempts: 8}, ""},
+		{"nothing ran", ResumedMessage{Attempts: 1}, "best"},
+		{"one may have run in zone 0", ResumedMessage{Attempts: 1, MayHaveRun: true, FirstRunAgo: 5 * time.Second}, "other"},
+		{"too long ago", ResumedMessage{Attempts: 1, MayHaveRun: true, FirstRunAgo: 11 * time.Second}, ""},
+		{"no attempts left", ResumedMessage{Attempts: 8}, ""},
 	} {
 		route := ""
 		for _, a := range resumeStep(t, &c.resumed) {
@@ -60,28 +60,28 @@
 
 func TestOverdueMessagesEndAtOnce(t *testing.T) {
 	for _, c := range []struct {
-		resumed Resumed
+		resumed ResumedMessage
 		want    ActionKind
-	}{{Resumed{}, Refuse}, {Resumed{Attempts: 1, Ran: true}, Fail}} {
+	}{{ResumedMessage{}, Refuse}, {ResumedMessage{Attempts: 1, MayHaveRun: true}, Fail}} {
 		s, err := New(resumeSettings(), 1)
 		if err != nil {
 			t.Fatal(err)
 		}
-		acts := s.Step(time.Second, []Event{twoZones(), {Kind: Taken, ID: 1, Destination: 5, Left: -time.Second, Resumed: &c.resumed}})
+		acts := s.Step(time.Second, []Event{twoZones(), {Kind: Accepted, ID: 1, Destination: 5, TimeLeft: -time.Second, Resumed: &c.resumed}})
 		if len(acts) == 0 || acts[0].Kind != c.want {
 			t.Errorf("%+v: %+v", c.resumed, acts)
 		}
 	}
 }
 
-func TestABacklogIsNotPouredOut(t *testing.T) {
+func TestBacklogIsPaced(t *testing.T) {
 	s, err := New(resumeSettings(), 1)
 	if err != nil {
 		t.Fatal(err)
 	}
 	evs := []Event{twoZones()}
 	for i := range uint32(40) {
-		evs = append(evs, Event{Kind: Taken, ID: i, Destination: 5, Left: 8 * time.Second, Resumed: &Resumed{}})
+		evs = append(evs, Event{Kind: Accepted, ID: i, Destination: 5, TimeLeft: 8 * time.Second, Resumed: &ResumedMessage{}})
 	}
 	sends := 0
 	for _, a := range s.Step(time.Second, evs) {
@@ -95,56 +95,56 @@
 }
 
 // A backlog once went out at the pace of a limit that nobody had told yet, long after the first answers had told it.
-func TestTheFirstDeliverySettlesAGuessedPace(t *testing.T) {
+func TestFirstDeliveryReplacesGuessedPace(t *testing.T) {
 	for _, c := range []struct {
 		name string
 		told Report
 		want float64
 	}{
-		{"a limit is told", Report{Told: true, Limit: 20}, 20 * (1 - ownPart)},
+		{"a limit is told", Report{Present: true, Limit: 20}, 20 * (1 - ownTrafficShare)},
 		{"there is none", Report{}, 0},
 	} {
 		set := settings()
 		set.NoWeights = true
-		d := newDesk(t, set, Listing{Route: "a", Kind: 1})
-		d.step(Event{Kind: Taken, ID: 1, Left: 60 * time.Second, Resumed: &Resumed{}},
-			Event{Kind: Taken, ID: 2, Left: 60 * time.Second, Resumed: &Resumed{}})
-		g := d.s.routes["a"].gate
-		if g.pace != d.s.part(g) || !d.s.msgs[2].queued {
-			t.Errorf("%s: pace %v before the first answer, want %v", c.name, g.pace, d.s.part(g))
+		d := newHarness(t, set, Listing{Route: "a", Kind: 1})
+		d.step(Event{Kind: Accepted, ID: 1, TimeLeft: 60 * time.Second, Resumed: &ResumedMessage{}},
+			Event{Kind: Accepted, ID: 2, TimeLeft: 60 * time.Second, Resumed: &ResumedMessage{}})
+		g := d.sender.routes["a"].group
+		if g.pace != d.sender.senderShare(g) || !d.sender.msgs[2].queued {
+			t.Errorf("%s: pace %v before the first answer, want %v", c.name, g.pace, d.sender.senderShare(g))
 		}
 		d.now += 10 * ms
-		d.step(Event{Kind: Finished, ID: 1, Route: "a", Outcome: OK, Took: 10 * ms, Ended: true, Report: c.told})
+		d.step(Event{Kind: Finished, ID: 1, Route: "a", Outcome: OK, Took: 10 * ms, MessageEnded: true, Report: c.told})
 		if math.Abs(g.pace-c.want) > 1e-9 {
 			t.Errorf("%s: pace %v after the first delivery, want %v", c.name, g.pace, c.want)
 		}
 	}
 }
 
-func TestACallMayNoLongerLeave(t *testing.T) {
+func TestDelayedCallMayNotLeave(t *testing.T) {
 	s, err := New(resumeSettings(), 1)
 	if err != nil {
 		t.Fatal(err)
 	}
-	s.Step(time.Second, []Event{twoZones(), {Kind: Taken, ID: 1, Destination: 5, Left: 8 * time.Second}})
-	if !s.MayStill("best", time.Second) || !s.MayStill("other", time.Second) || s.MayStill("none", time.Second) {
+	s.Step(time.Second, []Event{twoZones(), {Kind: Accepted, ID: 1, Destination: 5, TimeLeft: 8 * time.Second}})
+	if !s.StillAllowed("best", time.Second) || !s.StillAllowed("other", time.Second) || s.StillAllowed("none", time.Second) {
 		t.Error("routes in service may be called, others not")
 	}
 	// A wait that comes with a delivery, as in a bundle's answer, binds too.
-	s.Step(2*time.Second, []Event{{Kind: Finished, ID: 1, Route: "best", Outcome: OK, Ended: true, Wait: time.Second}})
-	if s.MayStill("best", 2900*time.Millisecond) || !s.MayStill("best", 3*time.Second) {
+	s.Step(2*time.Second, []Event{{Kind: Finished, ID: 1, Route: "best", Outcome: OK, MessageEnded: true, RetryAfter: time.Second}})
+	if s.StillAllowed("best", 2900*time.Millisecond) || !s.StillAllowed("best", 3*time.Second) {
 		t.Error("the wait ends at 3 s")
 	}
 	s.Step(4*time.Second, []Event{{Kind: ListChanges, List: []Listing{
 		{Route: "best", Destination: 5, Zone: 1, Weight: 50}, {Route: "other", Gone: true},
 	}}})
-	if s.MayStill("best", 4*time.Second) || s.MayStill("other", 4*time.Second) {
+	if s.StillAllowed("best", 4*time.Second) || s.StillAllowed("other", 4*time.Second) {
 		t.Error("one drains, one is gone")
 	}
 }
 
 // A message that no route may ever take again gets its answer then, not at its deadline.
-func TestSpentMessagesEndAtOnce(t *testing.T) {
+func TestExhaustedMessagesEndAtOnce(t *testing.T) {
 	s, err := New(resumeSettings(), 1)
 	if err != nil {
 		t.Fatal(err)
@@ -158,8 +158,8 @@
 		return kinds
 	}
 	if got := ends(time.Second, twoZones(),
-		Event{Kind: Taken, ID: 1, Destination: 5, Left: 14 * time.Second, Resumed: &Resumed{Attempts: 8, Ran: true, RanZone: 2}},
-		Event{Kind: Taken, ID: 2, Destination: 5, Left: 14 * time.Second, Resumed: &Resumed{Attempts: 2, Ran: true, RanZone: 2}},
+		Event{Kind: Accepted, ID: 1, Destination: 5, TimeLeft: 14 * time.Second, Resumed: &ResumedMessage{Attempts: 8, MayHaveRun: true, FirstRunZone: 2}},
+		Event{Kind: Accepted, ID: 2, Destination: 5, TimeLeft: 14 * time.Second, Resumed: &ResumedMessage{Attempts: 2, MayHaveRun: true, FirstRunZone: 2}},
 	); len(got) != 1 || got[0] != Fail {
 		t.Errorf("with no attempts left: %v", got)
 	}
@@ -174,30 +174,30 @@
 
 // A repeat once left as much later than it was decided as its connection took, when no one dropped it any more.
 func TestARepeatMayNotLeaveAfterItsWindow(t *testing.T) {
-	d := newDesk(t, settings(), Listing{Route: "a"})
-	d.take(1, 1)
+	d := newHarness(t, settings(), Listing{Route: "a"})
+	d.accept(1, 1)
 	sent := d.now
-	if got := goesTo(d.end(1, "a", Reset, 9900*ms, 0)); got != "a" {
+	if got := firstSend(d.finish(1, "a", Reset, 9900*ms, 0)); got != "a" {
 		t.Fatalf("repeat to %q inside the window of 10 s", got)
 	}
-	if end := sent + 10*time.Second - endMargin; !d.s.MayStill("a", end-ms, 1) || d.s.MayStill("a", end, 1) {
+	if end := sent + 10*time.Second - deadlineMargin; !d.sender.StillAllowed("a", end-ms, 1) || d.sender.StillAllowed("a", end, 1) {
 		t.Errorf("a repeat may leave until %v", end)
 	}
 	d.step(Event{Kind: Withdrawn, ID: 1})
-	if d.s.MayStill("a", d.now, 1) {
+	if d.sender.StillAllowed("a", d.now, 1) {
 		t.Error("a message that is over may leave")
 	}
 }
 
-// backlog is one of so many senders, which has taken up n messages of an earlier process, with no call made for them, for one
+// newBacklogHarness is one of so many senders, which has taken up n messages of an earlier process, with no call made for them, for one
 // destination of which a limit is told in answers.
-func backlog(t *testing.T, senders, n int, left time.Duration) *desk {
+func newBacklogHarness(t *testing.T, senders, n int, left time.Duration) *harness {
 	set := settings()
 	set.Senders, set.NoWeights, set.MaxRetryAfter = senders, true, 3*time.Second
-	d := newDesk(t, set, Listing{Route: "a", Kind: 1})
+	d := newHarness(t, set, Listing{Route: "a", Kind: 1})
 	var evs []Event
 	for i := range n {
-		evs = append(evs, Event{Kind: Taken, ID: uint32(i + 1), Left: left, Resumed: &Resumed{}})
+		evs = append(evs, Event{Kind: Accepted, ID: uint32(i + 1), TimeLeft: left, Resumed: &ResumedMessage{}})
 	}
 	for _, a := range d.step(evs...) {
 		if a.Kind == Refuse {
@@ -209,16 +209,16 @@
 
 // A guess at this sender's part of an unknown limit once had half of all that restarts found given up in the first step: the
 // guess said that its destination would not take it in time.
-func TestWhatARestartFindsUntriedIsTried(t *testing.T) {
+func TestUntriedMessagesAreTriedAfterARestart(t *testing.T) {
 	const left = 12 * time.Second
-	d := backlog(t, 300, 6, left)
+	d := newBacklogHarness(t, 300, 6, left)
 	tried, out := 1, uint32(1)
 	begun := d.now
 	for d.now < begun+left/2 {
 		var acts []Action
 		if out > 0 {
 			d.now += 150 * ms
-			acts = d.step(Event{Kind: Finished, ID: out, Route: "a", Outcome: OK, Took: 150 * ms, Ended: true, Report: Report{Told: true, Limit: 20}})
+			acts = d.step(Event{Kind: Finished, ID: out, Route: "a", Outcome: OK, Took: 150 * ms, MessageEnded: true, Report: Report{Present: true, Limit: 20}})
 		} else {
 			acts = d.wake(50 * ms)
 		}
@@ -238,13 +238,13 @@
 }
 
 // Where the first call fails the next one shows more than the guess: calls go on, one at a time.
-func TestAGuessedPaceGoesOnAfterAFailure(t *testing.T) {
-	d := backlog(t, 1, 3, 12*time.Second)
+func TestGuessedPaceContinuesAfterAFailure(t *testing.T) {
+	d := newBacklogHarness(t, 1, 3, 12*time.Second)
 	if acts := d.wake(time.Second); len(acts) > 0 {
 		t.Errorf("%+v beside the first call, whose outcome is yet to come", acts)
 	}
-	d.end(1, "a", Reset, 100*ms, 0)
-	if n := len(d.s.routes["a"].calls); n != 1 {
+	d.finish(1, "a", Reset, 100*ms, 0)
+	if n := len(d.sender.routes["a"].calls); n != 1 {
 		t.Errorf("%d calls out after the first has failed, want the next", n)
 	}
 }
--- a/policy/sharing_test.go
+++ b/policy/sharing_test.go
@@ -5,33 +5,33 @@
 	"time"
 )
 
-// takeFor hands in messages of one step, each with its class and the time that it has.
-func takeFor(d *desk, times ...time.Duration) []Action {
+// acceptAll hands in messages of one step, each with its class and the time that it has.
+func acceptAll(d *harness, times ...time.Duration) []Action {
 	var evs []Event
 	for i, left := range times {
-		evs = append(evs, Event{Kind: Taken, ID: uint32(i + 1), Class: i % 2 * 2, Left: left})
+		evs = append(evs, Event{Kind: Accepted, ID: uint32(i + 1), Class: i % 2 * 2, TimeLeft: left})
 	}
 	return d.step(evs...)
 }
 
 // What a call brings after the time of one of its messages is up is no delivery of the others: the platform has let go of it.
 // Seen as messages lost that a whole answer had called delivered.
-func TestACallEndsWithTheFirstOfItsTimes(t *testing.T) {
-	d := newDesk(t, settings(), Listing{Route: "r", Kind: 2})
-	acts := takeFor(d, 2500*ms, 60*time.Second)
+func TestCallEndsAtItsEarliestDeadline(t *testing.T) {
+	d := newHarness(t, settings(), Listing{Route: "r", Kind: 2})
+	acts := acceptAll(d, 2500*ms, 60*time.Second)
 	if len(acts) != 2 || acts[0].Call != acts[1].Call {
 		t.Fatalf("two messages with time for an answer go as %+v, want one call", acts)
 	}
 	for _, a := range acts {
-		if by := d.now + 2500*ms - endMargin; a.At > by {
-			t.Errorf("message %d of a call waits %v past the time of the first", a.ID, a.At-by)
+		if by := d.now + 2500*ms - deadlineMargin; a.TimeoutAt > by {
+			t.Errorf("message %d of a call waits %v past the time of the first", a.ID, a.TimeoutAt-by)
 		}
 	}
 }
 
-func TestAMessageWithNoTimeForAnAnswerTravelsAlone(t *testing.T) {
-	d := newDesk(t, settings(), Listing{Route: "r", Kind: 2})
-	acts := takeFor(d, 700*ms, 60*time.Second)
+func TestMessageWithoutTimeForAnAnswerTravelsAlone(t *testing.T) {
+	d := newHarness(t, settings(), Listing{Route: "r", Kind: 2})
+	acts := acceptAll(d, 700*ms, 60*time.Second)
 	if len(acts) != 1 || acts[0].ID != 1 {
 		t.Fatalf("the first step sends %+v, want message 1 alone", acts)
 	}
@@ -39,7 +39,7 @@
 	if len(next) != 1 || next[0].ID != 2 || next[0].Call == acts[0].Call {
 		t.Fatalf("the next sends %+v, want message 2 in a call of its own", next)
 	}
-	if next[0].At < d.now+2*time.Second {
-		t.Errorf("message 2 waits %v for its answer, with no reason to hurry", next[0].At-d.now)
+	if next[0].TimeoutAt < d.now+2*time.Second {
+		t.Errorf("message 2 waits %v for its answer, with no reason to hurry", next[0].TimeoutAt-d.now)
 	}
 }
--- a/policy/spent.go
+++ b/policy/spent.go
@@ -7,26 +7,26 @@
 
 // When a message has no further try in it. It gets its final answer then, not at its deadline: the client may use the time.
 
-// mark notes that an attempt of m, sent at so, may have run, and has m looked at when repeats stop being dropped.
-func (s *Sender) mark(m *message, at time.Duration, zone int) {
-	m.ran, m.ranAt, m.ranZone = true, at, zone
+// markMayHaveRun notes that an attempt of m, sent at so, may have run, and has m looked at when repeats stop being dropped.
+func (s *Sender) markMayHaveRun(m *message, at time.Duration, zone int) {
+	m.mayHaveRun, m.firstRunAt, m.firstRunZone = true, at, zone
 	if m.class.Effect == Keyed {
-		heap.Push(&s.ends, end{m.windowEnd(), m})
+		heap.Push(&s.timers, timer{m.windowEnd(), m})
 	}
 }
 
 // windowEnd is when the last repeat of a keyed message that may have run must be sent.
-func (m *message) windowEnd() time.Duration { return m.ranAt + m.class.Window - endMargin }
+func (m *message) windowEnd() time.Duration { return m.firstRunAt + m.class.Window - deadlineMargin }
 
-// spent tells whether mayAttempt can never again allow a send of m, whatever becomes of the routes.
-func (s *Sender) spent(m *message) bool {
+// exhausted tells whether mayAttempt can never again allow a send of m, whatever becomes of the routes.
+func (s *Sender) exhausted(m *message) bool {
 	switch {
-	case m.ended || len(m.out) > 0:
+	case m.ended || len(m.outstanding) > 0:
 		return false
-	case s.set.MaxAttempts > 0 && m.sends >= s.set.MaxAttempts:
+	case s.settings.MaxAttempts > 0 && m.sends >= s.settings.MaxAttempts:
 		return true
 	}
-	return m.ran && (m.class.Effect == Unsafe || m.class.Effect == Keyed && s.now >= m.windowEnd())
+	return m.mayHaveRun && (m.class.Effect == Unsafe || m.class.Effect == Keyed && s.now >= m.windowEnd())
 }
 
 // giveUp gives a message its final answer: a refusal where that keeps the rule of effects.
