--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -42,7 +42,7 @@
 		MaxAttempts:    p.integer("bounds.send_cap"),
 		RoughWeights:   p.values["weight_kind"] == "rough",
 		NoWeights:      p.values["weight_kind"] == "none",
-		WatchRequired:        p.values["membership_mode"] == "ask",
+		WatchRequired:  p.values["membership_mode"] == "ask",
 		ColdShare:      p.number("rules.cold_from"),
 		WarmWithin:     p.ms("rules.warm_within_ms"),
 		OverloadFactor: p.number("rules.overload_factor"),
--- a/policy/api.go
+++ b/policy/api.go
@@ -2,20 +2,20 @@
 
 import "time"
 
-// Effect says what repeating a message of a class may do.
+// Effect tells what may happen if a message of a class is delivered more than once.
 type Effect int
 
-// The three kinds of effect.
+// The effects.
 const (
-	Safe   Effect = iota // may be repeated and refused at will
-	Keyed                // repeats are dropped inside a group of routes and a window
+	Safe   Effect = iota // may be repeated, and refused at any time
+	Keyed                // repeats are dropped within a group of routes and a window
 	Unsafe               // must never take effect twice
 )
 
 // Outcome is how an attempt or a probe ended.
 type Outcome int
 
-// The outcomes of an attempt. Full, ConnectFailed and Moot prove that it never ran.
+// The outcomes of an attempt. Full, ConnectFailed and Moot prove that the message did not run.
 const (
 	OK Outcome = iota
 	Error
@@ -30,18 +30,18 @@
 // Class is one class of message.
 type Class struct {
 	Effect   Effect
-	GroupAll bool          // Keyed: every route of the destination drops repeats; else those of one zone
+	GroupAll bool          // Keyed: all routes of the destination share dropped repeats; else the routes of one zone do
 	Window   time.Duration // Keyed: how long repeats are dropped, from the first send that may have run
-	Ordered  bool          // messages of one key take turns
-	Aim      time.Duration // delivered within this, a message earns its full worth
-	GiveUp   time.Duration // how long a message may be delivered
+	Ordered  bool          // messages with the same key are sent one after another
+	Aim      time.Duration // a message delivered within this earns its full worth
+	GiveUp   time.Duration // how long after its acceptance a message may be delivered
 	Value    float64       // worth of a message; default 1
 }
 
 // Kind is one kind of destination.
 type Kind struct {
-	Separate bool // its routes are separate: each has its own limit, pace and outages
-	PerCall  int  // messages in one call at most; default 1
+	Separate bool // each route has its own limit, pace and outages
+	PerCall  int  // maximum of messages in a call; default 1
 }
 
 // Customer is one customer of the service.
@@ -49,125 +49,125 @@
 	Quota float64 // messages a second within its share, over all senders; 0: no share is set
 }
 
-// Settings are what a Sender is told when it starts. Zero values of optional fields mean their default.
+// Settings configure a Sender. Zero values of optional fields mean their defaults.
 type Settings struct {
 	Classes        []Class
 	Kinds          []Kind
 	Customers      []Customer
-	Senders        int           // senders of the fleet; default 1
-	Zone           int           // this sender's; default the first
-	Slots          int           // calls out at once; 0: no limit
-	MaxHeld        int           // messages held at once; 0: no limit
-	MaxAttempts    int           // attempts for a message; 0: no limit
-	MaxRetryAfter  time.Duration // longest advice that a client heeds; 0: none is given
-	RoughWeights   bool          // listed weights may be up to half too high or too low
-	NoWeights      bool          // listed weights tell nothing
-	WatchRequired        bool          `json:"AskList"`  // list changes come only after Watch
+	Senders        int           // number of senders in the fleet; default 1
+	Zone           int           // this sender's zone; default the first
+	Slots          int           // maximum of calls out at once; 0: no limit
+	MaxHeld        int           // maximum of messages held at once; 0: no limit
+	MaxAttempts    int           // maximum of attempts for a message; 0: no limit
+	MaxRetryAfter  time.Duration // longest Retry-After that clients heed; 0: none is sent
+	RoughWeights   bool          // listed weights may be too high or too low by half
+	NoWeights      bool          // listed weights carry no information
+	WatchRequired  bool          `json:"AskList"`  // list changes are sent only after a Watch action
 	ZoneFees       []float64     `json:"Carriage"` // fee for each zone of a separate route
-	ColdShare      float64       // share of its capacity that a destination has after an outage; default 0.1
-	WarmWithin     time.Duration // and all of it after this; default 30 s
-	OverloadFactor float64       // sent more than this multiple of its capacity; default 1
-	OverloadWindow time.Duration // for this long, it falls over
-	OrderPause     time.Duration // rest of a key after an attempt that may still run
+	ColdShare      float64       // share of its capacity that a destination has just after an outage; default 0.1
+	WarmWithin     time.Duration // time after which it has all of its capacity; default 30 s
+	OverloadFactor float64       // a destination fails if it is sent more than this multiple of its capacity; default 1
+	OverloadWindow time.Duration // for this long; default 3 s
+	OrderPause     time.Duration // pause of a key after an attempt that may still run
 }
 
-// Listing is one entry of the list of routes.
+// Listing is an entry of the list of routes.
 type Listing struct {
 	Route       string
 	Destination int
 	Kind        int
 	Zone        int
-	Weight      float64 // calls a second from all senders together; 0: not told
+	Weight      float64 // calls a second from all senders together; 0: unknown
 	InService   bool    // false: draining
-	Gone        bool    // removed
+	Gone        bool    // removed from the list
 }
 
-// EventKind names what an Event tells.
+// EventKind is the kind of an Event.
 type EventKind int
 
-// The kinds of event.
+// The kinds of events.
 const (
-	Accepted       EventKind = iota // a message was handed in
+	Accepted    EventKind = iota // a message was accepted from a client
 	Finished                     // an attempt has its outcome
-	Withdrawn                    // the client has gone
-	ListFull                    // the whole list of routes
+	Withdrawn                    // the client no longer waits
+	ListFull                     // the whole list of routes
 	ListChanges                  // changes to the list
-	ListFailed                   // a call for the list failed
-	Woken                        // a wake came due
+	ListFailed                   // a request for the list failed
+	Woken                        // the time of a Wake action has come
 	Probed                       // a probe has its outcome
-	Excluded                     // an operator has taken Route out of use, until it is Included
-	Included                     // and put it back
+	Excluded                     // an operator has excluded Route from use, until it is Included
+	Included                     // an operator has included Route again
 )
 
-// Report is what a destination tells of its limit. It is late and noisy.
+// Report is what a destination reports about its limit. It is delayed and noisy.
 type Report struct {
-	Present  bool    `json:"Told"`
-	Remaining  float64 `json:"Left"` // share of the limit that is left
-	Limit float64 // calls a second; 0: no limit
+	Present   bool    `json:"Told"` // the answer carried a report
+	Remaining float64 `json:"Left"` // share of the limit that is left
+	Limit     float64 // calls a second; 0: no limit
 }
 
-// ResumedMessage is what became of a message before the process that had taken it on ended. A call that was out then
-// may have run.
+// ResumedMessage is what an earlier process recorded about a message that it had accepted. A call that was out when that
+// process ended may have run.
 type ResumedMessage struct {
-	Attempts int           // sends used
-	MayHaveRun      bool          // one may have run
-	FirstRunAgo   time.Duration // how long ago the first of them was sent
-	FirstRunZone  int           // and to which zone
-	Outstanding      *OutstandingAttempt          // one is out still, at a process that handed over; nil if none
+	Attempts     int                 // number of attempts made
+	MayHaveRun   bool                // an attempt may have run
+	FirstRunAgo  time.Duration       // how long ago the first such attempt was sent
+	FirstRunZone int                 // the zone to which it was sent
+	Outstanding  *OutstandingAttempt // an attempt that is still out at a process that handed over; nil if none
 }
 
-// MinRetryAfter is the least time that a client turned away is told to stay away.
+// MinRetryAfter is the shortest Retry-After for a client that is turned away.
 const MinRetryAfter = minRetryAfter
 
-// Event is one thing that a Sender observes.
+// Event is an observation that is given to a Sender.
 type Event struct {
 	Kind EventKind
-	ID   uint32 // message
+	ID   uint32 // of the message
 
-	// Taken
+	// Accepted
 	Key         string
 	Class       int
 	Customer    int
 	Destination int
-	TimeLeft        time.Duration // time left to the deadline
-	Resumed     *ResumedMessage      // taken on by an earlier process; nil if new
-
-	// Finished, Probed; of Excluded and Included Route alone
-	Attempt int
-	Route   string
-	Outcome Outcome
-	Took    time.Duration
-	MessageEnded   bool          // the message is over
-	RetryAfter    time.Duration // the wait told with the outcome; 0: none
-	Report  Report
-
-	// ListWhole, ListChanges
+	TimeLeft    time.Duration   // time left to the deadline
+	Resumed     *ResumedMessage // state from an earlier process; nil if new
+
+	// Finished, Probed; Excluded and Included use only Route
+	Attempt      int
+	Route        string
+	Outcome      Outcome
+	Took         time.Duration
+	MessageEnded bool          // the message has its final answer
+	RetryAfter   time.Duration // wait that came with the outcome; 0: none
+	Report       Report
+
+	// ListFull, ListChanges
 	List []Listing
 }
 
-// ActionKind names what an Action asks for.
+// ActionKind is the kind of an Action.
 type ActionKind int
 
-// The kinds of action.
+// The kinds of actions.
 const (
 	Send      ActionKind = iota // start an attempt
-	Refuse                      // end the message; the client may safely come again
-	Fail                        // end the message; nothing is promised
-	Wake                        // ask for a Woken event after Delay
-	CloseIdle                   // close the idle connections to a route
+	Refuse                      // end the message with a refusal; the client may safely submit it again
+	Fail                        // end the message with a failure; it may or may not have run
+	Wake                        // request a Woken event after Delay
+	CloseIdle                   // close the idle connections to Route
 	Watch                       // subscribe to list changes
 )
 
-// ExpiredUnsent is how a message ends whose time is up before any send of it, where it waited outside a Sender: it has not run, so
-// that its client may come again.
+// ExpiredUnsent is the final action for a message that waited outside a Sender and reached its deadline before any send.
+// It has not run, so that its client may submit it again.
 const ExpiredUnsent = Refuse
 
-// Action is one thing that a Sender decides.
+// Action is a decision of a Sender.
 type Action struct {
-	Kind  ActionKind
-	ID    uint32
-	Route string
-	Call  uint32        // Send: its call; those with one number travel together
-	TimeoutAt    time.Duration // Send: time to drop the attempt
-	Delay time.Duration // Refuse: advice to the client; Wake: time from now
+	Kind      ActionKind
+	ID        uint32
+	Route     string
+	Call      uint32        // Send: number of its call; attempts with the same number share a call
+	TimeoutAt time.Duration // Send: when the attempt times out
+	Delay     time.Duration // Refuse: Retry-After for the client; Wake: time from now
 }
--- a/policy/bench_test.go
+++ b/policy/bench_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// BenchmarkStep is one message taken and delivered by a sender of 400 destinations and 1,000 routes; with
-// backlog, 200 more wait at destinations that none of their routes takes.
+// BenchmarkStep measures one message accepted and delivered by a sender with 400 destinations and 1,000 routes. With a
+// backlog, 200 more messages wait for destinations that have no route in service.
 func BenchmarkStep(b *testing.B) {
 	for _, backlog := range []int{0, 200} {
 		b.Run(fmt.Sprintf("backlog=%d", backlog), func(b *testing.B) { benchmarkStep(b, backlog) })
@@ -50,8 +50,8 @@
 	}
 }
 
-// BenchmarkStepHeld is a step with one message handed in and delivered while so many are held at 2,000 destinations that
-// take none: it costs what is looked at, and not what is held.
+// BenchmarkStepHeld measures a message accepted and delivered while many are held for 2,000 destinations that have no
+// route in service. The cost of a step depends on the messages that it examines, not on those held.
 func BenchmarkStepHeld(b *testing.B) {
 	for _, held := range []int{0, 2_000, 10_000, 50_000, 200_000} {
 		b.Run(fmt.Sprintf("held=%d", held), func(b *testing.B) { benchmarkStepHeld(b, held) })
--- a/policy/byhand.go
+++ b/policy/byhand.go
@@ -2,10 +2,10 @@
 
 import "time"
 
-// Routes that operators take out of use by hand.
+// Routes that operators exclude from use.
 
-// setExcluded takes a route out, whatever the list says of it from here on, or puts it back. It counts as in doubt then: its
-// endpoint is restarted meanwhile, as a rule, and returns cold.
+// setExcluded excludes a route, whatever the list says about it from then on, or includes it again. An included route is
+// suspect, since its endpoint has usually been restarted meanwhile and has reduced capacity at first.
 func (s *Sender) setExcluded(route string, excluded bool) {
 	if excluded {
 		s.excluded[route] = true
@@ -17,16 +17,16 @@
 		return
 	}
 	if r.excluded = excluded; !excluded {
-		r.okAt = 0 // what it answered before tells nothing
+		r.okAt = 0 // earlier answers no longer count
 		s.markSuspect(r)
 	}
 	s.markReady(r.group.dest)
 }
 
-// usable tells whether a route may be sent to as far as the list and operators say.
+// usable reports whether the list and the operators allow sends to a route.
 func (r *route) usable() bool { return r.InService && !r.Gone && !r.excluded }
 
-// AvoidedRoutes is how many listed routes take nothing for now, by hand or by choice.
+// AvoidedRoutes returns how many listed routes get no messages for now because they are excluded or skipped.
 func (s *Sender) AvoidedRoutes(now time.Duration) (n int) {
 	for _, d := range s.order {
 		for _, g := range d.groups {
--- a/policy/byhand_test.go
+++ b/policy/byhand_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// A route that is out by hand takes nothing, whatever the list says, until it is put back.
+// An excluded route gets no messages, whatever the list says, until it is included again.
 func TestExcludedRouteTakesNothing(t *testing.T) {
 	d := newHarness(t, settings(), Listing{Route: "r1"}, Listing{Route: "r2"})
 	d.step(Event{Kind: Excluded, Route: "r1"}, Event{Kind: Excluded, Route: "r1"})
@@ -13,25 +13,25 @@
 		t.Errorf("sent to %v", got)
 	}
 	if d.sender.StillAllowed("r1", d.now) || d.sender.AvoidedRoutes(d.now) != 1 {
-		t.Errorf("a call that was held up may leave, or %d routes are avoided", d.sender.AvoidedRoutes(d.now))
+		t.Errorf("a delayed call may leave, or %d routes are avoided, want 1", d.sender.AvoidedRoutes(d.now))
 	}
-	// Off the list and back on it, as a draining one, and in service again.
+	// Removed from the list, listed again as draining, and back in service.
 	for _, l := range []Listing{{Route: "r1", Gone: true}, {Route: "r1"}, {Route: "r1", InService: true}} {
 		d.step(Event{Kind: ListChanges, List: []Listing{l}})
 	}
 	d.step(Event{Kind: ListFull, List: []Listing{{Route: "r1", InService: true}}})
 	if got := sentRoutes(d.accept(2, 0)); len(got) != 0 || d.sender.StillAllowed("r1", d.now) {
-		t.Errorf("listed anew: sent to %v", got)
+		t.Errorf("listed again while excluded: sent to %v", got)
 	}
 	if got := sentRoutes(d.step(Event{Kind: Included, Route: "r1"})); len(got) > 1 {
-		t.Errorf("put back: %d sends at once", len(got))
+		t.Errorf("included again: %d sends at once", len(got))
 	}
 	if !d.sender.StillAllowed("r1", d.now) || d.sender.AvoidedRoutes(d.now) != 0 {
-		t.Error("one call back does not end it")
+		t.Error("one Included event does not end the exclusion")
 	}
 }
 
-// It returns cold: what waits for it comes by the recovery budget.
+// A route that is included again may have reduced capacity: messages that wait for it are under the recovery budget.
 func TestIncludedRouteIsUnderTheRecoveryBudget(t *testing.T) {
 	d := newHarness(t, settings(), Listing{Route: "r1", Weight: 100})
 	d.step(Event{Kind: Excluded, Route: "r1"})
@@ -43,12 +43,12 @@
 		d.now += 100 * ms
 		sent += len(sentRoutes(d.step(Event{Kind: Woken})))
 	}
-	// A second at a fifth of its capacity, doubled as the rule allows: 40 calls.
+	// One second at a fifth of its capacity, times the overload factor of 2, allows 40 calls.
 	if sent == 0 || sent > 40 {
 		t.Errorf("%d calls in the first second", sent)
 	}
 	d.step(Event{Kind: Included, Route: "r1"}) // a repeat is harmless
 	if d.sender.AvoidedRoutes(d.now+time.Second) != 0 {
-		t.Error("a repeat took it out")
+		t.Error("a repeated Included event excluded the route")
 	}
 }
--- a/policy/example_test.go
+++ b/policy/example_test.go
@@ -7,7 +7,7 @@
 	"onyxroad.dev/onyxroad/policy"
 )
 
-// A relay takes one message for destination 7, whose first route answers that it is full.
+// A relay accepts one message for destination 7, whose first route is at its limit.
 func Example() {
 	sender, err := policy.New(policy.Settings{
 		Classes: []policy.Class{{Effect: policy.Safe, Aim: 2 * time.Second, GiveUp: 20 * time.Second}},
--- a/policy/fleet_test.go
+++ b/policy/fleet_test.go
@@ -8,23 +8,23 @@
 	"time"
 )
 
-// A fleet of senders plays in front of one route that fails calls, or refuses them, and comes back cold. The
-// judge counts what reaches it from senders told of a failure or a refusal there during the outage, and holds
-// each window since the return against the budget. The senders share nothing but the route.
+// The fleet tests simulate several senders with one route that fails or refuses calls for a while and then returns with
+// reduced capacity. They count the calls in each window since its return and check them against the budget, and single out
+// calls from senders that saw a failure or a refusal in the outage. The senders share nothing but the route.
 
-// fleetCase is one such day.
+// fleetCase describes one such run.
 type fleetCase struct {
-	senders int
-	limit   float64 // calls a second
-	demand  float64 // messages, as a multiple of the limit
-	fails   float64 // share of the calls that fail in the outage
-	listed  bool    // the limit is listed; else no sender ever knows it
-	reported    bool    // the limit is told in answers
-	skew    int     // each tenth sender has so many times the traffic of the others; 0: half of them have most
+	senders  int
+	limit    float64 // calls a second
+	demand   float64 // messages, as a multiple of the limit
+	fails    float64 // share of the calls that fail in the outage
+	listed   bool    // the limit is listed as a weight; if it is neither listed nor reported, no sender knows it
+	reported bool    // answers report the limit
+	skew     int     // every tenth sender has this many times the traffic of the others; 0: half of them have most of it
 }
 
 func (c fleetCase) String() string {
-	return fmt.Sprintf("%d senders, limit %v, demand %v, fails %v, listed %v, told %v",
+	return fmt.Sprintf("%d senders, limit %v, demand %v, fails %v, listed %v, reported %v",
 		c.senders, c.limit, c.demand, c.fails, c.listed, c.reported)
 }
 
@@ -43,19 +43,19 @@
 	}
 }
 
-// fleetSimulation is the route, the senders' messages and the books of the judge.
+// fleetSimulation holds the route, the messages of the senders and the counts of the checker.
 type fleetSimulation struct {
-	testCase      fleetCase
-	rng    *rand.Rand
-	now    time.Duration
-	fleet  []*Sender
-	inbox  [][]Event
-	due    map[time.Duration][]fleetEvent
-	capacity   float64        // calls that the limit leaves
-	informed   []bool         // by sender: of a failure or refusal in the outage
-	calls []fleetCall    // since the return
-	attempts  map[uint32]int // of each message
-	served int            // in the whole day
+	testCase fleetCase
+	rng      *rand.Rand
+	now      time.Duration
+	fleet    []*Sender
+	inbox    [][]Event
+	due      map[time.Duration][]fleetEvent
+	capacity float64        // calls that the limit allows now
+	informed []bool         // by sender: saw a failure or refusal in the outage
+	calls    []fleetCall    // since the end of the outage
+	attempts map[uint32]int // by message
+	served   int            // in the whole run
 }
 
 type fleetEvent struct {
@@ -64,7 +64,7 @@
 }
 
 type fleetCall struct {
-	at   time.Duration
+	at       time.Duration
 	informed bool
 }
 
@@ -78,7 +78,7 @@
 	return nil
 }
 
-// startAttempt plays one startAttempt at the route: its outcome comes a tick or two later.
+// startAttempt runs one call at the route and schedules its outcome two ticks later.
 func (w *fleetSimulation) startAttempt(i int, a Action) {
 	failing := w.now >= fleetFailing && w.now < fleetReturn
 	if w.now >= fleetReturn {
@@ -111,7 +111,8 @@
 	w.due[at] = append(w.due[at], fleetEvent{i, e})
 }
 
-// runFleet runs a day. Half of the senders carry most of the traffic, a third restart inside the outage.
+// runFleet runs one case. Unless it sets a skew, half of the senders have most of the traffic. A third of the senders
+// restart during the outage.
 func runFleet(t *testing.T, c fleetCase, seed uint64) *fleetSimulation {
 	t.Helper()
 	w := &fleetSimulation{testCase: c, rng: rand.New(rand.NewPCG(seed, 3)), now: time.Minute, fleet: make([]*Sender, c.senders),
@@ -167,8 +168,8 @@
 	return w
 }
 
-// window tells the budget of the window that ends with push i, how many calls reached the route in it, and how many of these came
-// from senders told.
+// window returns the budget of the window that ends with call i, how many calls reached the route in it, and how many of
+// these came from senders that saw a failure.
 func (w *fleetSimulation) window(i int) (budget, total, informed float64) {
 	set, last := fleetSettings(w.testCase), w.calls[i]
 	share := set.ColdShare + (1-set.ColdShare)*float64(last.at-fleetReturn)/float64(set.WarmWithin)
@@ -183,14 +184,14 @@
 	return set.OverloadFactor * share * w.testCase.limit * set.OverloadWindow.Seconds(), total, informed
 }
 
-// brokeFailback tells whether a window since the return broke failback: more calls than the budget of its length, two
-// standard deviations of it allowed for chance, two thirds of them from senders told. Beside it stands the
-// greatest share of the part of senders told that a window used.
+// brokeFailback reports whether a window since the end of the outage violated the failback rule: more calls than its
+// budget plus two standard deviations for chance, two thirds of them from senders that saw a failure. It also returns the
+// greatest share of the allowance of such senders that a window used.
 func (w *fleetSimulation) brokeFailback() (broken bool, used float64) {
 	for i := range w.calls {
-		budget, all, told := w.window(i)
-		broken = broken || all > budget+2*math.Sqrt(budget) && told >= all*2/3
-		used = math.Max(used, told/(2.0/3*(budget+2*math.Sqrt(budget))))
+		budget, all, informed := w.window(i)
+		broken = broken || all > budget+2*math.Sqrt(budget) && informed >= all*2/3
+		used = math.Max(used, informed/(2.0/3*(budget+2*math.Sqrt(budget))))
 	}
 	return broken, used
 }
@@ -213,7 +214,7 @@
 				w := runFleet(t, c, seed)
 				broken, used := w.brokeFailback()
 				if broken {
-					t.Errorf("%v, seed %d: pushed over, %.2f of the part of senders told used", c, seed, used)
+					t.Errorf("%v, seed %d: overloaded; senders that saw failures used %.2f of their allowance", c, seed, used)
 				}
 				if w.served == 0 {
 					t.Errorf("%v, seed %d: nothing served", c, seed)
@@ -223,8 +224,8 @@
 	}
 }
 
-// budgetExcess tells by how many calls the worst window since the return passed its budget of N calls and what is chance, 2 roots of N
-// and 2, whoever sent them; and the same of the calls of senders told.
+// budgetExcess returns by how many calls the worst window since the end of the outage exceeded its budget of N calls plus
+// an allowance for chance of 2 sqrt(N) + 2: for all calls, and for those of senders that saw a failure.
 func (w *fleetSimulation) budgetExcess() (total, informed float64) {
 	total, informed = math.Inf(-1), math.Inf(-1)
 	for i := range w.calls {
@@ -234,7 +235,7 @@
 	return total, informed
 }
 
-// Some tens of senders, some with many times the traffic of others, a third of them restarted in the outage.
+// Up to 30 senders, of which some have many times the traffic of others and a third restart during the outage.
 func TestSkewedFleetsKeepTheRecoveryBudget(t *testing.T) {
 	for _, senders := range []int{5, 20, 30} {
 		for _, limit := range []float64{3, 10, 30} {
@@ -244,8 +245,9 @@
 						c := fleetCase{senders, limit, demand, fails, know.listed, know.reported, 10}
 						for seed := range uint64(10) {
 							w := runFleet(t, c, seed)
-							if all, told := w.budgetExcess(); all > 0 {
-								t.Errorf("%v, seed %d: %.1f calls over the budget, %.1f of senders told", c, seed, all, told)
+							if all, informed := w.budgetExcess(); all > 0 {
+								t.Errorf("%v, seed %d: %.1f calls over the budget, %.1f from senders that saw failures",
+									c, seed, all, informed)
 							}
 						}
 					}
@@ -255,8 +257,8 @@
 	}
 }
 
-// worstExcess tells by how many calls the worst window since the return passed what the site's page allows: its budget of N calls,
-// 2 roots of N and 2; 3 roots of N and 3 under 30 calls.
+// worstExcess returns by how many calls the worst window since the end of the outage exceeded what the site's rules page
+// allows: its budget of N calls plus 2 sqrt(N) + 2, or 3 sqrt(N) + 3 for less than 30 calls.
 func (w *fleetSimulation) worstExcess() (worst float64) {
 	const few = 30 // calls
 	worst = math.Inf(-1)
@@ -271,8 +273,8 @@
 	return worst
 }
 
-// The budget binds however few senders there are, and where none of them is told a limit: one that was restarted in the outage, and
-// has much waiting, once poured all of it out after its first delivery.
+// The budget also holds with few senders that know no limit. Guards against a sender that restarts during the outage with
+// many messages waiting and sends all of them after its first delivery.
 func TestFewSendersKeepTheRecoveryBudget(t *testing.T) {
 	for _, senders := range []int{1, 2, 3, 4, 6, 9} {
 		for _, limit := range []float64{3, 10, 30, 60} {
@@ -288,8 +290,8 @@
 	}
 }
 
-// Plays in which a sender that is told no limit has nothing waiting when one delivery in the outage ends its doubt, and then more to
-// send than the partner takes.
+// Runs in which a sender that knows no limit has no messages waiting when one delivery in the outage clears the suspicion
+// of its route, and then gets more messages than the partner takes.
 func TestFewSendersWithNothingWaitingKeepTheRecoveryBudget(t *testing.T) {
 	for _, x := range []struct {
 		senders int
--- a/policy/handover_test.go
+++ b/policy/handover_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// newSuccessor is a sender that knows what s knows, by way of JSON as between processes.
+// newSuccessor returns a sender that has loaded the route states of s, encoded as JSON as between processes.
 func newSuccessor(t *testing.T, s *Sender, set Settings, at time.Duration) *Sender {
 	t.Helper()
 	text, err := json.Marshal(s.RouteStates())
@@ -52,14 +52,14 @@
 	}})
 	next := newSuccessor(t, s, set, 1200*time.Millisecond)
 	if got := sentRoutes(next.Step(1200*time.Millisecond, []Event{taken(2)})); len(got) != 1 || got[0] != "other" {
-		t.Errorf("during a told wait: sent to %v", got)
+		t.Errorf("during a Retry-After wait: sent to %v", got)
 	}
 	if next.StillAllowed("best", 2*time.Second) || !next.StillAllowed("best", 3200*time.Millisecond) {
-		t.Error("the told wait is not kept to its end")
+		t.Error("the Retry-After wait is not kept to its end")
 	}
 }
 
-// Every field of a memory gets across.
+// Every field of a RouteState is loaded and returned again.
 func TestRouteStateRoundTrip(t *testing.T) {
 	next, err := New(resumeSettings(), 1)
 	if err != nil {
@@ -90,7 +90,7 @@
 	}
 }
 
-// A call that is out at the process before has its slot here, and whether it ran is told by its outcome alone.
+// A call that is out at the previous process uses a slot of its successor, and only its outcome tells whether it ran.
 func TestOutstandingCallIsAdopted(t *testing.T) {
 	set := resumeSettings()
 	set.Classes[0].Effect, set.Slots = Unsafe, 1
@@ -105,7 +105,7 @@
 		{Kind: Accepted, ID: 2, Destination: 5, TimeLeft: 8 * time.Second},
 	}))
 	if len(got) != 0 {
-		t.Fatalf("with the one slot taken: sent to %v", got)
+		t.Fatalf("with the only slot in use: sent to %v", got)
 	}
 	acts := next.Step(1100*time.Millisecond, []Event{{Kind: Finished, ID: 1, Route: "best", Outcome: ConnectFailed}})
 	if len(sentRoutes(acts)) != 1 {
@@ -118,7 +118,7 @@
 	}
 }
 
-// What was known fades while no process is there, a told wait ends, and what is old is not known any more.
+// State decays while no process runs, Retry-After waits end, and old state is dropped.
 func TestRestartRestoresRecentState(t *testing.T) {
 	set := resumeSettings()
 	s, err := New(set, 1)
@@ -142,22 +142,22 @@
 	}
 	young := recall(time.Second)
 	if !young.StillAllowed("best", time.Second) {
-		t.Error("the told wait outlasts the restart")
+		t.Error("the Retry-After wait outlasts the restart")
 	}
 	for i, m := range young.RouteStates() {
 		if m.Pace != before[i].Pace || m.Limit != before[i].Limit {
 			t.Errorf("%s: pace %v under limit %v became %v under %v", m.Route, before[i].Pace, before[i].Limit, m.Pace, m.Limit)
 		}
 		if was := before[i].HalvedAt; was != 0 && m.HalvedAt != was-time.Minute-200*time.Millisecond {
-			t.Errorf("%s: refused at %v of the old clock, %v of the new one", m.Route, was, m.HalvedAt)
+			t.Errorf("%s: refused at %v by the old clock, %v by the new one", m.Route, was, m.HalvedAt)
 		}
 	}
 	if len(young.RouteStates()) == 0 || young.RouteStates()[0].Limit != 40 {
-		t.Fatalf("nothing recalled: %+v", young.RouteStates())
+		t.Fatalf("nothing restored: %+v", young.RouteStates())
 	}
 	for _, age := range []time.Duration{-time.Second, time.Hour} {
 		if m := recall(age).RouteStates()[0]; m.Limit != 0 || m.Pace != 0 {
-			t.Errorf("recalled from %v ago: %+v", age, m)
+			t.Errorf("restored state that is %v old: %+v", age, m)
 		}
 	}
 }
--- a/policy/lost_test.go
+++ b/policy/lost_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// newLossyHarness is a desk with a route whose first call was answered while a second was out that now times out. answered tells
-// whether that answer came after the second was sent.
+// newLossyHarness returns a harness whose route has answered a first call and timed out on a second. If answered is set,
+// the answer came after the second call was sent.
 func newLossyHarness(t *testing.T, answered bool) (*harness, *route) {
 	d := newHarness(t, settings(), Listing{Route: "a", Kind: 2})
 	d.accept(1, 0)
@@ -22,16 +22,16 @@
 	return d, d.sender.routes["a"]
 }
 
-// Answers that got lost once taught a route that it had become slow: each further loss held a slot for longer, and after
-// three the route was skipped.
+// Guards against learning from lost answers. The route then counts as slow, each further loss holds a slot for longer,
+// and after three losses the route is skipped.
 func TestLostAnswerIsNotLearnedFrom(t *testing.T) {
 	_, r := newLossyHarness(t, true)
 	if r.mean > 100*ms || r.failStreak != 0 || r.suspect {
-		t.Errorf("after a lost answer: mean %v, %d failures in a row, in doubt %v", r.mean, r.failStreak, r.suspect)
+		t.Errorf("after a lost answer: mean %v, %d failures in a row, suspect %v", r.mean, r.failStreak, r.suspect)
 	}
 }
 
-// A route that answers nothing any more is slow or gone, and that has to be learned.
+// A route that has stopped answering is slow or down, which the sender must learn.
 func TestTimeoutWithNoLaterAnswerIsLearnedFrom(t *testing.T) {
 	_, r := newLossyHarness(t, false)
 	if r.mean <= 100*ms || r.failStreak != 1 || r.recentLosses != 0 {
@@ -39,7 +39,7 @@
 	}
 }
 
-// Messages of one call share one answer: while answers get lost, five would be lost with it.
+// The messages of a call share one answer, so a lost answer loses all of them: calls carry one message meanwhile.
 func TestCallsCarryOneMessageWhileAnswersGetLost(t *testing.T) {
 	d, r := newLossyHarness(t, true)
 	for i := range 8 {
@@ -55,7 +55,8 @@
 	}
 }
 
-// With answers lost, all slots once waited out times of up to twice a message's aim while hundreds of messages waited.
+// Guards against lost answers that hold all slots for timeouts of up to twice the aim of a message, while hundreds of
+// messages wait.
 func TestCallInTheLastSlotHasAShortTimeout(t *testing.T) {
 	for _, class := range []int{0, 2} {
 		set := settings()
@@ -70,12 +71,12 @@
 			}
 			return at
 		}
-		for id := range uint32(2) { // known to answer, and fast
+		for id := range uint32(2) { // both routes have answered fast
 			d.step(Event{Kind: Accepted, ID: id, Destination: int(1 + id%2), TimeLeft: 60 * time.Second})
 			d.finish(id, []string{"a", "b"}[id%2], OK, 50*ms, 0)
 		}
 		free := cut(2)
-		d.sender.routes["a"].recentLosses = 1 // without losses the slot waits as ever
+		d.sender.routes["a"].recentLosses = 1 // without losses the timeout is not shortened
 		for id := uint32(3); id < 12; id++ {
 			cut(id)
 		}
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -1,9 +1,10 @@
-// Package policy makes a sender's decisions: which route a message tries, when it moves on, waits, is refused
-// or fails. Its interface stands in api.go; the decisions stand here, in pace.go, resume.go and spent.go. The
-// mechanism is a tiered provider selector: a message tries the routes of its destination in a fixed order,
-// the first failure rule that matches an outcome decides, and a failing route is skipped by later messages
-// until its skip expires. Order of reading: constants, failure rules, gate and route, message, the guards
-// mayAttempt and mayRefuse, route choice, queue and dispatch, deadlines.
+// Package policy makes the decisions of a sender: which route a message tries, and when the message is retried, held,
+// refused or failed. api.go holds the interface; the decisions are in this file and in pace.go, resume.go, slots.go,
+// byhand.go and spent.go. A message tries the routes of its destination in a fixed order. The first failure rule
+// that matches an outcome decides what follows, and later messages skip a failing route until its skip expires.
+//
+// This file is ordered as follows: constants, failure rules, route groups and routes, messages, the guards mayAttempt
+// and mayRefuse, route choice, queue and dispatch, deadlines.
 package policy
 
 import (
@@ -17,65 +18,65 @@
 )
 
 const (
-	firstSkip    = 2 * time.Second         // first skip: most outages last longer, a trial costs one call
-	maxSkip     = 10 * time.Second        // longest skip, the page's own length
-	skipGrowth   = 1.5                     // factor from one skip to the next while trials fail
-	skipJitter   = 0.2                     // share by which a skip varies: senders do not return in step
-	outageWait     = 2500 * time.Millisecond // a told wait beyond this means shut, not a limit's span
-	outageRefusals = 4                       // refusals in a row, with no answer between, that mean shut
-	sparseRefusals   = 2                       // refusals in a row after which a sparse sender doubts
-	weakSuspectChance    = 0.6                     // chance that one does, and that a connection failed at once does
-	sparseSpread = 3.5                     // calls at the pace over which refused sparse senders spread
-	outageRefusalSpan     = 2 * time.Second         // and over at least this long: longer than a limit's usual span
-	skipFailStreak   = 3                       // failures in a row that skip a route
-	suspectFailStreak  = 2                       // failures in a row after which a route may be in an outage
-	suspectRecentFailures  = 3                       // errors or failed connections of the last 8 outcomes that say so
-	skipRecentFailures   = 5                       // the same that skip a route
-	paceAfterSkip  = 1.0                     // calls a second after a skip
-	minPace    = 0.03                    // calls a second under which a pace does not fall
-	minPaceShare     = 0.5                     // of its even part of the limit: a pace does not fall below
-	paceGrowth    = 0.25                    // growth of the pace with each success
-	paceGrowthNearCeiling    = 0.03                    // the same near the rate that was refused last
-	maxGrowthSteps   = 8                       // most seconds that one success counts for
-	nearCeiling     = 0.85                    // "near": above this share of that rate
-	reportNoise  = 1.25                    // reports of a steady limit differ by less than this factor
-	maxPaceOverUse     = 3.0                     // above this multiple of the rate in use a pace does not grow
-	paceBurst    = 300 * time.Millisecond  // span of pace that may be sent at once after idling
-	informedShare    = 2.0 / 3                 // of a push: less from senders told of failures breaks no failback
-	scatterDevs      = 1                       // deviations of the sum of all calls that are kept free
-	creditLapseShare   = 0.1                     // of the window: a call due in doubt lapses after this
-	ownTrafficShare      = 0.2                     // own deliveries in the part; the rest is even
-	roughWeightFactor  = 1.5                     // a rough weight may exceed the truth by this factor
-	ownRateSpan      = 10 * time.Second        // span of the mean rate of own deliveries
-	timeoutDevs         = 6                       // mean deviations over the mean answer time that a time-out allows
-	overdueDevs     = 4                       // the same after which an answer is overdue
-	minAnswerTime  = 800 * time.Millisecond  // no answer is overdue before this
-	deadlineMargin    = 12 * time.Millisecond   // final answers and time-outs come this long before the deadline
-	shedThreshold    = 0.9                     // share of the room beyond which held messages are refused
-	groupSlotShare    = 0.4                     // share of the slots that one gate may fill
-	maxUnansweredCalls   = 2                       // calls out at a route that has not answered yet
-	overShareDelay    = 0.5                     // of its time left: how much later traffic over its share queues
-	lateDelay    = 2.0                     // of its time left: how much later a message past its aim queues
-	scanDepth    = 24                      // messages of a destination looked at for one that may go
-	recentAnswerSpan    = 3 * time.Second         // a route that answered within this is alive
-	minRetryAfter  = 500 * time.Millisecond  // least advice with a refusal
-	minLimit   = 1.0                     // calls a second that any destination takes
-	fewSenders   = 6                       // so many fit any table, and see enough of a route by themselves
-	maxTableFull    = 2                       // failed connections in a row that a full table explains
-	tableFullRest    = 300 * time.Millisecond  // rest of a route with a full table: about an answer's time
-	connScarceSpan   = 30 * time.Second        // how long a kind whose table was full is short of connections
+	firstSkip             = 2 * time.Second         // first skip; most outages last longer, and a trial costs one call
+	maxSkip               = 10 * time.Second        // longest skip, as the site's rules page gives it
+	skipGrowth            = 1.5                     // factor from one skip to the next while trials fail
+	skipJitter            = 0.2                     // share by which a skip varies, so that senders do not return in step
+	outageWait            = 2500 * time.Millisecond // a longer Retry-After means an outage, not a rate limit
+	outageRefusals        = 4                       // refusals in a row that mean an outage
+	sparseRefusals        = 2                       // refusals in a row, over outageRefusalSpan, that hint at one
+	weakSuspectChance     = 0.6                     // chance that a single hint makes a route suspect
+	sparseSpread          = 3.5                     // calls at the pace over which refused sparse senders spread
+	outageRefusalSpan     = 2 * time.Second         // least span of such refusals; a rate limit refuses for less
+	skipFailStreak        = 3                       // failures in a row that skip a route
+	suspectFailStreak     = 2                       // failures in a row that make a route suspect
+	suspectRecentFailures = 3                       // errors or failed connections of the last 8 outcomes that do so
+	skipRecentFailures    = 5                       // the same, that skip a route
+	paceAfterSkip         = 1.0                     // calls a second after a skip
+	minPace               = 0.03                    // calls a second; a pace does not fall below this
+	minPaceShare          = 0.5                     // lowest pace, as a share of the sender's even part of the limit
+	paceGrowth            = 0.25                    // growth of the pace with each success
+	paceGrowthNearCeiling = 0.03                    // growth of the pace near the rate that was refused last
+	maxGrowthSteps        = 8                       // most seconds of growth that one success counts for
+	nearCeiling           = 0.85                    // share of the rate refused last, above which a pace is near it
+	reportNoise           = 1.25                    // reports of a steady limit differ by less than this factor
+	maxPaceOverUse        = 3.0                     // a pace above this multiple of the rate in use does not grow
+	paceBurst             = 300 * time.Millisecond  // span of pace that may be sent at once after idling
+	informedShare         = 2.0 / 3                 // less of an overload from senders that saw failures is no violation
+	scatterDevs           = 1                       // standard deviations of the sum of all calls that are kept free
+	creditLapseShare      = 0.1                     // share of OverloadWindow after which unused credit lapses
+	ownTrafficShare       = 0.2                     // own deliveries' part of a sender's share; the rest is even
+	roughWeightFactor     = 1.5                     // a rough weight may exceed the true one by this factor
+	ownRateSpan           = 10 * time.Second        // time constant of the mean rate of own deliveries
+	timeoutDevs           = 6                       // mean deviations above the mean answer time that a timeout allows
+	overdueDevs           = 4                       // the same, after which an answer is overdue
+	minAnswerTime         = 800 * time.Millisecond  // no answer is overdue before this
+	deadlineMargin        = 12 * time.Millisecond   // final answers and timeouts come this long before the deadline
+	shedThreshold         = 0.9                     // share of MaxHeld above which held messages are refused
+	groupSlotShare        = 0.4                     // share of the slots that one route group may use
+	maxUnansweredCalls    = 2                       // calls out at a route that has not answered yet
+	overShareDelay        = 0.5                     // of the time left: how much later traffic over a share is ranked
+	lateDelay             = 2.0                     // of the time left: how much later a message past its aim is ranked
+	scanDepth             = 24                      // messages of a destination that are examined for one that may go
+	recentAnswerSpan      = 3 * time.Second         // a route that answered within this is taken to work
+	minRetryAfter         = 500 * time.Millisecond  // shortest Retry-After sent with a refusal
+	minLimit              = 1.0                     // calls a second that any destination takes
+	fewSenders            = 6                       // so few fit any connection table, and see enough of a route each
+	maxTableFull          = 2                       // failed connections in a row that a full table explains
+	tableFullRest         = 300 * time.Millisecond  // rest of a route with a full table, about the time of an answer
+	connScarceSpan        = 30 * time.Second        // how long a kind whose table was full is short of connections
 )
 
 // sample is one outcome at a route, as the failure rules see it.
 type sample struct {
-	outcome Outcome
-	retryAfter    time.Duration
-	sent    time.Duration
-	cutShort   bool // cut off before an answer could be expected
-	tableFull   bool // no connection, as when a table is full
+	outcome    Outcome
+	retryAfter time.Duration
+	sent       time.Duration
+	cutShort   bool // ended before an answer could be expected
+	tableFull  bool // the connection failed as at a full connection table
 }
 
-// failureRule is one failure failureRule: what it matches, whether the route is skipped, and what else follows.
+// failureRule is one failure rule: what it matches, whether the route is skipped, and what else is done.
 type failureRule struct {
 	name  string
 	match func(s *Sender, r *route, o sample) bool
@@ -83,26 +84,27 @@
 	then  func(s *Sender, r *route, o sample)
 }
 
-// failureRules is evaluated in order; the first that matches decides.
+// failureRules are evaluated in order; the first that matches decides.
 var failureRules = []failureRule{
-	// A long told wait or a run of refusals is a shut destination: it comes back cold.
-	{"shut", func(s *Sender, r *route, o sample) bool {
+	// A long Retry-After or a run of refusals means an outage. The destination returns with reduced capacity.
+	{"outage", func(s *Sender, r *route, o sample) bool {
 		run := r.refusals >= outageRefusals && s.now-r.refusedAt >= outageRefusalSpan
 		return o.outcome == Full && (o.retryAfter > outageWait || run)
 	}, true, nil},
 	{"full", func(_ *Sender, _ *route, o sample) bool { return o.outcome == Full }, false, (*Sender).halvePace},
 	{"trial failed", func(_ *Sender, r *route, _ sample) bool { return r.down }, true, nil},
-	// A full table refuses at once and may take the next: a short rest, idle connections closed.
-	{"crowded", func(_ *Sender, _ *route, o sample) bool { return o.tableFull }, false, (*Sender).restAfterTableFull},
-	{"in a row", func(_ *Sender, r *route, _ sample) bool { return r.failStreak >= skipFailStreak }, true, nil},
-	// Outages may fail only most calls: successes between do not clear them.
+	// A full connection table refuses at once but may take the next connection, so the route rests for a short
+	// time and idle connections are closed.
+	{"table full", func(_ *Sender, _ *route, o sample) bool { return o.tableFull }, false, (*Sender).restAfterTableFull},
+	{"failures in a row", func(_ *Sender, r *route, _ sample) bool { return r.failStreak >= skipFailStreak }, true, nil},
+	// An outage may fail most calls and not all of them: successes in between do not clear it.
 	{"mostly failing", func(_ *Sender, r *route, _ sample) bool {
 		return bits.OnesCount8(r.recentFailures) >= skipRecentFailures
 	}, true, nil},
 	{"failed", func(*Sender, *route, sample) bool { return true }, false, nil},
 }
 
-// New returns a Sender that knows nothing but its settings.
+// New returns a Sender with the given settings and no routes or messages. The seed fixes its random choices.
 func New(settings Settings, seed uint64) (*Sender, error) {
 	if err := settings.Check(); err != nil {
 		return nil, err
@@ -120,10 +122,11 @@
 	}, nil
 }
 
-// Step takes what has come in at now and returns what to do, in order.
+// Step applies the events that have arrived by now and returns the actions to take, in order. The returned slice is
+// valid until the next call.
 func (s *Sender) Step(now time.Duration, events []Event) []Action {
 	s.now, s.actions = now, s.actions[:0]
-	// A wake may come a little early, for a clock coarser than ours: one so near does not count as asked for.
+	// With a coarser clock, a wake may come slightly early. A wake due within a millisecond counts as having come.
 	if s.wakeAt <= now+time.Millisecond {
 		s.wakeAt = 0
 	}
@@ -172,11 +175,11 @@
 	}
 }
 
-// Routes and gates.
+// Routes and route groups.
 
-// sortRoutes puts routes in their fixed order: listed weight, lower fee, own zone, a lot drawn once for each
-// route. A call holds its slot for the way there and back, and that is most of it from zone to zone. The lot
-// guards against hundreds of senders that all load the first of several equal routes.
+// sortRoutes sorts routes by listed weight, lower fee and own zone, and breaks ties by a number drawn once for each
+// route. The own zone comes before others since a call holds its slot for the round trip, most of which is the distance
+// between zones. The random tie-break keeps hundreds of senders from all loading the first of several equal routes.
 func (s *Sender) sortRoutes(d *dest) {
 	less := func(a, b *route) int {
 		switch {
@@ -199,7 +202,7 @@
 	}
 }
 
-// inOwnZone is 1 for a route in this sender's zone.
+// inOwnZone returns 1 for a route in this sender's zone, else 0.
 func (s *Sender) inOwnZone(r *route) int {
 	if r.Zone == s.settings.Zone {
 		return 1
@@ -207,7 +210,7 @@
 	return 0
 }
 
-// zoneFee is what a message costs by its route's zone.
+// zoneFee returns the fee of a message for the zone of its route.
 func (s *Sender) zoneFee(r *route) float64 {
 	if r.group.separate && r.Zone >= 0 && r.Zone < len(s.settings.ZoneFees) {
 		return s.settings.ZoneFees[r.Zone]
@@ -215,8 +218,8 @@
 	return 0
 }
 
-// limit is what a gate takes from all senders, on the low side, in calls a second; 0 if nothing tells. One
-// that is told in answers and has not been yet is taken for the least told of its kind.
+// limit estimates, on the low side, how many calls a second a route group takes from all senders; 0 if unknown. A group
+// that has reported no limit yet is assumed to have the lowest limit reported for its kind.
 func (s *Sender) limit(g *routeGroup) float64 {
 	if l := cmp.Or(g.limit, s.leastLimit[g.kind]); l > 0 || s.settings.NoWeights || len(g.routes) == 0 {
 		return l
@@ -227,19 +230,21 @@
 	return g.routes[0].Weight
 }
 
-// senderShare is this sender's senderShare of the calls a second that a gate takes from all: a fixed mix of an even senderShare
-// and own deliveries, since traffic is uneven. Each adds up to what the gate takes, and so does the mix.
+// senderShare is this sender's share of the calls a second that a route group takes from all senders. Since traffic is
+// uneven, it mixes an even split and the sender's own delivery rate in a fixed proportion. Over all senders each of the
+// two adds up to what the group takes, and so does the mix.
 func (s *Sender) senderShare(g *routeGroup) float64 {
 	return (1-ownTrafficShare)*math.Max(minLimit, s.limit(g))/float64(s.settings.Senders) + ownTrafficShare*s.ownDeliveryRate(g)
 }
 
-// recoveryRate is how many calls a second this sender may make to a route in doubt that takes L from all when
-// warm. It falls over at OverloadFactor*share*L*OverloadWindow calls in a window, at the share of the
-// window's end. Senders told of a failure break no rule below two thirds of that: b. They draw their calls
-// apart: a sum of n scatters by sqrt(n), by half a call for each of few senders. n + scatter*deviation = b
-// gives n, shared by parts that add up. A call not made lapses, so that a window holds little more than its
-// own after any outage. The share grows with the time since the first delivery, no further than deliveries in
-// a row bear out: an outage fails most calls, k in a row have a chance of 2^-k in it.
+// recoveryRate is how many calls a second this sender may make to a suspect route that takes L calls a second from all
+// senders when warm. The destination is overloaded by OverloadFactor*share*L*OverloadWindow calls in a window, where
+// share is its share of the warm capacity at the end of the window. Senders that saw a failure violate no rule below two
+// thirds of that number, b. They make their calls independently of each other, so that a sum of n calls scatters by
+// sqrt(n), or by half a call for each sender where senders are few. Solving n + scatterDevs*deviation = b gives n, which
+// is split by shares that add up. An unused call lapses, so that a window holds little more than its own budget after an
+// outage of any length. The share grows with the time since the first delivery, but no further than the deliveries in a
+// row support: in an outage that fails most calls, k successes in a row have a chance of 2^-k.
 func (s *Sender) recoveryRate(r *route) float64 {
 	share, warming := s.settings.ColdShare, 1-s.settings.ColdShare
 	window, warm := s.settings.OverloadWindow.Seconds(), s.settings.WarmWithin.Seconds()
@@ -253,20 +258,21 @@
 	return n / (window * (1 + creditLapseShare)) * s.senderShare(r.group) / takes
 }
 
-// recoveryOpensAt is when a route that may be cold takes its next call. Guards against pushing over a returning
-// destination: every send to a route in doubt draws on one budget of its gate. The first call is drawn by
-// chance, so that the sum over all senders is right. It holds during an outage too, whose end is not told.
+// recoveryOpensAt is when a suspect route takes its next call; 0 for a route that is not suspect. It keeps senders from
+// overloading a destination that recovers: all sends to suspect routes of a group draw on one budget. The first call is
+// drawn at random, so that the sum over all senders is right. The budget also applies during the outage, since nobody
+// reports its end.
 func (s *Sender) recoveryOpensAt(r *route) time.Duration {
 	g := r.group
 	r.suspect = r.suspect && (r.recoveringSince == 0 || s.now < r.recoveringSince+s.settings.WarmWithin)
 	if r.okAt == 0 && (g.failStreak >= suspectFailStreak || g.anySuspect() || s.now < g.suspectRemovedAt+s.settings.WarmWithin) {
-		s.markSuspect(r) // not answered yet: it stands as its siblings do, or those it replaced
+		s.markSuspect(r) // has not answered yet: suspect if its siblings are, or the routes that it replaced
 	}
 	if !r.suspect {
 		return 0
 	}
 	rate := s.recoveryRate(r)
-	// A told wait saves nothing up: all who were told it would call at its end.
+	// No credit accrues during a Retry-After wait. Otherwise all senders that were told to wait would call at its end.
 	g.creditAt = max(g.creditAt, g.waitUntil)
 	if s.now > g.creditAt {
 		g.credit += rate * (s.now - g.creditAt).Seconds()
@@ -279,8 +285,8 @@
 	return g.creditAt + max(time.Millisecond, interval(rate/(1-g.credit)))
 }
 
-// routeOpensAt is when a route next takes a call, as far as its gate, skip and pace tell; math.MaxInt64 if
-// only an outcome can open it.
+// routeOpensAt is when a route next takes a call as far as its group, skip and pace are concerned; math.MaxInt64 if only
+// an outcome can open it.
 func (s *Sender) routeOpensAt(r *route) time.Duration {
 	g := r.group
 	if !r.usable() || r.down && len(r.calls) > 0 || s.slotsExhausted(r) || g.guessed && g.callsOut > 0 {
@@ -296,36 +302,35 @@
 	return at
 }
 
-// slotsExhausted tells whether a route or its gate holds too many slots. Guards against silent or very slow routes
-// that would fill the slots before any time-out tells: a route that has not answered yet takes only a few
-// calls, and none more while its oldest call is overdue. A jam of the whole fleet looks alike; it ends with
-// the first answer.
+// slotsExhausted reports whether a route or its group holds too many slots. Otherwise silent or very slow routes would
+// fill the slots before any timeout shows it. A route that has not answered yet gets only a few calls, and none while
+// its oldest call is overdue. A stall of the whole fleet looks the same; it ends with the first answer.
 func (s *Sender) slotsExhausted(r *route) bool {
 	full := r.group.callsOut >= max(2, int(groupSlotShare*float64(s.settings.Slots)))
 	unknown := r.okAt == 0 && len(r.calls) >= maxUnansweredCalls
 	return s.settings.Slots > 0 && (full || unknown || s.overdue(r))
 }
 
-// overdue tells whether the oldest call of a route is overdue, with none answered that were sent later.
+// overdue reports whether the oldest call of a route is overdue and no call sent later has been answered.
 func (s *Sender) overdue(r *route) bool {
 	return len(r.calls) > 0 && s.now > r.calls[0].overdueAt && r.okSent < r.calls[0].sent
 }
 
-// looksTableFull tells whether a failed connection looks like a full table: it failed at once, at a route that
-// answered of late or, among many senders, of a kind that had such failures. Some in a row are an outage.
+// looksTableFull reports whether a failed connection looks like a full connection table: it failed at once, at a route
+// that answered recently or, with many senders, of a kind that had such failures. Several in a row mean an outage.
 func (s *Sender) looksTableFull(r *route, o sample) bool {
 	scarce := s.settings.Senders > fewSenders && s.now < s.connScarceUntil[r.Kind]
 	failed := o.outcome == ConnectFailed && s.now-o.sent < minAnswerTime
 	return failed && r.group.tableFullCount < maxTableFull && (s.answeredRecently(r) || scarce)
 }
 
-// restAfterTableFull answers a full connection table.
+// restAfterTableFull skips a route with a full connection table for a short time and closes its idle connections.
 func (s *Sender) restAfterTableFull(r *route, _ sample) {
 	r.skipUntil = s.now + time.Duration((0.5+s.rng.Float64())*float64(tableFullRest))
 	s.emit(Action{Kind: CloseIdle, Route: r.Route})
 }
 
-// recordOutcome takes an outcome as an observation of its route.
+// recordOutcome updates the state of a route with an outcome and applies the failure rules.
 func (s *Sender) recordOutcome(r *route, o sample, took time.Duration) {
 	if s.now < s.connScarceUntil[r.Kind] && s.settings.Senders > fewSenders {
 		s.emit(Action{Kind: CloseIdle, Route: r.Route})
@@ -344,10 +349,11 @@
 		s.weighWeakEvidence(r)
 	default:
 		if o.outcome == Timeout || o.outcome == Reset {
-			// Calls may be lost with the connection that carries them: the next one takes a fresh one.
+			// Calls may be lost with the connection that carries them, so the next call opens a new one.
 			s.emit(Action{Kind: CloseIdle, Route: r.Route})
-			// The route lives, or has answered since: this call was lost, and says nothing of the route's
-			// standing or of how long answers take. Learned from, each further loss would hold a slot longer.
+			// A route that answered recently, or after this call was sent, is up: the call was lost. It says nothing
+			// about the route's health or how long answers take. Learning from it would have each further loss hold
+			// a slot for longer.
 			if o.outcome == Reset && s.answeredRecently(r) {
 				return
 			}
@@ -369,7 +375,7 @@
 			break
 		}
 		r.failStreak, r.refusals = r.failStreak+1, 0
-		// An outage answers no call or fails most at once: time-outs between answers are losses, not that.
+		// An outage answers no call, or fails most of them at once. Timeouts between answers are lost calls.
 		if o.outcome == Error || o.outcome == ConnectFailed {
 			r.recentFailures = r.recentFailures<<1 | 1
 		}
@@ -378,14 +384,14 @@
 		} else {
 			s.suspectWeakly(r)
 		}
-		// Failures in a row over all routes of a gate tell of an outage of them all.
+		// Failures in a row across the routes of a group mean an outage of all of them.
 		if r.group.failStreak++; r.group.failStreak >= skipFailStreak {
 			for _, x := range r.group.routes {
 				s.markSuspect(x)
 			}
 		}
 	}
-	// A call cut off early, for lack of time left, may cast doubt on its route but skips none.
+	// A call that ended early for lack of time may make its route suspect, but causes no skip.
 	if o.cutShort {
 		return
 	}
@@ -402,11 +408,13 @@
 	}
 }
 
-// sparse tells whether this sender's part of a gate is less than a call in the span of a fall.
-func (s *Sender) sparse(g *routeGroup) bool { return s.senderShare(g)*s.settings.OverloadWindow.Seconds() < 1 }
+// sparse reports whether this sender's share of a route group is less than one call in an overload window.
+func (s *Sender) sparse(g *routeGroup) bool {
+	return s.senderShare(g)*s.settings.OverloadWindow.Seconds() < 1
+}
 
-// suspectWeakly puts a route in slight doubt, which one delivery clears, where this sender's part is under a call
-// in the span of a fall. Guards against hundreds of senders, told of one failure each, that push as one.
+// suspectWeakly makes a route suspect until its next delivery, if this sender's share is less than one call in an
+// overload window. Otherwise hundreds of senders that saw one failure each would overload the destination together.
 func (s *Sender) suspectWeakly(r *route) {
 	if !r.suspect && s.sparse(r.group) {
 		s.markSuspect(r)
@@ -414,10 +422,11 @@
 	}
 }
 
-// weighWeakEvidence takes two refusals some time apart for a sign of an outage and, where this sender's part is under a
-// call in a warm-up, by chance one refusal or one connection failed as at a full table. Guards against many
-// senders told once that all come again. Most refusals being a limit's, some must: those left are under two
-// thirds while they come less than five times as often as senders not told.
+// weighWeakEvidence treats two refusals some time apart as a sign of an outage. If this sender's share is less than one
+// call in a warm-up, one refusal or one connection that failed as at a full table is treated so with a fixed chance.
+// Otherwise many senders that saw one of these each would all call again at once. Most refusals come from a rate limit,
+// so some senders must go on. Those that do make less than two thirds of the calls as long as each calls less than five
+// times as often as a sender that saw no failure.
 func (s *Sender) weighWeakEvidence(r *route) {
 	repeated := r.refusals >= sparseRefusals && s.now-r.refusedAt >= outageRefusalSpan
 	infrequent := !s.answeredRecently(r) && s.senderShare(r.group)*s.settings.WarmWithin.Seconds() < 1
@@ -428,8 +437,10 @@
 	}
 }
 
-// answeredRecently tells whether a route has answered of late.
-func (s *Sender) answeredRecently(r *route) bool { return r.okAt > 0 && s.now-r.okAt < recentAnswerSpan }
+// answeredRecently reports whether a route has answered within recentAnswerSpan.
+func (s *Sender) answeredRecently(r *route) bool {
+	return r.okAt > 0 && s.now-r.okAt < recentAnswerSpan
+}
 
 // markSuspect puts a route under the recovery budget.
 func (s *Sender) markSuspect(r *route) {
@@ -440,7 +451,8 @@
 	r.suspect, r.weakEvidence, r.recoveringSince, r.okStreak = true, false, 0, 0
 }
 
-// skipRoute enters a route in the skipRoute table. Failures of calls sent before the skipRoute began add nothing.
+// skipRoute starts or prolongs the skip of a route. Failures of calls that were sent before the skip began do not
+// prolong it.
 func (s *Sender) skipRoute(r *route, sent time.Duration) {
 	s.markSuspect(r)
 	if r.down && sent < r.skipUntil-r.skipLen {
@@ -454,7 +466,8 @@
 	r.down, r.skipUntil = true, s.now+r.skipLen
 }
 
-// updateAnswerTime learns how long answers of a route take. A time-out tells that its answer takes longer.
+// updateAnswerTime updates the mean and the mean deviation of the answer times of a route. A timeout counts as an
+// answer that takes longer.
 func (s *Sender) updateAnswerTime(r *route, took time.Duration) {
 	if r.mean == 0 {
 		r.mean, r.dev = took, took/2
@@ -476,8 +489,7 @@
 	}
 	s.countDelivery(g)
 	if r.okStreak++; r.suspect && r.recoveringSince == 0 {
-		// One delivery ends a slight doubt, but not where more than a call waits and nothing tells how much
-		// may follow it.
+		// One delivery clears weak evidence, unless more than one call waits and nothing tells how many may follow.
 		waits := len(g.dest.queue) > s.callCapacity(r)
 		r.recoveringSince, r.suspect = s.now, !r.weakEvidence || waits && s.limit(g) == 0
 		if usual := max(s.senderShare(g), s.ownDeliveryRate(g)); !r.suspect && waits {
@@ -490,7 +502,8 @@
 // Messages.
 
 func (s *Sender) acceptMessage(e *Event) {
-	c := &Class{Effect: Unsafe, Ordered: true, Aim: e.TimeLeft / 2, GiveUp: e.TimeLeft, Value: 1} // the strictest
+	// The strictest rules, for an unknown class.
+	c := &Class{Effect: Unsafe, Ordered: true, Aim: e.TimeLeft / 2, GiveUp: e.TimeLeft, Value: 1}
 	if e.Class >= 0 && e.Class < len(s.settings.Classes) {
 		c = &s.settings.Classes[e.Class]
 	}
@@ -498,7 +511,7 @@
 	m.deadline = s.now + e.TimeLeft - deadlineMargin
 	m.aimBy = s.now + c.Aim - max(0, c.GiveUp-e.TimeLeft)
 	m.rank = s.now + time.Duration(float64(m.aimBy-s.now)/math.Max(c.Value, 0.01))
-	if e.Resumed == nil && s.exceedsShare(e.Customer) { // one taken on before was counted then
+	if e.Resumed == nil && s.exceedsShare(e.Customer) { // a resumed message was counted by the process that accepted it
 		m.rank += time.Duration(overShareDelay * float64(e.TimeLeft))
 	}
 	s.msgs[m.id] = m
@@ -516,7 +529,7 @@
 	s.shedLoad()
 }
 
-// exceedsShare counts a message against its customer's share and tells whether it lies beyond.
+// exceedsShare counts a message against its customer's share and reports whether it exceeds the share.
 func (s *Sender) exceedsShare(c int) bool {
 	if c < 0 || c >= len(s.customerUse) || s.settings.Customers[c].Quota <= 0 {
 		return false
@@ -530,7 +543,7 @@
 	return false
 }
 
-// shedLoad refuses the last message of the longest queue while little room is left.
+// shedLoad refuses the last message of the longest queue while the number of held messages is near its maximum.
 func (s *Sender) shedLoad() {
 	if s.settings.MaxHeld <= 0 || s.held <= int(shedThreshold*float64(s.settings.MaxHeld)) {
 		return
@@ -558,7 +571,7 @@
 	if c != nil {
 		r = c.route
 	}
-	// A told wait keeps every message from the gate until it is over, whoever was told.
+	// A Retry-After wait holds back all messages for the group, not only the one that was told.
 	if r != nil && e.RetryAfter > 0 {
 		r.group.waitUntil = max(r.group.waitUntil, s.now+e.RetryAfter)
 	}
@@ -591,7 +604,7 @@
 	}
 }
 
-// recordAttempt notes for a message what its attempt may have done.
+// recordAttempt updates a message with what its attempt may have done.
 func (s *Sender) recordAttempt(m *message, e *Event, c *call) {
 	switch e.Outcome {
 	case ConnectFailed:
@@ -611,21 +624,22 @@
 	}
 }
 
-// mayRefuse tells whether a refusal keeps the rule of effects: the client may come again.
+// mayRefuse reports whether a message may be refused, so that its client may submit it again, under the rules of its
+// effect.
 func (s *Sender) mayRefuse(m *message) bool {
 	free := m.class.Effect == Safe || m.class.Effect == Keyed && m.class.GroupAll
 	return !m.ended && (free || !m.mayHaveRun && len(m.outstanding) == 0)
 }
 
-// mayAttempt is the one guard of all sends. It tells when a send of m to r keeps the rules;
-// math.MaxInt64 if never as things stand.
+// mayAttempt is the single guard of all sends. It returns when a send of m to r keeps the rules; math.MaxInt64 if never
+// as things stand.
 func (s *Sender) mayAttempt(m *message, r *route) time.Duration {
 	const never = time.Duration(math.MaxInt64)
-	// Rule 1: nothing after the end, nothing past the time or the attempts.
+	// Rule 1: nothing after the end, the deadline or the last attempt.
 	if m.ended || s.now >= m.deadline || s.settings.MaxAttempts > 0 && m.sends >= s.settings.MaxAttempts {
 		return never
 	}
-	// Rule 2: one attempt at a time; repeats only where they are dropped.
+	// Rule 2: one attempt at a time; repeats only where they are deduplicated.
 	if len(m.outstanding) > 0 {
 		return never
 	}
@@ -643,7 +657,7 @@
 	if !r.usable() || r.Destination != m.dest.id {
 		return never
 	}
-	// Rule 6: the key's turn and its rest.
+	// Rule 6: the order of the key and its pause.
 	at := time.Duration(0)
 	if t := m.keyQueue; t != nil {
 		if t.messages[0] != m {
@@ -653,13 +667,13 @@
 			at = t.restUntil
 		}
 	}
-	// Rule 4: the recovery budget. Rule 5: told waits.
+	// Rule 4: the recovery budget. Rule 5: Retry-After waits.
 	return max(at, r.group.waitUntil, s.recoveryOpensAt(r))
 }
 
 // Route choice.
 
-// chooseRoute returns the first route in order that takes the message now; else nil and when one may.
+// chooseRoute returns the first route in order that takes the message now; otherwise nil and when one may.
 func (s *Sender) chooseRoute(m *message) (*route, time.Duration) {
 	fallback, soonest := (*route)(nil), time.Duration(math.MaxInt64)
 	for _, g := range m.dest.groups {
@@ -667,9 +681,9 @@
 		for _, r := range g.routes {
 			at := s.mayAttempt(m, r)
 			if m.deadline-s.now < r.mean {
-				continue // no time left for an answer
+				continue // not enough time left for an answer
 			}
-			// An unsafe message is lost with its attempt: others try a skipped route first.
+			// An unsafe message is lost with its attempt, so other messages try a skipped route first.
 			if r.down && m.class.Effect == Unsafe {
 				at = max(at, m.deadline-(m.deadline-m.aimBy)/2)
 			}
@@ -684,7 +698,7 @@
 				fallback = r
 				continue
 			}
-			// Routes that share a gate are one tier: the one with fewest calls out, in order.
+			// Routes of one group form one tier: take the one with the fewest calls out, in order.
 			if best == nil || len(r.calls) < len(best.calls) {
 				best = r
 			}
@@ -696,7 +710,7 @@
 	return fallback, soonest
 }
 
-// findNext finds the destination's findNext message that may go, or when one may.
+// findNext finds the destination's next message that may go, or when one may.
 func (s *Sender) findNext(d *dest) {
 	d.next, d.nextRoute, d.opensAt = nil, nil, math.MaxInt64
 	for _, g := range d.groups {
@@ -720,13 +734,13 @@
 
 // Queue and dispatch.
 
-// ranksBefore tells which of two messages goes first.
+// ranksBefore reports whether message a goes before message b.
 func ranksBefore(a, b *message) bool {
 	return a.rank < b.rank || a.rank == b.rank && a.id < b.id
 }
 
-// dispatch sends what may go, first in order first, while slots last. Destinations that nothing touched since
-// they were found closed are not looked at.
+// dispatch sends the messages that may go, in order of rank and slot cost, while slots are free. It skips destinations
+// that nothing has changed since they were found to be blocked.
 func (s *Sender) dispatch() {
 	ready := s.popOpened(s.ready[:0])
 	s.ready = ready
@@ -752,8 +766,8 @@
 	s.requeueReady()
 }
 
-// refuseUnreachable refuses what waits for nothing: messages of a destination that opens only after their deadlines.
-// The client may come again elsewhere, to a sender that was told less.
+// refuseUnreachable refuses the messages of a destination that opens only after their deadlines. The client may submit
+// them through another sender, which may have seen fewer failures.
 func (s *Sender) refuseUnreachable(d *dest) {
 	for i := len(d.queue) - 1; i >= 0; i-- {
 		if m := d.queue[i]; d.opensAt < math.MaxInt64 && d.opensAt >= m.deadline && s.mayRefuseEarly(m) {
@@ -762,8 +776,8 @@
 	}
 }
 
-// startCall starts a call with the destination's next message and, where its kind allows, with further ones for
-// the same route: it counts once against a limit.
+// startCall starts a call with the destination's next message and, where its kind allows, with further messages for the
+// same route. The call counts once against a limit.
 func (s *Sender) startCall(d *dest) {
 	r := d.nextRoute
 	c := &call{route: r, sent: s.now, overdueAt: s.now + s.maxAnswerTime(r, overdueDevs), endsAt: d.next.deadline}
@@ -784,7 +798,7 @@
 	s.beginCall(c)
 }
 
-// addToCall adds an attempt of m to a call, if the guard lets it.
+// addToCall adds an attempt of m to a call and reports whether mayAttempt allowed it.
 func (s *Sender) addToCall(m *message, c *call) bool {
 	if s.mayAttempt(m, c.route) > s.now {
 		return false
@@ -802,7 +816,7 @@
 	return true
 }
 
-// maxAnswerTime is how long an answer of a route may take: its mean and so many mean deviations.
+// maxAnswerTime is how long an answer of a route may take: its mean plus devs mean deviations.
 func (s *Sender) maxAnswerTime(r *route, devs int) time.Duration {
 	if r.mean == 0 {
 		return 2 * minAnswerTime
@@ -810,13 +824,14 @@
 	return max(minAnswerTime, r.mean+time.Duration(devs)*r.dev)
 }
 
-// attemptTimeout is when an attempt times out: as long as the route's answers have taken, at most half the time left.
-// An unsafe message has no second try and waits twice as long; a trial of a skipped route waits least.
+// attemptTimeout is when an attempt times out: as late as the answer times of the route call for, but after half of the
+// time left at most. An unsafe message has no second attempt and waits twice as long. A trial of a skipped route has the
+// shortest timeout.
 func (s *Sender) attemptTimeout(m *message, r *route) time.Duration {
 	left := m.deadline - s.now
 	usual := max(s.maxAnswerTime(r, timeoutDevs), m.class.Aim/2)
 	if m.class.Effect == Keyed && !m.class.GroupAll {
-		usual = max(usual, m.class.Aim) // a repeat is bound to few routes
+		usual = max(usual, m.class.Aim) // a repeat may use only the routes of one zone
 	}
 	if s.settings.Slots > 0 && 2*s.slotsUsed > s.settings.Slots {
 		usual = min(usual, m.class.Aim)
@@ -830,7 +845,7 @@
 	if m.class.Effect == Unsafe {
 		return s.now + min(left, 2*usual)
 	}
-	// Where half of the time is less than an answer may take, one try has all of it.
+	// If half of the time left is too short for an answer, one attempt gets all of it.
 	if left/2 >= s.maxAnswerTime(r, overdueDevs) {
 		left /= 2
 	}
@@ -839,7 +854,7 @@
 
 // Deadlines.
 
-// runTimers gives every message whose time is up its final answer.
+// runTimers gives every message whose time is up its final answer, and demotes those that have missed their aim.
 func (s *Sender) runTimers() {
 	s.pruneTimers()
 	for len(s.timers) > 0 && (s.timers[0].at <= s.now || s.timers[0].message.ended) {
@@ -854,7 +869,8 @@
 	}
 }
 
-// demoteLate moves a message back that has missed its aim: what is still in time goes first, with more to lose.
+// demoteLate moves a message back that has missed its aim: messages still in time go first, since they have more worth
+// to lose.
 func (s *Sender) demoteLate(m *message) {
 	queued := m.queued
 	s.dequeue(m)
@@ -865,7 +881,8 @@
 	}
 }
 
-// refuse ends a message with advice to come again once a route may take it.
+// refuse ends a message with a refusal, if the rules of its effect allow one. Its Retry-After covers the waits of the
+// destination's groups, up to MaxRetryAfter.
 func (s *Sender) refuse(m *message) {
 	if !s.mayRefuse(m) {
 		return
@@ -882,7 +899,7 @@
 	s.endMessage(m)
 }
 
-// fail ends a message for which nothing is promised.
+// fail ends a message with a failure, which promises nothing about whether it ran.
 func (s *Sender) fail(m *message) {
 	s.emit(Action{Kind: Fail, ID: m.id})
 	s.endMessage(m)
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -10,11 +10,11 @@
 
 const ms = time.Millisecond
 
-// harness drives one Sender with an explicit clock.
+// harness runs one Sender with a simulated clock.
 type harness struct {
-	t     *testing.T
-	sender     *Sender
-	now   time.Duration
+	t        *testing.T
+	sender   *Sender
+	now      time.Duration
 	attempts map[uint32]int
 }
 
@@ -45,7 +45,7 @@
 	return d
 }
 
-// step gives events at the present time and keeps the actions other than wakes.
+// step passes events to the Sender at the current time and returns its actions other than wakes.
 func (d *harness) step(evs ...Event) []Action {
 	var acts []Action
 	for _, a := range d.sender.Step(d.now, evs) {
@@ -68,13 +68,13 @@
 		MessageEnded: o == OK})
 }
 
-// wake lets time pass and wakes the Sender.
+// wake advances the clock and wakes the Sender.
 func (d *harness) wake(after time.Duration) []Action {
 	d.now += after
 	return d.step(Event{Kind: Woken})
 }
 
-// firstSend tells where the first Send of the actions goes; "" if none.
+// firstSend returns the route of the first Send among the actions; "" if there is none.
 func firstSend(acts []Action) string {
 	for _, a := range acts {
 		if a.Kind == Send {
@@ -98,14 +98,14 @@
 	for range 3 {
 		got = append(got, firstSend(d.finish(1, got[len(got)-1], Full, 10*ms, 0)))
 	}
-	// Each refusal leaves its gate a pace with nothing saved, so the message moves on.
-	slices.Sort(got[1:3]) // equal routes go by lot
+	// Each refusal sets a pace without tokens for its group, so that the message moves on to the next.
+	slices.Sort(got[1:3]) // equal routes are ordered at random
 	if want := []string{"z", "b", "c", "a"}; !slices.Equal(got, want) {
 		t.Errorf("order %v, want %v", got, want)
 	}
 }
 
-// Senders once went to the first of equal routes by name, over the way, while one next door idled.
+// Guards against preferring the first of equal routes by name, in another zone, to one in the own zone.
 func TestOwnZoneGoesFirstAmongEqualRoutes(t *testing.T) {
 	for _, separate := range []int{0, 1} {
 		set := settings()
@@ -122,7 +122,7 @@
 	}
 }
 
-// Hundreds of senders once loaded the first of several equal routes while the others idled.
+// Guards against hundreds of senders that all load the first of several equal routes while the others idle.
 func TestSendersSpreadOverEqualRoutes(t *testing.T) {
 	first := map[string]int{}
 	for seed := range uint64(60) {
@@ -151,13 +151,14 @@
 		o    sample
 		skip bool
 	}{
-		{"shut", route{}, sample{outcome: Full, retryAfter: 5 * time.Second}, true},
-		{"shut", route{refusals: outageRefusals, refusedAt: now - outageRefusalSpan}, sample{outcome: Full}, true},
-		{"full", route{refusals: outageRefusals, refusedAt: now - outageRefusalSpan + 1}, sample{outcome: Full, retryAfter: time.Second}, false},
+		{"outage", route{}, sample{outcome: Full, retryAfter: 5 * time.Second}, true},
+		{"outage", route{refusals: outageRefusals, refusedAt: now - outageRefusalSpan}, sample{outcome: Full}, true},
+		{"full", route{refusals: outageRefusals, refusedAt: now - outageRefusalSpan + 1},
+			sample{outcome: Full, retryAfter: time.Second}, false},
 		{"trial failed", route{down: true}, sample{outcome: Error}, true},
-		{"crowded", route{failStreak: 1}, sample{outcome: ConnectFailed, tableFull: true}, false},
+		{"table full", route{failStreak: 1}, sample{outcome: ConnectFailed, tableFull: true}, false},
 		{"failed", route{failStreak: 1}, sample{outcome: ConnectFailed}, false},
-		{"in a row", route{failStreak: 3, okAt: now - time.Second}, sample{outcome: ConnectFailed}, true},
+		{"failures in a row", route{failStreak: 3, okAt: now - time.Second}, sample{outcome: ConnectFailed}, true},
 		{"mostly failing", route{failStreak: 1, recentFailures: 0b10111010}, sample{outcome: Error}, true},
 		{"failed", route{failStreak: 1, recentFailures: 0b1011010}, sample{outcome: Error}, false},
 		{"failed", route{failStreak: 2}, sample{outcome: Timeout}, false},
@@ -174,7 +175,7 @@
 func TestSkipExpires(t *testing.T) {
 	d := newHarness(t, settings(), Listing{Route: "a", Kind: 1, Weight: 9}, Listing{Route: "b", Kind: 1, Weight: 5})
 	for id := range uint32(3) {
-		d.now += time.Second // the recovery budget of a route in doubt
+		d.now += time.Second // so that the recovery budget allows a call
 		if got := firstSend(d.accept(id, 0)); got != "a" {
 			t.Fatalf("message %d to %q before the skip", id, got)
 		}
@@ -203,7 +204,7 @@
 	}
 	g := d.sender.routes["a"].group
 	if g.pace != 0 {
-		t.Fatalf("the pace starts at %v, want free", g.pace)
+		t.Fatalf("the pace starts at %v, want none", g.pace)
 	}
 	d.finish(0, "a", Full, 100*ms, 0)
 	if g.pace != 4 {
@@ -230,7 +231,7 @@
 	}
 }
 
-// Halving counts of few calls a second again and again starved gates whose limit was known.
+// Guards against repeated halving of rates of a few calls a second, which starves a group whose limit is known.
 func TestPaceKeepsItsFloor(t *testing.T) {
 	d := newHarness(t, settings(), Listing{Route: "a", Kind: 1, Weight: 20})
 	r := d.sender.routes["a"]
@@ -244,7 +245,7 @@
 	}
 }
 
-// Half of one call a second, at each of hundreds of senders refused, once was several times what the limit takes.
+// Guards against hundreds of refused senders that each go on at half a call a second, several times the limit in sum.
 func TestRefusedSparseSendersStayWithinTheLimit(t *testing.T) {
 	const limit, senders = 40, 300
 	set := settings()
@@ -262,7 +263,7 @@
 	}
 }
 
-// A sparse sender refused twice once crawled far under its part of the limit, long after the others had their share.
+// Guards against a sparse sender that, refused twice, stays far below its share of the limit for a long time.
 func TestDeliveryRaisesSparsePaceToSenderShare(t *testing.T) {
 	set := settings()
 	set.Senders, set.NoWeights = 300, true
@@ -276,7 +277,7 @@
 	}
 	g := r.group
 	if g.pace >= d.sender.senderShare(g) {
-		t.Fatalf("pace %v after two refusals, its part is %v", g.pace, d.sender.senderShare(g))
+		t.Fatalf("pace %v after two refusals, its share is %v", g.pace, d.sender.senderShare(g))
 	}
 	for range 2 {
 		d.sender.now += time.Second
@@ -287,7 +288,7 @@
 	}
 }
 
-// A pace once crawled near a rate that was refused while the limit was low, long after a higher one was told.
+// Guards against slow growth near a rate that was refused under a low limit, after a higher limit has been reported.
 func TestPaceGrowsFasterUnderAHigherLimit(t *testing.T) {
 	for _, c := range []struct{ limit, growth float64 }{{4, paceGrowthNearCeiling}, {16, paceGrowth}} {
 		set := settings()
@@ -309,7 +310,7 @@
 	}
 }
 
-// Such a pace also stayed under the floor of the higher limit until it had crept there.
+// Guards against such a pace staying below the floor of the higher limit.
 func TestPaceRisesToTheFloorOfAHigherLimit(t *testing.T) {
 	set := settings()
 	set.NoWeights = true
@@ -332,9 +333,9 @@
 		want    ActionKind
 		early   bool
 	}{
-		{0, Timeout, Refuse, false}, // safe: the client may come again
+		{0, Timeout, Refuse, false}, // safe: the client may submit it again
 		{1, Full, Refuse, false},    // keyed, never ran
-		{1, Timeout, Fail, true},    // keyed, may have run: no repeat is dropped after 10 s
+		{1, Timeout, Fail, true},    // keyed, may have run: repeats are no longer dropped after 10 s
 		{2, ConnectFailed, Refuse, false},
 	} {
 		d := newHarness(t, settings(), Listing{Route: "a"})
@@ -382,7 +383,7 @@
 	}
 }
 
-// A wait told to one message of a call whose others were delivered was once lost.
+// Guards against losing the Retry-After of one message of a call whose other messages were delivered.
 func TestRetryAfterOfAPartlyDeliveredCall(t *testing.T) {
 	d := newHarness(t, settings(), Listing{Route: "a", Kind: 2})
 	d.step(Event{Kind: Accepted, ID: 1, TimeLeft: 9 * time.Second}, Event{Kind: Accepted, ID: 2, TimeLeft: 9 * time.Second})
@@ -399,7 +400,8 @@
 	d.sender.now = d.now
 	d.sender.markSuspect(r)
 	r.group.credit = 0
-	// 2/3 of what topples at the window's end, 2*0.36*5*2 calls, less half a call, in a window that lapses late.
+	// 2/3 of the 2*0.36*5*2 calls that overload the route at the end of the window, less half a call, over the window
+	// and the time after which credit lapses.
 	rate := (informedShare*2*0.36*5*2 - 0.5) / (2 * (1 + creditLapseShare)) * (1 - ownTrafficShare)
 	if got, want := d.sender.recoveryOpensAt(r), d.now+interval(rate); got != want {
 		t.Errorf("next call at %v, want %v", got, want)
@@ -410,7 +412,7 @@
 	}
 }
 
-// Senders told to wait until a destination opens once all called as it did: their budget had filled meanwhile.
+// Guards against credit that accrues during a Retry-After wait: all senders would call as the wait ends.
 func TestRetryAfterAccruesNoCredit(t *testing.T) {
 	set := settings()
 	set.Senders = 400
@@ -434,7 +436,8 @@
 	}
 }
 
-// A sender of hundreds may see one failure of an outage: that is enough to doubt, and one delivery to clear.
+// One of hundreds of senders may see a single failure of an outage. That makes the route suspect, and one delivery
+// clears it.
 func TestSparseSenderSuspectsOnOneFailure(t *testing.T) {
 	for _, c := range []struct {
 		senders int
@@ -447,16 +450,16 @@
 		d.sender.now = d.now
 		d.sender.recordOutcome(r, sample{outcome: Timeout, sent: d.now}, time.Second)
 		if r.suspect != c.cold {
-			t.Errorf("%d senders: in doubt %v after one failure", c.senders, r.suspect)
+			t.Errorf("%d senders: suspect %v after one failure", c.senders, r.suspect)
 		}
 		d.sender.recordOutcome(r, sample{outcome: OK, sent: d.now}, ms)
 		if r.suspect {
-			t.Errorf("%d senders: in doubt after a delivery", c.senders)
+			t.Errorf("%d senders: suspect after a delivery", c.senders)
 		}
 	}
 }
 
-// A shut destination was pushed over by hundreds of senders that it had refused twice each.
+// Guards against overloading an unavailable destination that has refused each of hundreds of senders twice.
 func TestSparseSenderSuspectsOnTwoRefusals(t *testing.T) {
 	for _, c := range []struct {
 		senders   int
@@ -464,9 +467,9 @@
 		cold      bool
 	}{
 		{20, outageRefusalSpan, 0, true},
-		{20, outageRefusalSpan - ms, 0, false},  // a clump: over by then
-		{20, outageRefusalSpan, 500 * ms, true}, // waits are told by shut destinations too
-		{10, outageRefusalSpan, 0, true},        // its part is more than a call in the span of a fall: a warm-up follows
+		{20, outageRefusalSpan - ms, 0, false},  // refusals of one burst
+		{20, outageRefusalSpan, 500 * ms, true}, // unavailable destinations send Retry-After too
+		{10, outageRefusalSpan, 0, true},        // its share is more than a call in an overload window: a warm-up follows
 		{1, outageRefusalSpan, 0, false},
 	} {
 		set := settings()
@@ -478,25 +481,25 @@
 		d.sender.now += c.gap
 		d.sender.recordOutcome(r, sample{outcome: Full, sent: d.sender.now, retryAfter: c.wait}, ms)
 		if r.suspect != c.cold {
-			t.Errorf("%+v: in doubt %v", c, r.suspect)
+			t.Errorf("%+v: suspect %v", c, r.suspect)
 		}
 	}
 }
 
-// Hundreds of senders refused once by a shut destination, or told by one failed connection of a crashed one,
-// pushed it over together as it came back. Most of them doubt now; where each sees more of a route, none does yet.
+// Guards against hundreds of senders that each saw one refusal or one failed connection in an outage and overload the
+// destination together as it returns. Most of them suspect the route; where each sender sees more of a route, none does.
 func TestWeakEvidenceSuspectsByChance(t *testing.T) {
 	for _, c := range []struct {
 		senders     int
 		outcome     Outcome
 		alive       bool
-		least, most int // in doubt, of 200
+		least, most int // suspect, of 200
 	}{
 		{400, Full, false, 100, 140},
 		{400, ConnectFailed, false, 100, 140},
 		{400, Full, true, 0, 0}, // it answered within the last seconds
 		{3, Full, false, 0, 0},
-		{20, Full, false, 0, 0}, // its part is more than a call in a warm-up
+		{20, Full, false, 0, 0}, // its share is more than a call in a warm-up
 	} {
 		set := settings()
 		set.Senders = c.senders
@@ -518,17 +521,17 @@
 			}
 		}
 		if n < c.least || n > c.most {
-			t.Errorf("%+v: %d of 200 in doubt", c, n)
+			t.Errorf("%+v: %d of 200 suspect", c, n)
 		}
 	}
 }
 
-// Short-lived messages once had two tries of half their time each, both cut off before the answer.
+// Guards against two attempts of half the time each that both end before the answer, for messages with little time.
 func TestShortTimeLeftGoesToOneAttempt(t *testing.T) {
 	d := newHarness(t, settings(), Listing{Route: "a"})
 	for _, c := range []struct{ left, want time.Duration }{
 		{1200 * ms, 1200*ms - deadlineMargin},
-		{8 * time.Second, 1600 * ms}, // what an answer not measured yet may take
+		{8 * time.Second, 1600 * ms}, // the time for an answer while none has been measured
 	} {
 		acts := d.step(Event{Kind: Accepted, ID: uint32(c.left), TimeLeft: c.left})
 		if len(acts) != 1 || acts[0].Kind != Send || acts[0].TimeoutAt-d.now != c.want {
@@ -537,7 +540,7 @@
 	}
 }
 
-// Messages once waited to their deadlines at destinations that would open after them.
+// Guards against messages that wait until their deadlines for destinations that open only later.
 func TestUnreachableMessagesAreRefused(t *testing.T) {
 	set := settings()
 	set.Senders = 400
@@ -559,7 +562,7 @@
 	}
 }
 
-// Calls saved up by hundreds of senders through a long outage once went out together at its end.
+// Guards against credit that hundreds of senders save up in a long outage and use together at its end.
 func TestUnusedCreditLapses(t *testing.T) {
 	set := settings()
 	d := newHarness(t, set, Listing{Route: "a", Kind: 1, Weight: 4})
@@ -578,11 +581,11 @@
 	}
 	want := rate * creditLapseShare * set.OverloadWindow.Seconds()
 	if got := float64(open) / steps; math.Abs(got-want) > 0.1*want {
-		t.Errorf("a call is due %.3f of the time, want %.3f", got, want)
+		t.Errorf("a call is allowed %.3f of the time, want %.3f", got, want)
 	}
 }
 
-// A wake that came a fraction early was taken as still to come, and the message it was for had no answer.
+// Guards against a wake that comes slightly early and counts as still pending, so that its message gets no answer.
 func TestEarlyWakeIsRequestedAgain(t *testing.T) {
 	d := newHarness(t, settings())
 	d.accept(1, 0)
@@ -592,11 +595,11 @@
 	d.sender.wakeAt, d.sender.wantWake = d.sender.wantWake, 0
 	acts := d.sender.Step(at, []Event{{Kind: Woken}})
 	if !has(acts, Wake) {
-		t.Errorf("no wake asked for: %+v", acts)
+		t.Errorf("no wake requested: %+v", acts)
 	}
 }
 
-// Idle connections of hundreds of senders once filled the tables of destinations.
+// Guards against idle connections of hundreds of senders that fill the connection tables of destinations.
 func TestScarceConnectionsAreClosedAfterUse(t *testing.T) {
 	for _, c := range []struct {
 		senders int
@@ -614,17 +617,17 @@
 	}
 }
 
-// Two failed connections at a full table once put a destination in doubt for its whole warm-up.
+// Guards against two failed connections at a full connection table that make a destination suspect for a warm-up.
 func TestFullTableIsNoOutage(t *testing.T) {
 	for _, c := range []struct {
 		senders, fails int
 		took           time.Duration
 		cold           bool
 	}{
-		{20, 2, 10 * ms, false},             // a full table
+		{20, 2, 10 * ms, false},                // a full table
 		{100, maxTableFull + 3, 10 * ms, true}, // an outage after all
-		{100, 3, time.Second, true},         // not at once: silence
-		{3, 3, 10 * ms, true},               // few senders fill no table
+		{100, 3, time.Second, true},            // not at once: no answer
+		{3, 3, 10 * ms, true},                  // few senders do not fill a table
 	} {
 		set := settings()
 		set.Senders = c.senders
@@ -635,12 +638,12 @@
 			d.sender.recordOutcome(d.sender.routes["a"], sample{outcome: ConnectFailed, sent: d.now - c.took}, c.took)
 		}
 		if got := d.sender.routes["a"].suspect; got != c.cold {
-			t.Errorf("%+v: in doubt %v", c, got)
+			t.Errorf("%+v: suspect %v", c, got)
 		}
 	}
 }
 
-// At a call in some seconds a pace once recovered thirty times slower than at ten a second.
+// Guards against a pace that recovers thirty times slower at one call in several seconds than at ten a second.
 func TestPaceRecoversWithTime(t *testing.T) {
 	d := newHarness(t, settings(), Listing{Route: "a", Kind: 1})
 	g := d.sender.routes["a"].group
@@ -652,7 +655,7 @@
 	}
 }
 
-// A replacement listed during an outage was once sent to at full pace.
+// Guards against sending at full pace to a replacement that is listed during an outage.
 func TestReplacementIsSuspect(t *testing.T) {
 	d := newHarness(t, settings(), Listing{Route: "a"})
 	for id := range uint32(3) {
@@ -681,7 +684,7 @@
 	}
 }
 
-// Time-outs of calls that later ones overtook once skipped routes that lost single calls.
+// Guards against skipping a route that has lost single calls: later calls were answered before these timed out.
 func TestLostCallIsNoEvidence(t *testing.T) {
 	d := newHarness(t, settings(), Listing{Route: "a"})
 	r := d.sender.routes["a"]
@@ -695,7 +698,7 @@
 	}
 }
 
-// Scattered resets once put living routes under the recovery budget.
+// Guards against scattered resets that put a working route under the recovery budget.
 func TestResetAtAWorkingRouteIsNoEvidence(t *testing.T) {
 	d := newHarness(t, settings(), Listing{Route: "a"})
 	r := d.sender.routes["a"]
@@ -704,7 +707,7 @@
 	d.sender.recordOutcome(r, sample{outcome: Reset, sent: d.now + 1}, ms)
 	d.sender.recordOutcome(r, sample{outcome: Reset, sent: d.now + 1}, ms)
 	if r.suspect {
-		t.Error("in doubt after two resets within 3 s of an answer")
+		t.Error("suspect after two resets within 3 s of an answer")
 	}
 	d.sender.now += recentAnswerSpan
 	for range 3 {
@@ -715,7 +718,7 @@
 	}
 }
 
-// Under loss without resets, each time-out once restarted the warm-up of a route that went on answering.
+// Guards against single timeouts that restart the warm-up of a route that goes on answering.
 func TestTimeOutsBetweenAnswersKeepTheWarmUp(t *testing.T) {
 	d := newHarness(t, settings(), Listing{Route: "a"})
 	r := d.sender.routes["a"]
@@ -740,7 +743,7 @@
 	}
 }
 
-// Calls cut off after milliseconds once kept recovered routes skipped.
+// Guards against calls that end after milliseconds and keep a recovered route skipped.
 func TestShortCallSkipsNothing(t *testing.T) {
 	d := newHarness(t, settings(), Listing{Route: "a"})
 	r := d.sender.routes["a"]
@@ -753,7 +756,7 @@
 	}
 }
 
-// Calls of a route whose last call failed carry one message: ten once shared each failed trial.
+// A call to a route whose last call failed carries one message. Otherwise up to ten messages share each failed trial.
 func TestBatches(t *testing.T) {
 	d := newHarness(t, settings(), Listing{Route: "a", Kind: 2})
 	three := func(first uint32) int {
@@ -786,7 +789,7 @@
 	}
 }
 
-// Partners that hung, and the endpoints listed in the place of theirs, once held all slots between them.
+// Guards against hanging partners, and the endpoints that replace theirs, that together hold all slots.
 func TestSilentRoutesHoldFewSlots(t *testing.T) {
 	set := settings()
 	set.Slots = 40
@@ -797,18 +800,18 @@
 		}
 	}
 	if acts := d.accept(10, 0); has(acts, Send) {
-		t.Errorf("one call more to a route that has not answered: %+v", acts)
+		t.Errorf("another call to a route that has not answered: %+v", acts)
 	}
 	if acts := d.finish(0, "a", OK, 10*ms, 0); !has(acts, Send) {
-		t.Errorf("none more to a route that has: %+v", acts)
+		t.Errorf("no further call to a route that has answered: %+v", acts)
 	}
 	d.finish(1, "a", OK, 10*ms, 0)
 	if acts := d.accept(11, 0); !has(acts, Send) {
-		t.Errorf("only so many to a route that has: %+v", acts)
+		t.Errorf("calls to a route that has answered are limited: %+v", acts)
 	}
 	d.now += 5 * time.Second
 	if acts := d.accept(12, 0); has(acts, Send) {
-		t.Errorf("one more while the oldest is overdue: %+v", acts)
+		t.Errorf("another call while the oldest is overdue: %+v", acts)
 	}
 }
 
@@ -821,7 +824,7 @@
 	}
 	acts := d.step(Event{Kind: Accepted, ID: 20, Destination: 4, TimeLeft: 60 * time.Second})
 	if len(acts) != 1 || acts[0].Kind != Refuse || acts[0].ID == 20 {
-		t.Errorf("with little room left: %+v", acts)
+		t.Errorf("with MaxHeld almost reached: %+v", acts)
 	}
 }
 
@@ -836,7 +839,7 @@
 	}
 }
 
-// While slots are short, what is late already keeps nothing from being in time, for as long as it has.
+// A message past its aim does not delay messages that are still in time, for as long as it has time left.
 func TestLateMessageWaitsForTheQueue(t *testing.T) {
 	d := newHarness(t, settings())
 	d.accept(1, 0)
@@ -861,12 +864,12 @@
 		set := settings()
 		spoil(&set)
 		if _, err := New(set, 1); err == nil {
-			t.Errorf("%s: taken", name)
+			t.Errorf("%s: accepted", name)
 		}
 	}
 }
 
-// A message of no known class ends once, under the strictest rules; a weight that is no number tells nothing.
+// A message of an unknown class is treated by the strictest rules; a weight that is not a number is ignored.
 func TestUnknownClassAndWeight(t *testing.T) {
 	for _, class := range []int{-1, 99} {
 		d := newHarness(t, settings(), Listing{Route: "a", Weight: math.NaN()}, Listing{Route: "b", Kind: 77})
@@ -885,7 +888,7 @@
 	}
 }
 
-// Turns were once kept for good when their rest outlasted their last message, and destinations always.
+// Guards against key queues whose rest outlasts their last message, and destinations without routes, that are kept forever.
 func TestStateOfRemovedRoutesIsReleased(t *testing.T) {
 	set := settings()
 	set.Slots, set.MaxHeld = 50, 100
@@ -900,23 +903,24 @@
 	d.now += time.Minute
 	d.step(Event{Kind: Woken}, Event{Kind: ListChanges})
 	s := d.sender
-	if n := len(s.keyQueues) + len(s.dests) + len(s.order) + len(s.routes) + len(s.msgs) + len(s.active) + len(s.routeless); n != 0 {
+	if n := len(s.keyQueues) + len(s.dests) + len(s.order) + len(s.routes) + len(s.msgs) + len(s.active) +
+		len(s.routeless); n != 0 {
 		t.Errorf("held: %d turns, %d destinations (%d in order), %d routes, %d messages, %d active, %d bare",
 			len(s.keyQueues), len(s.dests), len(s.order), len(s.routes), len(s.msgs), len(s.active), len(s.routeless))
 	}
 }
 
-// Destinations with nothing to do are not looked at: the next dispatch once walked them all.
+// Guards against a dispatch that examines all destinations, including those that nothing has changed.
 func TestOnlyReadyDestinationsAreExamined(t *testing.T) {
 	d := newHarness(t, settings(), Listing{Route: "a"}, Listing{Route: "b", Destination: 1})
 	d.accept(1, 0)
 	d.finish(1, "a", Full, ms, 5*time.Second)
 	if len(d.sender.active) != 1 || d.sender.active[0].opensAt <= d.now {
-		t.Fatalf("active %d, want the one destination that waits, closed", len(d.sender.active))
+		t.Fatalf("active %d, want the one destination that waits, blocked", len(d.sender.active))
 	}
 	opens := d.sender.active[0].opensAt
 	d.step(Event{Kind: Accepted, ID: 2, Destination: 1, TimeLeft: 9 * time.Second})
 	if len(d.sender.active) != 1 || d.sender.active[0].opensAt != opens {
-		t.Error("a message for another destination had the closed one looked at again")
+		t.Error("a message for another destination had the blocked one examined again")
 	}
 }
--- a/policy/property_test.go
+++ b/policy/property_test.go
@@ -8,11 +8,11 @@
 	"time"
 )
 
-// The property test plays long random but legal event sequences against a Sender and judges its actions
-// by the six rules. The checker keeps its own books and shares nothing with the module's guards. To show
-// that it can fail, TestCheckerSeesMissingGuards blinds a Sender for one guard at a time.
+// The property test runs long random but valid event sequences against a Sender and checks its actions against the six
+// rules. The checker keeps its own state and shares no code with the guards of the package. To show that it can fail,
+// TestCheckerDetectsMissingGuards disables one guard of a Sender at a time.
 
-// mutation changes what the Sender is told, as if one of its guards were taken out.
+// mutation changes the settings or events of a Sender, as if one of its guards were missing.
 type mutation struct {
 	name     string
 	rule     int
@@ -21,10 +21,10 @@
 }
 
 type attemptRecord struct {
-	route string
-	sent  time.Duration
-	out   bool // no outcome yet
-	mayHaveRun   bool // may have run
+	route      string
+	sent       time.Duration
+	out        bool // no outcome yet
+	mayHaveRun bool // may have run
 }
 
 type messageRecord struct {
@@ -33,39 +33,39 @@
 	key      string
 	dest     int
 	deadline time.Duration
-	attempts    []attemptRecord
+	attempts []attemptRecord
 	ended    bool
 }
 
 type scheduledEvent struct {
-	at time.Duration
+	at    time.Duration
 	event Event
 	call  *callRecord
 }
 
-// callRecord is one call of the world: messages to one route in one reply.
+// callRecord is one call: the messages that one step sends to one route together.
 type callRecord struct{ pending int }
 
-// simulation is the clients, the routes and the checker.
+// simulation holds the clients, the routes and the state of the checker.
 type simulation struct {
-	rng      *rand.Rand
-	set      Settings
-	now      time.Duration
-	routes   []Listing
-	listings   map[string]Listing // as told
-	msgs     map[uint32]*messageRecord
-	keys     map[string][]*messageRecord
-	restUntil     map[string]time.Duration
+	rng          *rand.Rand
+	set          Settings
+	now          time.Duration
+	routes       []Listing
+	listings     map[string]Listing // as reported to the Sender
+	msgs         map[uint32]*messageRecord
+	keys         map[string][]*messageRecord
+	restUntil    map[string]time.Duration
 	waitUntil    map[string]time.Duration   // by scope
-	outage   map[int][2]time.Duration   // by destination: from, to
-	failuresSeen     map[string]int             // failures told in a row, by scope
-	sends    map[string][]time.Duration // by scope, since the return
-	pending  []scheduledEvent
-	nextID   uint32
-	slots    int
+	outage       map[int][2]time.Duration   // by destination: start and end
+	failuresSeen map[string]int             // failures in a row that the Sender saw, by scope
+	sends        map[string][]time.Duration // by scope, since the end of the outage
+	pending      []scheduledEvent
+	nextID       uint32
+	slots        int
 	violations   map[int]string
-	answered int
-	actionCounts     [3]int // sends, refusals, failures
+	answered     int
+	actionCounts [3]int // sends, refusals, failures
 }
 
 func (w *simulation) violate(rule int, format string, args ...any) {
@@ -116,14 +116,14 @@
 	return w
 }
 
-// reset starts the books anew, as for a fresh Sender.
+// reset clears the state of the checker, for a fresh Sender.
 func (w *simulation) reset() {
 	w.listings, w.msgs, w.keys = map[string]Listing{}, map[uint32]*messageRecord{}, map[string][]*messageRecord{}
 	w.restUntil, w.waitUntil, w.failuresSeen = map[string]time.Duration{}, map[string]time.Duration{}, map[string]int{}
 	w.sends, w.pending, w.slots = map[string][]time.Duration{}, nil, 0
 }
 
-// due events up to now, and new ones by chance.
+// events returns the scheduled events up to now, and random new ones unless quiet is set.
 func (w *simulation) events(quiet bool) []Event {
 	var evs []Event
 	slices.SortStableFunc(w.pending, func(a, b scheduledEvent) int { return int(a.at - b.at) })
@@ -161,12 +161,12 @@
 			Destination: m.dest, TimeLeft: left})
 	}
 	switch w.rng.IntN(400) {
-	case 0: // a route drains, or comes back
+	case 0: // a route drains, or returns to service
 		l := &w.routes[w.rng.IntN(len(w.routes))]
 		l.InService = !l.InService
 		w.listings[l.Route] = *l
 		evs = append(evs, Event{Kind: ListChanges, List: []Listing{*l}})
-	case 1: // a route goes for good and another takes its place
+	case 1: // a route is removed and another replaces it
 		i := w.rng.IntN(len(w.routes))
 		old := w.routes[i]
 		old.Gone, old.InService = true, false
@@ -175,7 +175,7 @@
 		w.routes[i].InService = true
 		w.listings[w.routes[i].Route] = w.routes[i]
 		evs = append(evs, Event{Kind: ListChanges, List: []Listing{old, w.routes[i]}})
-	case 2: // a client goes
+	case 2: // a client withdraws
 		for id := uint32(1); id < w.nextID; id++ {
 			if m := w.msgs[id]; m != nil && !m.ended {
 				m.ended = true
@@ -183,14 +183,14 @@
 				break
 			}
 		}
-	case 3: // events of messages never held
+	case 3: // events of unknown messages
 		evs = append(evs, Event{Kind: Finished, ID: 4e9, Route: "nowhere", Outcome: Timeout},
 			Event{Kind: Withdrawn, ID: 4e9 + 1}, Event{Kind: Woken})
 	}
 	return evs
 }
 
-// recordOutcome books an outcome before the Sender hears of it.
+// recordOutcome records an outcome before the Sender sees it.
 func (w *simulation) recordOutcome(e *Event) {
 	m := w.msgs[e.ID]
 	if m == nil {
@@ -294,8 +294,8 @@
 	}
 }
 
-// checkRecovery checks the budget of a destination that came back cold: calls of any window since the
-// return, for a Sender told of its failures.
+// checkRecovery checks the recovery budget of a destination: the calls in any window since the end of its outage, for a
+// Sender that saw its failures.
 func (w *simulation) checkRecovery(d string, back time.Duration) {
 	w.sends[d] = append(w.sends[d], w.now)
 	n := 0
@@ -314,7 +314,7 @@
 	}
 }
 
-// startAttempt plays an attempt: its outcome comes later, at its cut at the latest.
+// startAttempt schedules the outcome of an attempt, at its timeout at the latest.
 func (w *simulation) startAttempt(m *messageRecord, a Action, calls map[string]*callRecord) {
 	l := w.listings[a.Route]
 	e := Event{Kind: Finished, ID: m.id, Attempt: len(m.attempts), Route: a.Route}
@@ -363,7 +363,7 @@
 	w.pending = append(w.pending, scheduledEvent{at: at, event: e, call: c})
 }
 
-// runSimulation runs one world and returns the rules broken.
+// runSimulation runs one simulation and returns it with the rules that were violated.
 func runSimulation(t *testing.T, seed uint64, b mutation) *simulation {
 	t.Helper()
 	w := newSimulation(seed)
@@ -425,7 +425,7 @@
 			}
 		}
 		if w.answered < 150 || w.actionCounts[1] == 0 || w.actionCounts[2] == 0 {
-			t.Errorf("seed %d: %d answered, %v sends, refusals, failures: the run shows too little",
+			t.Errorf("seed %d: %d answered, %v sends, refusals, failures: the run covers too little",
 				seed, w.answered, w.actionCounts)
 		}
 	}
@@ -453,12 +453,12 @@
 					return
 				}
 			}
-			t.Errorf("rule %d was broken by no run without its guard", b.rule)
+			t.Errorf("no run without the guard violated rule %d", b.rule)
 		})
 	}
 }
 
-// Equal events give equal actions.
+// Equal events lead to equal actions.
 func TestDeterminism(t *testing.T) {
 	a, b := runSimulation(t, 3, mutation{}), runSimulation(t, 3, mutation{})
 	if a.actionCounts != b.actionCounts || a.answered != b.answered || a.nextID != b.nextID {
--- a/policy/resume.go
+++ b/policy/resume.go
@@ -7,12 +7,13 @@
 	"time"
 )
 
-// What a real relay needs beyond the simulator's events: messages that outlast a process, and calls that take
-// time to leave.
+// Messages that outlive a process, and calls that are delayed between decision and sending. The simulator has neither;
+// a relay needs both.
 
-// applyResumed gives a message what an earlier process knew of it, so that the guards hold across a restart. Guards also against a
-// backlog that a fresh Sender, free of any pace, would pour onto hosts as one: the pace of its destination starts at this sender's
-// part. Where nothing tells of a limit yet, that is a guess, and far too low for most: it stands until the first delivery.
+// applyResumed gives a message the state that an earlier process knew of it, so that the guards hold across a restart.
+// It also keeps a fresh Sender, which has no pace yet, from sending a whole backlog to its hosts at once: the pace of the
+// destination starts at this sender's share. While no limit is known, that share is a guess and far too low for most
+// destinations; it applies until the first delivery.
 func (s *Sender) applyResumed(m *message, state *ResumedMessage) {
 	if state == nil {
 		return
@@ -25,10 +26,11 @@
 		s.adoptAttempt(m, state.Outstanding)
 	}
 	if s.exhausted(m) {
-		heap.Push(&s.timers, timer{s.now, m}) // ends in this step
+		heap.Push(&s.timers, timer{s.now, m}) // is ended in this step
 	}
 	if m.keyQueue != nil && state.MayHaveRun {
-		m.keyQueue.restUntil = max(m.keyQueue.restUntil, s.now+s.settings.OrderPause) // a call out when the process ended may still run
+		// A call that was out when the process ended may still run.
+		m.keyQueue.restUntil = max(m.keyQueue.restUntil, s.now+s.settings.OrderPause)
 	}
 	for _, g := range m.dest.groups {
 		if g.pace == 0 && !s.inherited {
@@ -38,10 +40,13 @@
 	}
 }
 
-// mayRefuseEarly tells whether a message may be refused before its time is up: one that an earlier process took on waits for a call.
-func (s *Sender) mayRefuseEarly(m *message) bool { return (!m.resumed || m.sends > 0) && s.mayRefuse(m) }
+// mayRefuseEarly reports whether a message may be refused before its deadline. A message from an earlier process is not
+// refused before it has been tried.
+func (s *Sender) mayRefuseEarly(m *message) bool {
+	return (!m.resumed || m.sends > 0) && s.mayRefuse(m)
+}
 
-// backlogRate is the rate that has each untried message of a destination leave in half of the time that it has left.
+// backlogRate is the rate at which each untried resumed message of a destination leaves within half of its time left.
 func (s *Sender) backlogRate(d *dest) (rate float64) {
 	n := 0.0
 	for _, m := range d.queue {
@@ -53,9 +58,9 @@
 	return rate
 }
 
-// StillAllowed tells whether a call to a route that was decided earlier may leave at now with these messages. Guards
-// against one that was held up, by a slow connection say, while a drain or a wait was told, or while a message ended
-// or the time in which a repeat of it is dropped did.
+// StillAllowed reports whether a call to a route that was decided earlier may leave at now with these messages. A call may
+// have been delayed, for example by a slow connection, while a drain or a Retry-After was reported, while a message ended,
+// or until the window passed in which a repeat of it is dropped.
 func (s *Sender) StillAllowed(route string, now time.Duration, ids ...uint32) bool {
 	r := s.routes[route]
 	return r != nil && r.usable() && now >= r.group.waitUntil && !slices.ContainsFunc(ids, func(id uint32) bool {
--- a/policy/resume_test.go
+++ b/policy/resume_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// resumeSettings have one keyed class whose repeats are dropped in a zone for 10 s.
+// resumeSettings returns settings with one keyed class whose repeats are dropped within a zone for 10 s.
 func resumeSettings() Settings {
 	return Settings{
 		Classes: []Class{{
@@ -16,7 +16,7 @@
 	}
 }
 
-// twoZones is a list of a better route in zone 1 and another in zone 0.
+// twoZones returns a list with a preferred route in zone 1 and another in zone 0.
 func twoZones() Event {
 	return Event{Kind: ListFull, List: []Listing{
 		{Route: "best", Destination: 5, Zone: 1, Weight: 50, InService: true},
@@ -89,19 +89,19 @@
 			sends++
 		}
 	}
-	if sends == 0 || sends > 4 { // one for each route, and what rounding adds
+	if sends == 0 || sends > 4 { // one for each route, plus rounding
 		t.Errorf("%d sends at once", sends)
 	}
 }
 
-// A backlog once went out at the pace of a limit that nobody had told yet, long after the first answers had told it.
+// Guards against a guessed pace that outlasts the first answers, although they report the limit.
 func TestFirstDeliveryReplacesGuessedPace(t *testing.T) {
 	for _, c := range []struct {
 		name string
 		told Report
 		want float64
 	}{
-		{"a limit is told", Report{Present: true, Limit: 20}, 20 * (1 - ownTrafficShare)},
+		{"a limit is reported", Report{Present: true, Limit: 20}, 20 * (1 - ownTrafficShare)},
 		{"there is none", Report{}, 0},
 	} {
 		set := settings()
@@ -130,7 +130,7 @@
 	if !s.StillAllowed("best", time.Second) || !s.StillAllowed("other", time.Second) || s.StillAllowed("none", time.Second) {
 		t.Error("routes in service may be called, others not")
 	}
-	// A wait that comes with a delivery, as in a bundle's answer, binds too.
+	// A Retry-After that comes with a delivery, as in the answer to a bundle, counts too.
 	s.Step(2*time.Second, []Event{{Kind: Finished, ID: 1, Route: "best", Outcome: OK, MessageEnded: true, RetryAfter: time.Second}})
 	if s.StillAllowed("best", 2900*time.Millisecond) || !s.StillAllowed("best", 3*time.Second) {
 		t.Error("the wait ends at 3 s")
@@ -143,7 +143,7 @@
 	}
 }
 
-// A message that no route may ever take again gets its answer then, not at its deadline.
+// A message that no route may ever take again gets its final answer at once, not at its deadline.
 func TestExhaustedMessagesEndAtOnce(t *testing.T) {
 	s, err := New(resumeSettings(), 1)
 	if err != nil {
@@ -158,12 +158,14 @@
 		return kinds
 	}
 	if got := ends(time.Second, twoZones(),
-		Event{Kind: Accepted, ID: 1, Destination: 5, TimeLeft: 14 * time.Second, Resumed: &ResumedMessage{Attempts: 8, MayHaveRun: true, FirstRunZone: 2}},
-		Event{Kind: Accepted, ID: 2, Destination: 5, TimeLeft: 14 * time.Second, Resumed: &ResumedMessage{Attempts: 2, MayHaveRun: true, FirstRunZone: 2}},
+		Event{Kind: Accepted, ID: 1, Destination: 5, TimeLeft: 14 * time.Second,
+			Resumed: &ResumedMessage{Attempts: 8, MayHaveRun: true, FirstRunZone: 2}},
+		Event{Kind: Accepted, ID: 2, Destination: 5, TimeLeft: 14 * time.Second,
+			Resumed: &ResumedMessage{Attempts: 2, MayHaveRun: true, FirstRunZone: 2}},
 	); len(got) != 1 || got[0] != Fail {
 		t.Errorf("with no attempts left: %v", got)
 	}
-	// No route stands in zone 2, where the second may have run: it waits for one as long as repeats are dropped.
+	// There is no route in zone 2, where the second message may have run. It waits for one while repeats are dropped.
 	if got := ends(10900 * time.Millisecond); len(got) != 0 {
 		t.Errorf("inside the window: %v", got)
 	}
@@ -172,7 +174,7 @@
 	}
 }
 
-// A repeat once left as much later than it was decided as its connection took, when no one dropped it any more.
+// Guards against a repeat that is delayed by a slow connection and leaves after the window in which it is dropped.
 func TestARepeatMayNotLeaveAfterItsWindow(t *testing.T) {
 	d := newHarness(t, settings(), Listing{Route: "a"})
 	d.accept(1, 1)
@@ -189,8 +191,8 @@
 	}
 }
 
-// newBacklogHarness is one of so many senders, which has taken up n messages of an earlier process, with no call made for them, for one
-// destination of which a limit is told in answers.
+// newBacklogHarness returns a harness of one of several senders that has resumed n messages of an earlier process, none of
+// which has been tried. Answers of their destination report a limit.
 func newBacklogHarness(t *testing.T, senders, n int, left time.Duration) *harness {
 	set := settings()
 	set.Senders, set.NoWeights, set.MaxRetryAfter = senders, true, 3*time.Second
@@ -201,14 +203,14 @@
 	}
 	for _, a := range d.step(evs...) {
 		if a.Kind == Refuse {
-			t.Errorf("message %d given up at the restart with no call", a.ID)
+			t.Errorf("message %d refused at the restart without an attempt", a.ID)
 		}
 	}
 	return d
 }
 
-// A guess at this sender's part of an unknown limit once had half of all that restarts found given up in the first step: the
-// guess said that its destination would not take it in time.
+// Guards against resumed messages that are refused in the first step because a guessed pace says that the destination
+// cannot take them in time. The guess at the sender's share of an unknown limit once had half of them refused.
 func TestUntriedMessagesAreTriedAfterARestart(t *testing.T) {
 	const left = 12 * time.Second
 	d := newBacklogHarness(t, 300, 6, left)
@@ -218,7 +220,8 @@
 		var acts []Action
 		if out > 0 {
 			d.now += 150 * ms
-			acts = d.step(Event{Kind: Finished, ID: out, Route: "a", Outcome: OK, Took: 150 * ms, MessageEnded: true, Report: Report{Present: true, Limit: 20}})
+			acts = d.step(Event{Kind: Finished, ID: out, Route: "a", Outcome: OK, Took: 150 * ms, MessageEnded: true,
+				Report: Report{Present: true, Limit: 20}})
 		} else {
 			acts = d.wake(50 * ms)
 		}
@@ -228,7 +231,7 @@
 			case Send:
 				out, tried = a.ID, tried+1
 			case Refuse, Fail:
-				t.Fatalf("message %d given up with %v left and no call", a.ID, left-(d.now-begun))
+				t.Fatalf("message %d ended without an attempt, with %v left", a.ID, left-(d.now-begun))
 			}
 		}
 	}
@@ -237,11 +240,11 @@
 	}
 }
 
-// Where the first call fails the next one shows more than the guess: calls go on, one at a time.
+// If the first call fails, the next one tells more than the guess: calls continue, one at a time.
 func TestGuessedPaceContinuesAfterAFailure(t *testing.T) {
 	d := newBacklogHarness(t, 1, 3, 12*time.Second)
 	if acts := d.wake(time.Second); len(acts) > 0 {
-		t.Errorf("%+v beside the first call, whose outcome is yet to come", acts)
+		t.Errorf("%+v while the first call is still out", acts)
 	}
 	d.finish(1, "a", Reset, 100*ms, 0)
 	if n := len(d.sender.routes["a"].calls); n != 1 {
--- a/policy/sharing_test.go
+++ b/policy/sharing_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// acceptAll hands in messages of one step, each with its class and the time that it has.
+// acceptAll accepts messages in one step, alternately safe and unsafe, each with the given time left.
 func acceptAll(d *harness, times ...time.Duration) []Action {
 	var evs []Event
 	for i, left := range times {
@@ -14,8 +14,8 @@
 	return d.step(evs...)
 }
 
-// What a call brings after the time of one of its messages is up is no delivery of the others: the platform has let go of it.
-// Seen as messages lost that a whole answer had called delivered.
+// Guards against a call that outlasts the deadline of one of its messages. The platform no longer waits for its answer
+// then, so that the other messages are lost although the answer reports them as delivered.
 func TestCallEndsAtItsEarliestDeadline(t *testing.T) {
 	d := newHarness(t, settings(), Listing{Route: "r", Kind: 2})
 	acts := acceptAll(d, 2500*ms, 60*time.Second)
@@ -24,7 +24,7 @@
 	}
 	for _, a := range acts {
 		if by := d.now + 2500*ms - deadlineMargin; a.TimeoutAt > by {
-			t.Errorf("message %d of a call waits %v past the time of the first", a.ID, a.TimeoutAt-by)
+			t.Errorf("message %d of a call waits %v past the earliest deadline", a.ID, a.TimeoutAt-by)
 		}
 	}
 }
@@ -40,6 +40,6 @@
 		t.Fatalf("the next sends %+v, want message 2 in a call of its own", next)
 	}
 	if next[0].TimeoutAt < d.now+2*time.Second {
-		t.Errorf("message 2 waits %v for its answer, with no reason to hurry", next[0].TimeoutAt-d.now)
+		t.Errorf("message 2 waits %v for its answer, with no reason for a short timeout", next[0].TimeoutAt-d.now)
 	}
 }
--- a/policy/slots_test.go
+++ b/policy/slots_test.go
@@ -5,26 +5,26 @@
 	"time"
 )
 
-// newOneSlotHarness is a desk with one slot, a destination 1 that takes a second for a call and a destination 2 that takes 0.1 s
-// and is of kind.
+// newOneSlotHarness returns a harness with a single slot. Destination 1 takes 1 s for a call; destination 2 takes 0.1 s and
+// is of the given kind.
 func newOneSlotHarness(t *testing.T, kind int) *harness {
 	set := settings()
-	set.Slots, set.Classes[0].Aim = 1, 20*time.Second // so that none is late here
+	set.Slots, set.Classes[0].Aim = 1, 20*time.Second // so that no message is past its aim
 	d := newHarness(t, set, Listing{Route: "slow", Destination: 1}, Listing{Route: "fast", Destination: 2, Kind: kind})
 	d.acceptFor(1, 1)
 	d.finish(1, "slow", OK, time.Second, 0)
 	d.acceptFor(2, 2)
 	d.finish(2, "fast", OK, 100*ms, 0)
-	d.acceptFor(3, 1) // takes the slot
+	d.acceptFor(3, 1) // uses the slot
 	return d
 }
 
-// acceptFor hands a message acceptFor a destination in.
+// acceptFor accepts a message for a destination.
 func (d *harness) acceptFor(id uint32, dest int) []Action {
 	return d.step(Event{Kind: Accepted, ID: id, Destination: dest, TimeLeft: 60 * time.Second})
 }
 
-// Where slots are short, what takes little of them goes first, but nobody waits for ever.
+// If slots are scarce, short calls go first, but no message waits forever.
 func TestShortCallsGoFirstWhenSlotsAreScarce(t *testing.T) {
 	d := newOneSlotHarness(t, 0)
 	d.acceptFor(4, 1)
@@ -40,7 +40,7 @@
 	}
 }
 
-// A call of several messages takes that much less for each.
+// The messages of a call share its slot time.
 func TestBatchedMessagesShareTheSlotCost(t *testing.T) {
 	d := newOneSlotHarness(t, 2)
 	d.acceptFor(4, 2)
@@ -49,11 +49,12 @@
 	d.acceptFor(6, 2)
 	d.acceptFor(7, 2)
 	if got := d.sender.slotCost(&dest{nextRoute: d.sender.routes["fast"], queue: d.sender.dests[2].queue}); got != one/3 {
-		t.Errorf("of three in a call each takes %v, one alone %v", got, one)
+		t.Errorf("slot cost %v for each of three messages in a call, %v for one alone", got, one)
 	}
 }
 
-// A mean that time-outs have raised says little of a route that has recovered: what waits for it is not put off for good.
+// Guards against messages that are put off forever because timeouts have raised the mean answer time of a route that has
+// since recovered.
 func TestSlowMeanDelaysForABoundedTime(t *testing.T) {
 	d := newOneSlotHarness(t, 0)
 	d.sender.routes["slow"].mean = 5 * time.Second
--- a/policy/state.go
+++ b/policy/state.go
@@ -10,83 +10,83 @@
 	"time"
 )
 
-// The records that the decisions in policy.go are made on, and their upkeep. Nothing is decided here.
+// The state on which policy.go and the other files decide, and its maintenance. No decisions are made here.
 
-// routeGroup is the scope that shares a limit, a pace, told waits and outages: a destination, or one route
-// where its kind has separate routes.
+// routeGroup is a set of routes that share a limit, a pace, Retry-After waits and outages: the routes of a destination, or
+// a single route where the kind has separate routes.
 type routeGroup struct {
-	dest     *dest
-	routes   []*route // sorted by rank
-	separate bool
-	kind     int
-	waitUntil     time.Duration // no send before this: a told wait
-	pace     float64       // calls a second; 0: free
-	guessed  bool          // the pace is a guess until a delivery or a refusal
-	ceiling  float64       // rate that was refused last
-	ceilingLimit    float64       // the limit as it was told then; 0: none was
-	halvedAt time.Duration
-	grownAt  time.Duration
-	tokens   float64
-	tokensAt time.Duration
-	recentSends     []time.Duration // sends of the last second
-	credit   float64         // calls that routes in doubt may take now, as of coldAt; one at most
-	creditAt   time.Duration
-	suspectRemovedAt time.Duration // when a route in doubt last left the list; long ago if none
-	limit    float64       // reported, calls a second
-	ownRate      float64       // own deliveries a second, in the mean, as of gotAt
-	ownRateAt    time.Duration
-	callsOut      int // calls out
-	failStreak   int // failures in a row
-	tableFullCount   int // failed connections that looked like a full table, since the last delivery
-}
-
-// route is one way to a destination, with its entry in the skip table.
+	dest             *dest
+	routes           []*route // sorted by rank
+	separate         bool
+	kind             int
+	waitUntil        time.Duration // no send before this: a Retry-After wait
+	pace             float64       // calls a second; 0: unlimited
+	guessed          bool          // the pace is a guess until a delivery or a refusal
+	ceiling          float64       // rate that was refused last
+	ceilingLimit     float64       // the limit known at that time; 0: none
+	halvedAt         time.Duration
+	grownAt          time.Duration
+	tokens           float64
+	tokensAt         time.Duration
+	recentSends      []time.Duration // calls of the last second
+	credit           float64         // calls that suspect routes may take now, as of creditAt; one at most
+	creditAt         time.Duration
+	suspectRemovedAt time.Duration // when a suspect route last left the list; far in the past if none
+	limit            float64       // reported, calls a second
+	ownRate          float64       // mean rate of own deliveries a second, as of ownRateAt
+	ownRateAt        time.Duration
+	callsOut         int
+	failStreak       int // failures in a row
+	tableFullCount   int // failed connections that looked like a full connection table, since the last delivery
+}
+
+// route is one way to a destination, with its skip state.
 type route struct {
 	Listing
-	group      *routeGroup
-	tieBreak       uint64        // decides between equal routes
-	calls     []*call       // out, in order of sending
-	skipUntil time.Duration // skipped by messages before this
-	skipLen   time.Duration // length of the last skip; 0 in good standing
-	excluded    bool          // out of use by hand
-	down      bool          // skipped, and nothing delivered since
-	suspect      bool          // may be in an outage or coming back from one
-	weakEvidence    bool          // on one failure alone: one delivery clears it
-	recoveringSince      time.Duration // first delivery since the last failure while cold; 0: none yet
-	okStreak       int           // deliveries in a row since the last doubt
-	failStreak    int           // failures in a row
-	recentFailures    uint8         // last 8 deliveries, errors and failed connections, a bit set for a failure
-	recentLosses      uint8         // last 8 deliveries and calls without an answer, a bit set for one of these
-	refusals  int           // refusals since the last other answer
-	refusedAt time.Duration // the first of them
-	okAt      time.Duration // last delivery
-	okSent    time.Duration // latest send that was answered
-	mean, dev time.Duration // answer times
+	group           *routeGroup
+	tieBreak        uint64        // orders routes that are otherwise equal
+	calls           []*call       // without an outcome, in order of sending
+	skipUntil       time.Duration // messages skip the route before this
+	skipLen         time.Duration // length of the last skip; 0 if there is none to prolong
+	excluded        bool          // by an operator
+	down            bool          // skipped, with no delivery since
+	suspect         bool          // may be in an outage or recovering from one
+	weakEvidence    bool          // suspect on a single sign; one delivery clears it
+	recoveringSince time.Duration // first delivery since the last failure while suspect; 0: none yet
+	okStreak        int           // deliveries in a row since the route became suspect
+	failStreak      int           // failures in a row
+	recentFailures  uint8         // last 8 deliveries, errors and failed connections, a set bit for each failure
+	recentLosses    uint8         // last 8 deliveries and lost calls, a set bit for each lost call
+	refusals        int           // since the last other answer
+	refusedAt       time.Duration // the first of these refusals
+	okAt            time.Duration // last delivery
+	okSent          time.Duration // when the latest call that was answered was sent
+	mean, dev       time.Duration // answer times
 }
 
 // dest is a destination with its queue.
 type dest struct {
-	id     int
-	groups  []*routeGroup
-	queue  []*message // waiting, first to go first
-	next   *message   // next to go in this dispatch, with its route
-	nextRoute *route
-	opensAt  time.Duration // nothing may go before this unless something touches the destination
-	held   int           // messages not forgotten
-	activePos     int           // place among the active, from 1; 0: not active
-	heapPos   int           // place among those that wait for their moment, from 1; 0: not there
-	routelessSince time.Duration // when its last route went
-}
-
-// call is one call out; messages of one destination may share it.
+	id             int
+	groups         []*routeGroup
+	queue          []*message // waiting messages, the next to go first
+	next           *message   // next to go in this dispatch, over nextRoute
+	nextRoute      *route
+	opensAt        time.Duration // no message may go before this unless markReady is called
+	held           int           // messages not yet forgotten
+	activePos      int           // position in Sender.active, from 1; 0: not active
+	heapPos        int           // position in Sender.waiting, from 1; 0: not in it
+	routelessSince time.Duration // when its last route was removed
+}
+
+// call is a call without an outcome; messages of one destination may share it.
 type call struct {
-	route      *route
-	pending   int           // messages whose outcome is missing
-	delivered     bool          // one was delivered
-	sent   time.Duration // when
-	overdueAt time.Duration // overdue after this
-	timeoutAt    time.Duration // the first of its messages times out then
-	endsAt   time.Duration // the time of the first of its messages is up then
+	route     *route
+	pending   int  // messages without an outcome
+	delivered bool // at least one message was delivered
+	sent      time.Duration
+	overdueAt time.Duration // the answer is overdue after this
+	timeoutAt time.Duration // earliest timeout of its messages
+	endsAt    time.Duration // earliest deadline of its messages
 }
 
 // attempt is one message's part in a call.
@@ -95,33 +95,33 @@
 	call *call
 }
 
-// message is one message held, or ended with attempts still out.
+// message is a message held, or one that has ended while attempts are still out.
 type message struct {
-	id       uint32
-	class    *Class
-	dest     *dest
+	id           uint32
+	class        *Class
+	dest         *dest
 	keyQueue     *keyQueue // order of its key; nil if none
-	aimBy      time.Duration
-	deadline time.Duration
-	rank     time.Duration // place in the queue
-	sends    int
-	outstanding      []attempt
-	firstRunAt    time.Duration // send of the first attempt that may have run
-	mayHaveRun      bool          // one may have run
-	firstRunZone  int
-	timeouts int
-	failedRoute    *route // failed this message last
-	ended    bool
-	queued   bool
-	resumed  bool // taken on by an earlier process
-}
-
-// keyQueue is the order of one key.
+	aimBy        time.Duration
+	deadline     time.Duration
+	rank         time.Duration // position in the queue
+	sends        int
+	outstanding  []attempt
+	firstRunAt   time.Duration // when the first attempt that may have run was sent
+	mayHaveRun   bool          // an attempt may have run
+	firstRunZone int
+	timeouts     int
+	failedRoute  *route // route of the last failed attempt
+	ended        bool
+	queued       bool
+	resumed      bool // accepted by an earlier process
+}
+
+// keyQueue is the order of the messages of one key.
 type keyQueue struct {
-	key    string
-	messages   []*message // in the order taken; the first has the turn
-	restUntil   time.Duration
-	idle bool // kept for its rest alone
+	key       string
+	messages  []*message // in the order accepted; only the first may be sent
+	restUntil time.Duration
+	idle      bool // without messages, kept until its rest is over
 }
 
 // leakyBucket measures a customer's traffic against its share.
@@ -130,38 +130,38 @@
 	at    time.Duration
 }
 
-// Sender decides for one relay. It is a pure state machine: equal events give equal actions.
+// Sender makes the decisions of one relay. It is a deterministic state machine: equal events lead to equal actions.
 type Sender struct {
-	settings      Settings
-	rng      *rand.Rand
-	now      time.Duration
-	routes   map[string]*route // looked up, never iterated
-	dests    map[int]*dest     // looked up, never iterated
-	order    []*dest           // by number
-	active   []*dest           // with messages waiting
-	waiting   destHeap          // these, by when they open; during a dispatch without those that it looks at
-	ready    []*dest           // scratch of dispatch
-	routeless     []*dest           // without routes, until they are forgotten
-	idleKeyQueues   []*keyQueue           // in the order of their rests
-	msgs     map[uint32]*message
-	keyQueues    map[string]*keyQueue
-	leastLimit    map[int]float64       // by kind: the least limit told
-	excluded   map[string]bool       // out of use by hand, listed or not
-	connScarceUntil   map[int]time.Duration // by kind: connections are scarce until then
-	held     int
-	slotsUsed    int    // used
-	callsStarted uint32 // calls
-	customerUse   []leakyBucket
-	timers     timerHeap
-	pruneTimersAt int           // entries at which those of ended messages are thrown out
-	wakeAt   time.Duration // earliest wake asked for; 0: none
-	wantWake time.Duration
-	actions     []Action
-	inherited   bool             // it knows what an earlier process knew
-	adoptedCalls  map[uint32]*call // in this step, by the earlier process's number
-}
-
-// updateList takes on the updateList of routes. A route that drains or is gone takes nothing new from here on.
+	settings        Settings
+	rng             *rand.Rand
+	now             time.Duration
+	routes          map[string]*route // looked up, never iterated
+	dests           map[int]*dest     // looked up, never iterated
+	order           []*dest           // by ID
+	active          []*dest           // destinations with waiting messages
+	waiting         destHeap          // active destinations by opensAt; during a dispatch, without those that it examines
+	ready           []*dest           // scratch space of dispatch
+	routeless       []*dest           // destinations without routes, until they are forgotten
+	idleKeyQueues   []*keyQueue       // in the order in which they became idle
+	msgs            map[uint32]*message
+	keyQueues       map[string]*keyQueue
+	leastLimit      map[int]float64       // by kind: the lowest limit reported
+	excluded        map[string]bool       // by an operator, listed or not
+	connScarceUntil map[int]time.Duration // by kind: connections are scarce until then
+	held            int
+	slotsUsed       int
+	callsStarted    uint32
+	customerUse     []leakyBucket
+	timers          timerHeap
+	pruneTimersAt   int           // number of timers at which those of ended messages are removed
+	wakeAt          time.Duration // earliest wake requested; 0: none
+	wantWake        time.Duration
+	actions         []Action
+	inherited       bool             // has loaded the state of an earlier process
+	adoptedCalls    map[uint32]*call // in this step, by the call numbers of the earlier process
+}
+
+// updateList applies a list of routes. A route that drains or is removed gets no new messages from then on.
 func (s *Sender) updateList(entries []Listing, whole bool) {
 	if s.settings.WatchRequired && whole && len(s.order) == 0 {
 		s.emit(Action{Kind: Watch})
@@ -184,7 +184,7 @@
 	var changed []*dest
 	for _, l := range entries {
 		if !(l.Weight > 0) || math.IsInf(l.Weight, 0) {
-			l.Weight = 0 // not told
+			l.Weight = 0 // unknown
 		}
 		r := s.routes[l.Route]
 		switch {
@@ -197,7 +197,7 @@
 			changed = append(changed, s.dests[l.Destination])
 		default:
 			if l.InService && !r.InService {
-				r.okAt = 0 // as new: what it answered before it drained tells nothing
+				r.okAt = 0 // treated as new: answers from before the drain no longer count
 			}
 			r.Listing = l
 			changed = append(changed, r.group.dest)
@@ -212,7 +212,7 @@
 	s.removeRoutelessDests()
 }
 
-// removeRoutelessDests forgets destinations that have had no route for a warm-up and hold no message.
+// removeRoutelessDests forgets destinations that have had no route for the length of a warm-up and hold no message.
 func (s *Sender) removeRoutelessDests() {
 	s.routeless = slices.DeleteFunc(s.routeless, func(d *dest) bool {
 		if d.hasRoute() {
@@ -229,12 +229,12 @@
 	})
 }
 
-// hasRoute tells whether the destination has a route.
+// hasRoute reports whether the destination has a route.
 func (d *dest) hasRoute() bool {
 	return slices.ContainsFunc(d.groups, func(g *routeGroup) bool { return len(g.routes) > 0 })
 }
 
-// markReady has a destination looked at again by the next dispatch.
+// markReady has the next dispatch examine a destination.
 func (s *Sender) markReady(d *dest) {
 	d.opensAt = 0
 	if d.heapPos > 0 {
@@ -242,8 +242,8 @@
 	}
 }
 
-// popOpened takes the destinations out of those that wait whose moment has come, in the order of the active. So a step costs
-// what these are, and not what waits.
+// popOpened moves the waiting destinations that have opened to ready, in the order of Sender.active. The cost of a step
+// thus depends on how many have opened, not on how many wait.
 func (s *Sender) popOpened(ready []*dest) []*dest {
 	from := len(ready)
 	for len(s.waiting) > 0 && s.waiting[0].opensAt <= s.now {
@@ -255,9 +255,9 @@
 	return ready
 }
 
-// requeueReady puts those back that a dispatch has looked at, and asks for a wake when the next of all opens.
+// requeueReady puts back the destinations that a dispatch has examined and requests a wake for the next one to open.
 func (s *Sender) requeueReady() {
-	s.ready = s.popOpened(s.ready) // touched meanwhile: for the next step
+	s.ready = s.popOpened(s.ready) // marked ready meanwhile: left to the next step
 	if len(s.waiting) > 0 {
 		s.requestWake(s.waiting[0].opensAt)
 	}
@@ -272,12 +272,12 @@
 	}
 }
 
-// anySuspect tells whether a route of the gate is in doubt.
+// anySuspect reports whether a route of the group is suspect.
 func (g *routeGroup) anySuspect() bool {
 	return slices.ContainsFunc(g.routes, func(x *route) bool { return x.suspect })
 }
 
-// removeRoute forgets a route. Calls still out keep it alive until their outcomes.
+// removeRoute forgets a route. Calls that are still out keep a reference to it until their outcomes.
 func (s *Sender) removeRoute(r *route) {
 	r.Gone = true
 	delete(s.routes, r.Route)
@@ -319,7 +319,7 @@
 	return d
 }
 
-// interval is the time between calls at a rate.
+// interval is the time between calls at a rate, an hour at most.
 func interval(rate float64) time.Duration {
 	if rate <= 0 {
 		return time.Hour
@@ -358,7 +358,7 @@
 	}
 }
 
-// endMessage ends a message that needs no answer of ours.
+// endMessage ends a message without emitting a final answer.
 func (s *Sender) endMessage(m *message) {
 	if !m.ended {
 		m.ended = true
@@ -368,7 +368,8 @@
 	s.forgetEnded(m)
 }
 
-// forgetEnded drops an ended message once its attempts have their outcomes, and passes its turn on.
+// forgetEnded forgets an ended message once its attempts have their outcomes, and makes the next message of its key
+// eligible.
 func (s *Sender) forgetEnded(m *message) {
 	if !m.ended || len(m.outstanding) > 0 {
 		return
@@ -388,7 +389,7 @@
 	}
 }
 
-// removeIdleKeyQueues forgets turns whose line is empty and whose rest is over.
+// removeIdleKeyQueues forgets key queues that have no messages and whose rest is over.
 func (s *Sender) removeIdleKeyQueues() {
 	for len(s.idleKeyQueues) > 0 && s.idleKeyQueues[0].restUntil <= s.now {
 		t := s.idleKeyQueues[0]
@@ -399,7 +400,7 @@
 	}
 }
 
-// destHeap is destinations by when they open.
+// destHeap is a heap of destinations by opensAt.
 type destHeap []*dest
 
 func (h destHeap) Len() int { return len(h) }
@@ -426,8 +427,8 @@
 	return d
 }
 
-// pruneTimers throws out the entries of messages that have ended, now and then: one that is delivered would otherwise stay until
-// its time is up, hours perhaps.
+// pruneTimers removes the timers of ended messages from time to time. Otherwise the timers of a delivered message would
+// stay until its deadline, which may be hours away.
 func (s *Sender) pruneTimers() {
 	if len(s.timers) < max(s.pruneTimersAt, minTimersToPrune) {
 		return
@@ -437,12 +438,13 @@
 	s.pruneTimersAt = 2 * len(s.timers)
 }
 
-// minTimersToPrune is how many entries are worth throwing out.
+// minTimersToPrune is the least number of timers for which pruning is worthwhile.
 const minTimersToPrune = 1024
 
+// timer is a time at which runTimers examines a message.
 type timer struct {
-	at time.Duration
-	message  *message
+	at      time.Duration
+	message *message
 }
 
 type timerHeap []timer
@@ -466,14 +468,14 @@
 
 func (s *Sender) emit(a Action) { s.actions = append(s.actions, a) }
 
-// requestWake asks to be woken at t, if nothing earlier is asked for.
+// requestWake requests a wake at t unless an earlier one is requested.
 func (s *Sender) requestWake(t time.Duration) {
 	if t < math.MaxInt64 && (s.wantWake == 0 || t < s.wantWake) {
 		s.wantWake = t
 	}
 }
 
-// callsLastSecond is the rate of calls in the last second.
+// callsLastSecond is the number of calls of a route group in the last second.
 func (s *Sender) callsLastSecond(g *routeGroup) float64 {
 	i := 0
 	for i < len(g.recentSends) && g.recentSends[i] <= s.now-time.Second {
@@ -483,7 +485,8 @@
 	return float64(len(g.recentSends))
 }
 
-// ownDeliveryRate is the mean ownDeliveryRate of own deliveries of a gate; while a route of it is in doubt, as of the doubt.
+// ownDeliveryRate is the mean rate of own deliveries of a route group. While one of its routes is suspect, it does not
+// decay.
 func (s *Sender) ownDeliveryRate(g *routeGroup) float64 {
 	if g.anySuspect() {
 		return g.ownRate
@@ -491,7 +494,7 @@
 	return g.ownRate * math.Exp(-float64(s.now-g.ownRateAt)/float64(ownRateSpan))
 }
 
-// countDelivery adds a delivery to that rate, which does not fall while a route of the gate is in doubt.
+// countDelivery adds a delivery to that rate, which does not fall while a route of the group is suspect.
 func (s *Sender) countDelivery(g *routeGroup) {
 	since := (s.now - g.ownRateAt).Seconds()
 	if g.anySuspect() && g.ownRate > 0 {
@@ -500,13 +503,13 @@
 	g.ownRate, g.ownRateAt = g.ownRate*math.Exp(-since/ownRateSpan.Seconds())+1/ownRateSpan.Seconds(), s.now
 }
 
-// refillTokens adds to a gate's tokens what its pace has earned, up to one and a burst.
+// refillTokens adds the tokens that the pace of a group has earned, up to one plus a burst.
 func (s *Sender) refillTokens(g *routeGroup, burst time.Duration) {
 	g.tokens = math.Min(1+g.pace*burst.Seconds(), g.tokens+g.pace*(s.now-g.tokensAt).Seconds())
 	g.tokensAt = s.now
 }
 
-// recordLimit notes what a route's destination told of its limit.
+// recordLimit records the limit that a destination has reported through a route.
 func (s *Sender) recordLimit(r *route, rep Report) {
 	if rep.Present && rep.Limit > 0 {
 		r.group.limit = rep.Limit
@@ -516,7 +519,7 @@
 	}
 }
 
-// detachAttempt takes the attempt of an outcome off its message; nil if it is not known.
+// detachAttempt removes an attempt from its message and returns its call; nil if the attempt is unknown.
 func (s *Sender) detachAttempt(m *message, n int) *call {
 	if m == nil {
 		return nil
@@ -530,7 +533,7 @@
 	return nil
 }
 
-// joinKeyQueue puts a message at the end of its key's line.
+// joinKeyQueue appends a message to the queue of its key.
 func (s *Sender) joinKeyQueue(m *message, key string) {
 	t := s.keyQueues[key]
 	if t == nil {
@@ -541,7 +544,7 @@
 	m.keyQueue = t
 }
 
-// beginCall books a call that goes out, and what it takes of its gate's slots, pace and recovery budget.
+// beginCall records a call that goes out, and what it uses of its group's slots, pace and recovery budget.
 func (s *Sender) beginCall(c *call) {
 	g := c.route.group
 	s.slotsUsed++
@@ -557,20 +560,20 @@
 	}
 }
 
-// endCall books a call whose last outcome is in.
+// endCall records a call whose last outcome has arrived.
 func (s *Sender) endCall(c *call) {
 	s.slotsUsed--
 	c.route.group.callsOut--
 	c.route.calls = slices.DeleteFunc(c.route.calls, func(x *call) bool { return x == c })
 }
 
-// Check tells what makes no sense in settings.
+// Check returns an error if the settings are invalid.
 func (settings *Settings) Check() error {
 	if len(settings.Classes) == 0 {
-		return errors.New("policy: settings name no class")
+		return errors.New("policy: settings contain no class")
 	}
 	if min(settings.Senders, settings.Slots, settings.MaxHeld, settings.MaxAttempts) < 0 {
-		return errors.New("policy: settings hold a negative count")
+		return errors.New("policy: settings contain a negative count")
 	}
 	shortest := min(settings.MaxRetryAfter, settings.WarmWithin, settings.OverloadWindow, settings.OrderPause)
 	sum := settings.ColdShare + settings.OverloadFactor
@@ -582,10 +585,10 @@
 		sum += c.Quota
 	}
 	if shortest < 0 {
-		return errors.New("policy: settings hold a negative time")
+		return errors.New("policy: settings contain a negative duration")
 	}
 	if math.IsNaN(sum) || math.IsInf(sum, 0) {
-		return errors.New("policy: settings hold a figure that is not a number")
+		return errors.New("policy: settings contain a value that is not a finite number")
 	}
 	return nil
 }
--- a/policy/state_test.go
+++ b/policy/state_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// What is delivered long before its time is up must not stay until then, behind one that waits.
+// Guards against timers of delivered messages that stay until their deadlines, behind the timer of a message that waits.
 func TestTimersOfDeliveredMessagesArePruned(t *testing.T) {
 	s, err := New(settings(), 1)
 	if err != nil {
@@ -21,6 +21,6 @@
 		s.Step(now, []Event{{Kind: Finished, ID: id, Route: "up", Outcome: OK, Took: ms, MessageEnded: true}})
 	}
 	if len(s.msgs) != 1 || len(s.timers) > 2*minTimersToPrune {
-		t.Errorf("after 20,000 deliveries %d messages and %d entries for their ends are kept", len(s.msgs), len(s.timers))
+		t.Errorf("after 20,000 deliveries %d messages and %d timers are kept", len(s.msgs), len(s.timers))
 	}
 }
