--- a/internal/relay/admin.go
+++ b/internal/relay/admin.go
@@ -113,7 +113,7 @@
 	r.resubmitted.remembered.Store(int64(remembered))
 	r.resubmitted.evicted.Store(evicted)
 	if now := clock.Now(); !now.Before(r.nextCountAt) {
-		r.metrics.unhealthy.Store(int64(r.sender.Avoided(r.now())))
+		r.metrics.unhealthy.Store(int64(r.sender.AvoidedRoutes(r.now())))
 		if took := clock.Since(now); took > maxCountTime {
 			r.nextCountAt = now.Add(countBackoff * took)
 		}
--- a/internal/relay/admin_test.go
+++ b/internal/relay/admin_test.go
@@ -158,13 +158,13 @@
 	// The endpoint is excluded before any step. A call decided earlier must not be made after the next step or a restart.
 	r.step(nil)
 	r.wantMetrics(t, "out", map[string]string{"cluster_unhealthy": "1|g"})
-	if r.sender.MayStill("s-1", r.now()) {
+	if r.sender.StillAllowed("s-1", r.now()) {
 		t.Error("a call to it may be made")
 	}
 	r.applyList(List{Full: true})
 	r = restartRelay(t, r)
 	r.step(nil)
-	if r.sender.MayStill("s-1", r.now()) {
+	if r.sender.StillAllowed("s-1", r.now()) {
 		t.Error("after a restart a call to it may be made")
 	}
 	addr = serveTestAdmin(t, r)
@@ -173,7 +173,7 @@
 	}
 	r.step(nil)
 	r.wantMetrics(t, "back", map[string]string{"cluster_unhealthy": "0|g"})
-	if !r.sender.MayStill("s-1", r.now()) {
+	if !r.sender.StillAllowed("s-1", r.now()) {
 		t.Error("one include request does not end the exclusion")
 	}
 }
@@ -189,7 +189,7 @@
 			t.Errorf("out %v: status %d", out, a.status)
 		}
 		r.step(nil)
-		if r.sender.MayStill("s-1", r.now()) == out {
+		if r.sender.StillAllowed("s-1", r.now()) == out {
 			t.Errorf("out %v: not in force", out)
 		}
 		r.exclusions.retrySave()
--- a/internal/relay/clients.go
+++ b/internal/relay/clients.go
@@ -500,7 +500,7 @@
 	c.watch(nil)
 	if !r.post(in) {
 		c.unwatch()
-		return answer{status: http.StatusServiceUnavailable, retryAfter: policy.RetryAdvice}
+		return answer{status: http.StatusServiceUnavailable, retryAfter: policy.MinRetryAfter}
 	}
 	a := <-in.reply
 	if open, _ := c.unwatch(); open {
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -353,7 +353,7 @@
 	if r.predecessor != nil {
 		// The list must come first: memories refer to its routes.
 		r.carryOut(r.sender.Step(r.now(), evs), nil)
-		r.sender.Remember(r.inheritedState.Memories)
+		r.sender.LoadRouteStates(r.inheritedState.Memories)
 		evs = nil
 	} else if len(r.recalled.Memories) > 0 && len(r.routes) > 0 {
 		r.carryOut(r.sender.Step(r.now(), evs), nil)
@@ -361,10 +361,10 @@
 		evs = nil
 	}
 	var ended []*message
-	attemptsOut := map[uint32]*policy.Out{}
+	attemptsOut := map[uint32]*policy.OutstandingAttempt{}
 	for _, o := range r.inheritedState.Out {
 		if !o.Cut {
-			attemptsOut[o.ID] = &o.Out
+			attemptsOut[o.ID] = &o.OutstandingAttempt
 		}
 	}
 	for _, w := range found.Messages {
@@ -416,25 +416,25 @@
 
 // resumedEvent tells the module about an earlier process's message, with times on the module's clock. out is the attempt
 // that is still in progress, if any; whether it runs is not known yet.
-func (r *Relay) resumedEvent(m *message, out *policy.Out) policy.Event {
+func (r *Relay) resumedEvent(m *message, out *policy.OutstandingAttempt) policy.Event {
 	e := r.takenEvent(m)
-	e.Resumed = &policy.Resumed{Attempts: m.Attempts, Out: out}
+	e.Resumed = &policy.ResumedMessage{Attempts: m.Attempts, Outstanding: out}
 	ran := slices.DeleteFunc(slices.Clone(m.MayRun), func(a wal.Attempt) bool { return out != nil && a.N == out.Attempt })
 	if len(ran) > 0 {
 		first := ran[0]
-		e.Resumed.Ran, e.Resumed.RanZone = true, first.Zone
-		e.Resumed.RanAgo = max(0, clock.Since(first.At))
+		e.Resumed.MayHaveRun, e.Resumed.FirstRunZone = true, first.Zone
+		e.Resumed.FirstRunAgo = max(0, clock.Since(first.At))
 	}
 	if m.Doubt || len(ran) > 0 && r.clockBehind > 0 {
-		e.Resumed.Ran, e.Resumed.RanAgo = true, unknownAge // the time is unknown, so treat it as outside every window
+		e.Resumed.MayHaveRun, e.Resumed.FirstRunAgo = true, unknownAge // the time is unknown, so treat it as outside every window
 	}
 	return e
 }
 
 func (r *Relay) takenEvent(m *message) policy.Event {
 	return policy.Event{
-		Kind: policy.Taken, ID: m.ID, Key: m.Order, Class: m.Class, Customer: m.Customer, Destination: m.Dest,
-		Left: clock.Until(m.Deadline),
+		Kind: policy.Accepted, ID: m.ID, Key: m.Order, Class: m.Class, Customer: m.Customer, Destination: m.Dest,
+		TimeLeft: clock.Until(m.Deadline),
 	}
 }
 
@@ -516,7 +516,7 @@
 func (r *Relay) applyList(l List) policy.Event {
 	e := policy.Event{Kind: policy.ListChanges}
 	if l.Full {
-		e.Kind = policy.ListWhole
+		e.Kind = policy.ListFull
 	}
 	routes := map[string]target{}
 	var removed []string
--- a/internal/relay/transient_test.go
+++ b/internal/relay/transient_test.go
@@ -229,7 +229,7 @@
 	if r.callsOut > 0 || m.sends != 1 || m.outstanding != 1 {
 		t.Errorf("while the disk fails: %d calls out, %d sends", r.callsOut, m.sends)
 	}
-	if n := r.sender.Avoided(r.now()); n > 0 {
+	if n := r.sender.AvoidedRoutes(r.now()); n > 0 {
 		t.Errorf("%d endpoints avoided because of the disk", n)
 	}
 	writes.Store(1000)
--- a/policy/bench_test.go
+++ b/policy/bench_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// BenchmarkStep is one message taken and delivered by a sender of 400 destinations and 1,000 routes; with
-// backlog, 200 more wait at destinations that none of their routes takes.
+// BenchmarkStep measures one message accepted and delivered by a sender with 400 destinations and 1,000 routes. With a
+// backlog, 200 more messages wait for destinations that have no route in service.
 func BenchmarkStep(b *testing.B) {
 	for _, backlog := range []int{0, 200} {
 		b.Run(fmt.Sprintf("backlog=%d", backlog), func(b *testing.B) { benchmarkStep(b, backlog) })
@@ -27,9 +27,9 @@
 			InService: i%400 < 200})
 	}
 	now := time.Minute
-	evs := []Event{{Kind: ListWhole, List: list}}
+	evs := []Event{{Kind: ListFull, List: list}}
 	for i := range backlog {
-		evs = append(evs, Event{Kind: Taken, ID: uint32(1e9) + uint32(i), Destination: 200 + i, Left: time.Hour})
+		evs = append(evs, Event{Kind: Accepted, ID: uint32(1e9) + uint32(i), Destination: 200 + i, TimeLeft: time.Hour})
 	}
 	s.Step(now, evs)
 	b.ReportAllocs()
@@ -37,7 +37,7 @@
 		now += 10 * ms
 		id := uint32(i)
 		route := ""
-		for _, a := range s.Step(now, []Event{{Kind: Taken, ID: id, Destination: i % 200, Left: time.Minute}}) {
+		for _, a := range s.Step(now, []Event{{Kind: Accepted, ID: id, Destination: i % 200, TimeLeft: time.Minute}}) {
 			if a.Kind == Send {
 				route = a.Route
 			}
@@ -46,12 +46,12 @@
 			b.Fatalf("message %d was not sent", i)
 		}
 		now += 10 * ms
-		s.Step(now, []Event{{Kind: Finished, ID: id, Route: route, Outcome: OK, Took: 10 * ms, Ended: true}})
+		s.Step(now, []Event{{Kind: Finished, ID: id, Route: route, Outcome: OK, Took: 10 * ms, MessageEnded: true}})
 	}
 }
 
-// BenchmarkStepHeld is a step with one message handed in and delivered while so many are held at 2,000 destinations that
-// take none: it costs what is looked at, and not what is held.
+// BenchmarkStepHeld measures a message accepted and delivered while many are held for 2,000 destinations that have no
+// route in service. The cost of a step depends on the messages that it examines, not on those held.
 func BenchmarkStepHeld(b *testing.B) {
 	for _, held := range []int{0, 2_000, 10_000, 50_000, 200_000} {
 		b.Run(fmt.Sprintf("held=%d", held), func(b *testing.B) { benchmarkStepHeld(b, held) })
@@ -69,18 +69,18 @@
 		list = append(list, Listing{Route: fmt.Sprint("r", d), Destination: d, Weight: 50})
 	}
 	now := time.Minute
-	evs := []Event{{Kind: ListWhole, List: list}}
+	evs := []Event{{Kind: ListFull, List: list}}
 	for i := range held {
-		evs = append(evs, Event{Kind: Taken, ID: uint32(1e9) + uint32(i), Destination: i % destinations, Left: 6 * time.Hour})
+		evs = append(evs, Event{Kind: Accepted, ID: uint32(1e9) + uint32(i), Destination: i % destinations, TimeLeft: 6 * time.Hour})
 	}
 	s.Step(now, evs)
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
 		now += ms
 		id := uint32(i)
-		if len(s.Step(now, []Event{{Kind: Taken, ID: id, Destination: destinations, Left: time.Minute}})) == 0 {
+		if len(s.Step(now, []Event{{Kind: Accepted, ID: id, Destination: destinations, TimeLeft: time.Minute}})) == 0 {
 			b.Fatalf("message %d was not sent", i)
 		}
-		s.Step(now, []Event{{Kind: Finished, ID: id, Route: "up", Outcome: OK, Took: ms, Ended: true}})
+		s.Step(now, []Event{{Kind: Finished, ID: id, Route: "up", Outcome: OK, Took: ms, MessageEnded: true}})
 	}
 }
--- a/policy/byhand.go
+++ b/policy/byhand.go
@@ -2,36 +2,36 @@
 
 import "time"
 
-// Routes that operators take out of use by hand.
+// Routes that operators exclude from use.
 
-// bar takes a route out, whatever the list says of it from here on, or puts it back. It counts as in doubt then: its
-// endpoint is restarted meanwhile, as a rule, and returns cold.
-func (s *Sender) bar(id string, out bool) {
-	if out {
-		s.barred[id] = true
+// setExcluded excludes a route, whatever the list says about it from then on, or includes it again. An included route is
+// suspect, since its endpoint has usually been restarted meanwhile and has reduced capacity at first.
+func (s *Sender) setExcluded(route string, excluded bool) {
+	if excluded {
+		s.excluded[route] = true
 	} else {
-		delete(s.barred, id)
+		delete(s.excluded, route)
 	}
-	r := s.routes[id]
-	if r == nil || r.barred == out {
+	r := s.routes[route]
+	if r == nil || r.excluded == excluded {
 		return
 	}
-	if r.barred = out; !out {
-		r.okAt = 0 // what it answered before tells nothing
-		s.doubt(r)
+	if r.excluded = excluded; !excluded {
+		r.okAt = 0 // earlier answers no longer count
+		s.markSuspect(r)
 	}
-	s.touch(r.gate.dest)
+	s.markReady(r.group.dest)
 }
 
-// open tells whether a route may be sent to as far as the list and operators say.
-func (r *route) open() bool { return r.InService && !r.Gone && !r.barred }
+// usable reports whether the list and the operators allow sends to a route.
+func (r *route) usable() bool { return r.InService && !r.Gone && !r.excluded }
 
-// Avoided is how many listed routes take nothing for now, by hand or by choice.
-func (s *Sender) Avoided(now time.Duration) (n int) {
+// AvoidedRoutes returns how many listed routes get no messages for now because they are excluded or skipped.
+func (s *Sender) AvoidedRoutes(now time.Duration) (n int) {
 	for _, d := range s.order {
-		for _, g := range d.gates {
+		for _, g := range d.groups {
 			for _, r := range g.routes {
-				if r.barred || r.down || now < r.skipUntil {
+				if r.excluded || r.down || now < r.skipUntil {
 					n++
 				}
 			}
