--- a/internal/relay/accept.go
+++ b/internal/relay/accept.go
@@ -74,7 +74,7 @@
 
 // refuse refuses a hand-in whose message the log has not taken, or may hold all the same.
 func (r *Relay) refuse(in *handIn, cause error) {
-	a := noRoom()
+	a := backlogUnavailable()
 	if m := in.as; m.Message == in.m {
 		r.held--
 		r.figures.turned(m.Class, a)
@@ -105,7 +105,7 @@
 		return true
 	}
 	if old == nil {
-		a, ok := r.owed.known(in.m.Trace)
+		a, ok := r.owed.lookup(in.m.Trace)
 		if ok {
 			in.reply <- a
 		}
@@ -114,7 +114,7 @@
 	if old.Withdrawn && (old.out == 0 || r.cfg.MayDuplicate) {
 		return false // it goes on as another
 	}
-	if r.join(in, old) {
+	if r.joinPending(in, old) {
 		return true
 	}
 	a := r.again(old)
@@ -132,7 +132,7 @@
 	case len(r.cells) > 0 && !r.cells[m.Dest]:
 		return bad("no such destination: %d", m.Dest), reasonNoDest
 	case r.owed.refuses(m.Dest), r.cfg.Settings.MaxHeld > 0 && r.held >= r.cfg.Settings.MaxHeld:
-		return noRoom(), reasonNoRoom
+		return backlogUnavailable(), reasonNoRoom
 	}
 	return answer{}, ""
 }
--- a/internal/relay/admin.go
+++ b/internal/relay/admin.go
@@ -107,7 +107,7 @@
 
 // publish brings the gauges up to date.
 func (r *Relay) publish() {
-	r.figures.current.Store(int64(r.held + r.owed.owing()))
+	r.figures.current.Store(int64(r.held + r.owed.count()))
 	r.figures.size.Store(int64(len(r.routes)))
 	remembered, evicted := r.wal.Remembered()
 	r.resubmitted.remembered.Store(int64(remembered))
--- a/internal/relay/admin_test.go
+++ b/internal/relay/admin_test.go
@@ -114,7 +114,7 @@
 	in = newHandIn("m2", 7, 5*time.Second)
 	decide(r, in)
 	for range 2 {
-		r.carryOut([]policy.Action{{Kind: policy.Fail, ID: in.m.ID}}, nil)
+		r.execute([]policy.Action{{Kind: policy.Fail, ID: in.m.ID}}, nil)
 	}
 	r.wantFigures(t, "once failed", map[string]string{"errored.order": "1|c", "current": "0|g"})
 
@@ -129,11 +129,11 @@
 		io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
 		return true
 	})
-	h := testHosts(t, testConfig())
+	h := newTestHostClient(t, testConfig())
 	var sent int
-	h.sent = func(c *call) { sent += len(c.attempts) }
-	h.do(t.Context(), newCall(addr, "m1"), yes)
-	h.do(t.Context(), newCall("127.0.0.1:1", "m2"), yes) // refused: nothing was written
+	h.onWritten = func(c *call) { sent += len(c.attempts) }
+	h.do(t.Context(), newCall(addr, "m1"), alwaysAllowed)
+	h.do(t.Context(), newCall("127.0.0.1:1", "m2"), alwaysAllowed) // refused: nothing was written
 	if sent != 1 {
 		t.Errorf("%d messages counted as written, want 1", sent)
 	}
--- a/internal/relay/backlog.go
+++ b/internal/relay/backlog.go
@@ -30,20 +30,20 @@
 // waits for the disk.
 
 const (
-	batchStored = 512                    // messages that a job puts, and that it reads
-	dueAhead    = 100 * time.Millisecond // an end on disk is told so long before its time at most
-	dueBatch    = 2048                   // ends that a job reads
-	dueMost     = 16 * dueBatch          // ends told and not yet taken, from which on none are read
-	storeRetry  = 250 * time.Millisecond // pause after the disk failed
-	sharedFor   = 2 * time.Second        // a client that leaves has left by then
+	jobBatch               = 512                    // messages that a job puts, and that it reads
+	expiryLead             = 100 * time.Millisecond // an end on disk is told so long before its time at most
+	expiryBatch            = 2048                   // ends that a job reads
+	maxUnconfirmedExpiries = 16 * expiryBatch       // ends told and not yet taken, from which on none are read
+	storeRetryInterval     = 250 * time.Millisecond // pause after the disk failed
+	sharedIDLifetime       = 2 * time.Second        // a client that leaves has left by then
 
 	// Of the log's room for what is live: above the one messages leave for the disk, above the other none come back.
-	leaveFill = 0.6
+	evictFill = 0.6
 	loadFill  = 0.5
 )
 
-// outOfTime is the end of a message whose time is up on disk, or on its way.
-var outOfTime = wal.Final{Deferred: policy.Unsent == policy.Refuse, Again: policy.RetryAdvice}
+// expiredFinal is the end of a message whose time is up on disk, or on its way.
+var expiredFinal = wal.Final{Deferred: policy.Unsent == policy.Refuse, Again: policy.RetryAdvice}
 
 // Backlog says how a relay keeps one.
 type Backlog struct {
@@ -52,107 +52,107 @@
 	Share  float64 // of these, for each destination
 }
 
-// move is where a message is on its way to.
-type move int
+// transfer is where a message is on its way to.
+type transfer int
 
 const (
-	staying  move = iota
-	leaving       // for the disk
-	entering      // from there
+	notMoving      transfer = iota
+	movingToDisk            // for the disk
+	movingToMemory          // from there
 )
 
-// overflow is the loop's side of the backlog.
-type overflow struct {
+// backlogQueue is the loop's side of the backlog.
+type backlogQueue struct {
 	*window
 	Backlog
-	relay  *Relay
-	store  owed.Store
-	oldest uint32 // numbers up to this were on disk when the process began
-	offset time.Duration
-
-	out    []*message          // leaving, and not with a job
-	in     []*message          // in the log again, and still on disk
-	gone   []owed.Ref          // over, and still on disk
-	ending map[uint32]owed.Ref // their ends were told, and not yet taken
-	shared map[uint32]time.Time
-	job    *job // under way
-	start  func(*job)
-	runs   sync.WaitGroup
-	next   int64 // soonest deadline on disk, as of the last look; never: none
-	full   bool  // there was no room at the last try
-	worn   bool  // the disk failed at the last try
-	tried  time.Time
-	hold   time.Time // nothing is read before: the log had no room
-	bytes  int64
+	relay          *Relay
+	store          owed.Store
+	maxRecoveredID uint32 // numbers up to this were on disk when the process began
+	clockOffset    time.Duration
+
+	outgoing     []*message          // leaving, and not with a job
+	incoming     []*message          // in the log again, and still on disk
+	removals     []owed.Ref          // over, and still on disk
+	unconfirmed  map[uint32]owed.Ref // their ends were told, and not yet taken
+	sharedIDs    map[uint32]time.Time
+	job          *job // under way
+	startJob     func(*job)
+	jobs         sync.WaitGroup
+	nextDeadline int64 // soonest deadline on disk, as of the last look; never: none
+	full         bool  // there was no room at the last try
+	failing      bool  // the disk failed at the last try
+	failedAt     time.Time
+	loadAfter    time.Time // nothing is read before: the log had no room
+	diskBytes    int64
 
 	movedOut, movedIn, ended, refused int64
 }
 
-// newOverflow opens the store. What the log has does not count on disk.
-func (r *Relay) newOverflow(found wal.Recovery) error {
+// openBacklog opens the store. What the log has does not count on disk.
+func (r *Relay) openBacklog(found wal.Recovery) error {
 	b := r.cfg.Backlog
 	if b == nil {
 		return nil
 	}
-	store, kept, err := b.Open()
+	store, contents, err := b.Open()
 	if err != nil {
 		return fmt.Errorf("relay: %w", err)
 	}
-	o := &overflow{
+	o := &backlogQueue{
 		window: newWindow(b.Window, b.Share, r.cfg.Settings.MaxHeld), Backlog: *b, relay: r, store: store,
-		ending: map[uint32]owed.Ref{}, shared: map[uint32]time.Time{}, oldest: kept.MaxID, next: 0,
+		unconfirmed: map[uint32]owed.Ref{}, sharedIDs: map[uint32]time.Time{}, maxRecoveredID: contents.MaxID, nextDeadline: 0,
 	}
-	if kept.Lost || kept.Rebuilt || len(kept.Aside) > 0 {
-		r.log.Error("the backlog was damaged", "messages", kept.Messages, "lost", kept.Lost, "aside", kept.Aside)
+	if contents.Lost || contents.Rebuilt || len(contents.Aside) > 0 {
+		r.log.Error("the backlog was damaged", "messages", contents.Messages, "lost", contents.Lost, "aside", contents.Aside)
 	}
-	o.start = func(j *job) {
-		o.runs.Go(func() {
+	o.startJob = func(j *job) {
+		o.jobs.Go(func() {
 			j.run(o.store)
 			r.post(j)
 		})
 	}
 	if store.Len() > 0 {
-		var both []owed.Ref
+		var duplicates []owed.Ref
 		for _, m := range found.Messages {
 			e, ok, err := store.Get(m.ID)
 			if err != nil {
 				return errors.Join(fmt.Errorf("relay: backlog: %w", err), store.Close())
 			}
 			if ok && e.Trace == m.Trace {
-				both = append(both, e.Ref)
+				duplicates = append(duplicates, e.Ref)
 			}
 		}
-		if len(both) > 0 {
-			if err := store.Apply(nil, both); err != nil {
+		if len(duplicates) > 0 {
+			if err := store.Apply(nil, duplicates); err != nil {
 				return errors.Join(fmt.Errorf("relay: backlog: %w", err), store.Close())
 			}
 		}
 	}
-	if o.offset, err = r.clockOffset(); err != nil {
+	if o.clockOffset, err = r.loadClockOffset(); err != nil {
 		return errors.Join(err, store.Close())
 	}
 	for dest, n := range store.Dests() {
-		o.stored(dest, n)
+		o.addOnDisk(dest, n)
 	}
-	o.bytes = store.Disk()
-	if o.disk > 0 {
-		r.log.Info("recovered the backlog", "messages", o.disk, "destinations", len(o.cells), "bytes", o.bytes)
+	o.diskBytes = store.Disk()
+	if o.onDisk > 0 {
+		r.log.Info("recovered the backlog", "messages", o.onDisk, "destinations", len(o.dests), "bytes", o.diskBytes)
 	}
-	r.owed, r.lastID = o, max(r.lastID, kept.MaxID)
+	r.owed, r.lastID = o, max(r.lastID, contents.MaxID)
 	return nil
 }
 
-// clockName is the file that tells how far the clock was set back since the first message came to the disk, in nanoseconds.
-const clockName = "backlog.clock"
+// clockOffsetFile is the file that tells how far the clock was set back since the first message came to the disk, in nanoseconds.
+const clockOffsetFile = "backlog.clock"
 
-// clockOffset is how far: no message gets time from a clock that was set back over a restart.
-func (r *Relay) clockOffset() (time.Duration, error) {
+// loadClockOffset is how far: no message gets time from a clock that was set back over a restart.
+func (r *Relay) loadClockOffset() (time.Duration, error) {
 	fs := r.cfg.Disk
 	if fs == nil {
 		fs = disk.Dir(r.cfg.StateDir)
 	}
 	ns := int64(0)
-	data, err := fs.ReadFile(clockName)
+	data, err := fs.ReadFile(clockOffsetFile)
 	if err == nil {
 		ns, err = strconv.ParseInt(strings.TrimSpace(string(data)), 10, 64)
 	} else if errors.Is(err, os.ErrNotExist) {
@@ -160,10 +160,10 @@
 	}
 	if err == nil && r.behind > 0 {
 		ns += int64(r.behind)
-		err = disk.Replace(fs, clockName, fmt.Appendln(nil, ns))
+		err = disk.Replace(fs, clockOffsetFile, fmt.Appendln(nil, ns))
 	}
 	if err != nil {
-		return 0, fmt.Errorf("relay: backlog: %s: %w", clockName, err)
+		return 0, fmt.Errorf("relay: backlog: %s: %w", clockOffsetFile, err)
 	}
 	return time.Duration(ns), nil
 }
@@ -177,7 +177,7 @@
 	longest := time.Duration(0)
 	for i, c := range r.cfg.Settings.Classes {
 		if c.Ordered {
-			longest = max(longest, r.cfg.longest(i))
+			longest = max(longest, r.cfg.maxLifetime(i))
 		}
 	}
 	return r.wal.Stamp(clock.Now().Add(longest)).UnixNano()
@@ -185,117 +185,117 @@
 
 // storedTime is a time as it stands on disk: on the log's timeline, as it was before the clock was set back over a boot, if it
 // was. restoredTime is the way back.
-func (o *overflow) storedTime(at time.Time) int64 {
-	return o.relay.wal.Stamp(at).Add(o.offset).UnixNano()
+func (o *backlogQueue) storedTime(at time.Time) int64 {
+	return o.relay.wal.Stamp(at).Add(o.clockOffset).UnixNano()
 }
 
-func (o *overflow) restoredTime(ns int64) time.Time {
-	return o.relay.wal.Local(time.Unix(0, ns).Add(-o.offset))
+func (o *backlogQueue) restoredTime(ns int64) time.Time {
+	return o.relay.wal.Local(time.Unix(0, ns).Add(-o.clockOffset))
 }
 
 // ref names a message on disk.
-func (o *overflow) ref(m *message) owed.Ref {
+func (o *backlogQueue) ref(m *message) owed.Ref {
 	return owed.Ref{ID: m.ID, Trace: m.Trace, Dest: m.Dest, Rank: m.rank(), Deadline: o.storedTime(m.Deadline)}
 }
 
-// known is the answer to a hand-in of a message that lies on disk already; false if none does. Its client is not the only
+// lookup is the answer to a hand-in of a message that lies on disk already; false if none does. Its client is not the only
 // one any more.
-func (o *overflow) known(trace string) (answer, bool) {
-	if o == nil || o.disk == 0 {
+func (o *backlogQueue) lookup(trace string) (answer, bool) {
+	if o == nil || o.onDisk == 0 {
 		return answer{}, false
 	}
 	ref, ok, err := o.store.Find(trace)
 	switch {
 	case err != nil:
 		o.relay.log.Warn("backlog not read", "err", err)
-		return noRoom(), true // whether it is there is not known
+		return backlogUnavailable(), true // whether it is there is not known
 	case !ok:
 		return answer{}, false
-	case o.ending[ref.ID].ID != 0:
-		return finalAnswer(outOfTime), true
+	case o.unconfirmed[ref.ID].ID != 0:
+		return finalAnswer(expiredFinal), true
 	}
-	o.shared[ref.ID] = clock.Now()
+	o.sharedIDs[ref.ID] = clock.Now()
 	return answer{status: http.StatusAccepted}, true
 }
 
 // refuses tells whether a new message would have to go to a disk that takes nothing, or is far behind.
-func (o *overflow) refuses(dest int) bool {
-	if o == nil || o.admits(dest) && o.held-o.sent < o.size {
+func (o *backlogQueue) refuses(dest int) bool {
+	if o == nil || o.admits(dest) && o.held-o.sent < o.maxUnsent {
 		return false
 	}
-	if !o.full && !o.worn && len(o.out) < 4*o.size {
+	if !o.full && !o.failing && len(o.outgoing) < 4*o.maxUnsent {
 		return false
 	}
 	o.refused++
 	return true
 }
 
-// enter, leave and sends book what becomes of a message at the module; see window.
-func (o *overflow) enter(m *message) {
+// add, leave and sends book what becomes of a message at the module; see window.
+func (o *backlogQueue) add(m *message) {
 	if o != nil {
-		o.window.enter(m)
+		o.window.add(m)
 	}
 }
 
-func (o *overflow) leave(m *message) {
+func (o *backlogQueue) remove(m *message) {
 	if o != nil {
-		o.window.leave(m)
+		o.window.remove(m)
 	}
 }
 
-func (o *overflow) sends(m *message) {
+func (o *backlogQueue) markSent(m *message) {
 	if o != nil {
-		o.window.sends(m)
+		o.window.markSent(m)
 	}
 }
 
 // divert has a new message go to the disk in place of the module, if the window does not admit it.
-func (o *overflow) divert(m *message) bool {
+func (o *backlogQueue) divert(m *message) bool {
 	if o == nil || m.Attempts > 0 || !storable(m.Dest) || o.admits(m.Dest) {
 		return false
 	}
 	o.relay.held--
-	o.send(m)
+	o.moveToDisk(m)
 	return true
 }
 
-// send has a message that the module does not have leave for the disk.
-func (o *overflow) send(m *message) {
-	m.move = leaving
-	o.stored(m.Dest, 1)
-	o.out = append(o.out, m)
+// moveToDisk has a message that the module does not have leave for the disk.
+func (o *backlogQueue) moveToDisk(m *message) {
+	m.move = movingToDisk
+	o.addOnDisk(m.Dest, 1)
+	o.outgoing = append(o.outgoing, m)
 }
 
-// mayLeave tells whether a message at the module may lie on disk: nothing of it has run or is out, and nobody waits for it.
-func (o *overflow) mayLeave(m *message) bool {
-	return !m.ended && m.move == staying && m.sends == 0 && m.out == 0 && m.Attempts == 0 && len(m.MayRun) == 0 &&
+// evictable tells whether a message at the module may lie on disk: nothing of it has run or is out, and nobody waits for it.
+func (o *backlogQueue) evictable(m *message) bool {
+	return !m.ended && m.move == notMoving && m.sends == 0 && m.out == 0 && m.Attempts == 0 && len(m.MayRun) == 0 &&
 		m.Final == nil && !m.Withdrawn && m.next == nil && storable(m.Dest) && m.seq <= o.relay.wal.Durable() && o.relay.wal.Owes(m.Message)
 }
 
-// balance has leave what the window is too small for. The module hears of it before it decides anything more.
-func (o *overflow) balance() {
-	if o == nil || o.full || o.worn {
+// evictExcess has leave what the window is too small for. The module hears of it before it decides anything more.
+func (o *backlogQueue) evictExcess() {
+	if o == nil || o.full || o.failing {
 		return
 	}
 	least := 0
-	if o.relay.wal.Fill() > leaveFill {
+	if o.relay.wal.Fill() > evictFill {
 		least = 1 + (o.held-o.sent)/8
 	}
-	for _, m := range o.excess(least, o.mayLeave) {
+	for _, m := range o.excess(least, o.evictable) {
 		o.relay.held--
-		o.leave(m)
+		o.remove(m)
 		o.relay.later = append(o.relay.later, policy.Event{Kind: policy.Withdrawn, ID: m.ID})
-		o.send(m)
+		o.moveToDisk(m)
 	}
 }
 
-// drop ends a message on its way that is owed no more. One that may be on disk leaves that first: a restart would have it.
-func (o *overflow) drop(m *message) {
-	for i, x := range o.out {
-		if x == m && m.move == leaving {
-			o.out = append(o.out[:i], o.out[i+1:]...)
-			m.move, m.ended = staying, true
-			o.stored(m.Dest, -1)
+// cancelTransfer ends a message on its way that is owed no more. One that may be on disk leaves that first: a restart would have it.
+func (o *backlogQueue) cancelTransfer(m *message) {
+	for i, x := range o.outgoing {
+		if x == m && m.move == movingToDisk {
+			o.outgoing = append(o.outgoing[:i], o.outgoing[i+1:]...)
+			m.move, m.ended = notMoving, true
+			o.addOnDisk(m.Dest, -1)
 			o.relay.letGo(m)
 			return
 		}
@@ -304,50 +304,50 @@
 }
 
 // withdraw ends a message whose client has left after it went to the disk.
-func (o *overflow) withdraw(id uint32) {
-	if o == nil || o.disk == 0 {
+func (o *backlogQueue) withdraw(id uint32) {
+	if o == nil || o.onDisk == 0 {
 		return
 	}
-	if _, ok := o.shared[id]; ok || o.ending[id].ID != 0 {
+	if _, ok := o.sharedIDs[id]; ok || o.unconfirmed[id].ID != 0 {
 		return
 	}
 	e, ok, err := o.store.Get(id)
 	if err != nil || !ok {
 		return
 	}
-	o.gone = append(o.gone, e.Ref)
+	o.removals = append(o.removals, e.Ref)
 }
 
-// confirmed takes that the end of a message on disk was taken; false if it is not one.
-func (o *overflow) confirmed(id uint32) bool {
+// confirm takes that the end of a message on disk was taken; false if it is not one.
+func (o *backlogQueue) confirm(id uint32) bool {
 	if o == nil {
 		return false
 	}
-	ref, ok := o.ending[id]
+	ref, ok := o.unconfirmed[id]
 	if ok {
-		delete(o.ending, id)
-		o.gone = append(o.gone, ref)
-		o.relay.wal.Remember(ref.Trace, o.restoredTime(ref.Deadline), wal.CompletionOf(outOfTime))
+		delete(o.unconfirmed, id)
+		o.removals = append(o.removals, ref)
+		o.relay.wal.Remember(ref.Trace, o.restoredTime(ref.Deadline), wal.CompletionOf(expiredFinal))
 	}
 	return ok
 }
 
-// keeps tells whether the module is given a message that a start found in the log. Else it goes to the disk: what was never
+// admitRecovered tells whether the module is given a message that a start found in the log. Else it goes to the disk: what was never
 // tried waits its turn behind what lies there.
-func (o *overflow) keeps(m *message) bool {
-	if o == nil || m.Attempts > 0 || len(m.MayRun) > 0 || m.Doubt || !storable(m.Dest) || o.admits(m.Dest) && o.held-o.sent < o.size {
+func (o *backlogQueue) admitRecovered(m *message) bool {
+	if o == nil || m.Attempts > 0 || len(m.MayRun) > 0 || m.Doubt || !storable(m.Dest) || o.admits(m.Dest) && o.held-o.sent < o.maxUnsent {
 		return true
 	}
-	o.send(m)
+	o.moveToDisk(m)
 	return false
 }
 
-// wait waits until no job is under way; false if that takes too long.
-func (o *overflow) wait(most time.Duration) bool {
+// waitForJob waits until no job is under way; false if that takes too long.
+func (o *backlogQueue) waitForJob(timeout time.Duration) bool {
 	if o == nil || o.job == nil {
 		return true
 	}
-	timer := time.NewTimer(most)
+	timer := time.NewTimer(timeout)
 	defer timer.Stop()
 	for {
 		select {
@@ -364,39 +364,39 @@
 }
 
 // close ends the store. What a job has done that the loop has not heard of is in the log as well.
-func (o *overflow) close() error {
+func (o *backlogQueue) close() error {
 	if o == nil || o.store == nil {
 		return nil
 	}
-	o.runs.Wait()
+	o.jobs.Wait()
 	err := o.store.Close()
 	o.store = nil
 	return err
 }
 
 // reopen opens the store again after a hand-over that came to nothing.
-func (o *overflow) reopen() error {
+func (o *backlogQueue) reopen() error {
 	if o == nil || o.store != nil {
 		return nil
 	}
 	var err error
-	for end := clock.Now().Add(retakeFor); ; time.Sleep(lockPause) {
+	for end := clock.Now().Add(relockTimeout); ; time.Sleep(lockRetryInterval) {
 		if o.store, _, err = o.Open(); err == nil || clock.Now().After(end) {
 			return err
 		}
 	}
 }
 
-// owing is how many messages are owed that the module does not have.
-func (o *overflow) owing() int {
+// count is how many messages are owed that the module does not have.
+func (o *backlogQueue) count() int {
 	if o == nil {
 		return 0
 	}
-	return o.disk
+	return o.onDisk
 }
 
-// tell has the second address show the backlog's figures.
-func (o *overflow) tell() {
+// publish has the second address show the backlog's figures.
+func (o *backlogQueue) publish() {
 	if o == nil {
 		return
 	}
@@ -405,7 +405,7 @@
 }
 
 // String is the backlog's figures, for the second address.
-func (o *overflow) String() string {
+func (o *backlogQueue) String() string {
 	gauge := func(b bool) int {
 		if b {
 			return 1
@@ -415,10 +415,10 @@
 	return fmt.Sprintf("\nrelay.backlog.messages:%d|g\nrelay.backlog.destinations:%d|g\nrelay.backlog.bytes:%d|g\nrelay.backlog.window:%d|g\n"+
 		"relay.backlog.moving:%d|g\nrelay.backlog.out:%d|c\nrelay.backlog.in:%d|c\nrelay.backlog.ended:%d|c\nrelay.backlog.refused:%d|c\n"+
 		"relay.backlog.full:%d|g\nrelay.backlog.failing:%d|g",
-		o.disk, len(o.cells), o.bytes, o.held, len(o.out)+len(o.in), o.movedOut, o.movedIn, o.ended, o.refused, gauge(o.full), gauge(o.worn))
+		o.onDisk, len(o.dests), o.diskBytes, o.held, len(o.outgoing)+len(o.incoming), o.movedOut, o.movedIn, o.ended, o.refused, gauge(o.full), gauge(o.failing))
 }
 
-// noRoom is the answer to a message that would have to go to a disk which takes nothing.
-func noRoom() answer {
+// backlogUnavailable is the answer to a message that would have to go to a disk which takes nothing.
+func backlogUnavailable() answer {
 	return answer{status: http.StatusServiceUnavailable, again: policy.RetryAdvice}
 }
--- a/internal/relay/backlog_test.go
+++ b/internal/relay/backlog_test.go
@@ -19,14 +19,14 @@
 	"onyxroad.dev/onyxroad/policy"
 )
 
-// shelf is a store in memory.
-type shelf struct {
+// memoryStore is a store in memory.
+type memoryStore struct {
 	all  map[uint32]owed.Entry
 	room int // 0: no end
 	fail error
 }
 
-func (s *shelf) Apply(put []owed.Entry, remove []owed.Ref) error {
+func (s *memoryStore) Apply(put []owed.Entry, remove []owed.Ref) error {
 	if s.fail != nil {
 		return s.fail
 	}
@@ -42,7 +42,7 @@
 	return nil
 }
 
-func (s *shelf) sorted(keep func(owed.Entry) bool, by func(owed.Entry) int64) (all []owed.Entry) {
+func (s *memoryStore) sorted(keep func(owed.Entry) bool, by func(owed.Entry) int64) (all []owed.Entry) {
 	for _, e := range s.all {
 		if keep(e) {
 			all = append(all, e)
@@ -57,17 +57,17 @@
 	return all
 }
 
-func (s *shelf) First(dest, n int) ([]owed.Entry, error) {
+func (s *memoryStore) First(dest, n int) ([]owed.Entry, error) {
 	all := s.sorted(func(e owed.Entry) bool { return e.Dest == dest }, func(e owed.Entry) int64 { return e.Rank })
 	return all[:min(n, len(all))], s.fail
 }
 
-func (s *shelf) Due(by int64, n int) ([]owed.Entry, error) {
+func (s *memoryStore) Due(by int64, n int) ([]owed.Entry, error) {
 	all := s.sorted(func(e owed.Entry) bool { return e.Deadline <= by }, func(e owed.Entry) int64 { return e.Deadline })
 	return all[:min(n, len(all))], s.fail
 }
 
-func (s *shelf) NextDue() (next int64, ok bool, err error) {
+func (s *memoryStore) NextDue() (next int64, ok bool, err error) {
 	for _, e := range s.all {
 		if !ok || e.Deadline < next {
 			next, ok = e.Deadline, true
@@ -76,7 +76,7 @@
 	return next, ok, nil
 }
 
-func (s *shelf) Find(trace string) (owed.Ref, bool, error) {
+func (s *memoryStore) Find(trace string) (owed.Ref, bool, error) {
 	for _, e := range s.all {
 		if e.Trace == trace {
 			return e.Ref, true, nil
@@ -85,14 +85,14 @@
 	return owed.Ref{}, false, nil
 }
 
-func (s *shelf) Get(id uint32) (owed.Entry, bool, error) {
+func (s *memoryStore) Get(id uint32) (owed.Entry, bool, error) {
 	e, ok := s.all[id]
 	return e, ok, nil
 }
 
-func (s *shelf) Len() int { return len(s.all) }
+func (s *memoryStore) Len() int { return len(s.all) }
 
-func (s *shelf) Count(dest int) (n int) {
+func (s *memoryStore) Count(dest int) (n int) {
 	for _, e := range s.all {
 		if e.Dest == dest {
 			n++
@@ -101,7 +101,7 @@
 	return n
 }
 
-func (s *shelf) Dests() iter.Seq2[int, int] {
+func (s *memoryStore) Dests() iter.Seq2[int, int] {
 	counts := map[int]int{}
 	for _, e := range s.all {
 		counts[e.Dest]++
@@ -109,10 +109,10 @@
 	return maps.All(counts)
 }
 
-func (s *shelf) Disk() int64  { return int64(len(s.all)) }
-func (s *shelf) Close() error { return nil }
+func (s *memoryStore) Disk() int64  { return int64(len(s.all)) }
+func (s *memoryStore) Close() error { return nil }
 
-func (s *shelf) open() (owed.Store, owed.Found, error) {
+func (s *memoryStore) open() (owed.Store, owed.Found, error) {
 	found := owed.Found{Messages: len(s.all)}
 	for id := range s.all {
 		found.MaxID = max(found.MaxID, id)
@@ -120,16 +120,16 @@
 	return s, found, nil
 }
 
-// backlogged is a relay with a backlog whose loop is not running, and whose jobs run when the test says so.
-type backlogged struct {
+// backlogRelay is a relay with a backlog whose loop is not running, and whose jobs run when the test says so.
+type backlogRelay struct {
 	*Relay
 	t    *testing.T
-	s    *shelf
+	s    *memoryStore
 	d    *crashdisk.Disk
 	jobs []*job
 }
 
-func newBacklogged(t *testing.T, s *shelf, d *crashdisk.Disk, window int) *backlogged {
+func newBacklogRelay(t *testing.T, s *memoryStore, d *crashdisk.Disk, window int) *backlogRelay {
 	t.Helper()
 	c, err := parseConfig([]byte(`{"name":"n3","listen":"127.0.0.1:0","discovery":"127.0.0.1:1","limits":{"disk_mb":40},"settings":` + settingsJSON +
 		`,"known":{"version":1,"full":true,"servers":[
@@ -146,16 +146,16 @@
 		t.Fatal(err)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	b := &backlogged{Relay: r, t: t, s: s, d: d}
+	b := &backlogRelay{Relay: r, t: t, s: s, d: d}
 	t.Cleanup(func() { cancel(); r.calls.Wait(); r.hosts.close(); r.wal.Close(); r.lock.Close() })
 	r.callCtx = ctx
-	r.owed.start = func(j *job) { b.jobs = append(b.jobs, j) }
+	r.owed.startJob = func(j *job) { b.jobs = append(b.jobs, j) }
 	r.resume()
 	return b
 }
 
-// settle runs jobs until there is none.
-func (b *backlogged) settle() {
+// runJobs runs jobs until there is none.
+func (b *backlogRelay) runJobs() {
 	b.t.Helper()
 	for range 1000 {
 		b.step(nil)
@@ -170,7 +170,7 @@
 	b.t.Fatal("the backlog does not come to rest")
 }
 
-func (b *backlogged) hand(n, from, dest int, left time.Duration) {
+func (b *backlogRelay) submit(n, from, dest int, left time.Duration) {
 	b.t.Helper()
 	for i := range n {
 		in := newHandIn(fmt.Sprintf("m%d", from+i), dest, left)
@@ -181,8 +181,8 @@
 	}
 }
 
-// once checks that each message is in one place, and how many there are.
-func (b *backlogged) once(want int) {
+// checkOwed checks that each message is in one place, and how many there are.
+func (b *backlogRelay) checkOwed(want int) {
 	b.t.Helper()
 	held := 0
 	for id, m := range b.msgs {
@@ -193,18 +193,18 @@
 			held++
 		}
 	}
-	if held+len(b.s.all) != want || b.held+b.owed.owing() != want || b.owed.disk != len(b.s.all) {
-		b.t.Errorf("%d in the log, %d on disk, %d counted, %d of them on disk; want %d", held, len(b.s.all), b.held+b.owed.owing(), b.owed.disk, want)
+	if held+len(b.s.all) != want || b.held+b.owed.count() != want || b.owed.onDisk != len(b.s.all) {
+		b.t.Errorf("%d in the log, %d on disk, %d counted, %d of them on disk; want %d", held, len(b.s.all), b.held+b.owed.count(), b.owed.onDisk, want)
 	}
 }
 
 func TestWhatTheWindowDoesNotHoldLiesOnDisk(t *testing.T) {
-	b := newBacklogged(t, &shelf{all: map[uint32]owed.Entry{}}, crashdisk.New(), 64)
+	b := newBacklogRelay(t, &memoryStore{all: map[uint32]owed.Entry{}}, crashdisk.New(), 64)
 	for i := range 10 {
-		b.hand(100, 100*i, 7, time.Hour)
-		b.settle()
+		b.submit(100, 100*i, 7, time.Hour)
+		b.runJobs()
 	}
-	b.once(1000)
+	b.checkOwed(1000)
 	if b.held > 64 || len(b.msgs) > 64 || b.sender.Avoided(b.now()) != 0 {
 		t.Errorf("%d at the module, %d in memory", b.held, len(b.msgs))
 	}
@@ -216,13 +216,13 @@
 			t.Errorf("%s again: %+v, %v", id, a, ok)
 		}
 	}
-	b.settle()
-	b.once(1000)
+	b.runJobs()
+	b.checkOwed(1000)
 	// Another destination has room at once, by its share.
-	b.hand(10, 5000, 8, time.Hour)
-	b.settle()
-	b.once(1010)
-	if c := b.owed.cells[8]; c == nil || c.held != 10 {
+	b.submit(10, 5000, 8, time.Hour)
+	b.runJobs()
+	b.checkOwed(1010)
+	if c := b.owed.dests[8]; c == nil || c.held != 10 {
 		t.Errorf("a destination with little owed has %+v at the module", c)
 	}
 	// As messages end, others come back, and every one is given to the module once.
@@ -230,7 +230,7 @@
 	for len(seen) < 1010 {
 		before := len(seen)
 		for id, m := range b.msgs {
-			if m.move == staying && !m.ended && m.cell != nil {
+			if m.move == notMoving && !m.ended && m.cell != nil {
 				if seen[id] {
 					t.Fatalf("message %d came back", id)
 				}
@@ -238,35 +238,35 @@
 				b.later = b.delivered(b.later, m)
 			}
 		}
-		b.settle()
+		b.runJobs()
 		if len(seen) == before {
 			t.Fatalf("%d came back, and no more", before)
 		}
 	}
-	b.once(0)
+	b.checkOwed(0)
 }
 
 func TestTheMostUrgentComesBackFirst(t *testing.T) {
-	b := newBacklogged(t, &shelf{all: map[uint32]owed.Entry{}}, crashdisk.New(), 64)
-	b.hand(64, 0, 7, 3*time.Hour)
-	b.hand(200, 1000, 7, 2*time.Hour)
-	b.hand(1, 2000, 7, time.Hour)
-	b.settle()
+	b := newBacklogRelay(t, &memoryStore{all: map[uint32]owed.Entry{}}, crashdisk.New(), 64)
+	b.submit(64, 0, 7, 3*time.Hour)
+	b.submit(200, 1000, 7, 2*time.Hour)
+	b.submit(1, 2000, 7, time.Hour)
+	b.runJobs()
 	for _, m := range b.msgs {
 		b.step([]any{withdrawal{m.ID}})
 	}
-	b.settle()
+	b.runJobs()
 	if m := b.traces["m2000"]; m == nil || m.cell == nil {
 		t.Error("the most urgent message did not come back first")
 	}
 }
 
 func TestEndsOnDiskAreToldInTime(t *testing.T) {
-	b := newBacklogged(t, &shelf{all: map[uint32]owed.Entry{}}, crashdisk.New(), 64)
-	b.hand(32, 0, 7, time.Hour) // the destination's share
-	b.hand(100, 1000, 7, dueAhead/2)
-	b.hand(5, 2000, 7, time.Hour)
-	b.settle()
+	b := newBacklogRelay(t, &memoryStore{all: map[uint32]owed.Entry{}}, crashdisk.New(), 64)
+	b.submit(32, 0, 7, time.Hour) // the destination's share
+	b.submit(100, 1000, 7, expiryLead/2)
+	b.submit(5, 2000, 7, time.Hour)
+	b.runJobs()
 	if n := len(b.finals.queue); n != 100 {
 		t.Fatalf("%d ends told, want 100", n)
 	}
@@ -276,38 +276,38 @@
 		}
 		b.step([]any{confirmed{[]uint32{n.id}}})
 	}
-	b.settle()
-	b.once(37)
+	b.runJobs()
+	b.checkOwed(37)
 	if n := b.figures.of(0).deferred.Load(); n != 100 {
 		t.Errorf("%d counted as deferred", n)
 	}
 }
 
 func TestAFullOrFailingDiskTurnsNewWorkAway(t *testing.T) {
-	for name, spoil := range map[string]func(*shelf){
-		"full":    func(s *shelf) { s.room = 1 },
-		"failing": func(s *shelf) { s.fail = errors.New("sick") },
+	for name, spoil := range map[string]func(*memoryStore){
+		"full":    func(s *memoryStore) { s.room = 1 },
+		"failing": func(s *memoryStore) { s.fail = errors.New("sick") },
 	} {
 		t.Run(name, func(t *testing.T) {
-			s := &shelf{all: map[uint32]owed.Entry{}}
-			b := newBacklogged(t, s, crashdisk.New(), 64)
+			s := &memoryStore{all: map[uint32]owed.Entry{}}
+			b := newBacklogRelay(t, s, crashdisk.New(), 64)
 			spoil(s)
-			b.hand(100, 0, 7, time.Hour)
-			b.settle()
+			b.submit(100, 0, 7, time.Hour)
+			b.runJobs()
 			in := newHandIn("late", 7, time.Hour)
 			b.step([]any{in})
 			if a, ok := answered(in); !ok || a.status != http.StatusServiceUnavailable || a.again <= 0 {
 				t.Errorf("beyond the window: %+v, %v", a, ok)
 			}
-			b.hand(1, 1000, 8, time.Hour) // the window has room
-			if b.held+b.owed.owing() != 101 || len(s.all) != 0 {
-				t.Errorf("%d owed, %d on disk", b.held+b.owed.owing(), len(s.all))
+			b.submit(1, 1000, 8, time.Hour) // the window has room
+			if b.held+b.owed.count() != 101 || len(s.all) != 0 {
+				t.Errorf("%d owed, %d on disk", b.held+b.owed.count(), len(s.all))
 			}
 			s.room, s.fail = 0, nil
-			b.owed.tried = time.Time{}
-			b.settle()
-			b.once(101)
-			b.hand(1, 2000, 7, time.Hour)
+			b.owed.failedAt = time.Time{}
+			b.runJobs()
+			b.checkOwed(101)
+			b.submit(1, 2000, 7, time.Hour)
 		})
 	}
 }
@@ -316,8 +316,8 @@
 func TestAWithdrawnMessageLeavesTheDiskBeforeTheLog(t *testing.T) {
 	for _, when := range []string{"before its job", "under its job", "on disk"} {
 		t.Run(when, func(t *testing.T) {
-			b := newBacklogged(t, &shelf{all: map[uint32]owed.Entry{}}, crashdisk.New(), 64)
-			b.hand(33, 0, 7, time.Hour)
+			b := newBacklogRelay(t, &memoryStore{all: map[uint32]owed.Entry{}}, crashdisk.New(), 64)
+			b.submit(33, 0, 7, time.Hour)
 			if len(b.jobs) != 1 {
 				t.Fatalf("%d jobs", len(b.jobs))
 			}
@@ -328,7 +328,7 @@
 				b.step([]any{in})
 				b.step([]any{withdrawal{in.m.ID}})
 			case "under its job":
-				b.settle()
+				b.runJobs()
 				b.step([]any{in})
 				if len(b.jobs) != 1 {
 					t.Fatalf("%d jobs", len(b.jobs))
@@ -339,11 +339,11 @@
 				}
 			case "on disk":
 				b.step([]any{in})
-				b.settle()
+				b.runJobs()
 				b.step([]any{withdrawal{in.m.ID}})
 			}
-			b.settle()
-			b.once(33)
+			b.runJobs()
+			b.checkOwed(33)
 			if _, ok, _ := b.s.Find("gone"); ok || b.traces["gone"] != nil {
 				t.Error("it is still there")
 			}
@@ -353,7 +353,7 @@
 
 // In a class that keeps order what comes later goes later, though its time may be up before.
 func TestTheBacklogKeepsAKeysOrder(t *testing.T) {
-	b := newBacklogged(t, &shelf{all: map[uint32]owed.Entry{}}, crashdisk.New(), 64)
+	b := newBacklogRelay(t, &memoryStore{all: map[uint32]owed.Entry{}}, crashdisk.New(), 64)
 	b.cfg.Settings.Classes[0].Ordered = true
 	rng := rand.New(rand.NewPCG(1, 2))
 	for i := range 200 {
@@ -361,10 +361,10 @@
 		in.m.Order = "one"
 		b.step([]any{in})
 		if rng.IntN(10) == 0 {
-			b.settle()
+			b.runJobs()
 		}
 	}
-	b.settle()
+	b.runJobs()
 	last := uint32(0)
 	for last < 200 {
 		ids := slices.Sorted(maps.Keys(b.msgs))
@@ -378,28 +378,28 @@
 			last = id
 			b.step([]any{withdrawal{id}})
 		}
-		b.settle()
+		b.runJobs()
 	}
 }
 
 // The clock set back over a restart gives no message on disk more time.
 func TestTheClockSetBackGivesNoTimeOnDisk(t *testing.T) {
-	d, s := crashdisk.New(), &shelf{all: map[uint32]owed.Entry{}}
-	b := newBacklogged(t, s, d, 64)
-	b.hand(100, 0, 7, time.Hour)
-	b.settle()
+	d, s := crashdisk.New(), &memoryStore{all: map[uint32]owed.Entry{}}
+	b := newBacklogRelay(t, s, d, 64)
+	b.submit(100, 0, 7, time.Hour)
+	b.runJobs()
 	b.behind = 50 * time.Minute
 	var err error
 	for range 2 { // it stays so at the start after
-		if b.owed.offset, err = b.clockOffset(); err != nil || b.owed.offset != 50*time.Minute {
-			t.Fatalf("offset %v, %v", b.owed.offset, err)
+		if b.owed.clockOffset, err = b.loadClockOffset(); err != nil || b.owed.clockOffset != 50*time.Minute {
+			t.Fatalf("offset %v, %v", b.owed.clockOffset, err)
 		}
 		b.behind = 0
 	}
 	for _, m := range b.msgs {
 		b.step([]any{withdrawal{m.ID}})
 	}
-	b.settle()
+	b.runJobs()
 	for _, m := range b.msgs {
 		if left := time.Until(m.Deadline); left > 10*time.Minute {
 			t.Fatalf("%v left", left)
@@ -414,8 +414,8 @@
 func TestNoMomentBetweenLogAndBacklogLosesAMessage(t *testing.T) {
 	rng := rand.New(rand.NewPCG(7, 11))
 	for state := 0; state < *crashStates; {
-		s, d := &shelf{all: map[uint32]owed.Entry{}}, crashdisk.New()
-		b := newBacklogged(t, s, d, 64)
+		s, d := &memoryStore{all: map[uint32]owed.Entry{}}, crashdisk.New()
+		b := newBacklogRelay(t, s, d, 64)
 		owes, sent, next := map[string]bool{}, map[string]bool{}, 0
 		var shots []struct {
 			logs       *crashdisk.Disk
@@ -447,10 +447,10 @@
 			case 2:
 				for _, id := range slices.Sorted(maps.Keys(b.msgs)) {
 					m := b.msgs[id]
-					if m.move == staying && !m.ended && m.cell != nil && rng.IntN(3) == 0 {
+					if m.move == notMoving && !m.ended && m.cell != nil && rng.IntN(3) == 0 {
 						if rng.IntN(2) == 0 {
 							if m.sends == 0 { // a send that stays out
-								b.carryOut([]policy.Action{{Kind: policy.Send, ID: id, Route: "s-1", At: b.now() + time.Hour}}, nil)
+								b.execute([]policy.Action{{Kind: policy.Send, ID: id, Route: "s-1", At: b.now() + time.Hour}}, nil)
 								sent[m.Trace] = true
 							}
 						} else if m.sends == 0 {
@@ -475,7 +475,7 @@
 		}
 		for _, x := range shots {
 			state++
-			_, found, err := wal.OpenWith(wal.Options{FS: x.logs, Limit: 40e6, Format: wal.Format, Name: "n3", Also: withBacklog("n3")})
+			_, found, err := wal.OpenWith(wal.Options{FS: x.logs, Limit: 40e6, Format: wal.Format, Name: "n3", Also: backlogOwnerName("n3")})
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -514,9 +514,9 @@
 // A relay that knows of no backlog does not start on the folder while something may lie on disk, and does once nothing is.
 func TestAFolderWithABacklogIsRefusedWithoutOne(t *testing.T) {
 	d := crashdisk.New()
-	b := newBacklogged(t, &shelf{all: map[uint32]owed.Entry{}}, d, 64)
-	b.hand(100, 0, 7, time.Hour)
-	b.settle()
+	b := newBacklogRelay(t, &memoryStore{all: map[uint32]owed.Entry{}}, d, 64)
+	b.submit(100, 0, 7, time.Hour)
+	b.runJobs()
 	plain := wal.Options{Limit: 40e6, Format: wal.Format, Name: "n3"}
 	plain.FS = d.Copy()
 	if _, _, err := wal.OpenWith(plain); !errors.Is(err, wal.ErrOther) {
@@ -526,10 +526,10 @@
 		for _, m := range b.msgs {
 			b.later = b.delivered(b.later, m)
 		}
-		b.settle()
+		b.runJobs()
 	}
-	b.once(0)
-	if err := b.endLog(); err != nil {
+	b.checkOwed(0)
+	if err := b.closeLog(); err != nil {
 		t.Fatal(err)
 	}
 	plain.FS = d.Copy()
--- a/internal/relay/carry.go
+++ b/internal/relay/carry.go
@@ -14,8 +14,8 @@
 
 // What a step carries out: the module's decisions, first in the log, then on the sockets.
 
-// carryOut does what the module has decided: first in the log, in one write, then on the sockets.
-func (r *Relay) carryOut(acts []policy.Action, waiting []*handIn) {
+// execute does what the module has decided: first in the log, in one write, then on the sockets.
+func (r *Relay) execute(acts []policy.Action, waiting []*handIn) {
 	answers := make(map[uint32]answer, len(waiting))
 	for _, in := range waiting {
 		answers[in.as.ID] = answer{status: http.StatusAccepted}
@@ -52,25 +52,25 @@
 			r.hosts.closeIdle(a.Route)
 		}
 	}
-	p := promise{waiting: waiting, answers: answers, ended: ended, calls: calls}
+	p := pendingStep{waiting: waiting, answers: answers, ended: ended, calls: calls}
 	// A send that is not in the log must not leave: after a restart it would be made again. An end that is not must not be
 	// told: after a restart the message would be sent.
 	err := r.record(calls)
 	if err != nil && !errors.Is(err, wal.ErrWorn) {
 		r.log.Warn("log not written", "calls", len(calls), "err", err)
-		r.giveBack(calls, policy.ConnectFailed)
+		r.abortCalls(calls, policy.ConnectFailed)
 		p.calls = nil
 		err = r.record(nil) // what was noted may find room without the sends
 	}
 	if err != nil {
 		p.unwritten = true
-		p.waiting = r.answerTaken(p)
+		p.waiting = r.answerAccepted(p)
 	}
-	r.promise(p)
+	r.finishWhenDurable(p)
 }
 
-// answerTaken answers those whose messages are in the log, though what the step has decided is not, and returns the others.
-func (r *Relay) answerTaken(p promise) (waiting []*handIn) {
+// answerAccepted answers those whose messages are in the log, though what the step has decided is not, and returns the others.
+func (r *Relay) answerAccepted(p pendingStep) (waiting []*handIn) {
 	durable := r.wal.Durable()
 	return slices.DeleteFunc(p.waiting, func(in *handIn) bool {
 		taken := p.answers[in.as.ID]
@@ -86,7 +86,7 @@
 func (r *Relay) addSend(calls []*call, m *message, a policy.Action) []*call {
 	t := r.routes[a.Route]
 	var c *call
-	size := itemSize(m)
+	size := maxItemSize(m)
 	for _, x := range calls {
 		// Bodies hold so much at most, and many small messages are no reason to have one large one turned away.
 		if x.number == a.Call && x.size+size <= bodyMost {
@@ -99,12 +99,12 @@
 	}
 	until := r.started.Add(a.At)
 	c.size += size
-	c.attempts = append(c.attempts, &attempt{call: c, m: m, n: m.sends, until: until})
-	r.owed.sends(m)
+	c.attempts = append(c.attempts, &attempt{call: c, m: m, n: m.sends, deadline: until})
+	r.owed.markSent(m)
 	m.sends++
 	m.out++
-	if len(c.attempts) == 1 || until.After(c.until) == r.cfg.MayDuplicate {
-		c.until = until // where a second copy may be out, the rest of a call outlasts one message's time-out
+	if len(c.attempts) == 1 || until.After(c.deadline) == r.cfg.MayDuplicate {
+		c.deadline = until // where a second copy may be out, the rest of a call outlasts one message's time-out
 	}
 	return calls
 }
@@ -125,18 +125,18 @@
 	return r.wal.Sent(sends...)
 }
 
-// giveBack ends calls that are not made with an outcome which proves so.
-func (r *Relay) giveBack(calls []*call, as policy.Outcome) {
+// abortCalls ends calls that are not made with an outcome which proves so.
+func (r *Relay) abortCalls(calls []*call, as policy.Outcome) {
 	for _, c := range calls {
 		for _, a := range c.attempts {
 			r.later = r.attemptEnded(r.later, a, result{outcome: as})
 		}
 	}
-	r.soon()
+	r.scheduleStep()
 }
 
-// launch makes a call, away from the loop.
-func (r *Relay) launch(c *call) {
+// startCall makes a call, away from the loop.
+func (r *Relay) startCall(c *call) {
 	r.checkSends(c)
 	for _, a := range c.attempts {
 		r.changed(a.m, stateHeld, stateOut, reasonSend, slog.String("endpoint", c.route), slog.Int("attempt", a.n))
@@ -144,20 +144,20 @@
 	r.out++
 	r.flying[c] = struct{}{}
 	for _, a := range c.attempts {
-		if a.until.Before(c.until) {
-			a.timer = time.AfterFunc(clock.Until(a.until), func() { r.post(cutOff{a}) })
+		if a.deadline.Before(c.deadline) {
+			a.timer = time.AfterFunc(clock.Until(a.deadline), func() { r.post(cutOff{a}) })
 		}
 	}
 	r.calls.Add(1)
 	go func() {
 		defer r.calls.Done()
-		results := r.hosts.do(r.callCtx, c, func() bool { return r.mayStill(c) })
+		results := r.hosts.do(r.callCtx, c, func() bool { return r.stillAllowed(c) })
 		r.post(&callEnd{c, results})
 	}()
 }
 
-// mayStill asks the loop whether a call that was held up may leave.
-func (r *Relay) mayStill(c *call) bool {
+// stillAllowed asks the loop whether a call that was held up may leave.
+func (r *Relay) stillAllowed(c *call) bool {
 	ids := make([]uint32, 0, len(c.attempts))
 	for _, a := range c.attempts {
 		ids = append(ids, a.m.ID)
--- a/internal/relay/clients.go
+++ b/internal/relay/clients.go
@@ -554,7 +554,7 @@
 		}
 	}
 	ms, err := strconv.ParseInt(req.Header.Get("X-Expires-In-Ms"), 10, 64)
-	if most := r.cfg.longest(m.Class); err != nil || ms < 0 || ms > most.Milliseconds() {
+	if most := r.cfg.maxLifetime(m.Class); err != nil || ms < 0 || ms > most.Milliseconds() {
 		return nil, 0, errors.New("bad X-Expires-In-Ms")
 	}
 	if m.Dest, err = destination(req.Header.Get("Envelope")); err != nil {
--- a/internal/relay/clients_test.go
+++ b/internal/relay/clients_test.go
@@ -260,7 +260,7 @@
 	in := newHandIn("m1", 7, 5*time.Second)
 	decide(r, in)
 	m := r.msgs[in.m.ID]
-	r.carryOut([]policy.Action{{Kind: policy.Refuse, ID: m.ID, Delay: 700 * time.Millisecond}}, nil)
+	r.execute([]policy.Action{{Kind: policy.Refuse, ID: m.ID, Delay: 700 * time.Millisecond}}, nil)
 	if a := decide(r, newHandIn("m1", 7, 5*time.Second))[0]; a.status != http.StatusServiceUnavailable || a.again != 700*time.Millisecond {
 		t.Errorf("answer %+v", a)
 	}
@@ -321,7 +321,7 @@
 // A Send of a message that is not held must not end the loop.
 func TestASendOfNothingEndsNothing(t *testing.T) {
 	r := newTestRelay(t)
-	r.carryOut([]policy.Action{{Kind: policy.Send, ID: 4711, Route: "s-1", At: time.Minute}}, nil)
+	r.execute([]policy.Action{{Kind: policy.Send, ID: 4711, Route: "s-1", At: time.Minute}}, nil)
 	if r.out != 0 {
 		t.Errorf("%d calls", r.out)
 	}
@@ -380,7 +380,7 @@
 		},
 		"the listener is closed": func(s *clients) {
 			done := make(chan struct{})
-			go func() { defer close(done); s.close(time.Now().Add(patience)) }()
+			go func() { defer close(done); s.close(time.Now().Add(testTimeout)) }()
 			t.Cleanup(func() { <-done })
 			for asked := 0; asked == 0; runtime.Gosched() {
 				s.mu.Lock()
--- a/internal/relay/config.go
+++ b/internal/relay/config.go
@@ -18,8 +18,8 @@
 	"onyxroad.dev/onyxroad/policy"
 )
 
-// tickMost bounds the tick, so that no setting makes clients wait for their answers.
-const tickMost = 20 * time.Millisecond
+// maxTick bounds the tick, so that no setting makes clients wait for their answers.
+const maxTick = 20 * time.Millisecond
 
 // Config is all that a relay is told at its start.
 type Config struct {
@@ -71,11 +71,11 @@
 		return Config{}, err
 	}
 	c.Discovery = cmp.Or(c.Discovery, getenv("ROUTER_DISCOVERY"))
-	return c, c.reachable(getenv("ROUTER_CONFIG"))
+	return c, c.checkDiscovery(getenv("ROUTER_CONFIG"))
 }
 
-// reachable tells what keeps discovery's address, which path or the environment names, from being one.
-func (c *Config) reachable(path string) error {
+// checkDiscovery tells what keeps discovery's address, which path or the environment names, from being one.
+func (c *Config) checkDiscovery(path string) error {
 	if _, _, err := net.SplitHostPort(c.Discovery); err != nil {
 		return fmt.Errorf("config: %s: discovery: %w", path, err)
 	}
@@ -116,7 +116,7 @@
 	if c.Listen == "" || c.Discovery == "" || c.StateDir == "" {
 		return Config{}, errors.New("config: ROUTER_LISTEN, ROUTER_DISCOVERY and ROUTER_STATE must be set")
 	}
-	return c, c.reachable(getenv("ROUTER_CONFIG"))
+	return c, c.checkDiscovery(getenv("ROUTER_CONFIG"))
 }
 
 func parseConfig(data []byte) (Config, error) {
@@ -167,7 +167,7 @@
 		Name: file.Name, Listen: file.Listen, Discovery: file.Discovery, Admin: file.Admin, Limits: file.Limits, Settings: set,
 		Zones: own.Zones, Kinds: own.Kinds, MayDuplicate: own.Bounds.MayDuplicate,
 		ConnectTimeout: millis(own.Bounds.ConnectTimeoutMS), KeepAlive: millis(own.Bounds.KeepAliveMS),
-		Tick: min(millis(own.TickMS), tickMost),
+		Tick: min(millis(own.TickMS), maxTick),
 	}
 	// A seed that is no hexadecimal number still gives random numbers, the same at each start.
 	c.Seed, _ = strconv.ParseUint(file.Seed, 16, 64)
@@ -189,8 +189,8 @@
 	return c, nil
 }
 
-// longest is the most time that a message of a class may have.
-func (c *Config) longest(class int) time.Duration {
+// maxLifetime is the most time that a message of a class may have.
+func (c *Config) maxLifetime(class int) time.Duration {
 	if d := c.Settings.Classes[class].GiveUp; d > 0 {
 		return d
 	}
@@ -277,8 +277,8 @@
 	return List{Version: l.Version, Full: l.Full, Entries: l.Servers}, nil
 }
 
-// listing reads one entry. Its id is returned also where the rest cannot be read.
-func (c *Config) listing(data json.RawMessage) (l policy.Listing, addr string, err error) {
+// parseListing reads one entry. Its id is returned also where the rest cannot be read.
+func (c *Config) parseListing(data json.RawMessage) (l policy.Listing, addr string, err error) {
 	var m member
 	if err := json.Unmarshal(data, &m); err != nil {
 		return policy.Listing{Route: m.ID}, "", err
--- a/internal/relay/discovery.go
+++ b/internal/relay/discovery.go
@@ -18,48 +18,48 @@
 )
 
 const (
-	watchSilence  = 4500 * time.Millisecond // see watcher.silence
-	watchLineMost = 1 << 20
-	retryFirst    = 50 * time.Millisecond
-	retryMost     = time.Second
+	watchTimeout  = 4500 * time.Millisecond // see watcher.silence
+	maxWatchLine  = 1 << 20
+	minRetryDelay = 50 * time.Millisecond
+	maxRetryDelay = time.Second
 	// The platform answers a notice at once, and one is late 300 ms after its message's time: a connection that has fallen silent
 	// must not take all of that from those that wait behind it. Where answers are slow, later tries wait longer.
-	noticeFirst  = 100 * time.Millisecond
-	noticeMost   = time.Second
-	noticePause  = 100 * time.Millisecond // at most, between a request that failed at once and the next
-	fetchTimeout = time.Second
+	minNoticeTimeout    = 100 * time.Millisecond
+	maxNoticeTimeout    = time.Second
+	maxNoticeRetryDelay = 100 * time.Millisecond // at most, between a request that failed at once and the next
+	fetchTimeout        = time.Second
 	// A call that fails on this machine reaches nobody, and there is no reason to spread the next one.
-	failedHerePause = 50 * time.Millisecond
+	localFailureDelay = 50 * time.Millisecond
 	// Turned away calls are work for discovery too: a fleet that comes again at once keeps it from serving anyone.
-	awayFirst   = time.Second
-	awayMost    = 8 * time.Second
-	spreadFor   = 150 * time.Millisecond // for each relay of a fleet of spreadLeast or more
-	spreadLeast = 7
+	minRejectedDelay = time.Second
+	maxRejectedDelay = 8 * time.Second
+	spreadPerRelay   = 150 * time.Millisecond // for each relay of a fleet of spreadLeast or more
+	minSpreadFleet   = 7
 	// Whatever the list has to tell counts as told by then, from when discovery had it and could be reached, or from when a watch
 	// fell silent: no pause, for whatever reason, may reach beyond. After a move it is sooner.
-	toldWithin  = 6 * time.Second
-	movedWithin = 4 * time.Second
-	replyFor    = 500 * time.Millisecond // of that is left for the call
+	listDeadline      = 6 * time.Second
+	movedListDeadline = 4 * time.Second
+	replyReserve      = 500 * time.Millisecond // of that is left for the call
 	// What the agent has counts as told at once: half of the time in which a drain is to be heeded is for asking.
-	askWithin = 250 * time.Millisecond
-	servedFor = 2   // empty lines, one every 2 s, after which a watch was served, not ended as one too many
-	batchOf   = 256 // notices in a request
+	reconnectSpread  = 250 * time.Millisecond
+	servedHeartbeats = 2   // empty lines, one every 2 s, after which a watch was served, not ended as one too many
+	noticeBatch      = 256 // notices in a request
 )
 
 var (
-	errMoved   = errors.New("discovery has another address now")
-	errTooLong = errors.New("list too long")
-	errAway    = errors.New("discovery turns this relay away")
+	errAgentMoved  = errors.New("discovery has another address now")
+	errListTooLong = errors.New("list too long")
+	errTurnedAway  = errors.New("discovery turns this relay away")
 )
 
 // agent is discovery's agent, which another configuration may put at another address.
 type agent struct {
 	client *http.Client
 
-	mu    sync.Mutex
-	addr  string
-	moved context.Context // ends when addr changes
-	leave context.CancelFunc
+	mu       sync.Mutex
+	addr     string
+	moved    context.Context // ends when addr changes
+	endMoved context.CancelFunc
 }
 
 func newAgent(addr string) *agent {
@@ -69,7 +69,7 @@
 		MaxConnsPerHost:    4,
 		IdleConnTimeout:    30 * time.Second,
 	}}}
-	a.moved, a.leave = context.WithCancel(context.Background())
+	a.moved, a.endMoved = context.WithCancel(context.Background())
 	return a
 }
 
@@ -81,92 +81,92 @@
 		return
 	}
 	a.addr = addr
-	a.leave()
-	a.moved, a.leave = context.WithCancel(context.Background())
+	a.endMoved()
+	a.moved, a.endMoved = context.WithCancel(context.Background())
 	a.client.CloseIdleConnections()
 }
 
-// here returns the address and a context for work there, which ends with ctx, when the agent moves, or by done.
-func (a *agent) here(ctx context.Context) (addr string, work context.Context, done func()) {
+// session returns the address and a context for work there, which ends with ctx, when the agent moves, or by done.
+func (a *agent) session(ctx context.Context) (addr string, work context.Context, done func()) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	work, cancel := context.WithCancelCause(ctx)
-	stop := context.AfterFunc(a.moved, func() { cancel(errMoved) })
+	stop := context.AfterFunc(a.moved, func() { cancel(errAgentMoved) })
 	return a.addr, work, func() { stop(); cancel(nil) }
 }
 
 // watcher follows discovery's list.
 type watcher struct {
-	log     *slog.Logger
-	agent   *agent
-	silence time.Duration // a watch with no line for so long is dead: one comes every 2 s
-	told    func(List)
-	fleet   int            // relays that follow it
-	random  func() float64 // from 0 to 1
-	sleep   func(context.Context, time.Duration)
-	now     func() time.Time
+	log       *slog.Logger
+	agent     *agent
+	timeout   time.Duration // a watch with no line for so long is dead: one comes every 2 s
+	onList    func(List)
+	fleetSize int            // relays that follow it
+	random    func() float64 // from 0 to 1
+	sleep     func(context.Context, time.Duration)
+	now       func() time.Time
 
-	since   time.Time // what discovery has had since then may have been missed: the last line, or the last call's beginning
-	moved   bool      // and it has not been heard at its new address
-	version int64     // of the list as told
-	held    bool      // the relay holds a list, however old
-	whole   bool      // changes alone won't do: the list is to be had whole
-	served  bool      // the last watch was
+	missedSince time.Time // what discovery has had since then may have been missed: the last line, or the last call's beginning
+	moved       bool      // and it has not been heard at its new address
+	version     int64     // of the list as told
+	hasList     bool      // the relay holds a list, however old
+	needFull    bool      // changes alone won't do: the list is to be had whole
+	served      bool      // the last watch was
 }
 
 // run follows the list until ctx ends.
 func (w *watcher) run(ctx context.Context) {
-	pause, away := retryFirst, awayFirst
-	if w.held {
+	pause, rejectedDelay := minRetryDelay, minRejectedDelay
+	if w.hasList {
 		// There is a list to go by. A fleet that starts together must not ask as one.
-		w.wait(ctx, w.spread(askWithin))
+		w.wait(ctx, w.spread(reconnectSpread))
 	}
 	for ctx.Err() == nil {
-		was := w.version
-		err := w.follow(ctx)
+		oldVersion := w.version
+		err := w.watchOnce(ctx)
 		if ctx.Err() != nil {
 			return
 		}
 		w.log.Warn("watch ended", "version", w.version, "err", err)
-		if w.version != was {
-			pause = retryFirst
+		if w.version != oldVersion {
+			pause = minRetryDelay
 		}
-		soon := toldWithin
+		maxSpread := listDeadline
 		if w.served {
-			pause, soon = retryFirst, askWithin
+			pause, maxSpread = minRetryDelay, reconnectSpread
 		}
 		switch {
-		case errors.Is(err, errMoved):
+		case errors.Is(err, errAgentMoved):
 			// Another agent need not number its versions alike. The old list serves until this one speaks.
-			w.whole, w.moved, pause = true, true, retryFirst
-		case errors.Is(err, errAway):
-			w.wait(ctx, w.inTime(time.Duration((0.5+w.random())*float64(away))+w.spread(toldWithin)))
-			away = min(awayMost, 2*away)
+			w.needFull, w.moved, pause = true, true, minRetryDelay
+		case errors.Is(err, errTurnedAway):
+			w.wait(ctx, w.capDelay(time.Duration((0.5+w.random())*float64(rejectedDelay))+w.spread(listDeadline)))
+			rejectedDelay = min(maxRejectedDelay, 2*rejectedDelay)
 		case failedHere(err):
-			w.wait(ctx, failedHerePause)
+			w.wait(ctx, localFailureDelay)
 		default:
-			w.wait(ctx, w.inTime(pause+w.spread(soon)))
-			pause, away = min(retryMost, 2*pause), awayFirst
+			w.wait(ctx, w.capDelay(pause+w.spread(maxSpread)))
+			pause, rejectedDelay = min(maxRetryDelay, 2*pause), minRejectedDelay
 		}
 	}
 }
 
 // spread is this relay's place, within most, among those of a large fleet that would call together.
 func (w *watcher) spread(most time.Duration) time.Duration {
-	if w.fleet < spreadLeast {
+	if w.fleetSize < minSpreadFleet {
 		return 0
 	}
-	return time.Duration(w.random() * float64(min(most, time.Duration(w.fleet)*spreadFor)))
+	return time.Duration(w.random() * float64(min(most, time.Duration(w.fleetSize)*spreadPerRelay)))
 }
 
-// inTime is a pause that lets the next call be answered before what the last one has missed counts as told. What is cut off is
+// capDelay is a pause that lets the next call be answered before what the last one has missed counts as told. What is cut off is
 // drawn anew: a fleet that is turned away must not come again as one.
-func (w *watcher) inTime(d time.Duration) time.Duration {
-	within := toldWithin
+func (w *watcher) capDelay(d time.Duration) time.Duration {
+	within := listDeadline
 	if w.moved {
-		within = movedWithin
+		within = movedListDeadline
 	}
-	if most := max(retryFirst, within-replyFor-w.now().Sub(w.since)); d > most {
+	if most := max(minRetryDelay, within-replyReserve-w.now().Sub(w.missedSince)); d > most {
 		return time.Duration((1 + w.random()) / 2 * float64(most))
 	}
 	return d
@@ -174,11 +174,11 @@
 
 // wait lets d pass; less if the agent moves.
 func (w *watcher) wait(ctx context.Context, d time.Duration) {
-	_, here, done := w.agent.here(ctx)
+	_, session, done := w.agent.session(ctx)
 	defer done()
-	w.sleep(here, d)
-	if errors.Is(context.Cause(here), errMoved) {
-		w.whole, w.moved = true, true
+	w.sleep(session, d)
+	if errors.Is(context.Cause(session), errAgentMoved) {
+		w.needFull, w.moved = true, true
 	}
 }
 
@@ -192,12 +192,12 @@
 	}
 }
 
-// follow is one watch, until its connection ends or falls silent. A connection that is cut off says nothing:
+// watchOnce is one watch, until its connection ends or falls silent. A connection that is cut off says nothing:
 // only the missing lines tell. version is kept up, so that the next watch resumes where this one ended.
-func (w *watcher) follow(ctx context.Context) error {
-	addr, ctx, done := w.agent.here(ctx)
+func (w *watcher) watchOnce(ctx context.Context) error {
+	addr, ctx, done := w.agent.session(ctx)
 	defer done()
-	w.served, w.since = false, w.now()
+	w.served, w.missedSince = false, w.now()
 	err := w.stream(ctx, addr)
 	if cause := context.Cause(ctx); cause != nil {
 		return cause
@@ -208,9 +208,9 @@
 func (w *watcher) stream(ctx context.Context, addr string) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	silence := time.AfterFunc(w.silence, cancel)
+	silence := time.AfterFunc(w.timeout, cancel)
 	defer silence.Stop()
-	if w.whole && w.fetch(ctx, addr) != nil {
+	if w.needFull && w.fetch(ctx, addr) != nil {
 		w.version = 0 // the watch itself may give the whole list
 	}
 	res, err := w.get(ctx, fmt.Sprintf("http://%s/catalog/members?stream=1&index=%d", addr, w.version))
@@ -219,38 +219,38 @@
 	}
 	defer res.Body.Close()
 	lines := bufio.NewScanner(res.Body)
-	lines.Buffer(nil, watchLineMost)
-	empty := 0
+	lines.Buffer(nil, maxWatchLine)
+	heartbeats := 0
 	fetched := int64(math.MinInt64) // changes up to this version are in the whole list that was fetched meanwhile
 	for lines.Scan() {
-		silence.Reset(w.silence)
-		w.since = w.now()
+		silence.Reset(w.timeout)
+		w.missedSince = w.now()
 		if line := bytes.TrimSpace(lines.Bytes()); len(line) > 0 {
 			l, err := parseList(line)
 			if err != nil {
 				// Asked for once more it would be as unreadable, for ever: the whole list makes up for it.
 				w.log.Warn("unreadable line of the watch", "err", err)
-				w.whole = true
+				w.needFull = true
 			} else if l.Version > fetched { // else it was on its way when the whole list was fetched
-				w.take(l)
+				w.deliver(l)
 			}
-		} else if empty++; empty >= servedFor {
+		} else if heartbeats++; heartbeats >= servedHeartbeats {
 			w.served = true
 		}
-		if w.whole && w.fetch(ctx, addr) == nil {
+		if w.needFull && w.fetch(ctx, addr) == nil {
 			fetched = w.version
 		}
 	}
 	if err := lines.Err(); err != nil {
-		w.whole = w.whole || errors.Is(err, bufio.ErrTooLong)
+		w.needFull = w.needFull || errors.Is(err, bufio.ErrTooLong)
 		return err
 	}
 	return io.ErrUnexpectedEOF
 }
 
-func (w *watcher) take(l List) {
-	w.version, w.whole, w.moved = l.Version, w.whole && !l.Full, false
-	w.told(l)
+func (w *watcher) deliver(l List) {
+	w.version, w.needFull, w.moved = l.Version, w.needFull && !l.Full, false
+	w.onList(l)
 }
 
 // fetch asks for the whole list.
@@ -262,19 +262,19 @@
 		return err
 	}
 	defer res.Body.Close()
-	data, err := io.ReadAll(io.LimitReader(res.Body, watchLineMost+1))
+	data, err := io.ReadAll(io.LimitReader(res.Body, maxWatchLine+1))
 	if err != nil {
 		return err
 	}
-	if len(data) > watchLineMost {
-		return errTooLong
+	if len(data) > maxWatchLine {
+		return errListTooLong
 	}
 	l, err := parseList(data)
 	if err != nil {
 		return err
 	}
 	l.Full = true
-	w.take(l)
+	w.deliver(l)
 	return nil
 }
 
@@ -290,18 +290,18 @@
 	if res.StatusCode != http.StatusOK {
 		res.Body.Close()
 		if res.StatusCode == http.StatusServiceUnavailable || res.StatusCode == http.StatusTooManyRequests {
-			return nil, fmt.Errorf("%w: %s", errAway, res.Status)
+			return nil, fmt.Errorf("%w: %s", errTurnedAway, res.Status)
 		}
 		return nil, fmt.Errorf("discovery answers %s", res.Status)
 	}
 	return res, nil
 }
 
-// finals delivers the final notices to the platform, each until it is taken.
-type finals struct {
-	log   *slog.Logger
-	agent *agent
-	taken func(ids []uint32)
+// noticeSender delivers the final notices to the platform, each until it is taken.
+type noticeSender struct {
+	log         *slog.Logger
+	agent       *agent
+	onConfirmed func(ids []uint32)
 
 	mu     sync.Mutex
 	queue  []notice
@@ -316,12 +316,12 @@
 	AgainMS int64  `json:"again_ms,omitempty"`
 }
 
-func newFinals(log *slog.Logger, agent *agent, taken func([]uint32)) *finals {
-	return &finals{log: log, agent: agent, taken: taken, signal: make(chan struct{}, 1)}
+func newNoticeSender(log *slog.Logger, agent *agent, taken func([]uint32)) *noticeSender {
+	return &noticeSender{log: log, agent: agent, onConfirmed: taken, signal: make(chan struct{}, 1)}
 }
 
 // add queues notices. It never waits, so that the loop does not.
-func (f *finals) add(ns ...notice) {
+func (f *noticeSender) add(ns ...notice) {
 	f.mu.Lock()
 	f.queue = append(f.queue, ns...)
 	f.mu.Unlock()
@@ -333,11 +333,11 @@
 
 // run sends what is queued until ctx ends. A notice that the platform did not confirm goes again: one for a
 // message that is over does no harm, one that is missing loses a message.
-func (f *finals) run(ctx context.Context) {
-	pause, wait := retryFirst, noticeFirst
+func (f *noticeSender) run(ctx context.Context) {
+	pause, wait := minRetryDelay, minNoticeTimeout
 	for {
 		f.mu.Lock()
-		batch := f.queue[:min(len(f.queue), batchOf)]
+		batch := f.queue[:min(len(f.queue), noticeBatch)]
 		f.mu.Unlock()
 		if len(batch) == 0 {
 			select {
@@ -350,11 +350,11 @@
 		if err := f.post(ctx, batch, wait); err != nil {
 			f.log.Warn("notices not taken", "count", len(batch), "err", err)
 			switch {
-			case errors.Is(err, errMoved):
-				pause = retryFirst
+			case errors.Is(err, errAgentMoved):
+				pause = minRetryDelay
 				continue // at once, to the new address
 			case errors.Is(err, context.DeadlineExceeded):
-				wait = min(noticeMost, 2*wait)
+				wait = min(maxNoticeTimeout, 2*wait)
 				f.agent.client.CloseIdleConnections() // as silent, perhaps
 				continue                              // it has waited
 			}
@@ -363,10 +363,10 @@
 				return
 			case <-time.After(pause):
 			}
-			pause = min(noticePause, 2*pause)
+			pause = min(maxNoticeRetryDelay, 2*pause)
 			continue
 		}
-		pause, wait = retryFirst, noticeFirst
+		pause, wait = minRetryDelay, minNoticeTimeout
 		ids := make([]uint32, 0, len(batch))
 		for _, n := range batch {
 			ids = append(ids, n.id)
@@ -376,12 +376,12 @@
 			f.queue = nil
 		}
 		f.mu.Unlock()
-		f.taken(ids)
+		f.onConfirmed(ids)
 	}
 }
 
-func (f *finals) post(ctx context.Context, batch []notice, wait time.Duration) error {
-	addr, ctx, done := f.agent.here(ctx)
+func (f *noticeSender) post(ctx context.Context, batch []notice, wait time.Duration) error {
+	addr, ctx, done := f.agent.session(ctx)
 	defer done()
 	err := f.postTo(ctx, addr, batch, wait)
 	if cause := context.Cause(ctx); err != nil && cause != nil {
@@ -390,7 +390,7 @@
 	return err
 }
 
-func (f *finals) postTo(ctx context.Context, addr string, batch []notice, wait time.Duration) error {
+func (f *noticeSender) postTo(ctx context.Context, addr string, batch []notice, wait time.Duration) error {
 	ctx, cancel := context.WithTimeout(ctx, wait)
 	defer cancel()
 	var lines bytes.Buffer
--- a/internal/relay/durable_test.go
+++ b/internal/relay/durable_test.go
@@ -52,10 +52,10 @@
 	}
 }
 
-// whole waits until the disk has everything, and carries out what waited for that.
-func whole(t *testing.T, r *Relay) {
+// waitOnDisk waits until the disk has everything, and carries out what waited for that.
+func waitOnDisk(t *testing.T, r *Relay) {
 	t.Helper()
-	eventually(t, "all is on disk", func() bool { r.tend(); return len(r.promises) == 0 })
+	eventually(t, "all is on disk", func() bool { r.maintainLog(); return len(r.promises) == 0 })
 }
 
 func TestAnAnswerAndACallWaitForTheDisk(t *testing.T) {
@@ -66,14 +66,14 @@
 	in, twin := newHandIn("a", 7, time.Minute), newHandIn("a", 7, time.Minute)
 	r.step([]any{in})
 	r.step([]any{twin})
-	r.tend()
+	r.maintainLog()
 	_, one := answered(in)
 	_, two := answered(twin)
 	if one || two || r.out > 0 {
 		t.Errorf("before it is on disk: answers %v and %v, %d calls", one, two, r.out)
 	}
 	gate.Unlock()
-	whole(t, r)
+	waitOnDisk(t, r)
 	for _, in := range []*handIn{in, twin} {
 		if a, ok := answered(in); !ok || a.status != http.StatusAccepted {
 			t.Errorf("once it is on disk: %+v, %v", a, ok)
@@ -96,16 +96,16 @@
 	in, twin := newHandIn("a", 7, time.Minute), newHandIn("a", 7, time.Minute)
 	r.step([]any{in, twin})
 	r.promises[0].since = time.Now().Add(-time.Second)
-	r.tend()
+	r.maintainLog()
 	for _, in := range []*handIn{in, twin} {
 		if a, ok := answered(in); !ok || a.status != http.StatusServiceUnavailable || a.again <= 0 {
 			t.Errorf("while the disk tarries: %+v, %v", a, ok)
 		}
 	}
 	gate.Unlock()
-	whole(t, r)
+	waitOnDisk(t, r)
 	r.step(nil)
-	whole(t, r)
+	waitOnDisk(t, r)
 	r.step(nil)
 	if r.out > 0 || r.held > 0 || len(r.msgs) > 0 {
 		t.Errorf("turned away, and %d calls, %d held, %d known", r.out, r.held, len(r.msgs))
@@ -118,7 +118,7 @@
 	r := newDurableRelay(t, d, &gate)
 	old := newHandIn("a", 7, time.Minute)
 	r.step([]any{old})
-	whole(t, r)
+	waitOnDisk(t, r)
 	d.Fail = func(op, _ string) error {
 		if op == "sync" {
 			return errors.New("input/output error")
@@ -127,18 +127,18 @@
 	}
 	in := newHandIn("b", 7, time.Minute)
 	r.step([]any{in})
-	eventually(t, "the failure is known", func() bool { r.tend(); return r.worn })
+	eventually(t, "the failure is known", func() bool { r.maintainLog(); return r.worn })
 	late := newHandIn("c", 7, time.Minute)
 	r.step([]any{late})
 	if a, ok := answered(late); !ok || a.status != http.StatusServiceUnavailable {
 		t.Errorf("after a failed sync: %+v, %v", a, ok)
 	}
 	d.Fail = nil
-	eventually(t, "a new file is there", func() bool { r.tend(); return !r.worn })
-	whole(t, r)
+	eventually(t, "a new file is there", func() bool { r.maintainLog(); return !r.worn })
+	waitOnDisk(t, r)
 	again := newHandIn("d", 7, time.Minute)
 	r.step([]any{again})
-	whole(t, r)
+	waitOnDisk(t, r)
 	if a, ok := answered(again); !ok || a.status != http.StatusAccepted {
 		t.Errorf("in the new file: %+v, %v", a, ok)
 	}
@@ -153,7 +153,7 @@
 	// The clock was set back by an hour: what has been out for seconds may have been out for that long.
 	sent := time.Now().Add(time.Hour)
 	m = &message{Message: &wal.Message{ID: 2, Dest: 7, Deadline: sent.Add(5 * time.Second), MayRun: []wal.Attempt{{At: sent}}}}
-	r.resumeAt(wal.Recovery{Messages: []*wal.Message{m.Message}}, sent)
+	r.adjustForClockSetBack(wal.Recovery{Messages: []*wal.Message{m.Message}}, sent)
 	e := r.resumed(m, nil)
 	if e.Left > 6*time.Second || !e.Resumed.Ran || e.Resumed.RanAgo < time.Hour {
 		t.Errorf("after the clock was set back: left %v, %+v", e.Left, e.Resumed)
@@ -166,7 +166,7 @@
 	if _, err := readMemories(r.cfg.StateDir); !errors.Is(err, errNoMemories) {
 		t.Errorf("before any: %v", err)
 	}
-	data, err := r.memoriesNow()
+	data, err := r.encodeMemories()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -175,7 +175,7 @@
 	if err != nil || len(m.Memories) != 1 || m.Memories[0].Route != "s-1" || m.Clock <= 0 {
 		t.Errorf("%+v, %v", m, err)
 	}
-	path := filepath.Join(r.cfg.StateDir, memoriesName)
+	path := filepath.Join(r.cfg.StateDir, memoriesFile)
 	for _, bad := range [][]byte{data[:len(data)/2], append([]byte{data[0] ^ 1}, data[1:]...), {}} {
 		if err := os.WriteFile(path, bad, 0o600); err != nil {
 			t.Fatal(err)
@@ -196,12 +196,12 @@
 	r.step([]any{in})
 	r.step([]any{withdrawal{r.traces["a"].ID}})
 	gate.Unlock()
-	whole(t, r)
+	waitOnDisk(t, r)
 	r.step(nil)
 	if r.out > 0 {
 		t.Errorf("%d calls out for a message that is withdrawn", r.out)
 	}
-	whole(t, r)
+	waitOnDisk(t, r)
 	if r.held > 0 || len(r.msgs) > 0 {
 		t.Errorf("%d held, %d known", r.held, len(r.msgs))
 	}
--- a/internal/relay/exclusions.go
+++ b/internal/relay/exclusions.go
@@ -39,9 +39,9 @@
 	dir     string
 	changed chan struct{} // holds one
 
-	mu   sync.Mutex // held while the set is handed over
-	mine bool       // this process has the set
-	heir *link      // else the process that has it; nil if none has it yet
+	mu   sync.Mutex    // held while the set is handed over
+	mine bool          // this process has the set
+	heir *handoverLink // else the process that has it; nil if none has it yet
 	out  map[string]bool
 	seen map[string]bool
 	ids  []string    // those of seen, by age
@@ -125,7 +125,7 @@
 	if heir := x.heir; heir != nil {
 		x.mu.Unlock()
 		in := &handIn{order: o, reply: make(chan answer, 1)}
-		heir.ask(in)
+		heir.forward(in)
 		return <-in.reply
 	}
 	defer x.mu.Unlock()
--- a/internal/relay/handover.go
+++ b/internal/relay/handover.go
@@ -35,23 +35,23 @@
 // does not say that it has it. What reaches the old process later is passed on.
 
 const (
-	linkName    = "handover.sock"
-	linkFor     = 2 * time.Second // for each side's part in handing over
-	linkWriteBy = time.Second     // for a frame
-	retakeFor   = 5 * time.Second // to have the lock again from a process that did not go on
-	lockPause   = 20 * time.Millisecond
-	asideMost   = 10 * time.Second // a process that has handed over stays no longer, SIGTERM or not
+	handoverSocket      = "handover.sock"
+	handoverTimeout     = 2 * time.Second // for each side's part in handing over
+	frameWriteTimeout   = time.Second     // for a frame
+	relockTimeout       = 5 * time.Second // to have the lock again from a process that did not go on
+	lockRetryInterval   = 20 * time.Millisecond
+	maxPredecessorDrain = 10 * time.Second // a process that has handed over stays no longer, SIGTERM or not
 )
 
-// estate is what a process that hands over tells besides the log.
-type estate struct {
+// handoverState is what a process that hands over tells besides the log.
+type handoverState struct {
 	Began    time.Time // the zero of the module's clock, by the wall clock; for a process of before
 	Clock    clockReading
 	LastID   uint32
 	Members  []member
 	Seen     []string // ids that the list has ever named
 	Memories []policy.Memory
-	Out      []outCall
+	Out      []outstandingAttempt
 }
 
 // clockReading is what the module's clock showed when the machine's stood so. The zero reading tells nothing.
@@ -69,8 +69,8 @@
 	return clockReading{machine, r.now()}
 }
 
-// startedBy is the zero of a module's clock as this process sees it.
-func (e *estate) startedBy() time.Time {
+// moduleStart is the zero of a module's clock as this process sees it.
+func (e *handoverState) moduleStart() time.Time {
 	now := clock.Now()
 	if machine, ok := clock.ReadMachine(); ok && machine.Follows(e.Clock.Machine) {
 		return now.Add(-e.Clock.Module - (machine.Monotonic - e.Clock.Machine.Monotonic))
@@ -78,8 +78,8 @@
 	return now.Add(-now.Sub(e.Began))
 }
 
-// outCall is an attempt that is out. Cut: its message was told of a time-out, and its call goes on for others.
-type outCall struct {
+// outstandingAttempt is an attempt that is out. Cut: its message was told of a time-out, and its call goes on for others.
+type outstandingAttempt struct {
 	policy.Out
 	ID  uint32
 	Cut bool
@@ -87,15 +87,15 @@
 
 // frame is what goes over a link once the new process has the log: one of these.
 type frame struct {
-	Mine  bool          `json:",omitempty"` // new to old: it has the log
-	Hand  *passed       `json:",omitempty"` // old to new
-	Leave uint32        `json:",omitempty"` // old to new: the client of this message has left
-	End   *passedEnd    `json:",omitempty"` // old to new
-	Reply *passedAnswer `json:",omitempty"` // new to old
+	Mine  bool              `json:",omitempty"` // new to old: it has the log
+	Hand  *forwardedRequest `json:",omitempty"` // old to new
+	Leave uint32            `json:",omitempty"` // old to new: the client of this message has left
+	End   *forwardedOutcome `json:",omitempty"` // old to new
+	Reply *forwardedAnswer  `json:",omitempty"` // new to old
 }
 
-// passed is a message that was handed in at the old process, or an operator's call there.
-type passed struct {
+// forwardedRequest is a message that was handed in at the old process, or an operator's call there.
+type forwardedRequest struct {
 	Seq     uint32
 	Message *wal.Message `json:",omitempty"`
 	Body    []byte       `json:",omitempty"`
@@ -104,15 +104,15 @@
 	order
 }
 
-type passedAnswer struct {
+type forwardedAnswer struct {
 	Seq, ID uint32
 	Status  int
 	Again   time.Duration
 	Text    string
 }
 
-// passedEnd is an attempt's outcome.
-type passedEnd struct {
+// forwardedOutcome is an attempt's outcome.
+type forwardedOutcome struct {
 	ID      uint32
 	N       int
 	Cut     bool // its call goes on
@@ -123,53 +123,53 @@
 	Took    time.Duration
 }
 
-// outKey names an attempt; message numbers are the log's, and the same on both sides.
-type outKey struct {
+// attemptKey names an attempt; message numbers are the log's, and the same on both sides.
+type attemptKey struct {
 	id uint32
 	n  int
 }
 
 // The loop's events of a hand-over, besides passedEnd.
 type (
-	takeover struct{ link *link } // a new process asks for this one's place
-	alone    struct{}             // the old process has ended
+	handoverRequest struct{ link *handoverLink } // a new process asks for this one's place
+	predecessorGone struct{}                     // the old process has ended
 )
 
-// turnedBack answers a hand-in that cannot be passed on.
-var turnedBack = answer{status: http.StatusServiceUnavailable, again: policy.RetryAdvice}
+// handoverUnavailable answers a hand-in that cannot be passed on.
+var handoverUnavailable = answer{status: http.StatusServiceUnavailable, again: policy.RetryAdvice}
 
-// link joins the two processes.
-type link struct {
+// handoverLink joins the two processes.
+type handoverLink struct {
 	*net.UnixConn
 	dec *json.Decoder
 
 	mu      sync.Mutex // guards writing, and what follows
 	enc     *json.Encoder
-	asked   map[uint32]*handIn
+	pending map[uint32]*handIn
 	lastSeq uint32
-	over    bool
+	closed  bool
 }
 
-func newLink(c *net.UnixConn) *link {
-	return &link{UnixConn: c, dec: json.NewDecoder(c), enc: json.NewEncoder(c), asked: map[uint32]*handIn{}}
+func newHandoverLink(c *net.UnixConn) *handoverLink {
+	return &handoverLink{UnixConn: c, dec: json.NewDecoder(c), enc: json.NewEncoder(c), pending: map[uint32]*handIn{}}
 }
 
-func (l *link) send(v any) error {
+func (l *handoverLink) send(v any) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.SetWriteDeadline(clock.Now().Add(linkWriteBy))
+	l.SetWriteDeadline(clock.Now().Add(frameWriteTimeout))
 	return l.enc.Encode(v)
 }
 
 // The old process's side.
 
-// heirs lets a new process ask for the relay's place until the returned function is called. Without the socket, one
+// serveHandovers lets a new process ask for the relay's place until the returned function is called. Without the socket, one
 // that comes waits for the log until this one ends.
-func (r *Relay) heirs() (end func()) {
-	path := filepath.Join(r.cfg.StateDir, linkName)
+func (r *Relay) serveHandovers() (end func()) {
+	path := filepath.Join(r.cfg.StateDir, handoverSocket)
 	ctx, stop := context.WithCancel(context.Background())
-	var waits sync.WaitGroup
-	waits.Go(func() {
+	var listening sync.WaitGroup
+	listening.Go(func() {
 		var l *net.UnixListener
 		err := persist(ctx, r.log, "listen for a new process", forever, func() (err error) {
 			os.Remove(path) // left by a process before: this one has the log
@@ -183,29 +183,29 @@
 			return
 		}
 		defer context.AfterFunc(ctx, func() { l.Close() })()
-		r.awaitHeirs(l)
+		r.acceptHandovers(l)
 	})
-	return func() { stop(); waits.Wait() }
+	return func() { stop(); listening.Wait() }
 }
 
-// awaitHeirs takes connections of new processes until the listener is closed.
-func (r *Relay) awaitHeirs(l *net.UnixListener) {
+// acceptHandovers takes connections of new processes until the listener is closed.
+func (r *Relay) acceptHandovers(l *net.UnixListener) {
 	for {
 		c, err := l.AcceptUnix()
 		if errors.Is(err, net.ErrClosed) {
 			return
 		} else if err != nil {
-			time.Sleep(lockPause)
+			time.Sleep(lockRetryInterval)
 			continue
 		}
-		if !r.post(takeover{newLink(c)}) {
+		if !r.post(handoverRequest{newHandoverLink(c)}) {
 			c.Close()
 		}
 	}
 }
 
 // handOver gives a new process all that it needs. Where that does not come to take it, all stays as it was.
-func (r *Relay) handOver(l *link) {
+func (r *Relay) handOver(l *handoverLink) {
 	if r.stopping || r.noSends || r.heir != nil || r.listener == nil {
 		l.Close()
 		return
@@ -214,18 +214,18 @@
 	r.byHand.mu.Lock() // no call is lost between the two
 	defer r.byHand.mu.Unlock()
 	err := errors.Join(r.wal.Flush(), r.byHand.keep())
-	if err == nil && !(r.settle(linkFor/2) && r.owed.wait(linkFor/2) && len(r.withheld) == 0) {
+	if err == nil && !(r.waitDurable(handoverTimeout/2) && r.owed.waitForJob(handoverTimeout/2) && len(r.withheld) == 0) {
 		err = errors.New("the disk is behind")
 	}
 	if err == nil {
 		err = r.owed.close()
 	}
 	if err == nil {
-		err = r.offer(l)
+		err = r.transfer(l)
 	}
 	if err != nil {
 		l.Close()
-		for end := clock.Now().Add(retakeFor); r.lock == nil; time.Sleep(lockPause) {
+		for end := clock.Now().Add(relockTimeout); r.lock == nil; time.Sleep(lockRetryInterval) {
 			if r.lock, err = wal.Lock(r.cfg.StateDir); err != nil && clock.Now().After(end) {
 				// Another has the log and does not answer: what it owes is there. Writing to it would spoil it.
 				panic(fmt.Sprintf("relay: the log is lost to another process: %v", err))
@@ -242,14 +242,14 @@
 	}
 	r.heir, r.held = l, 0
 	r.byHand.mine, r.byHand.heir = false, l
-	go r.answers(l)
+	go r.readReplies(l)
 	close(r.handed)
 	r.log.Info("handed over", "calls", r.out, "took", clock.Since(began))
 }
 
-// offer passes on the listener, what this process knows, and the lock, and waits until the other has it.
-func (r *Relay) offer(l *link) error {
-	l.SetDeadline(clock.Now().Add(linkFor))
+// transfer passes on the listener, what this process knows, and the lock, and waits until the other has it.
+func (r *Relay) transfer(l *handoverLink) error {
+	l.SetDeadline(clock.Now().Add(handoverTimeout))
 	raw, err := r.listener.SyscallConn()
 	if err != nil {
 		return err
@@ -262,10 +262,10 @@
 	}
 	r.lock.Close()
 	r.lock = nil
-	if err := l.send(r.estate()); err != nil {
+	if err := l.send(r.handoverState()); err != nil {
 		return err
 	}
-	l.SetReadDeadline(clock.Now().Add(linkFor))
+	l.SetReadDeadline(clock.Now().Add(handoverTimeout))
 	var f frame
 	if err := l.dec.Decode(&f); err != nil {
 		return err
@@ -274,8 +274,8 @@
 	return nil
 }
 
-func (r *Relay) estate() estate {
-	e := estate{Began: r.started, Clock: r.readClock(), LastID: r.lastID, Seen: r.byHand.ids, Memories: r.sender.Memories()}
+func (r *Relay) handoverState() handoverState {
+	e := handoverState{Began: r.started, Clock: r.readClock(), LastID: r.lastID, Seen: r.byHand.ids, Memories: r.sender.Memories()}
 	for _, t := range r.routes {
 		cell, state := t.Destination, "draining"
 		if t.InService {
@@ -289,35 +289,37 @@
 	for c := range r.flying {
 		number++
 		for _, a := range c.attempts {
-			e.Out = append(e.Out, outCall{policy.Out{Call: number, Attempt: a.n, Route: c.route, Sent: c.sent.Sub(r.started),
-				Cut: a.until.Sub(r.started)}, a.m.ID, a.over})
+			e.Out = append(e.Out, outstandingAttempt{policy.Out{Call: number, Attempt: a.n, Route: c.route, Sent: c.sent.Sub(r.started),
+				Cut: a.deadline.Sub(r.started)}, a.m.ID, a.settled})
 		}
 	}
-	slices.SortFunc(e.Out, func(a, b outCall) int { return cmp.Or(cmp.Compare(a.Sent, b.Sent), int(int64(a.ID)-int64(b.ID))) })
+	slices.SortFunc(e.Out, func(a, b outstandingAttempt) int {
+		return cmp.Or(cmp.Compare(a.Sent, b.Sent), int(int64(a.ID)-int64(b.ID)))
+	})
 	return e
 }
 
-// passOn is a step of a process that has handed over.
-func (r *Relay) passOn(batch []any) {
+// forwardStep is a step of a process that has handed over.
+func (r *Relay) forwardStep(batch []any) {
 	for _, e := range batch {
 		switch e := e.(type) {
 		case *handIn:
-			r.heir.ask(e)
+			r.heir.forward(e)
 		case withdrawal:
 			r.heir.send(frame{Leave: e.id})
 		case *callEnd:
 			r.out--
 			delete(r.flying, e.c)
 			for i, a := range e.c.attempts {
-				r.tellEnd(a, e.results[i], false)
+				r.forwardOutcome(a, e.results[i], false)
 			}
 		case cutOff:
-			if !e.a.over {
-				r.tellEnd(e.a, result{outcome: policy.Timeout, took: clock.Since(e.a.sent)}, true)
+			if !e.a.settled {
+				r.forwardOutcome(e.a, result{outcome: policy.Timeout, took: clock.Since(e.a.sent)}, true)
 			}
 		case clearance:
 			e.reply <- false // it goes back, and the new process decides anew
-		case takeover:
+		case handoverRequest:
 			e.link.Close()
 		case stopping:
 			r.stopping = true
@@ -330,43 +332,43 @@
 	}
 }
 
-func (r *Relay) tellEnd(a *attempt, res result, cut bool) {
-	a.over = a.over || cut
+func (r *Relay) forwardOutcome(a *attempt, res result, cut bool) {
+	a.settled = a.settled || cut
 	if a.timer != nil && !cut {
 		a.timer.Stop()
 	}
 	if res.outcome == policy.OK && a.m.first() {
 		r.figures.of(a.m.Class).answered.Add(1)
 	}
-	r.heir.send(frame{End: &passedEnd{a.m.ID, a.n, cut, res.outcome, res.gone, res.wait, res.report, res.took}})
+	r.heir.send(frame{End: &forwardedOutcome{a.m.ID, a.n, cut, res.outcome, res.gone, res.wait, res.report, res.took}})
 }
 
-// ask passes a hand-in on. Its answer comes by answers.
-func (l *link) ask(in *handIn) {
+// forward passes a hand-in on. Its answer comes by answers.
+func (l *handoverLink) forward(in *handIn) {
 	l.mu.Lock()
 	l.lastSeq++
 	seq := l.lastSeq
-	if l.over {
+	if l.closed {
 		l.mu.Unlock()
-		in.reply <- turnedBack
+		in.reply <- handoverUnavailable
 		return
 	}
-	l.asked[seq] = in
+	l.pending[seq] = in
 	l.mu.Unlock()
-	p := passed{Seq: seq, Message: in.m, order: in.order}
+	p := forwardedRequest{Seq: seq, Message: in.m, order: in.order}
 	if in.m != nil {
 		p.Body, p.Left = in.m.Body, clock.Until(in.m.Deadline)
 	}
 	if err := l.send(frame{Hand: &p}); err != nil {
-		l.reply(passedAnswer{Seq: seq, Status: turnedBack.status, Again: turnedBack.again})
+		l.resolve(forwardedAnswer{Seq: seq, Status: handoverUnavailable.status, Again: handoverUnavailable.again})
 	}
 }
 
-// reply answers a hand-in, once.
-func (l *link) reply(a passedAnswer) {
+// resolve answers a hand-in, once.
+func (l *handoverLink) resolve(a forwardedAnswer) {
 	l.mu.Lock()
-	in := l.asked[a.Seq]
-	delete(l.asked, a.Seq)
+	in := l.pending[a.Seq]
+	delete(l.pending, a.Seq)
 	l.mu.Unlock()
 	if in != nil {
 		if in.m != nil {
@@ -376,39 +378,39 @@
 	}
 }
 
-// answers takes the new process's answers until the link ends.
-func (r *Relay) answers(l *link) {
+// readReplies takes the new process's readReplies until the link ends.
+func (r *Relay) readReplies(l *handoverLink) {
 	for {
 		var f frame
 		if err := l.dec.Decode(&f); err != nil {
 			break
 		}
 		if f.Reply != nil {
-			l.reply(*f.Reply)
+			l.resolve(*f.Reply)
 		}
 	}
 	l.mu.Lock()
-	l.over = true
-	left := l.asked
-	l.asked = map[uint32]*handIn{}
+	l.closed = true
+	unanswered := l.pending
+	l.pending = map[uint32]*handIn{}
 	l.mu.Unlock()
-	for _, in := range left {
-		in.reply <- turnedBack
+	for _, in := range unanswered {
+		in.reply <- handoverUnavailable
 	}
 }
 
-// stepAside is what remains for a process that has handed over: its clients' requests are passed on, each answer ends
+// drainAfterHandover is what remains for a process that has handed over: its clients' requests are passed on, each answer ends
 // its connection, and calls run to their ends, until SIGTERM and no longer than asideMost. Closing the listener here
 // resets nothing: the new process holds the same socket.
-func (r *Relay) stepAside(ctx context.Context, listener net.Listener) {
+func (r *Relay) drainAfterHandover(ctx context.Context, listener net.Listener) {
 	r.serving.Store(false)
 	listener.Close()
 	r.clients.lastAnswers()
 	r.hosts.close()
-	r.share(0.5)
+	r.setLimitShare(0.5)
 	select {
 	case <-ctx.Done():
-	case <-time.After(asideMost):
+	case <-time.After(maxPredecessorDrain):
 	}
 	began := clock.Now()
 	time.Sleep(acceptFor)
@@ -422,21 +424,21 @@
 
 // The new process's side.
 
-// takeUp takes the log over, from a process that serves now or from one that has ended.
-func (r *Relay) takeUp() error {
-	l, from, listener, err := inherit(r.cfg)
+// takeOver takes the log over, from a process that serves now or from one that has ended.
+func (r *Relay) takeOver() error {
+	l, from, listener, err := requestHandover(r.cfg)
 	if err != nil {
 		r.log.Warn("not handed over", "err", err)
 	}
 	var found wal.Recovery
 	if r.lock, err = wal.Lock(r.cfg.StateDir); err == nil {
-		r.wal, found, err = wal.OpenWith(r.options())
+		r.wal, found, err = wal.OpenWith(r.logOptions())
 	}
 	if err == nil && l == nil {
-		r.recollect(found)
+		r.restoreState(found)
 	}
 	if err == nil {
-		if err = r.newOverflow(found); err != nil {
+		if err = r.openBacklog(found); err != nil {
 			err = errors.Join(err, r.wal.Close())
 		}
 	}
@@ -470,7 +472,7 @@
 	}
 	l.SetDeadline(time.Time{})
 	r.parent, r.lastID = l, max(r.lastID, from.LastID)
-	r.started = from.startedBy()
+	r.started = from.moduleStart()
 	r.cfg.Known = List{}
 	for _, m := range from.Members {
 		entry, err := json.Marshal(m)
@@ -484,15 +486,15 @@
 	} else {
 		listener.Close()
 	}
-	r.share(0.5)
+	r.setLimitShare(0.5)
 	return nil
 }
 
-// inherit asks the process that serves now for its place. The link is nil if there is none.
-func inherit(cfg Config) (l *link, from estate, listener *net.TCPListener, err error) {
-	c, err := sockets.DialUnix(filepath.Join(cfg.StateDir, linkName))
+// requestHandover asks the process that serves now for its place. The link is nil if there is none.
+func requestHandover(cfg Config) (l *handoverLink, from handoverState, listener *net.TCPListener, err error) {
+	c, err := sockets.DialUnix(filepath.Join(cfg.StateDir, handoverSocket))
 	if err != nil {
-		return nil, estate{}, nil, nil // nobody there
+		return nil, handoverState{}, nil, nil // nobody there
 	}
 	defer func() {
 		if err != nil {
@@ -502,24 +504,24 @@
 			}
 		}
 	}()
-	c.SetDeadline(clock.Now().Add(linkFor))
+	c.SetDeadline(clock.Now().Add(handoverTimeout))
 	mark, oob := make([]byte, 1), make([]byte, syscall.CmsgSpace(4))
 	_, n, _, _, err := c.ReadMsgUnix(mark, oob)
 	if err != nil {
-		return nil, estate{}, nil, fmt.Errorf("relay: take over: %w", err)
+		return nil, handoverState{}, nil, fmt.Errorf("relay: take over: %w", err)
 	}
-	if listener, err = passedListener(oob[:n]); err != nil {
-		return nil, estate{}, nil, fmt.Errorf("relay: take over: %w", err)
+	if listener, err = receivedListener(oob[:n]); err != nil {
+		return nil, handoverState{}, nil, fmt.Errorf("relay: take over: %w", err)
 	}
-	l = newLink(c)
+	l = newHandoverLink(c)
 	if err = l.dec.Decode(&from); err != nil {
-		return nil, estate{}, listener, fmt.Errorf("relay: take over: %w", err)
+		return nil, handoverState{}, listener, fmt.Errorf("relay: take over: %w", err)
 	}
 	return l, from, listener, nil
 }
 
-// passedListener is the listener that came with a message.
-func passedListener(oob []byte) (*net.TCPListener, error) {
+// receivedListener is the listener that came with a message.
+func receivedListener(oob []byte) (*net.TCPListener, error) {
 	messages, err := syscall.ParseSocketControlMessage(oob)
 	if err != nil || len(messages) != 1 {
 		return nil, errors.Join(errors.New("no socket came"), err)
@@ -543,8 +545,8 @@
 	return tcp, nil
 }
 
-// heed takes what the old process tells until it ends, and from then on knows that it is alone.
-func (r *Relay) heed(l *link) {
+// readPredecessor takes what the old process tells until it ends, and from then on knows that it is alone.
+func (r *Relay) readPredecessor(l *handoverLink) {
 	for {
 		var f frame
 		if err := l.dec.Decode(&f); err != nil {
@@ -557,7 +559,7 @@
 			r.post(withdrawal{f.Leave})
 		case f.Hand != nil && f.Hand.Message == nil:
 			a := r.byHand.set(f.Hand.order)
-			l.send(frame{Reply: &passedAnswer{Seq: f.Hand.Seq, Status: a.status, Text: a.text}})
+			l.send(frame{Reply: &forwardedAnswer{Seq: f.Hand.Seq, Status: a.status, Text: a.text}})
 		case f.Hand != nil:
 			m := f.Hand.Message
 			m.Body = f.Hand.Body
@@ -572,19 +574,19 @@
 			go func() { // as many at most as the old process has clients
 				select {
 				case a := <-in.reply:
-					l.send(frame{Reply: &passedAnswer{seq, m.ID, a.status, a.again, a.text}})
+					l.send(frame{Reply: &forwardedAnswer{seq, m.ID, a.status, a.again, a.text}})
 				case <-r.over:
 				}
 			}()
 		}
 	}
 	l.Close()
-	r.post(alone{})
+	r.post(predecessorGone{})
 }
 
-// inherited takes the outcome of an attempt that the old process made.
-func (r *Relay) inherited(evs []policy.Event, e passedEnd) []policy.Event {
-	key := outKey{e.ID, e.N}
+// applyForwardedOutcome takes the outcome of an attempt that the old process made.
+func (r *Relay) applyForwardedOutcome(evs []policy.Event, e forwardedOutcome) []policy.Event {
+	key := attemptKey{e.ID, e.N}
 	a := r.foreign[key]
 	if a == nil {
 		return evs
@@ -598,23 +600,23 @@
 	return r.attemptEnded(evs, a, result{e.Outcome, e.Gone, e.Wait, e.Report, e.Took})
 }
 
-// bereft ends the attempts that the old process has not told of: they may have run.
-func (r *Relay) bereft(evs []policy.Event) []policy.Event {
-	keys := make([]outKey, 0, len(r.foreign))
+// endPredecessorAttempts ends the attempts that the old process has not told of: they may have run.
+func (r *Relay) endPredecessorAttempts(evs []policy.Event) []policy.Event {
+	keys := make([]attemptKey, 0, len(r.foreign))
 	for k := range r.foreign {
 		keys = append(keys, k)
 	}
-	slices.SortFunc(keys, func(a, b outKey) int { return cmp.Or(cmp.Compare(a.id, b.id), cmp.Compare(a.n, b.n)) })
+	slices.SortFunc(keys, func(a, b attemptKey) int { return cmp.Or(cmp.Compare(a.id, b.id), cmp.Compare(a.n, b.n)) })
 	for _, k := range keys {
-		evs = r.inherited(evs, passedEnd{ID: k.id, N: k.n, Outcome: policy.Reset})
+		evs = r.applyForwardedOutcome(evs, forwardedOutcome{ID: k.id, N: k.n, Outcome: policy.Reset})
 	}
-	r.share(1)
+	r.setLimitShare(1)
 	return evs
 }
 
-// share sets the part of the relay's limits that this process may use.
-func (r *Relay) share(part float64) {
-	r.clients.bound(int(part * float64(r.cfg.Limits.Sockets*9/20)))
-	r.hosts.bound(int(part * float64(r.cfg.Limits.Sockets*3/8)))
-	debug.SetMemoryLimit(int64(part * float64(r.memory)))
+// setLimitShare sets the part of the relay's limits that this process may use.
+func (r *Relay) setLimitShare(fraction float64) {
+	r.clients.bound(int(fraction * float64(r.cfg.Limits.Sockets*9/20)))
+	r.hosts.setMaxConns(int(fraction * float64(r.cfg.Limits.Sockets*3/8)))
+	debug.SetMemoryLimit(int64(fraction * float64(r.memory)))
 }
--- a/internal/relay/handover_test.go
+++ b/internal/relay/handover_test.go
@@ -41,7 +41,7 @@
 	for _, seconds := range []int64{-3600, -5, 5, 3600} {
 		var wall wallstep.Clock
 		restore := wall.Use()
-		old, again := handedOver(t, func(old *Relay) {
+		old, again := startHandover(t, func(old *Relay) {
 			old.started = old.started.Add(-time.Minute) // it has served for a while
 			wall.Step(seconds)
 		})
@@ -60,8 +60,8 @@
 	}
 }
 
-// handedOver is a relay that serves and the process that takes its place. before is called when the first one serves.
-func handedOver(t *testing.T, before func(old *Relay)) (old, again *Relay) {
+// startHandover is a relay that serves and the process that takes its place. before is called when the first one serves.
+func startHandover(t *testing.T, before func(old *Relay)) (old, again *Relay) {
 	t.Helper()
 	old = newTestRelay(t)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -72,7 +72,7 @@
 	before(old)
 	ctx, stop := context.WithCancel(t.Context())
 	go old.loop(ctx)
-	end := old.heirs()
+	end := old.serveHandovers()
 	t.Cleanup(func() { end(); stop(); <-old.over; listener.Close() })
 	if again, err = New(t.Context(), old.cfg, quiet()); err != nil {
 		t.Fatal(err)
@@ -82,6 +82,6 @@
 	}
 	again.callCtx = t.Context()
 	again.resume()
-	go again.heed(again.parent)
+	go again.readPredecessor(again.parent)
 	return old, again
 }
--- a/internal/relay/hosts.go
+++ b/internal/relay/hosts.go
@@ -23,32 +23,32 @@
 	"onyxroad.dev/onyxroad/policy"
 )
 
-// idleShare is the share of the hosts' keep-alive limit after which the relay closes an idle connection itself.
+// idleTimeoutRatio is the share of the hosts' keep-alive limit after which the relay closes an idle connection itself.
 // Guards against a request that crosses the host's own close: it ends as a reset, which may have run.
-const idleShare = 0.8
+const idleTimeoutRatio = 0.8
 
 const (
-	// wholeFor bounds how long an answer may take from its first byte to its last. Guards against heads and bodies
+	// answerReadTimeout bounds how long an answer may take from its first byte to its last. Guards against heads and bodies
 	// that do not end.
-	wholeFor = 500 * time.Millisecond
-	// lastLook is for an answer that came as its call was given up: long enough to read what is there.
-	lastLook = time.Millisecond
-	// reportMost bounds what a host may tell of its limit.
-	reportMost = 1e9
-	informMost = 16 // 1xx answers before one
+	answerReadTimeout = 500 * time.Millisecond
+	// lateReadTimeout is for an answer that came as its call was given up: long enough to read what is there.
+	lateReadTimeout = time.Millisecond
+	// maxReportValue bounds what a host may tell of its limit.
+	maxReportValue   = 1e9
+	maxInformational = 16 // 1xx answers before one
 )
 
 var (
-	errSpoilt = errors.New("spoilt answer")
-	errLast   = errors.New("the answer is whole, its connection at its end")
+	errMalformedAnswer = errors.New("spoilt answer")
+	errConnSpent       = errors.New("the answer is whole, its connection at its end")
 )
 
-// hosts makes the outbound calls.
-type hosts struct {
+// hostClient makes the outbound calls.
+type hostClient struct {
 	*pool
-	reports []string
-	sent    func(*call) // told of each call that is written whole; may be nil
-	guard   *invariant.Guard
+	reportFields []string
+	onWritten    func(*call) // told of each call that is written whole; may be nil
+	guard        *invariant.Guard
 }
 
 // call is one request to a host, with one message or several.
@@ -58,7 +58,7 @@
 	addr     string
 	zone     int
 	sent     time.Time
-	until    time.Time // given up then
+	deadline time.Time // given up then
 	attempts []*attempt
 	size     int // of the body, at most, if it carries several
 
@@ -70,16 +70,16 @@
 
 const (
 	callPending callProgress = iota
-	callLeaving              // its request is being written, or was
+	callWriting              // its request is being written, or was
 	callRevoked              // it will not be
 )
 
-// leave tells whether a call's request may be written. From then on nothing revokes it.
-func (c *call) leave(now time.Time) bool {
-	if slices.ContainsFunc(c.attempts, func(a *attempt) bool { return !now.Before(a.until) }) {
+// beginWrite tells whether a call's request may be written. From then on nothing revokes it.
+func (c *call) beginWrite(now time.Time) bool {
+	if slices.ContainsFunc(c.attempts, func(a *attempt) bool { return !now.Before(a.deadline) }) {
 		c.revoke()
 	}
-	return c.progress.CompareAndSwap(callPending, callLeaving)
+	return c.progress.CompareAndSwap(callPending, callWriting)
 }
 
 // revoke has a call not be made whose request is not being written yet; false if it is, or was.
@@ -90,11 +90,11 @@
 // attempt is one message's part in a call.
 type attempt struct {
 	*call
-	m     *message
-	n     int
-	until time.Time
-	timer *time.Timer // ends it before the rest of its call; nil if it ends with it
-	over  bool        // its outcome is told
+	m        *message
+	n        int
+	deadline time.Time
+	timer    *time.Timer // ends it before the rest of its call; nil if it ends with it
+	settled  bool        // its outcome is told
 }
 
 // result is how an attempt ended.
@@ -106,42 +106,42 @@
 	took    time.Duration // from when the request was written
 }
 
-func newHosts(cfg Config) *hosts {
-	return &hosts{pool: newPool(cfg), reports: cfg.Reports, guard: invariant.New(slog.Default())}
+func newHostClient(cfg Config) *hostClient {
+	return &hostClient{pool: newPool(cfg), reportFields: cfg.Reports, guard: invariant.New(slog.Default())}
 }
 
 // do makes a call and tells the end of each of its attempts, in their order. clear is asked once more before
 // the request is written where a new connection had to come up first.
-func (h *hosts) do(ctx context.Context, c *call, clear func() bool) []result {
-	ctx, cancel := context.WithDeadline(ctx, c.until)
+func (h *hostClient) do(ctx context.Context, c *call, allowed func() bool) []result {
+	ctx, cancel := context.WithDeadline(ctx, c.deadline)
 	defer cancel()
-	conn, fresh, err := h.get(ctx, peer{c.route, c.addr})
+	conn, isNew, err := h.get(ctx, peer{c.route, c.addr})
 	switch {
-	case err != nil && scarce(err):
-		return alike(c, result{outcome: policy.Moot})
+	case err != nil && isLocalShortage(err):
+		return sameResults(c, result{outcome: policy.Moot})
 	case err != nil:
-		return alike(c, result{outcome: policy.ConnectFailed})
+		return sameResults(c, result{outcome: policy.ConnectFailed})
 	}
 	// While the connection came up, a drain or a wait may have been told.
-	if fresh && !clear() {
-		conn.keep()
-		return alike(c, result{outcome: policy.Moot})
+	if isNew && !allowed() {
+		conn.release()
+		return sameResults(c, result{outcome: policy.Moot})
 	}
 	req, err := newRequest(c)
 	if err != nil {
-		conn.keep()
-		return alike(c, result{outcome: policy.Moot})
+		conn.release()
+		return sameResults(c, result{outcome: policy.Moot})
 	}
 	// A message of it may have ended since the call was decided on, or its time may be up.
-	if !c.leave(clock.Now()) {
-		conn.keep()
-		return alike(c, result{outcome: policy.Moot})
+	if !c.beginWrite(clock.Now()) {
+		conn.release()
+		return sameResults(c, result{outcome: policy.Moot})
 	}
 	return h.exchange(ctx, req, c, conn)
 }
 
 // exchange writes the request, reads its answer, and keeps or drops the connection.
-func (h *hosts) exchange(ctx context.Context, req *http.Request, c *call, conn *hostConn) []result {
+func (h *hostClient) exchange(ctx context.Context, req *http.Request, c *call, conn *hostConn) []result {
 	// A call is given up by closing its connection: no answer to it is read any more.
 	stop := context.AfterFunc(ctx, func() { conn.SetDeadline(longAgo) })
 	began := clock.Now()
@@ -150,35 +150,35 @@
 	}
 	err := writeRequest(conn, req)
 	written := err == nil
-	if written && h.sent != nil {
-		h.sent(c)
+	if written && h.onWritten != nil {
+		h.onWritten(c)
 	}
 	several := len(c.attempts) > 1
 	a := readAnswer(conn, req, several) // there may be an answer though not all could be written
 	if stop() && a.err == nil && written {
 		conn.SetDeadline(time.Time{})
-		conn.keep()
+		conn.release()
 	} else {
-		conn.drop()
+		conn.discard()
 	}
-	if a.came.IsZero() {
-		a.came = clock.Now()
+	if a.firstByteAt.IsZero() {
+		a.firstByteAt = clock.Now()
 	}
-	r := h.told(a.head)
-	r.took = a.came.Sub(began)
-	spoilt := a.err != nil && !errors.Is(a.err, errLast)
+	r := h.headResult(a.head)
+	r.took = a.firstByteAt.Sub(began)
+	malformed := a.err != nil && !errors.Is(a.err, errConnSpent)
 	switch {
 	case a.head != nil && a.head.StatusCode == http.StatusOK && !several:
 		r.outcome = policy.OK // with the first line: what follows means nothing
-	case spoilt:
+	case malformed:
 		// The last byte tells: without it no host has begun. Whatever is doubtful may have run.
-		r.outcome = broken(ctx, written)
+		r.outcome = failureOutcome(ctx, written)
 	case a.head.StatusCode == http.StatusOK:
 		return bundleResults(c, r, a.body)
 	default:
-		r.outcome, r.gone = outcome(a.head)
+		r.outcome, r.gone = statusOutcome(a.head)
 	}
-	return alike(c, r)
+	return sameResults(c, r)
 }
 
 // writeRequest writes a request in one go.
@@ -193,10 +193,10 @@
 
 // hostAnswer is what came in answer to a call.
 type hostAnswer struct {
-	head *http.Response // of a spoilt one perhaps its first line alone; nil if that cannot be read either
-	body []byte         // of an answer to several messages
-	err  error          // why it is not whole, or more than whole: its connection is of no further use
-	came time.Time      // its first byte
+	head        *http.Response // of a spoilt one perhaps its first line alone; nil if that cannot be read either
+	body        []byte         // of an answer to several messages
+	err         error          // why it is not whole, or more than whole: its connection is of no further use
+	firstByteAt time.Time      // its first byte
 }
 
 // readAnswer reads an answer, to several messages or to one.
@@ -205,31 +205,31 @@
 	_, a.err = conn.r.Peek(1)
 	if errors.Is(a.err, os.ErrDeadlineExceeded) {
 		// Past a deadline nothing is read, not even what is there: a wait that it tells binds all the same.
-		conn.SetReadDeadline(clock.Now().Add(lastLook))
+		conn.SetReadDeadline(clock.Now().Add(lateReadTimeout))
 		_, a.err = conn.r.Peek(1)
 	}
 	if a.err != nil {
 		return a
 	}
 	// Where the call ended this very moment, this takes the place of its deadline, and it ends so much later.
-	a.came = clock.Now()
-	conn.SetReadDeadline(a.came.Add(wholeFor))
-	for range informMost {
+	a.firstByteAt = clock.Now()
+	conn.SetReadDeadline(a.firstByteAt.Add(answerReadTimeout))
+	for range maxInformational {
 		var line []byte
 		if line, a.err = peekLine(conn.r); a.err != nil {
 			return a
 		}
 		if a.head, a.err = http.ReadResponse(conn.r, req); a.err != nil {
-			a.head = firstLine(line, req)
+			a.head = parseStatusLine(line, req)
 			return a
 		}
 		if a.head.StatusCode >= 200 {
-			a.body, a.err = readRest(conn, a.head, several)
+			a.body, a.err = readAnswerBody(conn, a.head, several)
 			return a
 		}
 		a.head = nil
 	}
-	a.err = errSpoilt
+	a.err = errMalformedAnswer
 	return a
 }
 
@@ -246,8 +246,8 @@
 	}
 }
 
-// firstLine reads a first line by itself; nil if it cannot be read.
-func firstLine(line []byte, req *http.Request) *http.Response {
+// parseStatusLine reads a first line by itself; nil if it cannot be read.
+func parseStatusLine(line []byte, req *http.Request) *http.Response {
 	head, err := http.ReadResponse(bufio.NewReader(io.MultiReader(bytes.NewReader(line), strings.NewReader("\r\n"))), req)
 	if err != nil {
 		return nil
@@ -255,31 +255,31 @@
 	return head
 }
 
-// readRest reads an answer's body. It returns an error also if the connection can carry no further call.
-func readRest(conn *hostConn, head *http.Response, several bool) (body []byte, err error) {
+// readAnswerBody reads an answer's body. It returns an error also if the connection can carry no further call.
+func readAnswerBody(conn *hostConn, head *http.Response, several bool) (body []byte, err error) {
 	if head.ContentLength > bodyMost {
-		return nil, errSpoilt
+		return nil, errMalformedAnswer
 	}
 	conn.allow(wireMost)
 	rest := io.LimitReader(head.Body, bodyMost+1)
 	if several && head.StatusCode == http.StatusOK {
 		if body, err = io.ReadAll(rest); err == nil && len(body) > bodyMost {
-			err = errSpoilt
+			err = errMalformedAnswer
 		}
 	} else if n, copyErr := io.Copy(io.Discard, rest); copyErr != nil || n > bodyMost {
-		err = cmp.Or(copyErr, errSpoilt)
+		err = cmp.Or(copyErr, errMalformedAnswer)
 	}
 	switch {
 	case err != nil:
 		return nil, err
 	case conn.r.Buffered() > 0, head.Close, head.ContentLength < 0 && len(head.TransferEncoding) == 0:
-		return body, errLast
+		return body, errConnSpent
 	}
 	return body, nil
 }
 
-// broken is the outcome of a call whose answer did not come.
-func broken(ctx context.Context, written bool) policy.Outcome {
+// failureOutcome is the outcome of a call whose answer did not come.
+func failureOutcome(ctx context.Context, written bool) policy.Outcome {
 	switch {
 	case !written:
 		return policy.ConnectFailed
@@ -294,9 +294,9 @@
 // newRequest makes the request of a call.
 func newRequest(c *call) (*http.Request, error) {
 	path, body := "/events", c.attempts[0].m.Body
-	header := http.Header{"X-Expires-In-Ms": {strconv.FormatInt(max(1, clock.Until(c.until).Milliseconds()), 10)}}
+	header := http.Header{"X-Expires-In-Ms": {strconv.FormatInt(max(1, clock.Until(c.deadline).Milliseconds()), 10)}}
 	if len(c.attempts) > 1 {
-		path, body = "/events/bundle", bundle(c)
+		path, body = "/events/bundle", bundleBody(c)
 		header.Set("Content-Type", "application/json")
 	} else {
 		m := c.attempts[0].m
@@ -316,22 +316,22 @@
 	return req, nil
 }
 
-// item is a message in a bundle.
-type item struct {
+// bundleItem is a message in a bundle.
+type bundleItem struct {
 	ID   string `json:"id"`
 	Key  string `json:"key,omitempty"`
 	Body []byte `json:"body"`
 }
 
-// itemSize is the most that a message takes in a bundle: any byte of an id may be escaped.
-func itemSize(m *message) int {
+// maxItemSize is the most that a message takes in a bundle: any byte of an id may be escaped.
+func maxItemSize(m *message) int {
 	return base64.StdEncoding.EncodedLen(len(m.Body)) + 6*(len(m.Trace)+len(m.Key)) + len(`{"id":"","key":"","body":""},[]`)
 }
 
-func bundle(c *call) []byte {
-	items := make([]item, 0, len(c.attempts))
+func bundleBody(c *call) []byte {
+	items := make([]bundleItem, 0, len(c.attempts))
 	for _, a := range c.attempts {
-		items = append(items, item{a.m.Trace, a.m.Key, append([]byte{}, a.m.Body...)}) // null is no body
+		items = append(items, bundleItem{a.m.Trace, a.m.Key, append([]byte{}, a.m.Body...)}) // null is no body
 	}
 	data, err := json.Marshal(items)
 	if err != nil {
@@ -340,17 +340,17 @@
 	return data
 }
 
-// told is what a head tells besides its message's end.
-func (h *hosts) told(head *http.Response) (r result) {
+// headResult is what a head tells besides its message's end.
+func (h *hostClient) headResult(head *http.Response) (r result) {
 	if head != nil {
-		r.wait = seconds(head.Header.Get("Retry-After"))
-		r.report = h.report(head.Header.Get("Endpoint-Load-Metrics"))
+		r.wait = parseRetryAfter(head.Header.Get("Retry-After"))
+		r.report = h.parseReport(head.Header.Get("Endpoint-Load-Metrics"))
 	}
 	return r
 }
 
-// outcome is what a status other than 200 says.
-func outcome(head *http.Response) (o policy.Outcome, gone bool) {
+// statusOutcome is what a status other than 200 says.
+func statusOutcome(head *http.Response) (o policy.Outcome, gone bool) {
 	switch head.StatusCode {
 	case http.StatusTooManyRequests:
 		return policy.Full, false
@@ -382,7 +382,7 @@
 			states[item.ID] = item.State
 		}
 	}
-	results := alike(c, unread)
+	results := sameResults(c, unread)
 	for i, a := range c.attempts {
 		switch states[a.m.Trace] {
 		case "ok":
@@ -400,8 +400,8 @@
 	return results
 }
 
-// report reads what a host tells of its limit.
-func (h *hosts) report(text string) policy.Report {
+// parseReport reads what a host tells of its limit.
+func (h *hostClient) parseReport(text string) policy.Report {
 	var rep policy.Report
 	text, ok := strings.CutPrefix(text, "TEXT ")
 	if !ok {
@@ -411,7 +411,7 @@
 		name, value, _ := strings.Cut(strings.TrimSpace(pair), "=")
 		x, err := strconv.ParseFloat(value, 64)
 		// NaN compares as false.
-		if err != nil || !(x >= 0 && x <= reportMost) || !slices.Contains(h.reports, name) {
+		if err != nil || !(x >= 0 && x <= maxReportValue) || !slices.Contains(h.reportFields, name) {
 			continue
 		}
 		switch name {
@@ -424,8 +424,8 @@
 	return rep
 }
 
-// seconds reads a Retry-After, whole or decimal; 0 if there is none that can be read.
-func seconds(text string) time.Duration {
+// parseRetryAfter reads a Retry-After, whole or decimal; 0 if there is none that can be read.
+func parseRetryAfter(text string) time.Duration {
 	x, err := strconv.ParseFloat(text, 64)
 	if err != nil || !(x > 0) || x > 1e6 {
 		return 0
@@ -433,8 +433,8 @@
 	return time.Duration(x * float64(time.Second))
 }
 
-// alike gives every attempt of a call the same end.
-func alike(c *call, r result) []result {
+// sameResults gives every attempt of a call the same end.
+func sameResults(c *call, r result) []result {
 	results := make([]result, len(c.attempts))
 	for i := range results {
 		results[i] = r
--- a/internal/relay/hosts_test.go
+++ b/internal/relay/hosts_test.go
@@ -22,7 +22,7 @@
 	"onyxroad.dev/onyxroad/policy"
 )
 
-const patience = 10 * time.Second // longer than any condition takes
+const testTimeout = 10 * time.Second // longer than any condition takes
 
 func testConfig() Config {
 	c := Config{ConnectTimeout: 2 * time.Second, KeepAlive: time.Minute, Reports: []string{"x0", "x1"}}
@@ -30,28 +30,28 @@
 	return c
 }
 
-func testHosts(t *testing.T, cfg Config) *hosts {
-	h := newHosts(cfg)
+func newTestHostClient(t *testing.T, cfg Config) *hostClient {
+	h := newHostClient(cfg)
 	t.Cleanup(h.close)
 	return h
 }
 
 // newCall is a call to addr with messages of these ids.
 func newCall(addr string, ids ...string) *call {
-	c := &call{route: "s-1", addr: addr, sent: time.Now(), until: time.Now().Add(patience)}
+	c := &call{route: "s-1", addr: addr, sent: time.Now(), deadline: time.Now().Add(testTimeout)}
 	for _, id := range ids {
 		m := &message{Message: &wal.Message{Trace: id, Key: "key-" + id, Body: []byte("body of " + id)}}
-		c.attempts = append(c.attempts, &attempt{call: c, m: m, until: c.until})
+		c.attempts = append(c.attempts, &attempt{call: c, m: m, deadline: c.deadline})
 	}
 	return c
 }
 
-func yes() bool { return true }
+func alwaysAllowed() bool { return true }
 
 // eventually waits for a condition.
 func eventually(t *testing.T, what string, ok func() bool) {
 	t.Helper()
-	for end := time.Now().Add(patience); !ok(); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(testTimeout); !ok(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatalf("never: %s", what)
 		}
@@ -112,7 +112,7 @@
 	}))
 	defer s.Close()
 	c := newCall(addrOf(s), "a")
-	if r := testHosts(t, testConfig()).do(t.Context(), c, yes); r[0].outcome != policy.OK {
+	if r := newTestHostClient(t, testConfig()).do(t.Context(), c, alwaysAllowed); r[0].outcome != policy.OK {
 		t.Fatalf("outcome %v", r[0].outcome)
 	}
 	g := <-got
@@ -131,13 +131,13 @@
 			}
 			return n == 1
 		})
-		h := testHosts(t, testConfig())
+		h := newTestHostClient(t, testConfig())
 		first, second := newCall(addr, "a"), newCall(addr, "b")
 		second.attempts[0].m.Body = []byte(body)
-		if r := h.do(t.Context(), first, yes); r[0].outcome != policy.OK {
+		if r := h.do(t.Context(), first, alwaysAllowed); r[0].outcome != policy.OK {
 			t.Fatalf("first call: %v", r[0].outcome)
 		}
-		if r := h.do(t.Context(), second, yes); r[0].outcome != policy.Reset {
+		if r := h.do(t.Context(), second, alwaysAllowed); r[0].outcome != policy.Reset {
 			t.Errorf("body %q: outcome %v, want a reset", body, r[0].outcome)
 		}
 		if n := requests.Load(); n != 2 {
@@ -152,7 +152,7 @@
 		t.Fatal(err)
 	}
 	l.Close()
-	r := testHosts(t, testConfig()).do(t.Context(), newCall(l.Addr().String(), "a"), yes)
+	r := newTestHostClient(t, testConfig()).do(t.Context(), newCall(l.Addr().String(), "a"), alwaysAllowed)
 	if r[0].outcome != policy.ConnectFailed {
 		t.Errorf("outcome %v", r[0].outcome)
 	}
@@ -161,16 +161,16 @@
 func TestAConnectionThatNeverComesUpEndsInTime(t *testing.T) {
 	cfg := testConfig()
 	cfg.ConnectTimeout = 20 * time.Millisecond
-	h := testHosts(t, cfg)
+	h := newTestHostClient(t, cfg)
 	h.dial = func(ctx context.Context, _, _ string) (net.Conn, error) {
 		<-ctx.Done()
 		return nil, ctx.Err()
 	}
 	began := time.Now()
-	if r := h.do(t.Context(), newCall("127.0.0.1:1", "a"), yes); r[0].outcome != policy.ConnectFailed {
+	if r := h.do(t.Context(), newCall("127.0.0.1:1", "a"), alwaysAllowed); r[0].outcome != policy.ConnectFailed {
 		t.Errorf("outcome %v", r[0].outcome)
 	}
-	if took := time.Since(began); took > patience/2 {
+	if took := time.Since(began); took > testTimeout/2 {
 		t.Errorf("took %v", took)
 	}
 	if h.open != 0 {
@@ -196,14 +196,14 @@
 
 func TestABreakBeforeTheLastByteNeverRan(t *testing.T) {
 	addr, requests := rawHost(t, func(int, net.Conn, *http.Request) bool { return true })
-	h := testHosts(t, testConfig())
+	h := newTestHostClient(t, testConfig())
 	h.dial = func(ctx context.Context, network, addr string) (net.Conn, error) {
 		conn, err := (&net.Dialer{}).DialContext(ctx, network, addr)
 		return &stuckConn{conn, 10_000}, err
 	}
 	c := newCall(addr, "a")
 	c.attempts[0].m.Body = make([]byte, 60_000)
-	if r := h.do(t.Context(), c, yes); r[0].outcome != policy.ConnectFailed {
+	if r := h.do(t.Context(), c, alwaysAllowed); r[0].outcome != policy.ConnectFailed {
 		t.Errorf("outcome %v", r[0].outcome)
 	}
 	if n := requests.Load(); n != 0 {
@@ -219,15 +219,15 @@
 		close(left)
 	}))
 	defer s.Close()
-	h := testHosts(t, testConfig())
+	h := newTestHostClient(t, testConfig())
 	c := newCall(addrOf(s), "a")
-	c.until = time.Now().Add(100 * time.Millisecond)
-	if r := h.do(t.Context(), c, yes); r[0].outcome != policy.Timeout {
+	c.deadline = time.Now().Add(100 * time.Millisecond)
+	if r := h.do(t.Context(), c, alwaysAllowed); r[0].outcome != policy.Timeout {
 		t.Errorf("outcome %v", r[0].outcome)
 	}
 	select {
 	case <-left:
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		t.Error("the host still has the connection")
 	}
 }
@@ -238,12 +238,12 @@
 		fmt.Fprint(conn, "HTTP/1.1 429 Too Many Requests\r\nContent-Length: 0\r\nRetry-After: 0.612\r\n\r\n")
 		return true
 	})
-	h := testHosts(t, testConfig())
+	h := newTestHostClient(t, testConfig())
 	conn, _, err := h.get(t.Context(), peer{"a", addr})
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer conn.drop()
+	defer conn.discard()
 	c := newCall(addr, "a")
 	req, err := newRequest(c)
 	if err != nil {
@@ -263,7 +263,7 @@
 		t.Fatal(err)
 	}
 	conn.SetDeadline(longAgo)
-	if a := readAnswer(conn, req, false); a.err != nil || h.told(a.head).wait != 612*time.Millisecond {
+	if a := readAnswer(conn, req, false); a.err != nil || h.headResult(a.head).wait != 612*time.Millisecond {
 		t.Errorf("answer %+v", a)
 	}
 }
@@ -273,7 +273,7 @@
 		fmt.Fprint(conn, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
 		return true
 	})
-	h := testHosts(t, testConfig())
+	h := newTestHostClient(t, testConfig())
 	if r := h.do(t.Context(), newCall(addr, "a"), func() bool { return false }); r[0].outcome != policy.Moot {
 		t.Errorf("outcome %v", r[0].outcome)
 	}
@@ -303,13 +303,13 @@
 	}
 	s.Start()
 	defer s.Close()
-	h := testHosts(t, testConfig())
+	h := newTestHostClient(t, testConfig())
 	for range 3 {
 		together.Add(calls)
 		var done sync.WaitGroup
 		for i := range calls {
 			done.Go(func() {
-				if r := h.do(t.Context(), newCall(addrOf(s), fmt.Sprint(i)), yes); r[0].outcome != policy.OK {
+				if r := h.do(t.Context(), newCall(addrOf(s), fmt.Sprint(i)), alwaysAllowed); r[0].outcome != policy.OK {
 					t.Errorf("outcome %v", r[0].outcome)
 				}
 			})
@@ -333,13 +333,13 @@
 	defer s.Close()
 	cfg := testConfig()
 	cfg.KeepAlive = 50 * time.Millisecond
-	h := testHosts(t, cfg)
-	if r := h.do(t.Context(), newCall(addrOf(s), "a"), yes); r[0].outcome != policy.OK {
+	h := newTestHostClient(t, cfg)
+	if r := h.do(t.Context(), newCall(addrOf(s), "a"), alwaysAllowed); r[0].outcome != policy.OK {
 		t.Fatalf("outcome %v", r[0].outcome)
 	}
 	select {
 	case <-closed: // the server sets no limit of its own: the relay closed it
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		t.Error("still open")
 	}
 }
@@ -349,10 +349,10 @@
 	one, two := httptest.NewServer(ok), httptest.NewServer(ok)
 	defer one.Close()
 	defer two.Close()
-	h := testHosts(t, testConfig())
-	h.most, h.connectTimeout = 1, 100*time.Millisecond
+	h := newTestHostClient(t, testConfig())
+	h.maxConns, h.connectTimeout = 1, 100*time.Millisecond
 	for i, s := range []*httptest.Server{one, two, one} { // each takes the place of the idle one before
-		if r := h.do(t.Context(), newCall(addrOf(s), "a"), yes); r[0].outcome != policy.OK || h.open != 1 {
+		if r := h.do(t.Context(), newCall(addrOf(s), "a"), alwaysAllowed); r[0].outcome != policy.OK || h.open != 1 {
 			t.Errorf("call %d: outcome %v, %d open", i, r[0].outcome, h.open)
 		}
 	}
@@ -361,10 +361,10 @@
 		t.Fatal(err)
 	}
 	// That the relay itself has no room is no failure of the host.
-	if r := h.do(t.Context(), newCall(addrOf(two), "a"), yes); r[0].outcome != policy.Moot {
+	if r := h.do(t.Context(), newCall(addrOf(two), "a"), alwaysAllowed); r[0].outcome != policy.Moot {
 		t.Errorf("beyond the bound: outcome %v", r[0].outcome)
 	}
-	busy.drop()
+	busy.discard()
 }
 
 func TestAnswerCodes(t *testing.T) {
@@ -396,7 +396,7 @@
 			}
 			w.WriteHeader(c.status)
 		}))
-		if r := testHosts(t, testConfig()).do(t.Context(), newCall(addrOf(s), "a"), yes); r[0].took <= 0 {
+		if r := newTestHostClient(t, testConfig()).do(t.Context(), newCall(addrOf(s), "a"), alwaysAllowed); r[0].took <= 0 {
 			t.Errorf("%d: took %v", c.status, r[0].took)
 		} else if r[0].took = 0; r[0] != c.want {
 			t.Errorf("%d %v: %+v, want %+v", c.status, c.header, r[0], c.want)
@@ -446,7 +446,7 @@
 				io.WriteString(w, c.answer)
 			}))
 			defer s.Close()
-			results := testHosts(t, testConfig()).do(t.Context(), newCall(addrOf(s), ids...), yes)
+			results := newTestHostClient(t, testConfig()).do(t.Context(), newCall(addrOf(s), ids...), alwaysAllowed)
 			for i, r := range results {
 				if r.outcome != c.want[i] || r.gone != (c.name == "every state" && i == 3) {
 					t.Errorf("%s: %+v, want %v", ids[i], r, c.want[i])
@@ -464,12 +464,12 @@
 		fmt.Fprint(conn, "HTTP/1.1 200 OK\r\nContent-Length: 500\r\n\r\n[{\"id\":\"a\",\"state\":\"ok\"}")
 		return false
 	})
-	for i, r := range testHosts(t, testConfig()).do(t.Context(), newCall(addr, "a", "b"), yes) {
+	for i, r := range newTestHostClient(t, testConfig()).do(t.Context(), newCall(addr, "a", "b"), alwaysAllowed) {
 		if r.outcome != policy.Reset {
 			t.Errorf("attempt %d: %v", i, r.outcome)
 		}
 	}
-	if r := testHosts(t, testConfig()).do(t.Context(), newCall(addr, "a"), yes); r[0].outcome != policy.OK {
+	if r := newTestHostClient(t, testConfig()).do(t.Context(), newCall(addr, "a"), alwaysAllowed); r[0].outcome != policy.OK {
 		t.Errorf("a single message is delivered with the first line: %v", r[0].outcome)
 	}
 }
@@ -494,12 +494,12 @@
 				}
 				return true
 			})
-			h := testHosts(t, testConfig())
-			if r := h.do(t.Context(), newCall(addr, "a"), yes); r[0].outcome != policy.OK {
+			h := newTestHostClient(t, testConfig())
+			if r := h.do(t.Context(), newCall(addr, "a"), alwaysAllowed); r[0].outcome != policy.OK {
 				t.Fatalf("%q: outcome %v", behind, r[0].outcome)
 			}
 			eventually(t, "the connection dropped", func() bool { h.mu.Lock(); defer h.mu.Unlock(); return h.open == 0 })
-			if r := h.do(t.Context(), newCall(addr, "b"), yes); r[0].outcome != policy.Error {
+			if r := h.do(t.Context(), newCall(addr, "b"), alwaysAllowed); r[0].outcome != policy.Error {
 				t.Errorf("%q: the second call has the first one's rest: %v", behind, r[0].outcome)
 			}
 		}
@@ -539,19 +539,19 @@
 				io.WriteString(conn, c.answer) // and the connection stays open
 				return true
 			})
-			h := testHosts(t, testConfig())
+			h := newTestHostClient(t, testConfig())
 			for _, ids := range [][]string{{"a"}, {"a", "b"}} {
 				want := c.single
 				if len(ids) > 1 {
 					want = c.bundle
 				}
 				call := newCall(addr, ids...)
-				for _, r := range h.do(t.Context(), call, yes) {
+				for _, r := range h.do(t.Context(), call, alwaysAllowed) {
 					if r.outcome != want {
 						t.Errorf("%d messages: outcome %v, want %v", len(ids), r.outcome, want)
 					}
 				}
-				if time.Now().After(call.until) {
+				if time.Now().After(call.deadline) {
 					t.Error("told with the call's time-out alone")
 				}
 				h.mu.Lock()
@@ -570,9 +570,9 @@
 		fmt.Fprint(conn, "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n"+okAnswer)
 		return true
 	})
-	h := testHosts(t, testConfig())
+	h := newTestHostClient(t, testConfig())
 	for range 2 {
-		if r := h.do(t.Context(), newCall(addr, "a"), yes); r[0].outcome != policy.OK || h.open != 1 {
+		if r := h.do(t.Context(), newCall(addr, "a"), alwaysAllowed); r[0].outcome != policy.OK || h.open != 1 {
 			t.Errorf("outcome %v, %d connections", r[0].outcome, h.open)
 		}
 	}
@@ -595,8 +595,8 @@
 		io.Copy(io.Discard, conn)
 		conn.Close()
 	}()
-	h := testHosts(t, testConfig())
-	if r := h.do(t.Context(), newCall(l.Addr().String(), "a"), yes); r[0].outcome != policy.Full {
+	h := newTestHostClient(t, testConfig())
+	if r := h.do(t.Context(), newCall(l.Addr().String(), "a"), alwaysAllowed); r[0].outcome != policy.Full {
 		t.Errorf("outcome %v", r[0].outcome)
 	}
 }
@@ -607,8 +607,8 @@
 		fmt.Fprint(conn, okAnswer)
 		return true
 	})
-	h := testHosts(t, testConfig())
-	h.do(t.Context(), newCall(addr, "a"), yes)
+	h := newTestHostClient(t, testConfig())
+	h.do(t.Context(), newCall(addr, "a"), alwaysAllowed)
 	other := newCall(addr, "b")
 	other.route = "s-2"
 	asked := false
@@ -628,9 +628,9 @@
 		fmt.Fprint(conn, okAnswer)
 		return false
 	})
-	h := testHosts(t, testConfig())
+	h := newTestHostClient(t, testConfig())
 	for range 3 {
-		if r := h.do(t.Context(), newCall(addr, "a"), yes); r[0].outcome != policy.OK {
+		if r := h.do(t.Context(), newCall(addr, "a"), alwaysAllowed); r[0].outcome != policy.OK {
 			t.Errorf("outcome %v", r[0].outcome)
 		}
 		eventually(t, "noticed", func() bool { h.mu.Lock(); defer h.mu.Unlock(); return h.open == 0 })
@@ -639,12 +639,12 @@
 
 // Reports that make no sense never reach the module.
 func TestOddReports(t *testing.T) {
-	h := testHosts(t, testConfig())
+	h := newTestHostClient(t, testConfig())
 	for _, text := range []string{
 		"", "TEXT", "x1=25", "TEXT x1", "TEXT x1=", "TEXT x1=NaN", "TEXT x1=Inf", "TEXT x1=-Inf", "TEXT x1=-3", "TEXT x1=1e300",
 		"TEXT x1=0x", "TEXT y=3", "TEXT x0=nan",
 	} {
-		if r := h.report(text); r != (policy.Report{}) {
+		if r := h.parseReport(text); r != (policy.Report{}) {
 			t.Errorf("%q: %+v", text, r)
 		}
 	}
@@ -656,7 +656,7 @@
 		fmt.Fprint(conn, okAnswer)
 		return true
 	})
-	h := testHosts(t, testConfig())
+	h := newTestHostClient(t, testConfig())
 	c := newCall(addr, "a")
 	var up time.Time
 	r := h.do(t.Context(), c, func() bool {
@@ -688,8 +688,8 @@
 			t.Errorf("%d bytes kept", len(a.body))
 		}
 		if a.head != nil {
-			h := &hosts{reports: []string{"x0", "x1"}}
-			if r := h.told(a.head); !(r.report.Limit >= 0 && r.report.Limit <= reportMost) || r.wait < 0 {
+			h := &hostClient{reportFields: []string{"x0", "x1"}}
+			if r := h.headResult(a.head); !(r.report.Limit >= 0 && r.report.Limit <= maxReportValue) || r.wait < 0 {
 				t.Errorf("%q: %+v", data, r)
 			}
 		}
--- a/internal/relay/job.go
+++ b/internal/relay/job.go
@@ -14,7 +14,7 @@
 type job struct {
 	put    []owed.Entry
 	remove []owed.Ref
-	loads  []load
+	loads  []loadRequest
 	due    int64 // 0: nothing
 
 	out, in []*message // whose entries are put and removed
@@ -54,26 +54,26 @@
 		j.loaded = append(j.loaded, all...)
 	}
 	if j.due > 0 && j.err == nil {
-		j.ends, j.err = s.Due(j.due, dueBatch)
+		j.ends, j.err = s.Due(j.due, expiryBatch)
 	}
 	next, ok, err := s.NextDue()
 	if j.next = next; !ok || err != nil {
-		j.next = never
+		j.next = noDeadline
 	}
 }
 
 // tend ends what is on its way for too long, and has the next job begin. The loop calls it after each step and now and then.
-func (o *overflow) tend() {
+func (o *backlogQueue) tend() {
 	if o == nil {
 		return
 	}
 	now := clock.Now()
-	for id, at := range o.shared {
-		if now.Sub(at) > sharedFor {
-			delete(o.shared, id)
+	for id, at := range o.sharedIDs {
+		if now.Sub(at) > sharedIDLifetime {
+			delete(o.sharedIDs, id)
 		}
 	}
-	for _, all := range [][]*message{o.out, o.in} {
+	for _, all := range [][]*message{o.outgoing, o.incoming} {
 		o.expire(all, now)
 	}
 	if o.job != nil {
@@ -81,59 +81,59 @@
 		o.expire(o.job.in, now)
 		return
 	}
-	if (o.worn || o.full) && now.Sub(o.tried) < storeRetry {
+	if (o.failing || o.full) && now.Sub(o.failedAt) < storeRetryInterval {
 		return
 	}
 	if j := o.nextJob(now); j != nil {
 		o.job = j
-		o.start(j)
+		o.startJob(j)
 	}
 }
 
 // expire tells the ends of messages whose time is up on their way.
-func (o *overflow) expire(all []*message, now time.Time) {
+func (o *backlogQueue) expire(all []*message, now time.Time) {
 	var ended []*message
 	for _, m := range all {
-		if m.ended || m.dropped || now.Before(m.Deadline.Add(-dueAhead)) {
+		if m.ended || m.dropped || now.Before(m.Deadline.Add(-expiryLead)) {
 			continue
 		}
 		m.ended = true
-		o.relay.figures.ended(m, outOfTime)
-		o.relay.wal.Decide(m.Message, outOfTime)
+		o.relay.figures.ended(m, expiredFinal)
+		o.relay.wal.Decide(m.Message, expiredFinal)
 		ended = append(ended, m)
 		o.ended++
 	}
-	o.relay.tellEnds(ended)
+	o.relay.recordEnds(ended)
 }
 
 // nextJob is what is to be done at the store; nil if nothing is.
-func (o *overflow) nextJob(now time.Time) *job {
+func (o *backlogQueue) nextJob(now time.Time) *job {
 	durable := o.relay.wal.Durable()
 	j := &job{}
-	rest := o.out[:0:0]
-	for _, m := range o.out {
-		if len(j.put) >= batchStored || m.seq > durable {
+	rest := o.outgoing[:0:0]
+	for _, m := range o.outgoing {
+		if len(j.put) >= jobBatch || m.seq > durable {
 			rest = append(rest, m)
 			continue
 		}
 		j.out, j.put = append(j.out, m), append(j.put, owed.Entry{Ref: o.ref(m), Data: wal.Marshal(m.Message)})
 	}
-	o.out = rest
-	rest = o.in[:0:0]
-	for _, m := range o.in {
+	o.outgoing = rest
+	rest = o.incoming[:0:0]
+	for _, m := range o.incoming {
 		if m.seq > durable {
 			rest = append(rest, m)
 			continue
 		}
 		j.in, j.remove = append(j.in, m), append(j.remove, o.ref(m))
 	}
-	o.in = rest
-	j.gone, o.gone = o.gone, nil
+	o.incoming = rest
+	j.gone, o.removals = o.removals, nil
 	j.remove = append(j.remove, j.gone...)
-	if !o.relay.stopping && now.After(o.hold) && o.relay.wal.Fill() < loadFill {
-		j.loads = o.loads(batchStored)
+	if !o.relay.stopping && now.After(o.loadAfter) && o.relay.wal.Fill() < loadFill {
+		j.loads = o.nextLoads(jobBatch)
 	}
-	if by := o.storedTime(now.Add(dueAhead)); o.next <= by && len(o.ending) < dueMost && !o.relay.noSends {
+	if by := o.storedTime(now.Add(expiryLead)); o.nextDeadline <= by && len(o.unconfirmed) < maxUnconfirmedExpiries && !o.relay.noSends {
 		j.due = by
 	}
 	if len(j.put)+len(j.remove)+len(j.loads) == 0 && j.due == 0 {
@@ -143,39 +143,39 @@
 }
 
 // finished takes a job's end, and returns what the module has to hear of it.
-func (o *overflow) finished(evs []policy.Event, j *job) []policy.Event {
-	o.job, o.bytes = nil, j.bytes
+func (o *backlogQueue) finished(evs []policy.Event, j *job) []policy.Event {
+	o.job, o.diskBytes = nil, j.bytes
 	for _, l := range j.loads {
-		o.loaded(l.dest)
+		o.finishLoad(l.dest)
 	}
 	o.state(j)
-	if o.worn || j.full {
-		o.out = append(j.out, o.out...)
+	if o.failing || j.full {
+		o.outgoing = append(j.out, o.outgoing...)
 		j.out = nil
 	}
-	if o.worn {
+	if o.failing {
 		// Whether it was applied is not known: applied once more it does no harm.
-		o.in, o.gone = append(j.in, o.in...), append(j.gone, o.gone...)
+		o.incoming, o.removals = append(j.in, o.incoming...), append(j.gone, o.removals...)
 		return evs
 	}
 	for _, m := range j.out {
 		if m.dropped || m.ended {
-			m.move = entering // off the disk again, and over then
-			o.in = append(o.in, m)
+			m.move = movingToMemory // off the disk again, and over then
+			o.incoming = append(o.incoming, m)
 			continue
 		}
-		m.move = staying
+		m.move = notMoving
 		o.movedOut++
 		o.relay.wal.End(m.Message) // it lies on disk
 		m.ended = true
 		o.relay.retire(m)
 	}
 	for _, ref := range j.gone {
-		o.stored(ref.Dest, -1)
+		o.addOnDisk(ref.Dest, -1)
 	}
 	for _, m := range j.in {
-		o.stored(m.Dest, -1)
-		m.move = staying
+		o.addOnDisk(m.Dest, -1)
+		m.move = notMoving
 		switch {
 		case m.dropped:
 			m.ended = true
@@ -187,29 +187,29 @@
 			evs = append(evs, o.given(m))
 		}
 	}
-	o.next = j.next
+	o.nextDeadline = j.next
 	o.relay.end(j.ends)
 	o.relay.take(j.loaded)
 	return evs
 }
 
 // state notes whether the disk takes what it is given.
-func (o *overflow) state(j *job) {
+func (o *backlogQueue) state(j *job) {
 	log := o.relay.log
 	if j.err != nil {
-		if o.tried = clock.Now(); !o.worn {
+		if o.failedAt = clock.Now(); !o.failing {
 			log.Error("the backlog's disk fails: nothing new goes there", "err", j.err)
 		}
-		o.worn = true
+		o.failing = true
 		return
 	}
-	if o.worn {
+	if o.failing {
 		log.Info("the backlog goes on")
 	}
-	o.worn = false
+	o.failing = false
 	if j.full {
-		if o.tried = clock.Now(); !o.full {
-			log.Warn("the backlog is full: new messages beyond the window are refused", "messages", o.disk, "bytes", j.bytes)
+		if o.failedAt = clock.Now(); !o.full {
+			log.Warn("the backlog is full: new messages beyond the window are refused", "messages", o.onDisk, "bytes", j.bytes)
 		}
 		o.full = true
 	} else if len(j.put) > 0 && o.full {
@@ -219,11 +219,11 @@
 }
 
 // given tells the module of a message from the disk.
-func (o *overflow) given(m *message) policy.Event {
+func (o *backlogQueue) given(m *message) policy.Event {
 	o.relay.held++
 	o.movedIn++
-	o.enter(m)
-	if m.ID <= o.oldest {
+	o.add(m)
+	if m.ID <= o.maxRecoveredID {
 		return o.relay.resumed(m, nil)
 	}
 	return o.relay.taken(m)
@@ -234,15 +234,15 @@
 	o := r.owed
 	var news []notice
 	for _, e := range all {
-		if r.msgs[e.ID] != nil || o.ending[e.ID].ID != 0 {
+		if r.msgs[e.ID] != nil || o.unconfirmed[e.ID].ID != 0 {
 			continue // on its way, or told
 		}
-		o.ending[e.ID] = e.Ref
+		o.unconfirmed[e.ID] = e.Ref
 		o.ended++
 		if m, err := wal.Unmarshal(e.Data); err == nil {
-			r.figures.ended(&message{Message: m}, outOfTime)
+			r.figures.ended(&message{Message: m}, expiredFinal)
 		}
-		news = append(news, newNotice(e.ID, e.Trace, outOfTime))
+		news = append(news, newNotice(e.ID, e.Trace, expiredFinal))
 	}
 	r.finals.add(news...)
 }
@@ -253,18 +253,18 @@
 	var ms []*message
 	var news []*wal.Message
 	for _, e := range all {
-		if r.msgs[e.ID] != nil || o.ending[e.ID].ID != 0 {
+		if r.msgs[e.ID] != nil || o.unconfirmed[e.ID].ID != 0 {
 			continue
 		}
 		m, err := wal.Unmarshal(e.Data)
 		if err != nil {
 			r.log.Error("a message of the backlog can't be read", "id", e.Trace, "err", err)
-			o.ending[e.ID] = e.Ref
+			o.unconfirmed[e.ID] = e.Ref
 			r.finals.add(newNotice(e.ID, e.Trace, wal.Final{}))
 			continue
 		}
 		m.Deadline = o.restoredTime(e.Deadline)
-		ms, news = append(ms, &message{Message: m, move: entering}), append(news, m)
+		ms, news = append(ms, &message{Message: m, move: movingToMemory}), append(news, m)
 	}
 	if len(news) == 0 {
 		return
@@ -273,12 +273,12 @@
 		if !r.full {
 			r.log.Warn("the backlog waits for the log", "err", err)
 		}
-		o.hold = clock.Now().Add(storeRetry)
+		o.loadAfter = clock.Now().Add(storeRetryInterval)
 		return
 	}
 	for _, m := range ms {
 		m.seq = r.wal.Written()
 		r.msgs[m.ID], r.traces[m.Trace] = m, m
 	}
-	o.in = append(o.in, ms...)
+	o.incoming = append(o.incoming, ms...)
 }
--- a/internal/relay/lifecycle_test.go
+++ b/internal/relay/lifecycle_test.go
@@ -36,7 +36,7 @@
 	}
 	m := r.traces["m1"]
 	settle(t, r, "its first call ends", func() bool { return m.out == 0 })
-	r.carryOut([]policy.Action{{Kind: policy.Fail, ID: m.ID}}, nil)
+	r.execute([]policy.Action{{Kind: policy.Fail, ID: m.ID}}, nil)
 	r.step([]any{confirmed{[]uint32{m.ID}}})
 	var life []string
 	last := string(stateNew)
--- a/internal/relay/memories.go
+++ b/internal/relay/memories.go
@@ -18,7 +18,7 @@
 // What is known of partners outlasts the process in a file of its own, put down from time to time and at a planned end. It
 // is worth nothing but time: one that is missing, torn or old does no harm.
 
-const memoriesName = "partners.json"
+const memoriesFile = "partners.json"
 
 var errNoMemories = errors.New("relay: no memories")
 
@@ -29,16 +29,16 @@
 	Memories []policy.Memory
 }
 
-// memoriesMost is the file's size at most, in bytes.
-func memoriesMost(cfg Config) int64 { return min(128<<10, int64(cfg.Limits.DiskMB*1e6/16)) }
+// maxMemoriesSize is the file's size at most, in bytes.
+func maxMemoriesSize(cfg Config) int64 { return min(128<<10, int64(cfg.Limits.DiskMB*1e6/16)) }
 
-// putDown writes what is known. The loop calls it; writing is done beside it, one at a time.
-func (r *Relay) putDown() {
+// saveMemories writes what is known. The loop calls it; writing is done beside it, one at a time.
+func (r *Relay) saveMemories() {
 	if r.cfg.MemoriesEvery <= 0 || clock.Since(r.putAt) < r.cfg.MemoriesEvery || !r.putting.CompareAndSwap(false, true) {
 		return
 	}
 	r.putAt = clock.Now()
-	data, err := r.memoriesNow()
+	data, err := r.encodeMemories()
 	if err != nil {
 		r.putting.Store(false)
 		return
@@ -49,7 +49,7 @@
 	}()
 }
 
-func (r *Relay) memoriesNow() ([]byte, error) {
+func (r *Relay) encodeMemories() ([]byte, error) {
 	text, err := json.Marshal(memories{r.wal.Stamp(clock.Now()), r.now(), r.sender.Memories()})
 	if err != nil {
 		return nil, fmt.Errorf("relay: memories: %w", err)
@@ -58,10 +58,10 @@
 }
 
 func (r *Relay) writeMemories(data []byte) {
-	if int64(len(data)) > memoriesMost(r.cfg) {
+	if int64(len(data)) > maxMemoriesSize(r.cfg) {
 		return
 	}
-	path := filepath.Join(r.cfg.StateDir, memoriesName)
+	path := filepath.Join(r.cfg.StateDir, memoriesFile)
 	err := os.WriteFile(path+".tmp", data, 0o600)
 	if err == nil {
 		err = os.Rename(path+".tmp", path)
@@ -71,22 +71,22 @@
 	}
 }
 
-// putDownLast is the last one, at a planned end, when the loop is over.
-func (r *Relay) putDownLast() {
+// saveMemoriesAtExit is the last one, at a planned end, when the loop is over.
+func (r *Relay) saveMemoriesAtExit() {
 	if r.cfg.MemoriesEvery <= 0 || r.heir != nil {
 		return
 	}
 	for !r.putting.CompareAndSwap(false, true) {
 		time.Sleep(time.Millisecond)
 	}
-	if data, err := r.memoriesNow(); err == nil {
+	if data, err := r.encodeMemories(); err == nil {
 		r.writeMemories(data)
 	}
 }
 
 // readMemories reads what a process before has put down.
 func readMemories(dir string) (m memories, err error) {
-	data, err := os.ReadFile(filepath.Join(dir, memoriesName))
+	data, err := os.ReadFile(filepath.Join(dir, memoriesFile))
 	if errors.Is(err, fs.ErrNotExist) {
 		return m, errNoMemories
 	} else if err != nil {
@@ -102,8 +102,8 @@
 	return m, nil
 }
 
-// recall has the module know what a process before knew. The list came first.
-func (r *Relay) recall() {
+// restoreMemories has the module know what a process before knew. The list came first.
+func (r *Relay) restoreMemories() {
 	m := r.recalled
 	if len(m.Memories) == 0 {
 		return
--- a/internal/relay/pool.go
+++ b/internal/relay/pool.go
@@ -14,12 +14,12 @@
 	"onyxroad.dev/onyxroad/internal/sockets"
 )
 
-// roomPause is how long a call waits before it looks for a free connection or descriptor again.
-const roomPause = 20 * time.Millisecond
+// connRetryInterval is how long a call waits before it looks for a free connection or descriptor again.
+const connRetryInterval = 20 * time.Millisecond
 
 var (
 	errTooManyConns = errors.New("all connections that the relay may hold are in use")
-	errClosed       = errors.New("no more connections are opened")
+	errPoolClosed   = errors.New("no more connections are opened")
 )
 
 // peer is a host at an address. Another host may come up at an address that was in use: it has other connections.
@@ -31,8 +31,8 @@
 type pool struct {
 	dial           func(ctx context.Context, network, addr string) (net.Conn, error)
 	connectTimeout time.Duration
-	idleFor        time.Duration
-	most           int // connections
+	idleTimeout    time.Duration
+	maxConns       int // connections
 
 	mu     sync.Mutex
 	idle   map[peer][]*hostConn // the last used last
@@ -43,63 +43,63 @@
 // hostConn is a connection to a host.
 type hostConn struct {
 	*conn
-	pool  *pool
-	peer  peer
-	since time.Time // idle since then
-	timer *time.Timer
+	pool      *pool
+	peer      peer
+	idleSince time.Time // idle since then
+	timer     *time.Timer
 }
 
 func newPool(cfg Config) *pool {
 	return &pool{
 		dial:           sockets.NewDialer(0).DialContext,
 		connectTimeout: cfg.ConnectTimeout,
-		idleFor:        time.Duration(idleShare * float64(cfg.KeepAlive)),
-		most:           cfg.Limits.Sockets * 3 / 8,
+		idleTimeout:    time.Duration(idleTimeoutRatio * float64(cfg.KeepAlive)),
+		maxConns:       cfg.Limits.Sockets * 3 / 8,
 		idle:           map[peer][]*hostConn{},
 	}
 }
 
 // get returns an idle connection to a host, else a new one; fresh tells which.
-func (p *pool) get(ctx context.Context, to peer) (c *hostConn, fresh bool, err error) {
+func (p *pool) get(ctx context.Context, to peer) (c *hostConn, isNew bool, err error) {
 	for c := p.takeIdle(to); c != nil; c = p.takeIdle(to) {
-		if _, quiet := c.unwatch(); quiet && clock.Since(c.since) < p.idleFor {
+		if _, quiet := c.unwatch(); quiet && clock.Since(c.idleSince) < p.idleTimeout {
 			return c, false, nil
 		}
-		c.drop() // closed by the host, or something came that no call had asked for
+		c.discard() // closed by the host, or something came that no call had asked for
 	}
 	ctx, cancel := context.WithTimeout(ctx, p.connectTimeout)
 	defer cancel()
 	for {
 		c, err = p.connect(ctx, to)
-		if err == nil || !scarce(err) || errors.Is(err, errClosed) {
+		if err == nil || !isLocalShortage(err) || errors.Is(err, errPoolClosed) {
 			return c, true, err
 		}
 		p.mu.Lock()
-		p.evict()
+		p.evictOldest()
 		p.mu.Unlock()
 		select {
 		case <-ctx.Done():
 			return nil, false, err
-		case <-time.After(roomPause):
+		case <-time.After(connRetryInterval):
 		}
 	}
 }
 
-// scarce tells whether a connection did not come up for want of what this relay may hold: that says nothing of the host.
-func scarce(err error) bool {
-	return errors.Is(err, errTooManyConns) || errors.Is(err, errClosed) || errors.Is(err, syscall.EMFILE) || errors.Is(err, syscall.ENFILE) ||
+// isLocalShortage tells whether a connection did not come up for want of what this relay may hold: that says nothing of the host.
+func isLocalShortage(err error) bool {
+	return errors.Is(err, errTooManyConns) || errors.Is(err, errPoolClosed) || errors.Is(err, syscall.EMFILE) || errors.Is(err, syscall.ENFILE) ||
 		errors.Is(err, syscall.ENOBUFS) || errors.Is(err, syscall.ENOMEM) || errors.Is(err, syscall.EADDRNOTAVAIL)
 }
 
 func (p *pool) connect(ctx context.Context, to peer) (*hostConn, error) {
 	p.mu.Lock()
-	if p.open >= p.most {
-		p.evict()
+	if p.open >= p.maxConns {
+		p.evictOldest()
 	}
-	if p.closed || p.open >= p.most {
+	if p.closed || p.open >= p.maxConns {
 		defer p.mu.Unlock()
 		if p.closed {
-			return nil, errClosed
+			return nil, errPoolClosed
 		}
 		return nil, errTooManyConns
 	}
@@ -128,36 +128,36 @@
 	return c
 }
 
-// keep puts a connection into the pool for the next call.
-func (c *hostConn) keep() {
+// release puts a connection into the pool for the next call.
+func (c *hostConn) release() {
 	p := c.pool
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.closed {
-		p.drop(c)
+		p.discard(c)
 		return
 	}
-	c.since = clock.Now()
+	c.idleSince = clock.Now()
 	dropIdle := func() {
 		p.mu.Lock()
 		defer p.mu.Unlock()
 		if p.remove(c) {
-			p.drop(c)
+			p.discard(c)
 		}
 	}
-	c.timer = time.AfterFunc(p.idleFor, dropIdle)
+	c.timer = time.AfterFunc(p.idleTimeout, dropIdle)
 	p.idle[c.peer] = append(p.idle[c.peer], c)
 	c.watch(dropIdle)
 }
 
-func (c *hostConn) drop() {
+func (c *hostConn) discard() {
 	c.pool.mu.Lock()
 	defer c.pool.mu.Unlock()
-	c.pool.drop(c)
+	c.pool.discard(c)
 }
 
-// drop, remove and evict are called with mu held.
-func (p *pool) drop(c *hostConn) {
+// discard, remove and evict are called with mu held.
+func (p *pool) discard(c *hostConn) {
 	p.open--
 	c.Close()
 }
@@ -176,17 +176,17 @@
 	return true
 }
 
-// evict closes the connection that has been idle longest.
-func (p *pool) evict() {
+// evictOldest closes the connection that has been idle longest.
+func (p *pool) evictOldest() {
 	var oldest *hostConn
 	for _, list := range p.idle {
-		if c := list[0]; oldest == nil || c.since.Before(oldest.since) {
+		if c := list[0]; oldest == nil || c.idleSince.Before(oldest.idleSince) {
 			oldest = c
 		}
 	}
 	if oldest != nil {
 		p.remove(oldest)
-		p.drop(oldest)
+		p.discard(oldest)
 	}
 }
 
@@ -196,23 +196,23 @@
 	defer p.mu.Unlock()
 	for to := range p.idle {
 		if to.route == route {
-			p.dropAll(to)
+			p.discardIdle(to)
 		}
 	}
 }
 
-func (p *pool) dropAll(to peer) {
+func (p *pool) discardIdle(to peer) {
 	for _, c := range slices.Clone(p.idle[to]) {
 		p.remove(c)
-		p.drop(c)
+		p.discard(c)
 	}
 }
 
-// bound changes how many connections there may be.
-func (p *pool) bound(most int) {
+// setMaxConns changes how many connections there may be.
+func (p *pool) setMaxConns(most int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.most = most
+	p.maxConns = most
 }
 
 // close closes all idle connections and keeps none from here on.
@@ -221,6 +221,6 @@
 	defer p.mu.Unlock()
 	p.closed = true
 	for to := range p.idle {
-		p.dropAll(to)
+		p.discardIdle(to)
 	}
 }
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -88,9 +88,9 @@
 	next     *message // withdrawn and handed in once more: what it goes on as
 
 	// Where a backlog is kept; see overflow and window.
-	cell      *cell // nil: the module does not have it
-	place     int   // among those of the cell that were never sent; -1: sent
-	move      move
+	cell      *destWindow // nil: the module does not have it
+	place     int         // among those of the cell that were never sent; -1: sent
+	move      transfer
 	dropped   bool // on its way, and owed no more
 	refused   bool // its client was told so, without a notice
 	confirmed bool // on its way, and its notice was taken
@@ -100,9 +100,9 @@
 type Relay struct {
 	cfg     Config
 	log     *slog.Logger
-	hosts   *hosts
+	hosts   *hostClient
 	clients *clients
-	finals  *finals
+	finals  *noticeSender
 	agent   *agent
 	events  chan any
 	over    chan struct{} // closed when the loop has ended
@@ -124,8 +124,8 @@
 
 	// Set before the loop begins.
 	listener *net.TCPListener // nil until it is there
-	parent   *link            // to the process that handed over to this one; nil if none did
-	legacy   estate           // what that one told
+	parent   *handoverLink    // to the process that handed over to this one; nil if none did
+	legacy   handoverState    // what that one told
 	memory   int64            // the limit of all processes
 	endAdmin func()
 
@@ -144,19 +144,19 @@
 	held         int          // messages that the module has not done with
 	out          int          // calls
 	lastID       uint32
-	flying       map[*call]struct{}  // calls out
-	lock         *os.File            // the log's; nil without it
-	heir         *link               // to the process that this one has handed over to
-	foreign      map[outKey]*attempt // out at the process before
-	barred       map[string]bool     // endpoints out by hand, as the module has heard
-	outOfService outages             // endpoints that may get nothing new
-	wakeAt       time.Time           // zero: none asked for
-	later        []policy.Event      // for the next step
-	full         bool                // the log took no new work last
-	owed         *overflow           // nil: no backlog is kept
-	kept         []any               // came while the loop waited for a job, for the next step
-
-	promises []promise // wait for the disk, oldest first
+	flying       map[*call]struct{}      // calls out
+	lock         *os.File                // the log's; nil without it
+	heir         *handoverLink           // to the process that this one has handed over to
+	foreign      map[attemptKey]*attempt // out at the process before
+	barred       map[string]bool         // endpoints out by hand, as the module has heard
+	outOfService outages                 // endpoints that may get nothing new
+	wakeAt       time.Time               // zero: none asked for
+	later        []policy.Event          // for the next step
+	full         bool                    // the log took no new work last
+	owed         *backlogQueue           // nil: no backlog is kept
+	kept         []any                   // came while the loop waited for a job, for the next step
+
+	promises []pendingStep // wait for the disk, oldest first
 	withheld []withheldAnswer
 	synced   chan struct{} // holds one: the disk has something more
 	worn     bool          // the disk has failed the log
@@ -185,7 +185,7 @@
 		return nil, fmt.Errorf("relay: %w", err)
 	}
 	r := &Relay{
-		cfg: cfg, log: log, hosts: newHosts(cfg), agent: newAgent(cfg.Discovery),
+		cfg: cfg, log: log, hosts: newHostClient(cfg), agent: newAgent(cfg.Discovery),
 		events: make(chan any, eventRoom), over: make(chan struct{}), idle: make(chan struct{}),
 		started: clock.Now().Add(-clockStart), sender: sender, handed: make(chan struct{}),
 		byHand: newExclusions(log, cfg.StateDir), barred: map[string]bool{},
@@ -193,9 +193,9 @@
 		cells: map[int]bool{}, figures: newFigures(cfg.Classes), endAdmin: func() {},
 		synced: make(chan struct{}, 1), guard: invariant.New(log), traced: log.Enabled(ctx, slog.LevelDebug), pid: os.Getpid(), begun: clock.Now(),
 		resubmitted: resubmissions{inform: rate.Sometimes{First: 1, Interval: time.Second}}, outOfService: outages{},
-		flying: map[*call]struct{}{}, foreign: map[outKey]*attempt{}, memory: debug.SetMemoryLimit(-1),
+		flying: map[*call]struct{}{}, foreign: map[attemptKey]*attempt{}, memory: debug.SetMemoryLimit(-1),
 	}
-	r.hosts.sent = func(c *call) {
+	r.hosts.onWritten = func(c *call) {
 		for _, a := range c.attempts {
 			r.figures.of(a.m.Class).sends.Add(1)
 		}
@@ -203,7 +203,7 @@
 	// Clients hold a third of the descriptors with their requests; more is for those that are slow to leave.
 	r.clients = newClients(log, cfg.Limits.Sockets*9/20, r.request)
 	r.clients.guard, r.hosts.guard = r.guard, r.guard
-	r.finals = newFinals(log, r.agent, func(ids []uint32) { r.post(confirmed{ids}) })
+	r.finals = newNoticeSender(log, r.agent, func(ids []uint32) { r.post(confirmed{ids}) })
 	// Before the old process gives anything away: what can fail has failed by then.
 	if cfg.Admin != "" {
 		l, err := listen(ctx, log, "operators", cfg.Admin)
@@ -237,17 +237,17 @@
 	r.resume() // before clients are told that the relay is ready
 	go r.loop(work)
 	if r.parent != nil {
-		go r.heed(r.parent)
+		go r.readPredecessor(r.parent)
 	}
 	talk, quiet := context.WithCancel(work)
 	defer quiet()
 	go r.finals.run(talk)
 	list := watcher{
-		log: r.log, agent: r.agent, silence: watchSilence, version: r.cfg.Known.Version,
-		fleet: r.cfg.Settings.Senders, random: rand.Float64, sleep: sleep, now: clock.Now,
+		log: r.log, agent: r.agent, timeout: watchTimeout, version: r.cfg.Known.Version,
+		fleetSize: r.cfg.Settings.Senders, random: rand.Float64, sleep: sleep, now: clock.Now,
 		// A list that the process before handed over has to be followed at once: together the two know no less.
-		held: len(r.cfg.Known.Entries) > 0 && r.parent == nil,
-		told: func(l List) { r.post(l) },
+		hasList: len(r.cfg.Known.Entries) > 0 && r.parent == nil,
+		onList:  func(l List) { r.post(l) },
 	}
 	go list.run(talk)
 
@@ -262,7 +262,7 @@
 		joining.Go(func() { r.cfg.Duties.Run(talk, r.fleet.members) })
 	}
 	r.log.Info("serving", "name", r.cfg.Name, "listen", r.listener.Addr().String())
-	defer r.heirs()()
+	defer r.serveHandovers()()
 	select {
 	case <-ctx.Done():
 		r.shutDown(r.listener)
@@ -272,7 +272,7 @@
 		if err := r.fleet.end(false); err != nil {
 			r.log.Warn("fleet", "err", err)
 		}
-		r.stepAside(ctx, r.listener)
+		r.drainAfterHandover(ctx, r.listener)
 	}
 	quiet()
 	stopCalls()
@@ -280,8 +280,8 @@
 	stop()
 	<-r.over
 	r.hosts.close()
-	r.putDownLast()
-	err := r.endLog()
+	r.saveMemoriesAtExit()
+	err := r.closeLog()
 	if r.lock != nil {
 		err = errors.Join(err, r.lock.Close())
 	}
@@ -351,12 +351,12 @@
 	evs = r.heardByHand(evs)
 	if r.parent != nil {
 		// The list first: what is remembered needs it.
-		r.carryOut(r.sender.Step(r.now(), evs), nil)
+		r.execute(r.sender.Step(r.now(), evs), nil)
 		r.sender.Remember(r.legacy.Memories)
 		evs = nil
 	} else if len(r.recalled.Memories) > 0 && len(r.routes) > 0 {
-		r.carryOut(r.sender.Step(r.now(), evs), nil)
-		r.recall()
+		r.execute(r.sender.Step(r.now(), evs), nil)
+		r.restoreMemories()
 		evs = nil
 	}
 	var ended []*message
@@ -393,9 +393,9 @@
 			r.figures.ended(m, wal.Final{})
 			r.wal.Decide(w, wal.Final{})
 			ended = append(ended, m)
-		case r.owed.keeps(m):
+		case r.owed.admitRecovered(m):
 			r.held++
-			r.owed.enter(m)
+			r.owed.add(m)
 			evs = append(evs, r.resumed(m, out))
 		}
 	}
@@ -405,12 +405,12 @@
 	for _, o := range r.legacy.Out {
 		if m := r.msgs[o.ID]; m != nil {
 			c := &call{route: o.Route, zone: r.routes[o.Route].Zone, sent: r.started.Add(o.Sent)}
-			r.foreign[outKey{o.ID, o.Attempt}] = &attempt{call: c, m: m, n: o.Attempt, over: o.Cut}
+			r.foreign[attemptKey{o.ID, o.Attempt}] = &attempt{call: c, m: m, n: o.Attempt, settled: o.Cut}
 		}
 	}
-	r.legacy = estate{}
-	r.tellEnds(ended)
-	r.carryOut(r.sender.Step(r.now(), evs), nil)
+	r.legacy = handoverState{}
+	r.recordEnds(ended)
+	r.execute(r.sender.Step(r.now(), evs), nil)
 }
 
 // resumed tells the module of a message of an earlier process, in the module's own time. out is the attempt that is
@@ -458,15 +458,15 @@
 		case <-timer.C:
 		case <-r.byHand.changed:
 		case <-r.synced:
-			r.tend()
+			r.maintainLog()
 			continue
 		case <-gauges.C:
 			r.publish() // a skip may have run out
-			r.owed.tell()
+			r.owed.publish()
 			r.checkBounds()
 			if r.heir == nil {
-				r.tend()
-				r.putDown()
+				r.maintainLog()
+				r.saveMemories()
 				r.byHand.keepLate()
 				r.owed.tend()
 			}
@@ -520,7 +520,7 @@
 	routes := map[string]target{}
 	var gone []string
 	for _, raw := range l.Entries {
-		entry, addr, err := r.cfg.listing(raw)
+		entry, addr, err := r.cfg.parseListing(raw)
 		if err != nil {
 			r.log.Warn("unreadable entry of the list", "entry", string(raw), "err", err)
 			if known, ok := r.routes[entry.Route]; ok {
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -126,7 +126,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { c.Close() })
-	c.SetDeadline(time.Now().Add(patience))
+	c.SetDeadline(time.Now().Add(testTimeout))
 	if _, err := io.WriteString(c, text); err != nil {
 		t.Fatal(err)
 	}
@@ -266,8 +266,8 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
 	w := watcher{
-		log: quiet(), agent: newAgent(addrOf(s)), silence: 50 * time.Millisecond, version: 4,
-		told: func(l List) { told <- l }, sleep: sleep, now: time.Now,
+		log: quiet(), agent: newAgent(addrOf(s)), timeout: 50 * time.Millisecond, version: 4,
+		onList: func(l List) { told <- l }, sleep: sleep, now: time.Now,
 	}
 	go w.run(ctx)
 	for _, want := range []string{"4", "9"} {
@@ -276,7 +276,7 @@
 			if l := <-told; got != want || l.Version != 9 || !l.Full {
 				t.Errorf("watch from %s, want %s; told %+v", got, want, l)
 			}
-		case <-time.After(patience):
+		case <-time.After(testTimeout):
 			t.Fatalf("no watch from %s", want)
 		}
 	}
@@ -304,7 +304,7 @@
 		var pauses []time.Duration
 		start := time.Now()
 		w := watcher{
-			log: quiet(), agent: newAgent(addrOf(s)), silence: patience, fleet: c.fleet, held: c.held,
+			log: quiet(), agent: newAgent(addrOf(s)), timeout: testTimeout, fleetSize: c.fleet, hasList: c.held,
 			random: func() float64 { return 0.5 }, now: func() time.Time { return start },
 			sleep: func(_ context.Context, d time.Duration) {
 				if pauses = append(pauses, d); calls.Load() == 8 {
@@ -338,9 +338,9 @@
 		"down after a move":      {nil, 0, true, 3500 * time.Millisecond},
 		"turned away":            {func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(503) }, 0, false, 5500 * time.Millisecond},
 		"ended at once":          {func(http.ResponseWriter, *http.Request) {}, 0, false, 5500 * time.Millisecond},
-		"hanging":                {func(_ http.ResponseWriter, req *http.Request) { <-req.Context().Done() }, watchSilence, false, time.Second},
-		"silent from the start":  {hang, watchSilence, false, time.Second},
-		"silent after its start": {func(w http.ResponseWriter, req *http.Request) { fmt.Fprint(w, "\n"); hang(w, req) }, watchSilence, false, time.Second},
+		"hanging":                {func(_ http.ResponseWriter, req *http.Request) { <-req.Context().Done() }, watchTimeout, false, time.Second},
+		"silent from the start":  {hang, watchTimeout, false, time.Second},
+		"silent after its start": {func(w http.ResponseWriter, req *http.Request) { fmt.Fprint(w, "\n"); hang(w, req) }, watchTimeout, false, time.Second},
 	} {
 		t.Run(name, func(t *testing.T) {
 			addr := "127.0.0.1:1"
@@ -353,12 +353,12 @@
 			defer cancel()
 			clock, pauses := time.Now(), 0
 			w := watcher{
-				log: quiet(), agent: newAgent(addr), silence: 20 * time.Millisecond, fleet: 300, moved: c.moved,
+				log: quiet(), agent: newAgent(addr), timeout: 20 * time.Millisecond, fleetSize: 300, moved: c.moved,
 				random: func() float64 { return 1 },
 				now:    func() time.Time { return clock },
 			}
 			w.sleep = func(_ context.Context, d time.Duration) {
-				if d > c.most || d < retryFirst {
+				if d > c.most || d < minRetryDelay {
 					t.Errorf("pause %d lasts %v, want %v at most", pauses+1, d, c.most)
 				}
 				if pauses++; pauses == 6 {
@@ -394,7 +394,7 @@
 	defer cancel()
 	var pauses []time.Duration
 	w := watcher{
-		log: quiet(), agent: newAgent(addrOf(s)), silence: patience, fleet: 300, held: true,
+		log: quiet(), agent: newAgent(addrOf(s)), timeout: testTimeout, fleetSize: 300, hasList: true,
 		random: func() float64 { return 1 }, now: time.Now,
 		sleep: func(_ context.Context, d time.Duration) {
 			if pauses = append(pauses, d); len(pauses) == 3 {
@@ -422,7 +422,7 @@
 	told, ended := make(chan List, 100), make(chan struct{})
 	agent := newAgent(addrOf(away))
 	w := watcher{
-		log: quiet(), agent: agent, silence: patience, version: 4, told: func(l List) { told <- l; cancel() },
+		log: quiet(), agent: agent, timeout: testTimeout, version: 4, onList: func(l List) { told <- l; cancel() },
 		random: func() float64 { return 0.5 }, now: time.Now,
 		sleep: func(here context.Context, _ time.Duration) {
 			agent.move(addrOf(s))
@@ -457,7 +457,7 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	ended := make(chan struct{})
 	defer func() { cancel(); <-ended }()
-	w := watcher{log: quiet(), agent: newAgent(addrOf(s)), silence: patience, version: 4, told: func(l List) { told <- l }, sleep: sleep, now: time.Now}
+	w := watcher{log: quiet(), agent: newAgent(addrOf(s)), timeout: testTimeout, version: 4, onList: func(l List) { told <- l }, sleep: sleep, now: time.Now}
 	go func() { w.run(ctx); close(ended) }()
 	for _, want := range []int64{7, 8} {
 		select {
@@ -465,7 +465,7 @@
 			if l.Version != want || l.Full != (want == 7) {
 				t.Errorf("told %+v, want version %d", l, want)
 			}
-		case <-time.After(patience):
+		case <-time.After(testTimeout):
 			t.Fatalf("never told version %d", want)
 		}
 	}
@@ -496,7 +496,7 @@
 	}))
 	defer s.Close()
 	taken := make(chan []uint32, 10)
-	f := newFinals(quiet(), newAgent(addrOf(s)), func(ids []uint32) { taken <- ids })
+	f := newNoticeSender(quiet(), newAgent(addrOf(s)), func(ids []uint32) { taken <- ids })
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
 	f.add(notice{id: 1, ID: "a", Status: "undeliverable"}, notice{id: 2, ID: "b", Status: "deferred", AgainMS: 500})
@@ -506,7 +506,7 @@
 		if len(ids) != 2 || lines != 2 || posts != 3 {
 			t.Errorf("taken %v after %d requests, %d lines", ids, posts, lines)
 		}
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		t.Fatal("never taken")
 	}
 }
@@ -526,7 +526,7 @@
 	defer s.Close()
 	defer close(silent)
 	taken := make(chan []uint32, 1)
-	f := newFinals(quiet(), newAgent(addrOf(s)), func(ids []uint32) { taken <- ids })
+	f := newNoticeSender(quiet(), newAgent(addrOf(s)), func(ids []uint32) { taken <- ids })
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
 	f.add(notice{id: 1, ID: "a", Status: "undeliverable"})
@@ -534,10 +534,10 @@
 	go f.run(ctx)
 	select {
 	case <-taken:
-		if took := time.Since(began); took > noticeMost*3/4 {
+		if took := time.Since(began); took > maxNoticeTimeout*3/4 {
 			t.Errorf("the notice was taken after %v", took)
 		}
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		t.Fatal("never taken")
 	}
 }
@@ -554,7 +554,7 @@
 	sent := 0
 	for _, c := range calls {
 		sent += len(c.attempts)
-		if body := bundle(c); len(c.attempts) > 1 && (len(body) > bodyMost || len(body) > c.size) {
+		if body := bundleBody(c); len(c.attempts) > 1 && (len(body) > bodyMost || len(body) > c.size) {
 			t.Errorf("%d messages in %d bytes, %d counted", len(c.attempts), len(body), c.size)
 		}
 	}
@@ -621,7 +621,7 @@
 			return
 		}
 		for _, raw := range l.Entries {
-			entry, addr, err := c.listing(raw)
+			entry, addr, err := c.parseListing(raw)
 			if err == nil && (entry.Route == "" || !entry.Gone && (addr == "" || entry.Zone < 0 || entry.Kind < 0)) {
 				t.Errorf("%s passes as %+v at %q", raw, entry, addr)
 			}
--- a/internal/relay/resubmission_test.go
+++ b/internal/relay/resubmission_test.go
@@ -92,12 +92,12 @@
 }
 
 func TestAMessageThatEndedInTheBacklogIsNotTakenOnAgain(t *testing.T) {
-	b := newBacklogged(t, &shelf{all: map[uint32]owed.Entry{}}, crashdisk.New(), 64)
-	b.hand(100, 0, 7, time.Hour)
-	b.settle()
+	b := newBacklogRelay(t, &memoryStore{all: map[uint32]owed.Entry{}}, crashdisk.New(), 64)
+	b.submit(100, 0, 7, time.Hour)
+	b.runJobs()
 	in := newHandIn("late", 7, 300*time.Millisecond)
 	b.step([]any{in})
-	b.settle()
+	b.runJobs()
 	if _, ok, _ := b.s.Find("late"); !ok {
 		t.Fatal("not on disk")
 	}
@@ -109,10 +109,10 @@
 			j.run(b.s)
 			b.step([]any{j})
 		}
-		return b.owed.ending[in.m.ID].ID != 0
+		return b.owed.unconfirmed[in.m.ID].ID != 0
 	})
 	b.step([]any{confirmed{[]uint32{in.m.ID}}})
-	b.settle()
+	b.runJobs()
 	if _, ok, _ := b.s.Find("late"); ok {
 		t.Fatal("still on disk")
 	}
@@ -121,7 +121,7 @@
 	if a, ok := answered(again); !ok || a.status < 500 {
 		t.Errorf("answered %+v, %v", a, ok)
 	}
-	if how, ok := b.wal.Completed("late"); !ok || how != wal.CompletionOf(outOfTime) {
+	if how, ok := b.wal.Completed("late"); !ok || how != wal.CompletionOf(expiredFinal) {
 		t.Errorf("remembered as %v, %v", how, ok)
 	}
 }
--- a/internal/relay/revoked_test.go
+++ b/internal/relay/revoked_test.go
@@ -22,13 +22,13 @@
 		fmt.Fprint(conn, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
 		return true
 	})
-	h := testHosts(t, testConfig())
-	h.do(t.Context(), newCall(addr, "a"), yes)
+	h := newTestHostClient(t, testConfig())
+	h.do(t.Context(), newCall(addr, "a"), alwaysAllowed)
 	ended, late := newCall(addr, "ended"), newCall(addr, "late", "in time")
 	ended.revoke()
-	late.attempts[0].until = time.Now()
+	late.attempts[0].deadline = time.Now()
 	for _, c := range []*call{ended, late} {
-		if r := h.do(t.Context(), c, yes); r[0].outcome != policy.Moot {
+		if r := h.do(t.Context(), c, alwaysAllowed); r[0].outcome != policy.Moot {
 			t.Errorf("%s: outcome %v", c.attempts[0].m.Trace, r[0].outcome)
 		}
 	}
@@ -36,7 +36,7 @@
 		t.Errorf("the host saw %d requests", n)
 	}
 	left := newCall(addr, "left")
-	if h.do(t.Context(), left, yes); left.revoke() {
+	if h.do(t.Context(), left, alwaysAllowed); left.revoke() {
 		t.Error("a call was revoked that had left")
 	}
 }
@@ -79,7 +79,7 @@
 
 func TestAMessageThatEndsWhileItsConnectionComesUpDoesNotLeaveWithTheRest(t *testing.T) {
 	for name, end := range map[string]func(r *Relay, a *attempt){
-		"refused":     func(r *Relay, a *attempt) { r.carryOut([]policy.Action{{Kind: policy.Refuse, ID: a.m.ID}}, nil) },
+		"refused":     func(r *Relay, a *attempt) { r.execute([]policy.Action{{Kind: policy.Refuse, ID: a.m.ID}}, nil) },
 		"client left": func(r *Relay, a *attempt) { r.step([]any{withdrawal{a.m.ID}}) },
 		"cut off":     func(r *Relay, a *attempt) { r.step([]any{cutOff{a}}) },
 	} {
--- a/internal/relay/step.go
+++ b/internal/relay/step.go
@@ -21,11 +21,11 @@
 	evs := append([]policy.Event(nil), r.later...)
 	r.later = r.later[:0]
 	if r.heir != nil {
-		r.passOn(batch)
+		r.forwardStep(batch)
 		return
 	}
 	var asked []clearance
-	var heirs []takeover
+	var heirs []handoverRequest
 	var ins []*handIn
 	for _, e := range batch {
 		switch e := e.(type) {
@@ -44,19 +44,19 @@
 		case confirmed:
 			for _, id := range e.ids {
 				switch m := r.msgs[id]; {
-				case r.owed.confirmed(id):
-				case m != nil && m.move != staying:
+				case r.owed.confirm(id):
+				case m != nil && m.move != notMoving:
 					m.confirmed = true
 				case m != nil:
 					r.changed(m, stateTold, stateGone, reasonConfirmed)
 					r.complete(m, wal.CompletionOf(*m.Final))
 				}
 			}
-		case passedEnd:
-			evs = r.inherited(evs, e)
-		case alone:
-			evs = r.bereft(evs)
-		case takeover:
+		case forwardedOutcome:
+			evs = r.applyForwardedOutcome(evs, e)
+		case predecessorGone:
+			evs = r.endPredecessorAttempts(evs)
+		case handoverRequest:
 			heirs = append(heirs, e)
 		case *job:
 			evs = r.owed.finished(evs, e)
@@ -75,16 +75,16 @@
 			case m.Message != in.m: // a twin of one before it, or of one that is not on disk yet
 			case r.owed.divert(m):
 			case m.Attempts > 0:
-				r.owed.enter(m)
+				r.owed.add(m)
 				evs = append(evs, r.resumed(m, nil))
 			default:
-				r.owed.enter(m)
+				r.owed.add(m)
 				evs = append(evs, r.taken(m))
 			}
 		}
-		r.carryOut(r.sender.Step(now, evs), waiting)
+		r.execute(r.sender.Step(now, evs), waiting)
 	} else {
-		r.carryOut(nil, waiting)
+		r.execute(nil, waiting)
 	}
 	for _, c := range asked {
 		c.reply <- !r.noSends && r.sender.MayStill(c.route, r.now(), c.ids...)
@@ -94,7 +94,7 @@
 		close(r.idle)
 	}
 	if r.owed != nil && !r.noSends {
-		r.owed.balance()
+		r.owed.evictExcess()
 		r.owed.tend()
 	}
 	r.answerTurnedAway()
@@ -108,7 +108,7 @@
 // owesNothing tells whether all is ended, and all outcomes are in.
 func (r *Relay) owesNothing() bool {
 	for _, m := range r.msgs {
-		if m.out > 0 || !m.Withdrawn && m.move == staying {
+		if m.out > 0 || !m.Withdrawn && m.move == notMoving {
 			return false
 		}
 	}
@@ -124,9 +124,9 @@
 		return evs
 	case m.shared || m.ended:
 		return evs
-	case m.move != staying:
+	case m.move != notMoving:
 		m.told = true
-		r.owed.drop(m)
+		r.owed.cancelTransfer(m)
 		return evs
 	}
 	r.changed(m, stateHeld, stateGone, reasonWithdrawn)
@@ -206,7 +206,7 @@
 func (r *Relay) attemptEnded(evs []policy.Event, a *attempt, res result) []policy.Event {
 	m := a.m
 	ok := res.outcome == policy.OK
-	if a.over {
+	if a.settled {
 		// It was cut off, and its call went on for others. A delivery still ends the message.
 		if ok {
 			evs = r.delivered(evs, m)
@@ -221,7 +221,7 @@
 	}
 	r.changed(m, stateOut, to, outcomeReasons[res.outcome], slog.String("endpoint", a.route), slog.Int("attempt", a.n),
 		slog.Duration("took", res.took), slog.Duration("wait", res.wait))
-	a.over = true
+	a.settled = true
 	if a.timer != nil {
 		a.timer.Stop()
 	}
@@ -255,7 +255,7 @@
 		m.ended = true
 		r.revokeCalls(m)
 		r.held--
-		r.owed.leave(m)
+		r.owed.remove(m)
 	}
 }
 
--- a/internal/relay/transient.go
+++ b/internal/relay/transient.go
@@ -115,11 +115,11 @@
 // is waited for, until ctx ends.
 func (r *Relay) begin(ctx context.Context) error {
 	for {
-		err := persist(ctx, r.log, "take the log over", startMost, r.takeUp)
+		err := persist(ctx, r.log, "take the log over", startMost, r.takeOver)
 		if !errors.Is(err, wal.ErrHeld) || ctx.Err() != nil {
 			return err
 		}
-		sleep(ctx, lockPause)
+		sleep(ctx, lockRetryInterval)
 		r.begun = clock.Now() // it could not have been ready before
 	}
 }
--- a/internal/relay/transient_test.go
+++ b/internal/relay/transient_test.go
@@ -118,7 +118,7 @@
 				t.Errorf("the end: %v", err)
 			}
 		}()
-		until := time.After(patience)
+		until := time.After(testTimeout)
 		for !r.serving.Load() {
 			select {
 			case err := <-done:
@@ -179,7 +179,7 @@
 			}
 			m := r.traces["m1"]
 			sick.Store(true)
-			r.carryOut([]policy.Action{{Kind: policy.Fail, ID: m.ID}}, nil)
+			r.execute([]policy.Action{{Kind: policy.Fail, ID: m.ID}}, nil)
 			if len(r.finals.queue) > 0 {
 				t.Error("told before it is in the log")
 			}
@@ -188,7 +188,7 @@
 			}
 			told := time.Time{}
 			eventually(t, "the end is told", func() bool {
-				r.tend()
+				r.maintainLog()
 				told = time.Now()
 				return len(r.finals.queue) > 0
 			})
@@ -224,7 +224,7 @@
 	m := r.traces["m1"]
 	for range 5 {
 		r.step(nil)
-		r.tend()
+		r.maintainLog()
 	}
 	if r.out > 0 || m.sends != 1 || m.out != 1 {
 		t.Errorf("while the disk fails: %d calls out, %d sends", r.out, m.sends)
@@ -233,7 +233,7 @@
 		t.Errorf("%d endpoints avoided for what the disk did", n)
 	}
 	writes.Store(1000)
-	eventually(t, "the call leaves", func() bool { r.step(nil); r.tend(); return r.out > 0 })
+	eventually(t, "the call leaves", func() bool { r.step(nil); r.maintainLog(); return r.out > 0 })
 	if len(m.MayRun) != 1 {
 		t.Errorf("recorded %+v", m.MayRun)
 	}
@@ -250,14 +250,14 @@
 	failed := make(chan time.Time, tries)
 	defer sockets.SetFaults(tellingFaults{newFailing(syscall.ENETUNREACH, tries, sockets.Connect), failed})()
 	taken := make(chan []uint32, 1)
-	f := newFinals(quiet(), newAgent(addrOf(s)), func(ids []uint32) { taken <- ids })
+	f := newNoticeSender(quiet(), newAgent(addrOf(s)), func(ids []uint32) { taken <- ids })
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
 	f.add(notice{id: 1, ID: "a", Status: "undeliverable"})
 	go f.run(ctx)
 	select {
 	case <-taken:
-	case <-time.After(2 * patience):
+	case <-time.After(2 * testTimeout):
 		t.Fatal("never taken")
 	}
 	var last time.Time
@@ -294,7 +294,7 @@
 		ctx, cancel := context.WithCancel(t.Context())
 		var longest time.Duration
 		w := watcher{
-			log: quiet(), agent: newAgent("127.0.0.1:1"), silence: patience, fleet: 300, random: func() float64 { return 1 }, now: time.Now,
+			log: quiet(), agent: newAgent("127.0.0.1:1"), timeout: testTimeout, fleetSize: 300, random: func() float64 { return 1 }, now: time.Now,
 			sleep: func(_ context.Context, d time.Duration) {
 				if fault.exhausted() {
 					cancel()
--- a/internal/relay/unwritten_test.go
+++ b/internal/relay/unwritten_test.go
@@ -60,13 +60,13 @@
 				if c.full {
 					r.wal.Limit = r.wal.Size() + 2*disk.Sector
 				}
-				r.carryOut([]policy.Action{{Kind: policy.Refuse, ID: r.traces["m1"].ID}}, nil)
+				r.execute([]policy.Action{{Kind: policy.Refuse, ID: r.traces["m1"].ID}}, nil)
 				if len(r.finals.queue) > 0 {
 					t.Error("told, and the next process would send it")
 				}
 				d.sick.Store(false)
 				r.wal.Limit = limit
-				eventually(t, "its end is told once it is in the log", func() bool { r.tend(); return len(r.finals.queue) > 0 })
+				eventually(t, "its end is told once it is in the log", func() bool { r.maintainLog(); return len(r.finals.queue) > 0 })
 				next := restarted(t, r)
 				if m := next.traces["m1"]; m == nil || m.Final == nil || !m.Final.Deferred || next.held != 0 {
 					t.Errorf("the next process has %+v, %d held", m, next.held)
@@ -100,7 +100,7 @@
 			writes.Store(1 << 30)
 			var a answer
 			eventually(t, "answered", func() bool {
-				r.tend()
+				r.maintainLog()
 				got, ok := answered(in)
 				a = got
 				return ok
@@ -139,7 +139,7 @@
 			first, again := newHandIn("m1", 7, 5*time.Second), newHandIn("m1", 7, 5*time.Second)
 			r.step([]any{first})
 			r.step([]any{again})
-			r.tend()
+			r.maintainLog()
 			for _, in := range []*handIn{first, again} {
 				if a, ok := answered(in); ok {
 					t.Errorf("told %+v, and the next process may send it", a)
@@ -149,7 +149,7 @@
 			cleaning.sick.Store(false)
 			for _, in := range []*handIn{first, again} {
 				eventually(t, "answered", func() bool {
-					r.tend()
+					r.maintainLog()
 					a, ok := answered(in)
 					if ok && a.status != http.StatusServiceUnavailable && a.status != 0 {
 						t.Errorf("told %+v", a)
