--- a/internal/relay/backlog.go
+++ b/internal/relay/backlog.go
@@ -17,78 +17,79 @@
 	"onyxroad.dev/onyxroad/policy"
 )
 
-// The backlog: what is owed beyond the window lies on disk, untried. A message is in the log or on disk at all times, for a
-// moment in both, and which of the two counts is told by the log:
+// The backlog stores on disk the messages that exceed the window in memory and were never tried. A message is always in the
+// log, in the store ("on disk"), or briefly in both, and then the log takes precedence:
 //
-//	taken on            in the log; its client has its answer
-//	leaving             in the log and, once the store says so, on disk; then it ends in the log, with no notice
-//	on disk             the loop knows its destination's count alone
-//	entering            read, and taken on in the log anew under its number; it leaves the disk, and only then the module has it
+//	accepted            in the log; its client has its answer
+//	moving to disk      in the log and, once written, in the store; then it ends in the log, without a notice
+//	on disk             the loop knows only how many messages each destination has there
+//	moving to memory    read, and accepted into the log again under its id; then removed from the store, and only then
+//	                    passed to the module
 //
-// So nothing that the module may have sent is ever on disk, and a restart that finds a message in both has the log's. The
-// loop decides what moves (see window); one goroutine at a time does the reading and writing (see job), so that no step
-// waits for the disk.
+// So a message that the module may have sent is never on disk, and a restart that finds a message in both places uses the
+// log's. The loop decides what moves (see window). One goroutine at a time reads and writes the store (see job), so that
+// no step waits for the disk.
 
 const (
-	jobBatch               = 512                    // messages that a job puts, and that it reads
-	expiryLead             = 100 * time.Millisecond // an end on disk is told so long before its time at most
-	expiryBatch            = 2048                   // ends that a job reads
-	maxUnconfirmedExpiries = 16 * expiryBatch       // ends told and not yet taken, from which on none are read
-	storeRetryInterval     = 250 * time.Millisecond // pause after the disk failed
-	sharedIDLifetime       = 2 * time.Second        // a client that leaves has left by then
-
-	// Of the log's room for what is live: above the one messages leave for the disk, above the other none come back.
+	jobBatch               = 512                    // messages that one job writes, and that it reads
+	expiryLead             = 100 * time.Millisecond // how long before its deadline a message on disk may be ended
+	expiryBatch            = 2048                   // expired messages that one job reads
+	maxUnconfirmedExpiries = 16 * expiryBatch       // unconfirmed notices from which on no more expired messages are read
+	storeRetryInterval     = 250 * time.Millisecond // after a failed or full disk
+	sharedIDLifetime       = 2 * time.Second        // within which a client that disconnects has done so
+
+	// Fractions of the log's space for live records. Above evictFill messages move to disk; above loadFill none come back.
 	evictFill = 0.6
 	loadFill  = 0.5
 )
 
-// expiredFinal is the end of a message whose time is up on disk, or on its way.
+// expiredFinal is the final state of a message that expires on disk or while it moves.
 var expiredFinal = wal.Final{Deferred: policy.Unsent == policy.Refuse, Again: policy.RetryAdvice}
 
-// Backlog says how a relay keeps one.
+// Backlog configures a relay's backlog.
 type Backlog struct {
 	Open   func() (owed.Store, owed.Found, error)
-	Window int     // messages in memory that were never sent
-	Share  float64 // of these, for each destination
+	Window int     // most messages in memory that were never sent
+	Share  float64 // fraction of Window that one destination may have in memory
 }
 
-// transfer is where a message is on its way to.
+// transfer is the state of a message's move between memory and disk.
 type transfer int
 
 const (
-	notMoving      transfer = iota
-	movingToDisk            // for the disk
-	movingToMemory          // from there
+	notMoving transfer = iota
+	movingToDisk
+	movingToMemory
 )
 
-// backlogQueue is the loop's side of the backlog.
+// backlogQueue is the loop's side of the backlog. Its methods accept a nil receiver where a relay without a backlog calls them.
 type backlogQueue struct {
 	*window
 	Backlog
 	relay          *Relay
 	store          owed.Store
-	maxRecoveredID uint32 // numbers up to this were on disk when the process began
+	maxRecoveredID uint32 // highest id that was on disk at the start of the process
 	clockOffset    time.Duration
 
-	outgoing     []*message          // leaving, and not with a job
-	incoming     []*message          // in the log again, and still on disk
-	removals     []owed.Ref          // over, and still on disk
-	unconfirmed  map[uint32]owed.Ref // their ends were told, and not yet taken
+	outgoing     []*message          // moving to disk, and not in a job
+	incoming     []*message          // moving to memory: in the log again, and still on disk
+	removals     []owed.Ref          // ended, and still on disk
+	unconfirmed  map[uint32]owed.Ref // on disk, with final notices that are not confirmed yet
 	sharedIDs    map[uint32]time.Time
 	job          *job // under way
 	startJob     func(*job)
 	jobs         sync.WaitGroup
-	nextDeadline int64 // soonest deadline on disk, as of the last look; never: none
-	full         bool  // there was no room at the last try
-	failing      bool  // the disk failed at the last try
+	nextDeadline int64 // earliest deadline on disk as of the last job; noDeadline: none
+	full         bool  // the last write found no space
+	failing      bool  // the last job failed
 	failedAt     time.Time
-	loadAfter    time.Time // nothing is read before: the log had no room
+	loadAfter    time.Time // no messages are loaded before: the log was full
 	diskBytes    int64
 
 	movedOut, movedIn, ended, refused int64
 }
 
-// openBacklog opens the store. What the log has does not count on disk.
+// openBacklog opens the store, and removes from it the messages that are in the log.
 func (r *Relay) openBacklog(found wal.Recovery) error {
 	b := r.cfg.Backlog
 	if b == nil {
@@ -142,10 +143,11 @@
 	return nil
 }
 
-// clockOffsetFile is the file that tells how far the clock was set back since the first message came to the disk, in nanoseconds.
+// clockOffsetFile holds, in nanoseconds, by how much in all the clock was set back since the backlog was first used.
 const clockOffsetFile = "backlog.clock"
 
-// loadClockOffset is how far: no message gets time from a clock that was set back over a restart.
+// loadClockOffset reads that offset and adds r.behind to it, so that a clock that is set back over a restart gives no message
+// more time.
 func (r *Relay) loadClockOffset() (time.Duration, error) {
 	fs := r.cfg.Disk
 	if fs == nil {
@@ -168,8 +170,8 @@
 	return time.Duration(ns), nil
 }
 
-// rankOf is what orders a message among those of its destination: its deadline, and where its class keeps order, whatever
-// comes first.
+// rankOf returns the sort key of a message among those of its destination: its deadline, or, if its class is ordered, a key
+// that grows with the time of arrival.
 func (r *Relay) rankOf(m *wal.Message) int64 {
 	if m.Order == "" || !r.cfg.Settings.Classes[m.Class].Ordered {
 		return r.wal.Stamp(m.Deadline).UnixNano()
@@ -183,8 +185,8 @@
 	return r.wal.Stamp(clock.Now().Add(longest)).UnixNano()
 }
 
-// storedTime is a time as it stands on disk: on the log's timeline, as it was before the clock was set back over a boot, if it
-// was. restoredTime is the way back.
+// storedTime converts a time to its form on disk: on the log's timeline, plus the offset by which the clock was set back over
+// restarts. restoredTime is the inverse.
 func (o *backlogQueue) storedTime(at time.Time) int64 {
 	return o.relay.wal.Stamp(at).Add(o.clockOffset).UnixNano()
 }
@@ -193,13 +195,13 @@
 	return o.relay.wal.Local(time.Unix(0, ns).Add(-o.clockOffset))
 }
 
-// ref names a message on disk.
+// ref returns the reference of a message in the store.
 func (o *backlogQueue) ref(m *message) owed.Ref {
 	return owed.Ref{ID: m.ID, Trace: m.Trace, Dest: m.Dest, Rank: m.rank(), Deadline: o.storedTime(m.Deadline)}
 }
 
-// lookup is the answer to a hand-in of a message that lies on disk already; false if none does. Its client is not the only
-// one any more.
+// lookup answers a request for a message that is already on disk; false if it is not. Since the message then has more than
+// one client, withdraw ignores it for sharedIDLifetime.
 func (o *backlogQueue) lookup(trace string) (answer, bool) {
 	if o == nil || o.onDisk == 0 {
 		return answer{}, false
@@ -208,7 +210,7 @@
 	switch {
 	case err != nil:
 		o.relay.log.Warn("backlog not read", "err", err)
-		return backlogUnavailable(), true // whether it is there is not known
+		return backlogUnavailable(), true // whether the message is on disk is unknown
 	case !ok:
 		return answer{}, false
 	case o.unconfirmed[ref.ID].ID != 0:
@@ -218,7 +220,7 @@
 	return answer{status: http.StatusAccepted}, true
 }
 
-// refuses tells whether a new message would have to go to a disk that takes nothing, or is far behind.
+// refuses reports whether a new message would have to go to disk while the disk is full, failing or far behind.
 func (o *backlogQueue) refuses(dest int) bool {
 	if o == nil || o.admits(dest) && o.held-o.sent < o.maxUnsent {
 		return false
@@ -230,7 +232,7 @@
 	return true
 }
 
-// add, leave and sends book what becomes of a message at the module; see window.
+// add, remove and markSent keep count of the messages at the module; see window.
 func (o *backlogQueue) add(m *message) {
 	if o != nil {
 		o.window.add(m)
@@ -249,7 +251,7 @@
 	}
 }
 
-// divert has a new message go to the disk in place of the module, if the window does not admit it.
+// divert sends a new message to disk instead of the module if the window does not admit it.
 func (o *backlogQueue) divert(m *message) bool {
 	if o == nil || m.Attempts > 0 || !storable(m.Dest) || o.admits(m.Dest) {
 		return false
@@ -259,20 +261,21 @@
 	return true
 }
 
-// moveToDisk has a message that the module does not have leave for the disk.
+// moveToDisk queues a message that is not at the module for the disk.
 func (o *backlogQueue) moveToDisk(m *message) {
 	m.move = movingToDisk
 	o.addOnDisk(m.Dest, 1)
 	o.outgoing = append(o.outgoing, m)
 }
 
-// evictable tells whether a message at the module may lie on disk: nothing of it has run or is out, and nobody waits for it.
+// evictable reports whether a message at the module may move to disk: it was never sent, it is durable in the log, and
+// no client waits for it.
 func (o *backlogQueue) evictable(m *message) bool {
 	return !m.ended && m.move == notMoving && m.sends == 0 && m.out == 0 && m.Attempts == 0 && len(m.MayRun) == 0 &&
 		m.Final == nil && !m.Withdrawn && m.next == nil && storable(m.Dest) && m.seq <= o.relay.wal.Durable() && o.relay.wal.Owes(m.Message)
 }
 
-// evictExcess has leave what the window is too small for. The module hears of it before it decides anything more.
+// evictExcess moves the messages that exceed the window to disk. The module is told before it makes its next decision.
 func (o *backlogQueue) evictExcess() {
 	if o == nil || o.full || o.failing {
 		return
@@ -289,7 +292,8 @@
 	}
 }
 
-// cancelTransfer ends a message on its way that is owed no more. One that may be on disk leaves that first: a restart would have it.
+// cancelTransfer ends a message that is withdrawn while it moves. If it may be on disk, it is removed there before it ends in the
+// log: a restart would otherwise send it.
 func (o *backlogQueue) cancelTransfer(m *message) {
 	for i, x := range o.outgoing {
 		if x == m && m.move == movingToDisk {
@@ -303,7 +307,7 @@
 	m.dropped = true
 }
 
-// withdraw ends a message whose client has left after it went to the disk.
+// withdraw ends a message on disk whose client has disconnected without its answer.
 func (o *backlogQueue) withdraw(id uint32) {
 	if o == nil || o.onDisk == 0 {
 		return
@@ -318,7 +322,7 @@
 	o.removals = append(o.removals, e.Ref)
 }
 
-// confirm takes that the end of a message on disk was taken; false if it is not one.
+// confirm removes a message on disk whose final notice was confirmed; false if the id is not of such a message.
 func (o *backlogQueue) confirm(id uint32) bool {
 	if o == nil {
 		return false
@@ -332,8 +336,8 @@
 	return ok
 }
 
-// admitRecovered tells whether the module is given a message that a start found in the log. Else it goes to the disk: what was never
-// tried waits its turn behind what lies there.
+// admitRecovered reports whether a message that was recovered from the log goes to the module. Otherwise it queues the message
+// for the disk: one that was never tried waits behind those already there.
 func (o *backlogQueue) admitRecovered(m *message) bool {
 	if o == nil || m.Attempts > 0 || len(m.MayRun) > 0 || m.Doubt || !storable(m.Dest) || o.admits(m.Dest) && o.held-o.sent < o.maxUnsent {
 		return true
@@ -342,7 +346,7 @@
 	return false
 }
 
-// waitForJob waits until no job is under way; false if that takes too long.
+// waitForJob waits until no job is running. It returns false on a time-out.
 func (o *backlogQueue) waitForJob(timeout time.Duration) bool {
 	if o == nil || o.job == nil {
 		return true
@@ -363,7 +367,7 @@
 	}
 }
 
-// close ends the store. What a job has done that the loop has not heard of is in the log as well.
+// close closes the store. What a job has done without the loop knowing yet is in the log as well.
 func (o *backlogQueue) close() error {
 	if o == nil || o.store == nil {
 		return nil
@@ -374,7 +378,7 @@
 	return err
 }
 
-// reopen opens the store again after a hand-over that came to nothing.
+// reopen opens the store again after a failed hand-over.
 func (o *backlogQueue) reopen() error {
 	if o == nil || o.store != nil {
 		return nil
@@ -387,7 +391,7 @@
 	}
 }
 
-// count is how many messages are owed that the module does not have.
+// count returns the number of messages that are on disk or moving there.
 func (o *backlogQueue) count() int {
 	if o == nil {
 		return 0
@@ -395,7 +399,7 @@
 	return o.onDisk
 }
 
-// publish has the second address show the backlog's figures.
+// publish updates the backlog's metrics.
 func (o *backlogQueue) publish() {
 	if o == nil {
 		return
@@ -404,7 +408,7 @@
 	o.relay.figures.backlog.Store(&text)
 }
 
-// String is the backlog's figures, for the second address.
+// String returns the backlog's metrics as lines of the admin address.
 func (o *backlogQueue) String() string {
 	gauge := func(b bool) int {
 		if b {
@@ -418,7 +422,7 @@
 		o.onDisk, len(o.dests), o.diskBytes, o.held, len(o.outgoing)+len(o.incoming), o.movedOut, o.movedIn, o.ended, o.refused, gauge(o.full), gauge(o.failing))
 }
 
-// backlogUnavailable is the answer to a message that would have to go to a disk which takes nothing.
+// backlogUnavailable answers a message that the backlog would have to store, but cannot.
 func backlogUnavailable() answer {
 	return answer{status: http.StatusServiceUnavailable, again: policy.RetryAdvice}
 }
--- a/internal/relay/backlog_test.go
+++ b/internal/relay/backlog_test.go
@@ -19,10 +19,10 @@
 	"onyxroad.dev/onyxroad/policy"
 )
 
-// memoryStore is a store in memory.
+// memoryStore is an in-memory owed.Store.
 type memoryStore struct {
 	all  map[uint32]owed.Entry
-	room int // 0: no end
+	room int // 0: unlimited
 	fail error
 }
 
@@ -120,7 +120,7 @@
 	return s, found, nil
 }
 
-// backlogRelay is a relay with a backlog whose loop is not running, and whose jobs run when the test says so.
+// backlogRelay is a relay with a backlog. Its loop is not running, and the test runs its jobs.
 type backlogRelay struct {
 	*Relay
 	t    *testing.T
@@ -154,7 +154,7 @@
 	return b
 }
 
-// runJobs runs jobs until there is none.
+// runJobs runs jobs until there are none.
 func (b *backlogRelay) runJobs() {
 	b.t.Helper()
 	for range 1000 {
@@ -167,7 +167,7 @@
 		j.run(b.s)
 		b.step([]any{j})
 	}
-	b.t.Fatal("the backlog does not come to rest")
+	b.t.Fatal("the backlog keeps starting jobs")
 }
 
 func (b *backlogRelay) submit(n, from, dest int, left time.Duration) {
@@ -181,7 +181,7 @@
 	}
 }
 
-// checkOwed checks that each message is in one place, and how many there are.
+// checkOwed checks that each message is either in the log or on disk, and that there are want of them.
 func (b *backlogRelay) checkOwed(want int) {
 	b.t.Helper()
 	held := 0
@@ -208,7 +208,7 @@
 	if b.held > 64 || len(b.msgs) > 64 || b.sender.Avoided(b.now()) != 0 {
 		t.Errorf("%d at the module, %d in memory", b.held, len(b.msgs))
 	}
-	// One that is handed in again under its id is known, wherever it lies.
+	// A message that is submitted again is recognised in memory and on disk.
 	for _, id := range []string{"m0", "m999"} {
 		in := newHandIn(id, 7, time.Hour)
 		b.step([]any{in})
@@ -218,14 +218,14 @@
 	}
 	b.runJobs()
 	b.checkOwed(1000)
-	// Another destination has room at once, by its share.
+	// Another destination is admitted at once, thanks to its share.
 	b.submit(10, 5000, 8, time.Hour)
 	b.runJobs()
 	b.checkOwed(1010)
 	if c := b.owed.dests[8]; c == nil || c.held != 10 {
 		t.Errorf("a destination with little owed has %+v at the module", c)
 	}
-	// As messages end, others come back, and every one is given to the module once.
+	// As messages end, others are loaded, and each is passed to the module once.
 	seen := map[uint32]bool{}
 	for len(seen) < 1010 {
 		before := len(seen)
@@ -240,7 +240,7 @@
 		}
 		b.runJobs()
 		if len(seen) == before {
-			t.Fatalf("%d came back, and no more", before)
+			t.Fatalf("no more messages were loaded after %d", before)
 		}
 	}
 	b.checkOwed(0)
@@ -312,7 +312,7 @@
 	}
 }
 
-// A client that leaves while its message is on the way to the disk, or there, is owed nothing, and a restart has nothing.
+// A message whose client disconnects while it is moving to disk, or on disk, must end, and must not reappear at a restart.
 func TestAWithdrawnMessageLeavesTheDiskBeforeTheLog(t *testing.T) {
 	for _, when := range []string{"before its job", "under its job", "on disk"} {
 		t.Run(when, func(t *testing.T) {
@@ -321,7 +321,7 @@
 			if len(b.jobs) != 1 {
 				t.Fatalf("%d jobs", len(b.jobs))
 			}
-			// The one under way is of the 33rd message; the 34th waits behind it.
+			// The running job moves the 33rd message; the 34th waits for the next one.
 			in := newHandIn("gone", 7, time.Hour)
 			switch when {
 			case "before its job":
@@ -351,7 +351,7 @@
 	}
 }
 
-// In a class that keeps order what comes later goes later, though its time may be up before.
+// In an ordered class messages are loaded in their order of arrival, even if a later one has an earlier deadline.
 func TestTheBacklogKeepsAKeysOrder(t *testing.T) {
 	b := newBacklogRelay(t, &memoryStore{all: map[uint32]owed.Entry{}}, crashdisk.New(), 64)
 	b.cfg.Settings.Classes[0].Ordered = true
@@ -369,7 +369,7 @@
 	for last < 200 {
 		ids := slices.Sorted(maps.Keys(b.msgs))
 		if len(ids) == 0 {
-			t.Fatalf("nothing comes back behind %d", last)
+			t.Fatalf("nothing is loaded after %d", last)
 		}
 		for _, id := range ids {
 			if id != last+1 {
@@ -382,7 +382,7 @@
 	}
 }
 
-// The clock set back over a restart gives no message on disk more time.
+// A clock that is set back over a restart must not give messages on disk more time.
 func TestTheClockSetBackGivesNoTimeOnDisk(t *testing.T) {
 	d, s := crashdisk.New(), &memoryStore{all: map[uint32]owed.Entry{}}
 	b := newBacklogRelay(t, s, d, 64)
@@ -390,7 +390,7 @@
 	b.runJobs()
 	b.behind = 50 * time.Minute
 	var err error
-	for range 2 { // it stays so at the start after
+	for range 2 { // the offset persists at the next start
 		if b.owed.clockOffset, err = b.loadClockOffset(); err != nil || b.owed.clockOffset != 50*time.Minute {
 			t.Fatalf("offset %v, %v", b.owed.clockOffset, err)
 		}
@@ -407,10 +407,10 @@
 	}
 }
 
-var crashStates = flag.Int("crash-states", 1000, "states of log and backlog together that are drawn")
+var crashStates = flag.Int("crash-states", 1000, "number of random states of log and backlog to check")
 
-// The process ends at any boundary between log and backlog: whatever was taken on is there once, and what was sent is not
-// taken for untried.
+// Whenever the process ends between writes to the log and to the backlog, each accepted message must be recovered exactly once,
+// and a message that was sent must not be recovered as untried.
 func TestNoMomentBetweenLogAndBacklogLosesAMessage(t *testing.T) {
 	rng := rand.New(rand.NewPCG(7, 11))
 	for state := 0; state < *crashStates; {
@@ -449,7 +449,7 @@
 					m := b.msgs[id]
 					if m.move == notMoving && !m.ended && m.cell != nil && rng.IntN(3) == 0 {
 						if rng.IntN(2) == 0 {
-							if m.sends == 0 { // a send that stays out
+							if m.sends == 0 { // a send without an outcome
 								b.execute([]policy.Action{{Kind: policy.Send, ID: id, Route: "s-1", At: b.now() + time.Hour}}, nil)
 								sent[m.Trace] = true
 							}
@@ -465,7 +465,7 @@
 					b.jobs = b.jobs[1:]
 					shoot(often)
 					j.run(s)
-					shoot(often) // done, and the loop has not heard
+					shoot(often) // done, but not reported to the loop
 					b.step([]any{j})
 				} else {
 					b.step(nil)
@@ -494,24 +494,25 @@
 			}
 			for _, e := range x.store {
 				if has[e.Trace]++; x.sent[e.Trace] {
-					t.Fatalf("state %d: %s was sent, and lies on disk untried", state, e.Trace)
+					t.Fatalf("state %d: %s was sent, but is on disk as untried", state, e.Trace)
 				}
 			}
 			for trace := range x.owes {
 				if has[trace] != 1 {
-					t.Fatalf("state %d: %s is there %d times", state, trace, has[trace])
+					t.Fatalf("state %d: %s was recovered %d times", state, trace, has[trace])
 				}
 			}
 			for trace := range has {
 				if !x.owes[trace] {
-					t.Fatalf("state %d: %s is owed no more, and there", state, trace)
+					t.Fatalf("state %d: %s has ended, but was recovered", state, trace)
 				}
 			}
 		}
 	}
 }
 
-// A relay that knows of no backlog does not start on the folder while something may lie on disk, and does once nothing is.
+// A relay without a backlog must not start on a folder while messages may be on disk, and must start once the backlog is
+// empty.
 func TestAFolderWithABacklogIsRefusedWithoutOne(t *testing.T) {
 	d := crashdisk.New()
 	b := newBacklogRelay(t, &memoryStore{all: map[uint32]owed.Entry{}}, d, 64)
--- a/internal/relay/carry.go
+++ b/internal/relay/carry.go
@@ -12,9 +12,7 @@
 	"onyxroad.dev/onyxroad/policy"
 )
 
-// What a step carries out: the module's decisions, first in the log, then on the sockets.
-
-// execute does what the module has decided: first in the log, in one write, then on the sockets.
+// execute carries out the module's decisions: first in the log, in one write, then on the sockets.
 func (r *Relay) execute(acts []policy.Action, waiting []*handIn) {
 	answers := make(map[uint32]answer, len(waiting))
 	for _, in := range waiting {
@@ -27,7 +25,7 @@
 		switch a.Kind {
 		case policy.Send:
 			if m == nil {
-				r.log.Error("send of a message that is not held", "id", a.ID) // a slot less is better than no relay
+				r.log.Error("send of a message that is not held", "id", a.ID) // losing a slot is better than a crash
 				continue
 			}
 			calls = r.addSend(calls, m, a)
@@ -47,20 +45,20 @@
 			r.wal.Decide(m.Message, final)
 			ended = append(ended, m)
 		case policy.Wake:
-			r.wakeAt = clock.Now().Add(a.Delay) // the module keeps one wake in mind, the last that it asked for
+			r.wakeAt = clock.Now().Add(a.Delay) // the module has one wake-up, the last that it requested
 		case policy.CloseIdle:
 			r.hosts.closeIdle(a.Route)
 		}
 	}
 	p := pendingStep{waiting: waiting, answers: answers, ended: ended, calls: calls}
-	// A send that is not in the log must not leave: after a restart it would be made again. An end that is not must not be
-	// told: after a restart the message would be sent.
+	// A send must not leave before the log has it: a restart would repeat it. An end must not be reported before the log has
+	// it: a restart would send the message.
 	err := r.record(calls)
 	if err != nil && !errors.Is(err, wal.ErrWorn) {
 		r.log.Warn("log not written", "calls", len(calls), "err", err)
 		r.abortCalls(calls, policy.ConnectFailed)
 		p.calls = nil
-		err = r.record(nil) // what was noted may find room without the sends
+		err = r.record(nil) // the other entries may fit without the sends
 	}
 	if err != nil {
 		p.unwritten = true
@@ -69,7 +67,8 @@
 	r.finishWhenDurable(p)
 }
 
-// answerAccepted answers those whose messages are in the log, though what the step has decided is not, and returns the others.
+// answerAccepted answers the clients whose messages are durable in the log although the step's decisions are not, and
+// returns the others.
 func (r *Relay) answerAccepted(p pendingStep) (waiting []*handIn) {
 	durable := r.wal.Durable()
 	return slices.DeleteFunc(p.waiting, func(in *handIn) bool {
@@ -82,13 +81,13 @@
 	})
 }
 
-// addSend puts a send into the call that the module has decided on.
+// addSend adds a send to the call that the module has assigned it to, or starts a new call.
 func (r *Relay) addSend(calls []*call, m *message, a policy.Action) []*call {
 	t := r.routes[a.Route]
 	var c *call
 	size := maxItemSize(m)
 	for _, x := range calls {
-		// Bodies hold so much at most, and many small messages are no reason to have one large one turned away.
+		// A bundle's body is limited too: many small messages must not get a large one rejected.
 		if x.number == a.Call && x.size+size <= bodyMost {
 			c = x
 		}
@@ -104,12 +103,12 @@
 	m.sends++
 	m.out++
 	if len(c.attempts) == 1 || until.After(c.deadline) == r.cfg.MayDuplicate {
-		c.deadline = until // where a second copy may be out, the rest of a call outlasts one message's time-out
+		c.deadline = until // the latest where duplicates are allowed, as a call then outlasts one message's time-out; else the earliest
 	}
 	return calls
 }
 
-// record writes the sends of calls and all that was noted in this step.
+// record writes the sends of calls, and everything else that this step has added to the log, in one write.
 func (r *Relay) record(calls []*call) error {
 	var sends []wal.Send
 	for _, c := range calls {
@@ -125,7 +124,7 @@
 	return r.wal.Sent(sends...)
 }
 
-// abortCalls ends calls that are not made with an outcome which proves so.
+// abortCalls ends calls that will not be made, with an outcome that says that they never ran.
 func (r *Relay) abortCalls(calls []*call, as policy.Outcome) {
 	for _, c := range calls {
 		for _, a := range c.attempts {
@@ -135,7 +134,7 @@
 	r.scheduleStep()
 }
 
-// startCall makes a call, away from the loop.
+// startCall makes a call on a goroutine of its own.
 func (r *Relay) startCall(c *call) {
 	r.checkSends(c)
 	for _, a := range c.attempts {
@@ -156,7 +155,7 @@
 	}()
 }
 
-// stillAllowed asks the loop whether a call that was held up may leave.
+// stillAllowed asks the loop whether a delayed call may still be sent.
 func (r *Relay) stillAllowed(c *call) bool {
 	ids := make([]uint32, 0, len(c.attempts))
 	for _, a := range c.attempts {
@@ -174,7 +173,7 @@
 	}
 }
 
-// notify queues the notice that ends a message. recorded tells whether the log has that end.
+// notify queues the final notice of a message. recorded tells whether the log has the message's end.
 func (r *Relay) notify(m *message, recorded bool) {
 	r.guard.Ending(m.Trace, m.notified, recorded, clock.Until(m.Deadline))
 	m.notified = true
--- a/internal/relay/config.go
+++ b/internal/relay/config.go
@@ -18,44 +18,44 @@
 	"onyxroad.dev/onyxroad/policy"
 )
 
-// maxTick bounds the tick, so that no setting makes clients wait for their answers.
+// maxTick bounds the tick: clients wait for up to one tick for their answers.
 const maxTick = 20 * time.Millisecond
 
-// Config is all that a relay is told at its start.
+// Config is the configuration of a relay.
 type Config struct {
 	Name      string
 	Listen    string // where clients connect
 	Discovery string // address of discovery's agent
-	Admin     string // where operators' calls come; empty: nowhere
-	StateDir  string // the folder that outlasts the process
+	Admin     string // listen address for operators' calls; empty: none
+	StateDir  string
 	Seed      uint64
 	Limits    Limits
-	Known     List // hosts as this relay last had them; may be old or empty
+	Known     List // hosts as last known to this relay; may be outdated or empty
 	Settings  policy.Settings
 
 	Classes   []string
-	Customers []string // empty: the site has none
+	Customers []string // empty: the site does not distinguish customers
 	Zones     []string
 	Kinds     []string
 
 	ConnectTimeout time.Duration
-	KeepAlive      time.Duration // hosts close a connection that stood idle for so long
-	Tick           time.Duration // the module is asked no more often than this
-	MayDuplicate   bool          // two attempts of a message may be out at once
-	Reports        []string      // fields of the hosts' load reports; empty: none are sent
+	KeepAlive      time.Duration // after which hosts close an idle connection
+	Tick           time.Duration // least time between two steps of the module
+	MayDuplicate   bool          // a message may have two attempts in flight at once
+	Reports        []string      // fields of the hosts' load reports; empty: hosts send none
 
-	// What the project's own settings file turns on.
-	Segments      bool          // the log is kept in segments
-	Power         bool          // and outlasts a loss of power
-	MemoriesEvery time.Duration // what is known of partners is put down so often; 0: not at all
-	Disk          disk.FS       // the log's files; nil: the operating system's
+	// Enabled by the project's own settings file.
+	Segments      bool          // the log consists of segments
+	Power         bool          // and survives a loss of power: writes are synced before they count
+	MemoriesEvery time.Duration // interval at which the module's state about partners is saved; 0: never
+	Disk          disk.FS       // holds the log's files; nil: the operating system's file system
 	Join          membership.Join
 	Membership    membership.Config // with Join
 	Duties        Duties            // nil: none
-	Backlog       *Backlog          // nil: all that is owed is held in memory; needs Segments
+	Backlog       *Backlog          // nil: all messages are held in memory; needs Segments
 }
 
-// Limits are those of the relay's machine.
+// Limits are the resource limits of the relay's machine.
 type Limits struct {
 	Cores    float64 `json:"cores"`
 	MemoryMB float64 `json:"memory_mb"`
@@ -63,8 +63,8 @@
 	DiskMB   float64 `json:"disk_mb"`
 }
 
-// ReloadConfig reads the file that ROUTER_CONFIG names. What stands in it goes before the other ROUTER_ variables:
-// these are as old as the process.
+// ReloadConfig reads the file that ROUTER_CONFIG names. The file overrides the other ROUTER_ variables, which are as old as
+// the process.
 func ReloadConfig(getenv func(string) string) (Config, error) {
 	c, err := readConfig(getenv)
 	if err != nil {
@@ -74,7 +74,7 @@
 	return c, c.checkDiscovery(getenv("ROUTER_CONFIG"))
 }
 
-// checkDiscovery tells what keeps discovery's address, which path or the environment names, from being one.
+// checkDiscovery reports an invalid address of discovery. path is the configuration file, for the error message.
 func (c *Config) checkDiscovery(path string) error {
 	if _, _, err := net.SplitHostPort(c.Discovery); err != nil {
 		return fmt.Errorf("config: %s: discovery: %w", path, err)
@@ -86,7 +86,7 @@
 	path := getenv("ROUTER_CONFIG")
 	data, err := os.ReadFile(path)
 	if err != nil {
-		return Config{}, fmt.Errorf("config: %w", err) // which names the file
+		return Config{}, fmt.Errorf("config: %w", err) // err names the file
 	}
 	c, err := parseConfig(data)
 	if err == nil {
@@ -98,8 +98,8 @@
 	return c, nil
 }
 
-// LoadConfig reads the configuration of a start: the file that ROUTER_CONFIG names; the other ROUTER_ variables go
-// before it.
+// LoadConfig reads the configuration of a starting process from the file that ROUTER_CONFIG names. The other ROUTER_
+// variables override the file.
 func LoadConfig(getenv func(string) string) (Config, error) {
 	c, err := readConfig(getenv)
 	if err != nil {
@@ -133,7 +133,7 @@
 	if err := json.Unmarshal(data, &file); err != nil {
 		return Config{}, err
 	}
-	// What the relay itself goes by; all decisions' settings are mapped by package wire.
+	// Settings that the relay itself uses. Package wire maps the settings of the decision module.
 	var own struct {
 		Services []struct{ Name string }
 		Realms   []struct{ Name string }
@@ -169,7 +169,7 @@
 		ConnectTimeout: millis(own.Bounds.ConnectTimeoutMS), KeepAlive: millis(own.Bounds.KeepAliveMS),
 		Tick: min(millis(own.TickMS), maxTick),
 	}
-	// A seed that is no hexadecimal number still gives random numbers, the same at each start.
+	// A seed that is not a hexadecimal number still gives a fixed value: random numbers are the same at each start.
 	c.Seed, _ = strconv.ParseUint(file.Seed, 16, 64)
 	for _, s := range own.Services {
 		c.Classes = append(c.Classes, s.Name)
@@ -189,7 +189,7 @@
 	return c, nil
 }
 
-// maxLifetime is the most time that a message of a class may have.
+// maxLifetime is the longest time that a message of a class may have until its deadline.
 func (c *Config) maxLifetime(class int) time.Duration {
 	if d := c.Settings.Classes[class].GiveUp; d > 0 {
 		return d
@@ -197,7 +197,7 @@
 	return 24 * time.Hour
 }
 
-// setDefaults fills in what a configuration may leave out.
+// setDefaults sets the optional fields that are missing.
 func (c *Config) setDefaults() {
 	setDefault(&c.ConnectTimeout, time.Second)
 	setDefault(&c.KeepAlive, 15*time.Second)
@@ -212,7 +212,7 @@
 	}
 }
 
-// flatten writes nested JSON as the paths and values of the simulator's wire.
+// flatten converts nested JSON to the paths and values of the simulator's protocol.
 func flatten(values map[string]string, path string, x any) {
 	switch x := x.(type) {
 	case map[string]any:
@@ -247,14 +247,14 @@
 
 func millis(x float64) time.Duration { return time.Duration(x * float64(time.Millisecond)) }
 
-// List is discovery's list of hosts, whole or changes to it.
+// List is discovery's full list of hosts, or changes to it.
 type List struct {
 	Version int64
 	Full    bool
-	Entries []json.RawMessage // each is read by itself: one that cannot be read spoils no other
+	Entries []json.RawMessage // decoded one by one, so that a malformed entry does not affect the others
 }
 
-// member is one entry of the list.
+// member is an entry of discovery's list.
 type member struct {
 	ID     string  `json:"id"`
 	Addr   string  `json:"addr"`
@@ -277,7 +277,7 @@
 	return List{Version: l.Version, Full: l.Full, Entries: l.Servers}, nil
 }
 
-// parseListing reads one entry. Its id is returned also where the rest cannot be read.
+// parseListing parses an entry of the list. It returns the entry's id, if there is one, even with an error.
 func (c *Config) parseListing(data json.RawMessage) (l policy.Listing, addr string, err error) {
 	var m member
 	if err := json.Unmarshal(data, &m); err != nil {
--- a/internal/relay/config_test.go
+++ b/internal/relay/config_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// A file without sense is refused with its name and a reason, at the start as well as at SIGHUP, where the old one stays.
+// An invalid configuration is rejected with an error that names the file and the reason, both at start and at a reload.
 func TestABadConfigurationIsRefusedByName(t *testing.T) {
 	const good = `{"discovery":"127.0.0.1:8500","listen":"127.0.0.1:0","settings":{"services":[{"name":"a"}]}}`
 	path := filepath.Join(t.TempDir(), "config.json")
@@ -39,7 +39,7 @@
 	}
 }
 
-// A configuration that can't be read at first, or is half written, is read again: SIGHUP comes once.
+// A reload that finds a partly written file retries, since SIGHUP is sent only once.
 func TestAConfigurationIsReadAgain(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "config.json")
 	whole := `{"listen":"127.0.0.1:1","discovery":"127.0.0.1:2","settings":` + settingsJSON + `}`
--- a/internal/relay/discovery.go
+++ b/internal/relay/discovery.go
@@ -18,41 +18,42 @@
 )
 
 const (
-	watchTimeout  = 4500 * time.Millisecond // see watcher.silence
+	watchTimeout  = 4500 * time.Millisecond // see watcher.timeout
 	maxWatchLine  = 1 << 20
 	minRetryDelay = 50 * time.Millisecond
 	maxRetryDelay = time.Second
-	// The platform answers a notice at once, and one is late 300 ms after its message's time: a connection that has fallen silent
-	// must not take all of that from those that wait behind it. Where answers are slow, later tries wait longer.
+	// The platform answers a notice at once, and a notice is late 300 ms after its message's deadline: a dead connection must not
+	// use up that time for the notices that wait behind it. Each time-out doubles the next one, for when answers are slow.
 	minNoticeTimeout    = 100 * time.Millisecond
 	maxNoticeTimeout    = time.Second
-	maxNoticeRetryDelay = 100 * time.Millisecond // at most, between a request that failed at once and the next
+	maxNoticeRetryDelay = 100 * time.Millisecond // after a request that failed without a time-out
 	fetchTimeout        = time.Second
-	// A call that fails on this machine reaches nobody, and there is no reason to spread the next one.
+	// A request that fails on this machine puts no load on discovery, so its retry is not spread.
 	localFailureDelay = 50 * time.Millisecond
-	// Turned away calls are work for discovery too: a fleet that comes again at once keeps it from serving anyone.
+	// Requests that are turned away put load on discovery too: a fleet that retries at once keeps it from serving anyone.
 	minRejectedDelay = time.Second
 	maxRejectedDelay = 8 * time.Second
-	spreadPerRelay   = 150 * time.Millisecond // for each relay of a fleet of spreadLeast or more
+	spreadPerRelay   = 150 * time.Millisecond // in fleets of minSpreadFleet relays or more
 	minSpreadFleet   = 7
-	// Whatever the list has to tell counts as told by then, from when discovery had it and could be reached, or from when a watch
-	// fell silent: no pause, for whatever reason, may reach beyond. After a move it is sooner.
+	// A relay counts as informed of a change listDeadline after discovery has it and is reachable, or after a watch falls silent.
+	// No delay may exceed that. After discovery has moved, movedListDeadline applies.
 	listDeadline      = 6 * time.Second
 	movedListDeadline = 4 * time.Second
-	replyReserve      = 500 * time.Millisecond // of that is left for the call
-	// What the agent has counts as told at once: half of the time in which a drain is to be heeded is for asking.
+	replyReserve      = 500 * time.Millisecond // part of the deadline that is kept for the request itself
+	// A relay counts as informed at once of what the agent already has: half of the time in which it has to stop sending to a
+	// draining host may pass before it asks.
 	reconnectSpread  = 250 * time.Millisecond
-	servedHeartbeats = 2   // empty lines, one every 2 s, after which a watch was served, not ended as one too many
+	servedHeartbeats = 2   // empty lines, sent every 2 s, after which a watch counts as served rather than turned away
 	noticeBatch      = 256 // notices in a request
 )
 
 var (
-	errAgentMoved  = errors.New("discovery has another address now")
-	errListTooLong = errors.New("list too long")
+	errAgentMoved  = errors.New("discovery's address has changed")
+	errListTooLong = errors.New("list exceeds 1 MiB")
 	errTurnedAway  = errors.New("discovery turns this relay away")
 )
 
-// agent is discovery's agent, which another configuration may put at another address.
+// agent is a client of discovery's agent, whose address a new configuration may change.
 type agent struct {
 	client *http.Client
 
@@ -73,7 +74,7 @@
 	return a
 }
 
-// move has all go to addr from here on: what is under way at the old address ends with errMoved.
+// move changes the agent's address. Requests in progress at the old address end with errAgentMoved.
 func (a *agent) move(addr string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -86,7 +87,8 @@
 	a.client.CloseIdleConnections()
 }
 
-// session returns the address and a context for work there, which ends with ctx, when the agent moves, or by done.
+// session returns the agent's address and a context for requests there, which ends with ctx, when the agent moves, or when
+// done is called.
 func (a *agent) session(ctx context.Context) (addr string, work context.Context, done func()) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -95,30 +97,30 @@
 	return a.addr, work, func() { stop(); cancel(nil) }
 }
 
-// watcher follows discovery's list.
+// watcher keeps the relay's list of hosts up to date with discovery's.
 type watcher struct {
 	log       *slog.Logger
 	agent     *agent
-	timeout   time.Duration // a watch with no line for so long is dead: one comes every 2 s
+	timeout   time.Duration // for the next line of a watch: discovery sends one every 2 s
 	onList    func(List)
-	fleetSize int            // relays that follow it
+	fleetSize int            // number of relays that follow the list
 	random    func() float64 // from 0 to 1
 	sleep     func(context.Context, time.Duration)
 	now       func() time.Time
 
-	missedSince time.Time // what discovery has had since then may have been missed: the last line, or the last call's beginning
-	moved       bool      // and it has not been heard at its new address
-	version     int64     // of the list as told
-	hasList     bool      // the relay holds a list, however old
-	needFull    bool      // changes alone won't do: the list is to be had whole
-	served      bool      // the last watch was
+	missedSince time.Time // time of the last line, or of the last request's start: changes since then may have been missed
+	moved       bool      // the agent has moved and has not sent a list since
+	version     int64     // of the last list passed to onList
+	hasList     bool      // the relay starts with a list, which may be outdated
+	needFull    bool      // changes are not enough: fetch the full list
+	served      bool      // the last watch counts as served; see servedHeartbeats
 }
 
 // run follows the list until ctx ends.
 func (w *watcher) run(ctx context.Context) {
 	pause, rejectedDelay := minRetryDelay, minRejectedDelay
 	if w.hasList {
-		// There is a list to go by. A fleet that starts together must not ask as one.
+		// With a list to start from, relays that start together spread their requests.
 		w.wait(ctx, w.spread(reconnectSpread))
 	}
 	for ctx.Err() == nil {
@@ -137,7 +139,7 @@
 		}
 		switch {
 		case errors.Is(err, errAgentMoved):
-			// Another agent need not number its versions alike. The old list serves until this one speaks.
+			// Another agent may use other version numbers. The old list stays in use until the new agent sends one.
 			w.needFull, w.moved, pause = true, true, minRetryDelay
 		case errors.Is(err, errTurnedAway):
 			w.wait(ctx, w.capDelay(time.Duration((0.5+w.random())*float64(rejectedDelay))+w.spread(listDeadline)))
@@ -151,7 +153,7 @@
 	}
 }
 
-// spread is this relay's place, within most, among those of a large fleet that would call together.
+// spread returns a random delay of at most most, which spreads the requests of a large fleet; 0 in a small one.
 func (w *watcher) spread(most time.Duration) time.Duration {
 	if w.fleetSize < minSpreadFleet {
 		return 0
@@ -159,8 +161,8 @@
 	return time.Duration(w.random() * float64(min(most, time.Duration(w.fleetSize)*spreadPerRelay)))
 }
 
-// capDelay is a pause that lets the next call be answered before what the last one has missed counts as told. What is cut off is
-// drawn anew: a fleet that is turned away must not come again as one.
+// capDelay limits a delay so that the next request is answered within the list's deadline. A delay that exceeds the limit is
+// drawn again below it, so that a fleet that was turned away does not retry all at once.
 func (w *watcher) capDelay(d time.Duration) time.Duration {
 	within := listDeadline
 	if w.moved {
@@ -172,7 +174,7 @@
 	return d
 }
 
-// wait lets d pass; less if the agent moves.
+// wait sleeps for d, or until the agent moves or ctx ends.
 func (w *watcher) wait(ctx context.Context, d time.Duration) {
 	_, session, done := w.agent.session(ctx)
 	defer done()
@@ -182,7 +184,7 @@
 	}
 }
 
-// sleep lets d pass; less if ctx ends.
+// sleep sleeps for d, or until ctx ends.
 func sleep(ctx context.Context, d time.Duration) {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
@@ -192,8 +194,8 @@
 	}
 }
 
-// watchOnce is one watch, until its connection ends or falls silent. A connection that is cut off says nothing:
-// only the missing lines tell. version is kept up, so that the next watch resumes where this one ended.
+// watchOnce runs one watch until its connection ends or no line arrives within the time-out, which is the only sign of a
+// connection that is cut off. It maintains version, so that the next watch resumes where this one ended.
 func (w *watcher) watchOnce(ctx context.Context) error {
 	addr, ctx, done := w.agent.session(ctx)
 	defer done()
@@ -211,7 +213,7 @@
 	silence := time.AfterFunc(w.timeout, cancel)
 	defer silence.Stop()
 	if w.needFull && w.fetch(ctx, addr) != nil {
-		w.version = 0 // the watch itself may give the whole list
+		w.version = 0 // makes the watch start with the full list
 	}
 	res, err := w.get(ctx, fmt.Sprintf("http://%s/catalog/members?stream=1&index=%d", addr, w.version))
 	if err != nil {
@@ -221,17 +223,17 @@
 	lines := bufio.NewScanner(res.Body)
 	lines.Buffer(nil, maxWatchLine)
 	heartbeats := 0
-	fetched := int64(math.MinInt64) // changes up to this version are in the whole list that was fetched meanwhile
+	fetched := int64(math.MinInt64) // version of the last full list that was fetched during the watch
 	for lines.Scan() {
 		silence.Reset(w.timeout)
 		w.missedSince = w.now()
 		if line := bytes.TrimSpace(lines.Bytes()); len(line) > 0 {
 			l, err := parseList(line)
 			if err != nil {
-				// Asked for once more it would be as unreadable, for ever: the whole list makes up for it.
-				w.log.Warn("unreadable line of the watch", "err", err)
+				// The line would be as malformed on each retry. Fetch the full list instead.
+				w.log.Warn("malformed line in the watch", "err", err)
 				w.needFull = true
-			} else if l.Version > fetched { // else it was on its way when the whole list was fetched
+			} else if l.Version > fetched { // older changes are contained in the full list
 				w.deliver(l)
 			}
 		} else if heartbeats++; heartbeats >= servedHeartbeats {
@@ -253,7 +255,7 @@
 	w.onList(l)
 }
 
-// fetch asks for the whole list.
+// fetch requests the full list.
 func (w *watcher) fetch(ctx context.Context, addr string) error {
 	ctx, cancel := context.WithTimeout(ctx, fetchTimeout)
 	defer cancel()
@@ -292,12 +294,12 @@
 		if res.StatusCode == http.StatusServiceUnavailable || res.StatusCode == http.StatusTooManyRequests {
 			return nil, fmt.Errorf("%w: %s", errTurnedAway, res.Status)
 		}
-		return nil, fmt.Errorf("discovery answers %s", res.Status)
+		return nil, fmt.Errorf("discovery returned status %s", res.Status)
 	}
 	return res, nil
 }
 
-// noticeSender delivers the final notices to the platform, each until it is taken.
+// noticeSender delivers final notices to the platform and repeats each until it is confirmed.
 type noticeSender struct {
 	log         *slog.Logger
 	agent       *agent
@@ -320,7 +322,7 @@
 	return &noticeSender{log: log, agent: agent, onConfirmed: taken, signal: make(chan struct{}, 1)}
 }
 
-// add queues notices. It never waits, so that the loop does not.
+// add queues notices. It never blocks the loop.
 func (f *noticeSender) add(ns ...notice) {
 	f.mu.Lock()
 	f.queue = append(f.queue, ns...)
@@ -331,8 +333,8 @@
 	}
 }
 
-// run sends what is queued until ctx ends. A notice that the platform did not confirm goes again: one for a
-// message that is over does no harm, one that is missing loses a message.
+// run sends queued notices until ctx ends. It repeats a notice that was not confirmed: a duplicate does no harm, whereas a
+// missing one loses a message.
 func (f *noticeSender) run(ctx context.Context) {
 	pause, wait := minRetryDelay, minNoticeTimeout
 	for {
@@ -348,15 +350,15 @@
 			continue
 		}
 		if err := f.post(ctx, batch, wait); err != nil {
-			f.log.Warn("notices not taken", "count", len(batch), "err", err)
+			f.log.Warn("notices not confirmed", "count", len(batch), "err", err)
 			switch {
 			case errors.Is(err, errAgentMoved):
 				pause = minRetryDelay
-				continue // at once, to the new address
+				continue // immediately, at the new address
 			case errors.Is(err, context.DeadlineExceeded):
 				wait = min(maxNoticeTimeout, 2*wait)
-				f.agent.client.CloseIdleConnections() // as silent, perhaps
-				continue                              // it has waited
+				f.agent.client.CloseIdleConnections() // they may be dead too
+				continue                              // without a delay: the time-out was one
 			}
 			select {
 			case <-ctx.Done():
@@ -413,7 +415,7 @@
 		return err
 	}
 	if res.StatusCode != http.StatusNoContent {
-		return fmt.Errorf("platform answers %s", res.Status)
+		return fmt.Errorf("platform returned status %s", res.Status)
 	}
 	return nil
 }
--- a/internal/relay/durable.go
+++ b/internal/relay/durable.go
@@ -11,22 +11,22 @@
 	"onyxroad.dev/onyxroad/policy"
 )
 
-// What a step decides is carried out once the log has it as durable as it is to be: at once where the process's end is all
-// that it has to outlast, after a sync where the power's is. One sync serves every step that was written before it, and
-// steps go on meanwhile.
+// A step's decisions are carried out once they are durable in the log. If the log only has to survive the process, that is
+// at once; if it has to survive a loss of power (Config.Power), it is after a sync. One sync covers every step written before
+// it, and the loop goes on with further steps meanwhile.
 
 const (
-	// maxAnswerWait is how long a client waits for the disk. The platform's clients wait 400 ms for an answer, and the loop
-	// may look at this 200 ms late.
+	// maxAnswerWait is how long a client's answer waits for the disk. The platform's clients wait 400 ms for an answer, and
+	// the loop may check this 200 ms late.
 	maxAnswerWait = 150 * time.Millisecond
-	// maxNoticeWait is how long an end waits for the disk. One that is told and not on disk may be told again after a loss of
-	// power, or the message may then end otherwise; one that is not told at all is late for certain.
+	// maxNoticeWait is how long a final notice waits for the disk. If a notice is sent before its record is on disk, a loss of
+	// power may cause a second one, perhaps with another result; a notice that is held back longer is certainly late.
 	maxNoticeWait = time.Second
-	// maxCallWait is how long a call may wait for the disk before the module is asked anew.
+	// maxCallWait is how long a call may wait for the disk before the module has to confirm it.
 	maxCallWait = 50 * time.Millisecond
 )
 
-// pendingStep is what a step owes once a write is durable.
+// pendingStep holds the answers, notices and calls of a step that wait until a write is durable.
 type pendingStep struct {
 	seq       uint64 // of the write
 	since     time.Time
@@ -34,14 +34,14 @@
 	answers   map[uint32]answer
 	ended     []*message
 	calls     []*call
-	unwritten bool // the calls are not in the log yet
+	unwritten bool // the step's records, and so its calls, are not in the log yet
 }
 
-// finishWhenDurable carries out what a step owes, or keeps it until its write is durable.
+// finishWhenDurable finishes a step at once if its write is durable, and otherwise keeps it until then.
 func (r *Relay) finishWhenDurable(p pendingStep) {
 	p.since, p.seq = clock.Now(), r.wal.Written()
 	if p.unwritten {
-		p.seq++ // what the new file begins with
+		p.seq++ // the write that starts the next file of the log
 	}
 	if len(r.promises) == 0 && p.seq <= r.wal.Durable() {
 		r.finishStep(p)
@@ -53,7 +53,7 @@
 	}
 }
 
-// recordEnds records the ends of messages that were decided on, and tells them.
+// recordEnds writes the ends of messages to the log and sends their notices once they are durable.
 func (r *Relay) recordEnds(ended []*message) {
 	if len(ended) > 0 {
 		err := r.record(nil)
@@ -61,7 +61,8 @@
 	}
 }
 
-// notifyOverdue tells the ends of messages whose time is up, which nothing can send any more, and returns the others.
+// notifyOverdue sends the notices of the messages that have passed their deadlines, which nothing can send any more, and
+// returns the other messages.
 func (r *Relay) notifyOverdue(ended []*message) []*message {
 	now := clock.Now()
 	return slices.DeleteFunc(ended, func(m *message) bool {
@@ -73,8 +74,8 @@
 	})
 }
 
-// markWritten has what waits for a write go on once all that was noted has been written, be it in a compaction, which is no write
-// of its own. With power a sync counts, which the next write brings.
+// markWritten updates unwritten steps once the log has written all of its records, which may happen in a compaction, and that
+// has no sequence number of its own. With Config.Power only a sync counts, and the next write brings one.
 func (r *Relay) markWritten() {
 	waits := slices.ContainsFunc(r.promises, func(p pendingStep) bool { return p.unwritten })
 	if !waits || r.cfg.Power || r.wal.Failure() != nil || r.record(nil) != nil {
@@ -85,7 +86,7 @@
 	}
 }
 
-// finishDurableSteps carries out what has become durable.
+// finishDurableSteps finishes the steps whose writes have become durable.
 func (r *Relay) finishDurableSteps() {
 	for durable := r.wal.Durable(); len(r.promises) > 0 && r.promises[0].seq <= durable; {
 		p := r.promises[0]
@@ -126,15 +127,15 @@
 	}
 }
 
-// anyEnded tells whether a message of a call has ended since the call was decided on.
+// anyEnded reports whether a message of the call has ended since the module decided on the call.
 func (c *call) anyEnded() bool {
 	return slices.ContainsFunc(c.attempts, func(a *attempt) bool { return a.m.ended })
 }
 
-// sendAllowed tells whether a call that was held up may still be made.
+// sendAllowed reports whether a delayed call may still be made.
 func (r *Relay) sendAllowed(c *call) bool {
 	if c.anyEnded() {
-		return false // of which the module may not have heard yet
+		return false // the module may not know of the end yet
 	}
 	var ids []uint32
 	for _, a := range c.attempts {
@@ -143,7 +144,8 @@
 	return !r.noSends && clock.Now().Before(c.deadline) && r.sender.MayStill(c.route, r.now(), ids...)
 }
 
-// maintainLog has the log go on after the disk has failed it, and ends the waits of those who have waited too long.
+// maintainLog lets the log recover from a failure of the disk, finishes durable steps, and ends the waits of answers and
+// notices that have waited too long.
 func (r *Relay) maintainLog() {
 	if failing := !r.wal.Tend(); failing != r.worn {
 		r.worn = failing
@@ -171,13 +173,13 @@
 			continue
 		}
 		for _, m := range p.ended {
-			r.notify(m, true) // written, and not synced yet
+			r.notify(m, true) // written but not yet synced
 		}
 		p.ended = nil
 	}
 }
 
-// answerOverdue answers a client that has waited too long for the disk. A message that is not on it is not taken on.
+// answerOverdue answers a client that has waited too long for the disk. A message that is not durable is refused.
 func (r *Relay) answerOverdue(in *handIn, a answer) {
 	switch {
 	case a.status == http.StatusAccepted && in.as.seq <= r.wal.Durable():
@@ -185,21 +187,22 @@
 	case a.status == http.StatusAccepted:
 		r.deny(in, r.rejectOverdue(in.as))
 	case r.cfg.Power:
-		// Its end is not synced, and after a loss of power the message might be sent: no promise that it has no effect.
+		// The message's end is not synced, and after a loss of power the message might be sent, so the answer must not
+		// promise that it has no effect.
 		r.deny(in, answer{status: http.StatusInternalServerError})
 	default:
 		r.deny(in, a)
 	}
 }
 
-// rejectOverdue ends a message that is not on the disk in time, and is what its client is told.
+// rejectOverdue ends a message that did not become durable in time, and returns the answer for its client.
 func (r *Relay) rejectOverdue(m *message) answer {
 	rejected := answer{status: 503, again: policy.RetryAdvice}
 	if m.Withdrawn || !r.wal.Owes(m.Message) {
-		return rejected // a second client of the same message
+		return rejected // already rejected for another client that submitted the same message
 	}
 	if m.Final != nil {
-		// Ended meanwhile, with a notice that waits too: this answer is its end.
+		// It has ended meanwhile, and its notice waits as well: this answer takes the notice's place.
 		for i := range r.promises {
 			p := &r.promises[i]
 			p.ended = slices.DeleteFunc(p.ended, func(x *message) bool { return x == m })
@@ -222,7 +225,8 @@
 	return rejected
 }
 
-// joinPending has a client that hands in a message which is not durable yet wait with the first.
+// joinPending makes a request for a message that another client has submitted, and that is not durable yet, wait for the
+// same write. It returns false if the message is durable or has ended.
 func (r *Relay) joinPending(in *handIn, old *message) bool {
 	if old.seq <= r.wal.Durable() || old.ended {
 		return false
@@ -231,7 +235,7 @@
 	return true
 }
 
-// waitDurable waits until nothing waits for the disk; false if that takes too long.
+// waitDurable waits until no step waits for the disk. It returns false on a time-out.
 func (r *Relay) waitDurable(timeout time.Duration) bool {
 	for end := clock.Now().Add(timeout); len(r.promises) > 0; time.Sleep(time.Millisecond) {
 		if r.maintainLog(); clock.Now().After(end) {
@@ -241,10 +245,11 @@
 	return true
 }
 
-// scheduleStep has the module told of what is kept for the next step, and not by its own wake, which must not be lost.
+// scheduleStep triggers a step after one tick, for events that are kept for the next step. It leaves wakeAt, the module's own
+// wake-up, alone.
 func (r *Relay) scheduleStep() { time.AfterFunc(r.cfg.Tick, func() { r.post(nudge{}) }) }
 
-// logOptions is how the log is kept.
+// logOptions returns the options of the write-ahead log.
 func (r *Relay) logOptions() wal.Options {
 	o := wal.Options{Dir: r.cfg.StateDir, Limit: int64(r.cfg.Limits.DiskMB*1e6) - stateReserve, Told: func() {
 		select {
@@ -260,16 +265,17 @@
 		o.Limit -= 2 * maxMemoriesSize(r.cfg)
 	}
 	if r.cfg.Backlog != nil {
-		// A relay that knows nothing of the backlog would leave what lies there: the folder is not its own.
+		// A relay without a backlog would ignore the messages in it. The name makes it refuse the folder.
 		o.Name, o.Also = backlogOwnerName(r.cfg.Name), r.cfg.Name
 	}
 	return o
 }
 
-// backlogOwnerName is the name of a relay's state folder while it may owe messages that lie elsewhere.
+// backlogOwnerName is the owner's name in a relay's log while the backlog may hold messages.
 func backlogOwnerName(name string) string { return name + " with a backlog" }
 
-// closeLog closes the log. With nothing left on disk the folder is again that of a relay without a backlog.
+// closeLog closes the backlog and the log. If the backlog is empty, it renames the log's owner, so that a relay without a
+// backlog can use the folder.
 func (r *Relay) closeLog() error {
 	err := r.owed.close()
 	if r.owed != nil && err == nil && r.heir == nil && r.owed.onDisk == 0 {
@@ -278,8 +284,8 @@
 	return errors.Join(err, r.wal.Close())
 }
 
-// adjustForClockSetBack sets messages that were found right where the clock stands before what the log has seen: how long they have been
-// out is not known, so that no time is left that may have passed.
+// adjustForClockSetBack moves the deadlines of recovered messages if the wall clock is behind the latest time in the log. How
+// much time has passed is then unknown, so messages lose the difference rather than get time that may have passed.
 func (r *Relay) adjustForClockSetBack(found wal.Recovery, latest time.Time) {
 	r.behind = max(0, latest.Sub(clock.Now()))
 	if r.behind == 0 {
@@ -291,13 +297,13 @@
 	}
 }
 
-// checkClock looks at what the wall clock has done since the log's times began, and bounds the time that a message can have
-// left by that of its class.
+// checkClock logs steps of the wall clock since the log's timeline began, and limits the remaining time of each message to
+// the maximum of its class.
 func (r *Relay) checkClock(found wal.Recovery) {
 	if resumed, stepped := r.wal.Timeline(); resumed && stepped != 0 {
 		r.log.Warn("the wall clock has been stepped", "by", stepped)
 	} else if !resumed && len(found.Messages) > 0 {
-		r.log.Warn("how much time has passed since the last process is told by the wall clock alone")
+		r.log.Warn("the time since the last process is known from the wall clock only")
 	}
 	now := clock.Now()
 	for _, m := range found.Messages {
@@ -310,14 +316,14 @@
 	}
 }
 
-// restoreState reads what a process before knew of partners, and looks at the clock.
+// restoreState checks the clock and reads the state of partners that an earlier process saved.
 func (r *Relay) restoreState(found wal.Recovery) {
 	r.checkClock(found)
 	latest := found.Latest()
 	if r.cfg.MemoriesEvery > 0 {
 		m, err := readMemories(r.cfg.StateDir)
 		if err != nil && !errors.Is(err, errNoMemories) {
-			r.log.Warn("what was known of partners is lost", "err", err)
+			r.log.Warn("cannot read the saved state of partners", "err", err)
 		}
 		r.recalled = m
 		if saved := r.wal.Local(m.Saved); saved.After(latest) {
--- a/internal/relay/durable_test.go
+++ b/internal/relay/durable_test.go
@@ -14,7 +14,8 @@
 	"onyxroad.dev/onyxroad/internal/wal"
 )
 
-// newDurableRelay is a relay in "power" on a disk in memory, whose loop is not running. Its syncs wait for the gate.
+// newDurableRelay returns a relay with Config.Power on an in-memory disk. Its loop is not running, and its syncs block while
+// the gate is locked.
 func newDurableRelay(t *testing.T, d *crashdisk.Disk, gate *sync.RWMutex) *Relay {
 	t.Helper()
 	d.Fail = func(op, _ string) error {
@@ -42,7 +43,7 @@
 	return r
 }
 
-// answered is a hand-in's answer, if it has one.
+// answered returns the answer to a request, if there is one yet.
 func answered(in *handIn) (a answer, ok bool) {
 	select {
 	case a = <-in.reply:
@@ -52,10 +53,10 @@
 	}
 }
 
-// waitOnDisk waits until the disk has everything, and carries out what waited for that.
+// waitOnDisk waits until everything is on disk and all pending steps are finished.
 func waitOnDisk(t *testing.T, r *Relay) {
 	t.Helper()
-	eventually(t, "all is on disk", func() bool { r.maintainLog(); return len(r.promises) == 0 })
+	eventually(t, "everything is on disk", func() bool { r.maintainLog(); return len(r.promises) == 0 })
 }
 
 func TestAnAnswerAndACallWaitForTheDisk(t *testing.T) {
@@ -82,7 +83,7 @@
 	if r.out != 1 {
 		t.Errorf("%d calls", r.out)
 	}
-	// The power fails here: nothing that was not synced is there.
+	// A loss of power here loses everything that was not synced.
 	_, found, err := wal.OpenWith(wal.Options{FS: d.Crash(func() bool { return false }), Limit: 1 << 20, Format: wal.Format})
 	if err != nil || len(found.Messages) != 1 || len(found.Messages[0].MayRun) != 1 {
 		t.Errorf("after a loss of power: %+v, %v", found.Messages, err)
@@ -99,7 +100,7 @@
 	r.maintainLog()
 	for _, in := range []*handIn{in, twin} {
 		if a, ok := answered(in); !ok || a.status != http.StatusServiceUnavailable || a.again <= 0 {
-			t.Errorf("while the disk tarries: %+v, %v", a, ok)
+			t.Errorf("while the disk is slow: %+v, %v", a, ok)
 		}
 	}
 	gate.Unlock()
@@ -150,7 +151,7 @@
 	if e := r.resumed(m, nil); !e.Resumed.Ran || e.Resumed.RanAgo < time.Hour {
 		t.Errorf("in doubt: %+v", e.Resumed)
 	}
-	// The clock was set back by an hour: what has been out for seconds may have been out for that long.
+	// The clock was set back by an hour: a message that seems seconds old may be an hour old.
 	sent := time.Now().Add(time.Hour)
 	m = &message{Message: &wal.Message{ID: 2, Dest: 7, Deadline: sent.Add(5 * time.Second), MayRun: []wal.Attempt{{At: sent}}}}
 	r.adjustForClockSetBack(wal.Recovery{Messages: []*wal.Message{m.Message}}, sent)
@@ -186,7 +187,8 @@
 	}
 }
 
-// A client that leaves while its message's call waits for the disk hands it in anew: that call must not leave as well.
+// A client that disconnects while its message's call waits for the disk submits the message again. The first call must then
+// not be made as well.
 func TestACallThatWaitsForTheDiskIsNotMadeForAClientThatLeft(t *testing.T) {
 	var gate sync.RWMutex
 	r := newDurableRelay(t, crashdisk.New(), &gate)
--- a/internal/relay/handover.go
+++ b/internal/relay/handover.go
@@ -22,45 +22,46 @@
 	"onyxroad.dev/onyxroad/policy"
 )
 
-// Handing over to a new process, which asks for it on a Unix socket in the state folder. Together the two are one
-// relay, and all has one owner at any time:
+// A running relay hands over to a new process of the same relay, which requests it over a Unix socket in the state
+// folder. Every resource has exactly one owner at any time:
 //
-//	phase           listener           log and decisions     calls out
+//	phase           listener           log and decisions     calls in flight
 //	old alone       old                old                   old
 //	handing over    both hold it       nobody                old
-//	handed over     new                new                   each its own; the old tells the new its outcomes
-//	new alone       new                new                   new; what the old has not told of may have run
+//	handed over     new                new                   each its own; the old reports its outcomes to the new
+//	new alone       new                new                   new; old calls with no reported outcome may have run
 //
-// The lock on the log decides. The old process gives it up with all that it knows, and takes it again if the new one
-// does not say that it has it. What reaches the old process later is passed on.
+// The lock on the log determines the owner. The old process releases it together with its state, and locks the log again
+// if the new one does not confirm that it has it. The old process forwards whatever reaches it after the hand-over.
 
 const (
 	handoverSocket      = "handover.sock"
-	handoverTimeout     = 2 * time.Second // for each side's part in handing over
-	frameWriteTimeout   = time.Second     // for a frame
-	relockTimeout       = 5 * time.Second // to have the lock again from a process that did not go on
+	handoverTimeout     = 2 * time.Second // for each side of the exchange
+	frameWriteTimeout   = time.Second
+	relockTimeout       = 5 * time.Second // for locking the log again after a hand-over that failed
 	lockRetryInterval   = 20 * time.Millisecond
-	maxPredecessorDrain = 10 * time.Second // a process that has handed over stays no longer, SIGTERM or not
+	maxPredecessorDrain = 10 * time.Second // after which a process that has handed over exits even without SIGTERM
 )
 
-// handoverState is what a process that hands over tells besides the log.
+// handoverState is the state that a process hands over in addition to the log.
 type handoverState struct {
-	Began    time.Time // the zero of the module's clock, by the wall clock; for a process of before
+	Began    time.Time // zero of the module's clock on the wall clock; used if Clock is not comparable
 	Clock    clockReading
 	LastID   uint32
 	Members  []member
-	Seen     []string // ids that the list has ever named
+	Seen     []string // ids of all endpoints that the list has ever contained
 	Memories []policy.Memory
 	Out      []outstandingAttempt
 }
 
-// clockReading is what the module's clock showed when the machine's stood so. The zero reading tells nothing.
+// clockReading pairs simultaneous readings of the machine's monotonic clock and of the module's clock. The zero value
+// holds no reading.
 type clockReading struct {
 	Machine clock.Machine
 	Module  time.Duration
 }
 
-// readClock reads the module's clock for another process.
+// readClock returns a reading that another process on this machine can translate; see moduleStart.
 func (r *Relay) readClock() clockReading {
 	machine, ok := clock.ReadMachine()
 	if !ok {
@@ -69,7 +70,8 @@
 	return clockReading{machine, r.now()}
 }
 
-// moduleStart is the zero of a module's clock as this process sees it.
+// moduleStart returns the time on this process's clock at which the other process's module clock was zero. It uses the
+// monotonic clock where both readings are of the same boot, and otherwise the wall clock.
 func (e *handoverState) moduleStart() time.Time {
 	now := clock.Now()
 	if machine, ok := clock.ReadMachine(); ok && machine.Follows(e.Clock.Machine) {
@@ -78,28 +80,29 @@
 	return now.Add(-now.Sub(e.Began))
 }
 
-// outstandingAttempt is an attempt that is out. Cut: its message was told of a time-out, and its call goes on for others.
+// outstandingAttempt is an attempt in flight. With Cut set, it has already timed out for its message while its call goes
+// on for the call's other messages.
 type outstandingAttempt struct {
 	policy.Out
 	ID  uint32
 	Cut bool
 }
 
-// frame is what goes over a link once the new process has the log: one of these.
+// frame is one message on a handoverLink once the new process has the log. Exactly one field is set.
 type frame struct {
-	Mine  bool              `json:",omitempty"` // new to old: it has the log
+	Mine  bool              `json:",omitempty"` // new to old: the new process owns the log
 	Hand  *forwardedRequest `json:",omitempty"` // old to new
 	Leave uint32            `json:",omitempty"` // old to new: the client of this message has left
 	End   *forwardedOutcome `json:",omitempty"` // old to new
 	Reply *forwardedAnswer  `json:",omitempty"` // new to old
 }
 
-// forwardedRequest is a message that was handed in at the old process, or an operator's call there.
+// forwardedRequest is a message that a client submitted to the old process, or an operator's call there.
 type forwardedRequest struct {
 	Seq     uint32
 	Message *wal.Message `json:",omitempty"`
 	Body    []byte       `json:",omitempty"`
-	// Left is the message's time that is left; 0 from a process of before, whose deadlines go by the wall clock.
+	// Left is the time until the message's deadline. 0 comes from an older version, whose deadlines are wall-clock times.
 	Left time.Duration `json:",omitempty"`
 	order
 }
@@ -111,11 +114,11 @@
 	Text    string
 }
 
-// forwardedOutcome is an attempt's outcome.
+// forwardedOutcome is the outcome of an attempt that the old process made.
 type forwardedOutcome struct {
 	ID      uint32
 	N       int
-	Cut     bool // its call goes on
+	Cut     bool // timed out for this message; the call goes on for others
 	Outcome policy.Outcome
 	Gone    bool
 	Wait    time.Duration
@@ -123,27 +126,27 @@
 	Took    time.Duration
 }
 
-// attemptKey names an attempt; message numbers are the log's, and the same on both sides.
+// attemptKey identifies an attempt. Message ids come from the log and are the same in both processes.
 type attemptKey struct {
 	id uint32
 	n  int
 }
 
-// The loop's events of a hand-over, besides passedEnd.
+// Hand-over events of the loop, in addition to forwardedOutcome.
 type (
-	handoverRequest struct{ link *handoverLink } // a new process asks for this one's place
-	predecessorGone struct{}                     // the old process has ended
+	handoverRequest struct{ link *handoverLink } // a new process requests a hand-over
+	predecessorGone struct{}                     // the old process has exited
 )
 
-// handoverUnavailable answers a hand-in that cannot be passed on.
+// handoverUnavailable answers a request that cannot be forwarded to the new process.
 var handoverUnavailable = answer{status: http.StatusServiceUnavailable, again: policy.RetryAdvice}
 
-// handoverLink joins the two processes.
+// handoverLink is the connection between the two processes.
 type handoverLink struct {
 	*net.UnixConn
 	dec *json.Decoder
 
-	mu      sync.Mutex // guards writing, and what follows
+	mu      sync.Mutex // guards writes and the fields below
 	enc     *json.Encoder
 	pending map[uint32]*handIn
 	lastSeq uint32
@@ -163,8 +166,8 @@
 
 // The old process's side.
 
-// serveHandovers lets a new process ask for the relay's place until the returned function is called. Without the socket, one
-// that comes waits for the log until this one ends.
+// serveHandovers accepts hand-over requests of a new process until the returned function is called. If the socket cannot be
+// opened, a new process waits for the log's lock until this one exits.
 func (r *Relay) serveHandovers() (end func()) {
 	path := filepath.Join(r.cfg.StateDir, handoverSocket)
 	ctx, stop := context.WithCancel(context.Background())
@@ -172,13 +175,13 @@
 	listening.Go(func() {
 		var l *net.UnixListener
 		err := persist(ctx, r.log, "listen for a new process", forever, func() (err error) {
-			os.Remove(path) // left by a process before: this one has the log
+			os.Remove(path) // a leftover of an earlier process: this one holds the log's lock
 			l, err = sockets.ListenUnix(path)
 			return err
 		})
 		if err != nil {
 			if ctx.Err() == nil {
-				r.log.Warn("no hand-over to a new process", "err", err)
+				r.log.Warn("cannot listen for hand-over requests", "err", err)
 			}
 			return
 		}
@@ -188,7 +191,7 @@
 	return func() { stop(); listening.Wait() }
 }
 
-// acceptHandovers takes connections of new processes until the listener is closed.
+// acceptHandovers posts each connection of a new process to the loop until the listener is closed.
 func (r *Relay) acceptHandovers(l *net.UnixListener) {
 	for {
 		c, err := l.AcceptUnix()
@@ -204,14 +207,15 @@
 	}
 }
 
-// handOver gives a new process all that it needs. Where that does not come to take it, all stays as it was.
+// handOver transfers the relay to a new process. If that fails, this process takes the log and the backlog back and goes
+// on serving.
 func (r *Relay) handOver(l *handoverLink) {
 	if r.stopping || r.noSends || r.heir != nil || r.listener == nil {
 		l.Close()
 		return
 	}
 	began := clock.Now()
-	r.byHand.mu.Lock() // no call is lost between the two
+	r.byHand.mu.Lock() // so that no operator's call is lost between the two processes
 	defer r.byHand.mu.Unlock()
 	err := errors.Join(r.wal.Flush(), r.byHand.keep())
 	if err == nil && !(r.waitDurable(handoverTimeout/2) && r.owed.waitForJob(handoverTimeout/2) && len(r.withheld) == 0) {
@@ -227,16 +231,17 @@
 		l.Close()
 		for end := clock.Now().Add(relockTimeout); r.lock == nil; time.Sleep(lockRetryInterval) {
 			if r.lock, err = wal.Lock(r.cfg.StateDir); err != nil && clock.Now().After(end) {
-				// Another has the log and does not answer: what it owes is there. Writing to it would spoil it.
+				// Another process holds the log and every message in it, but does not respond. Writing to the log would
+				// corrupt it.
 				panic(fmt.Sprintf("relay: the log is lost to another process: %v", err))
 			}
 		}
 		r.log.Warn("not handed over", "err", err)
 		if err := r.owed.reopen(); err != nil {
-			panic(fmt.Sprintf("relay: the backlog is lost to another process: %v", err)) // as of the log
+			panic(fmt.Sprintf("relay: the backlog is lost to another process: %v", err)) // for the same reason as the log
 		}
 		if err := r.wal.Reclaim(); err != nil {
-			r.log.Error("the log is not as it was before the hand-over", "err", err)
+			r.log.Error("cannot resume the log after a failed hand-over", "err", err)
 		}
 		return
 	}
@@ -247,7 +252,8 @@
 	r.log.Info("handed over", "calls", r.out, "took", clock.Since(began))
 }
 
-// transfer passes on the listener, what this process knows, and the lock, and waits until the other has it.
+// transfer sends the listener, releases the log's lock, sends the state, and waits until the other process confirms that it
+// owns the log.
 func (r *Relay) transfer(l *handoverLink) error {
 	l.SetDeadline(clock.Now().Add(handoverTimeout))
 	raw, err := r.listener.SyscallConn()
@@ -299,7 +305,7 @@
 	return e
 }
 
-// forwardStep is a step of a process that has handed over.
+// forwardStep replaces step in a process that has handed over: it forwards events to the new process.
 func (r *Relay) forwardStep(batch []any) {
 	for _, e := range batch {
 		switch e := e.(type) {
@@ -318,7 +324,7 @@
 				r.forwardOutcome(e.a, result{outcome: policy.Timeout, took: clock.Since(e.a.sent)}, true)
 			}
 		case clearance:
-			e.reply <- false // it goes back, and the new process decides anew
+			e.reply <- false // the attempt ends as moot, and the new process decides anew
 		case handoverRequest:
 			e.link.Close()
 		case stopping:
@@ -343,7 +349,7 @@
 	r.heir.send(frame{End: &forwardedOutcome{a.m.ID, a.n, cut, res.outcome, res.gone, res.wait, res.report, res.took}})
 }
 
-// forward passes a hand-in on. Its answer comes by answers.
+// forward sends a request to the new process. readReplies delivers its answer.
 func (l *handoverLink) forward(in *handIn) {
 	l.mu.Lock()
 	l.lastSeq++
@@ -364,7 +370,7 @@
 	}
 }
 
-// resolve answers a hand-in, once.
+// resolve answers a forwarded request. Only the first answer to a request counts.
 func (l *handoverLink) resolve(a forwardedAnswer) {
 	l.mu.Lock()
 	in := l.pending[a.Seq]
@@ -378,7 +384,8 @@
 	}
 }
 
-// readReplies takes the new process's readReplies until the link ends.
+// readReplies delivers the new process's answers until the link closes. Requests that are then still unanswered are refused
+// as unavailable.
 func (r *Relay) readReplies(l *handoverLink) {
 	for {
 		var f frame
@@ -399,9 +406,9 @@
 	}
 }
 
-// drainAfterHandover is what remains for a process that has handed over: its clients' requests are passed on, each answer ends
-// its connection, and calls run to their ends, until SIGTERM and no longer than asideMost. Closing the listener here
-// resets nothing: the new process holds the same socket.
+// drainAfterHandover runs in a process that has handed over, until SIGTERM or for maxPredecessorDrain, whichever is shorter.
+// Requests of its clients are forwarded, each answer closes its connection, and calls in flight run to completion. Closing
+// the listener resets no connection: the new process holds the same socket.
 func (r *Relay) drainAfterHandover(ctx context.Context, listener net.Listener) {
 	r.serving.Store(false)
 	listener.Close()
@@ -424,7 +431,8 @@
 
 // The new process's side.
 
-// takeOver takes the log over, from a process that serves now or from one that has ended.
+// takeOver locks and opens the log, the backlog and the exclusions, either by a hand-over from a process that is serving or
+// from what an earlier process left.
 func (r *Relay) takeOver() error {
 	l, from, listener, err := requestHandover(r.cfg)
 	if err != nil {
@@ -449,7 +457,7 @@
 		}
 	}
 	if err == nil && l != nil && l.send(frame{Mine: true}) != nil {
-		err = errors.Join(wal.ErrHeld, r.owed.close(), r.wal.Close()) // that process waits no longer, or has ended: begin anew
+		err = errors.Join(wal.ErrHeld, r.owed.close(), r.wal.Close()) // the old process gave up waiting or has exited: retry
 		r.owed = nil
 	}
 	if err != nil {
@@ -477,7 +485,7 @@
 	for _, m := range from.Members {
 		entry, err := json.Marshal(m)
 		if err != nil {
-			panic(err) // plain fields only: cannot fail
+			panic(err) // member marshals without error
 		}
 		r.cfg.Known.Entries = append(r.cfg.Known.Entries, entry)
 	}
@@ -490,11 +498,11 @@
 	return nil
 }
 
-// requestHandover asks the process that serves now for its place. The link is nil if there is none.
+// requestHandover requests a hand-over from the process that is serving. The link is nil if there is none.
 func requestHandover(cfg Config) (l *handoverLink, from handoverState, listener *net.TCPListener, err error) {
 	c, err := sockets.DialUnix(filepath.Join(cfg.StateDir, handoverSocket))
 	if err != nil {
-		return nil, handoverState{}, nil, nil // nobody there
+		return nil, handoverState{}, nil, nil // no process is serving
 	}
 	defer func() {
 		if err != nil {
@@ -520,15 +528,15 @@
 	return l, from, listener, nil
 }
 
-// receivedListener is the listener that came with a message.
+// receivedListener returns the listener whose descriptor arrived in a control message.
 func receivedListener(oob []byte) (*net.TCPListener, error) {
 	messages, err := syscall.ParseSocketControlMessage(oob)
 	if err != nil || len(messages) != 1 {
-		return nil, errors.Join(errors.New("no socket came"), err)
+		return nil, errors.Join(errors.New("no socket received"), err)
 	}
 	fds, err := syscall.ParseUnixRights(&messages[0])
 	if err != nil || len(fds) != 1 {
-		return nil, errors.Join(errors.New("no socket came"), err)
+		return nil, errors.Join(errors.New("no socket received"), err)
 	}
 	syscall.CloseOnExec(fds[0])
 	f := os.NewFile(uintptr(fds[0]), "listener")
@@ -540,12 +548,12 @@
 	tcp, ok := l.(*net.TCPListener)
 	if !ok {
 		l.Close()
-		return nil, errors.New("another kind of socket came")
+		return nil, errors.New("received socket is not a TCP listener")
 	}
 	return tcp, nil
 }
 
-// readPredecessor takes what the old process tells until it ends, and from then on knows that it is alone.
+// readPredecessor handles the frames of the old process until the link closes, and then posts predecessorGone.
 func (r *Relay) readPredecessor(l *handoverLink) {
 	for {
 		var f frame
@@ -571,7 +579,7 @@
 			if !r.post(in) {
 				break
 			}
-			go func() { // as many at most as the old process has clients
+			go func() { // at most one for each client connection of the old process
 				select {
 				case a := <-in.reply:
 					l.send(frame{Reply: &forwardedAnswer{seq, m.ID, a.status, a.again, a.text}})
@@ -584,7 +592,7 @@
 	r.post(predecessorGone{})
 }
 
-// applyForwardedOutcome takes the outcome of an attempt that the old process made.
+// applyForwardedOutcome applies the outcome of an attempt that the old process made.
 func (r *Relay) applyForwardedOutcome(evs []policy.Event, e forwardedOutcome) []policy.Event {
 	key := attemptKey{e.ID, e.N}
 	a := r.foreign[key]
@@ -595,12 +603,13 @@
 		delete(r.foreign, key)
 	}
 	if e.Outcome == policy.OK {
-		a.m.told = true // counted where it came
+		a.m.told = true // the old process has counted it
 	}
 	return r.attemptEnded(evs, a, result{e.Outcome, e.Gone, e.Wait, e.Report, e.Took})
 }
 
-// endPredecessorAttempts ends the attempts that the old process has not told of: they may have run.
+// endPredecessorAttempts ends the attempts whose outcomes the old process did not report. They may have run, so they end
+// as resets.
 func (r *Relay) endPredecessorAttempts(evs []policy.Event) []policy.Event {
 	keys := make([]attemptKey, 0, len(r.foreign))
 	for k := range r.foreign {
@@ -614,7 +623,8 @@
 	return evs
 }
 
-// setLimitShare sets the part of the relay's limits that this process may use.
+// setLimitShare sets the fraction of the relay's limits that this process may use: two processes share them during a
+// hand-over.
 func (r *Relay) setLimitShare(fraction float64) {
 	r.clients.bound(int(fraction * float64(r.cfg.Limits.Sockets*9/20)))
 	r.hosts.setMaxConns(int(fraction * float64(r.cfg.Limits.Sockets*3/8)))
--- a/internal/relay/handover_test.go
+++ b/internal/relay/handover_test.go
@@ -12,7 +12,8 @@
 	"onyxroad.dev/onyxroad/policy"
 )
 
-// Whether a call that is still out has run is told by its outcome, not by its place in the log.
+// The log cannot tell whether an attempt that is still in flight has run; its outcome will. Such an attempt must not be
+// reported to the module as one that has run.
 func TestACallThatIsOutIsNotTakenToHaveRun(t *testing.T) {
 	r := newTestRelay(t)
 	for _, c := range []struct {
@@ -31,36 +32,37 @@
 	}
 	m := &message{Message: &wal.Message{Attempts: 1, MayRun: []wal.Attempt{{N: 0, At: time.Now()}}}}
 	if r.resumed(m, &policy.Out{Attempt: 0}).Resumed.Ran {
-		t.Error("the one call, which is out, is taken to have run")
+		t.Error("the only call, which is in flight, counts as run")
 	}
 }
 
-// The two processes of a hand-over have one clock for their decisions, and a message its time, whatever the wall clock does
-// between them.
+// A step of the wall clock during a hand-over must change neither the module's clock nor the time that a forwarded message
+// has left.
 func TestAHandOverOutlastsAStepOfTheWallClock(t *testing.T) {
 	for _, seconds := range []int64{-3600, -5, 5, 3600} {
 		var wall wallstep.Clock
 		restore := wall.Use()
 		old, again := startHandover(t, func(old *Relay) {
-			old.started = old.started.Add(-time.Minute) // it has served for a while
+			old.started = old.started.Add(-time.Minute) // as if it had run for a minute
 			wall.Step(seconds)
 		})
 		if ahead := again.now() - old.now(); ahead.Abs() > time.Second {
-			t.Errorf("step of %d s: the new process decides by a clock that is off by %v", seconds, ahead)
+			t.Errorf("step of %d s: the module clock of the new process is off by %v", seconds, ahead)
 		}
 		m := &wal.Message{Trace: "passed-on", Class: 0, Dest: 7, Key: "k", Deadline: clock.Now().Add(5 * time.Second)}
 		wall.Step(seconds)
 		in := &handIn{m: m, reply: make(chan answer, 1)}
 		old.post(in)
-		settle(t, again, "the message that was handed in at the old process", func() bool { return again.traces["passed-on"] != nil })
+		settle(t, again, "the message that was submitted to the old process", func() bool { return again.traces["passed-on"] != nil })
 		if left := clock.Until(again.traces["passed-on"].Deadline); left < 3*time.Second || left > 5*time.Second {
-			t.Errorf("step of %d s: a message that is passed on has %v left of 5 s", seconds, left)
+			t.Errorf("step of %d s: a forwarded message has %v left of 5 s", seconds, left)
 		}
 		restore()
 	}
 }
 
-// startHandover is a relay that serves and the process that takes its place. before is called when the first one serves.
+// startHandover returns a serving relay and a second one that has taken over from it. before is called before the old relay's
+// loop starts.
 func startHandover(t *testing.T, before func(old *Relay)) (old, again *Relay) {
 	t.Helper()
 	old = newTestRelay(t)
@@ -78,7 +80,7 @@
 		t.Fatal(err)
 	}
 	if again.parent == nil {
-		t.Fatal("the new process has begun by itself")
+		t.Fatal("the new process started without a hand-over")
 	}
 	again.callCtx = t.Context()
 	again.resume()
--- a/internal/relay/hosts.go
+++ b/internal/relay/hosts.go
@@ -23,58 +23,57 @@
 	"onyxroad.dev/onyxroad/policy"
 )
 
-// idleTimeoutRatio is the share of the hosts' keep-alive limit after which the relay closes an idle connection itself.
-// Guards against a request that crosses the host's own close: it ends as a reset, which may have run.
+// idleTimeoutRatio is the fraction of the hosts' keep-alive limit after which the relay closes an idle connection itself.
+// A request that crosses the host's own close ends as a reset, and a reset may have run.
 const idleTimeoutRatio = 0.8
 
 const (
-	// answerReadTimeout bounds how long an answer may take from its first byte to its last. Guards against heads and bodies
-	// that do not end.
+	// answerReadTimeout bounds the time from the first to the last byte of an answer, as heads and bodies may never end.
 	answerReadTimeout = 500 * time.Millisecond
-	// lateReadTimeout is for an answer that came as its call was given up: long enough to read what is there.
+	// lateReadTimeout is for an answer that arrives as its call times out: long enough to read what has been received.
 	lateReadTimeout = time.Millisecond
-	// maxReportValue bounds what a host may tell of its limit.
+	// maxReportValue bounds the values of a host's load report.
 	maxReportValue   = 1e9
 	maxInformational = 16 // 1xx answers before one
 )
 
 var (
-	errMalformedAnswer = errors.New("spoilt answer")
-	errConnSpent       = errors.New("the answer is whole, its connection at its end")
+	errMalformedAnswer = errors.New("malformed answer")
+	errConnSpent       = errors.New("the answer is complete, but its connection cannot be reused")
 )
 
-// hostClient makes the outbound calls.
+// hostClient makes outbound calls.
 type hostClient struct {
 	*pool
 	reportFields []string
-	onWritten    func(*call) // told of each call that is written whole; may be nil
+	onWritten    func(*call) // called once a call's request is written; may be nil
 	guard        *invariant.Guard
 }
 
-// call is one request to a host, with one message or several.
+// call is one request to a host that carries one message or a bundle.
 type call struct {
-	number   uint32 // the module's
+	number   uint32 // assigned by the module
 	route    string
 	addr     string
 	zone     int
 	sent     time.Time
-	deadline time.Time // given up then
+	deadline time.Time // when the call times out
 	attempts []*attempt
-	size     int // of the body, at most, if it carries several
+	size     int // upper bound of the body's size as a bundle
 
-	progress atomic.Int32 // a callProgress: the loop and the call's goroutine agree by it
+	progress atomic.Int32 // a callProgress, shared by the loop and the call's goroutine
 }
 
-// callProgress is whether a call's first byte may have left.
+// callProgress tells whether a call's first byte may have been sent.
 type callProgress = int32
 
 const (
 	callPending callProgress = iota
-	callWriting              // its request is being written, or was
-	callRevoked              // it will not be
+	callWriting              // its request is being written or has been
+	callRevoked              // its request will not be written
 )
 
-// beginWrite tells whether a call's request may be written. From then on nothing revokes it.
+// beginWrite reports whether the call's request may be written. If so, the call can no longer be revoked.
 func (c *call) beginWrite(now time.Time) bool {
 	if slices.ContainsFunc(c.attempts, func(a *attempt) bool { return !now.Before(a.deadline) }) {
 		c.revoke()
@@ -82,36 +81,36 @@
 	return c.progress.CompareAndSwap(callPending, callWriting)
 }
 
-// revoke has a call not be made whose request is not being written yet; false if it is, or was.
+// revoke prevents a call whose request is not being written yet. It returns false if it is too late.
 func (c *call) revoke() bool {
 	return c.progress.CompareAndSwap(callPending, callRevoked) || c.progress.Load() == callRevoked
 }
 
-// attempt is one message's part in a call.
+// attempt is one message's share of a call.
 type attempt struct {
 	*call
 	m        *message
 	n        int
 	deadline time.Time
-	timer    *time.Timer // ends it before the rest of its call; nil if it ends with it
-	settled  bool        // its outcome is told
+	timer    *time.Timer // ends the attempt before its call; nil if both end together
+	settled  bool        // its outcome has been processed
 }
 
-// result is how an attempt ended.
+// result is the result of an attempt.
 type result struct {
 	outcome policy.Outcome
-	gone    bool // the message is over: nothing more is owed
+	gone    bool // the host has given the message up: it must not be sent again
 	wait    time.Duration
 	report  policy.Report
-	took    time.Duration // from when the request was written
+	took    time.Duration // from the start of writing the request to the first byte of the answer
 }
 
 func newHostClient(cfg Config) *hostClient {
 	return &hostClient{pool: newPool(cfg), reportFields: cfg.Reports, guard: invariant.New(slog.Default())}
 }
 
-// do makes a call and tells the end of each of its attempts, in their order. clear is asked once more before
-// the request is written where a new connection had to come up first.
+// do makes a call and returns the results of its attempts, in their order. If a new connection had to be opened, it calls
+// allowed before it writes the request.
 func (h *hostClient) do(ctx context.Context, c *call, allowed func() bool) []result {
 	ctx, cancel := context.WithDeadline(ctx, c.deadline)
 	defer cancel()
@@ -122,7 +121,7 @@
 	case err != nil:
 		return sameResults(c, result{outcome: policy.ConnectFailed})
 	}
-	// While the connection came up, a drain or a wait may have been told.
+	// While the connection was being opened, the host may have announced a drain or a wait.
 	if isNew && !allowed() {
 		conn.release()
 		return sameResults(c, result{outcome: policy.Moot})
@@ -132,7 +131,7 @@
 		conn.release()
 		return sameResults(c, result{outcome: policy.Moot})
 	}
-	// A message of it may have ended since the call was decided on, or its time may be up.
+	// Since the decision, one of its messages may have ended or expired.
 	if !c.beginWrite(clock.Now()) {
 		conn.release()
 		return sameResults(c, result{outcome: policy.Moot})
@@ -140,9 +139,9 @@
 	return h.exchange(ctx, req, c, conn)
 }
 
-// exchange writes the request, reads its answer, and keeps or drops the connection.
+// exchange writes the request, reads the answer, and releases or discards the connection.
 func (h *hostClient) exchange(ctx context.Context, req *http.Request, c *call, conn *hostConn) []result {
-	// A call is given up by closing its connection: no answer to it is read any more.
+	// A call that times out or is cancelled stops reading; its connection is then closed.
 	stop := context.AfterFunc(ctx, func() { conn.SetDeadline(longAgo) })
 	began := clock.Now()
 	for _, a := range c.attempts {
@@ -154,7 +153,7 @@
 		h.onWritten(c)
 	}
 	several := len(c.attempts) > 1
-	a := readAnswer(conn, req, several) // there may be an answer though not all could be written
+	a := readAnswer(conn, req, several) // a host may answer before the whole request is written
 	if stop() && a.err == nil && written {
 		conn.SetDeadline(time.Time{})
 		conn.release()
@@ -169,9 +168,9 @@
 	malformed := a.err != nil && !errors.Is(a.err, errConnSpent)
 	switch {
 	case a.head != nil && a.head.StatusCode == http.StatusOK && !several:
-		r.outcome = policy.OK // with the first line: what follows means nothing
+		r.outcome = policy.OK // the status line alone decides
 	case malformed:
-		// The last byte tells: without it no host has begun. Whatever is doubtful may have run.
+		// No host starts work before it has the last byte of a request. Once that is written, the call may have run.
 		r.outcome = failureOutcome(ctx, written)
 	case a.head.StatusCode == http.StatusOK:
 		return bundleResults(c, r, a.body)
@@ -181,7 +180,7 @@
 	return sameResults(c, r)
 }
 
-// writeRequest writes a request in one go.
+// writeRequest writes a request in a single write.
 func writeRequest(conn *hostConn, req *http.Request) error {
 	var text bytes.Buffer
 	if err := req.Write(&text); err != nil {
@@ -191,27 +190,27 @@
 	return err
 }
 
-// hostAnswer is what came in answer to a call.
+// hostAnswer is what was received in answer to a call.
 type hostAnswer struct {
-	head        *http.Response // of a spoilt one perhaps its first line alone; nil if that cannot be read either
-	body        []byte         // of an answer to several messages
-	err         error          // why it is not whole, or more than whole: its connection is of no further use
-	firstByteAt time.Time      // its first byte
+	head        *http.Response // of a malformed answer perhaps only the status line; nil if not even that is readable
+	body        []byte         // only of an answer to a bundle
+	err         error          // not nil if the answer is incomplete or its connection cannot be reused
+	firstByteAt time.Time      // zero if nothing was received
 }
 
-// readAnswer reads an answer, to several messages or to one.
+// readAnswer reads the answer to a single message or, if several is set, to a bundle.
 func readAnswer(conn *hostConn, req *http.Request, several bool) (a hostAnswer) {
 	conn.allow(headMost)
 	_, a.err = conn.r.Peek(1)
 	if errors.Is(a.err, os.ErrDeadlineExceeded) {
-		// Past a deadline nothing is read, not even what is there: a wait that it tells binds all the same.
+		// Past its deadline a connection returns not even what it has received. A Retry-After in it still binds.
 		conn.SetReadDeadline(clock.Now().Add(lateReadTimeout))
 		_, a.err = conn.r.Peek(1)
 	}
 	if a.err != nil {
 		return a
 	}
-	// Where the call ended this very moment, this takes the place of its deadline, and it ends so much later.
+	// If the call times out at this moment, this replaces its deadline and extends the read by answerReadTimeout at most.
 	a.firstByteAt = clock.Now()
 	conn.SetReadDeadline(a.firstByteAt.Add(answerReadTimeout))
 	for range maxInformational {
@@ -233,7 +232,7 @@
 	return a
 }
 
-// peekLine looks at what comes, to the end of its first line.
+// peekLine returns the first line that is received, without consuming it.
 func peekLine(r *bufio.Reader) ([]byte, error) {
 	for {
 		ahead, _ := r.Peek(r.Buffered())
@@ -241,12 +240,12 @@
 			return bytes.Clone(ahead[:i+1]), nil
 		}
 		if _, err := r.Peek(len(ahead) + 1); err != nil {
-			return nil, err // bufio.ErrBufferFull: a line without end
+			return nil, err // bufio.ErrBufferFull if the line is too long
 		}
 	}
 }
 
-// parseStatusLine reads a first line by itself; nil if it cannot be read.
+// parseStatusLine parses a status line without its head; nil if it is malformed.
 func parseStatusLine(line []byte, req *http.Request) *http.Response {
 	head, err := http.ReadResponse(bufio.NewReader(io.MultiReader(bytes.NewReader(line), strings.NewReader("\r\n"))), req)
 	if err != nil {
@@ -255,7 +254,7 @@
 	return head
 }
 
-// readAnswerBody reads an answer's body. It returns an error also if the connection can carry no further call.
+// readAnswerBody reads an answer's body. It also returns an error if the connection cannot be reused.
 func readAnswerBody(conn *hostConn, head *http.Response, several bool) (body []byte, err error) {
 	if head.ContentLength > bodyMost {
 		return nil, errMalformedAnswer
@@ -278,7 +277,7 @@
 	return body, nil
 }
 
-// failureOutcome is the outcome of a call whose answer did not come.
+// failureOutcome returns the outcome of a call without a complete answer.
 func failureOutcome(ctx context.Context, written bool) policy.Outcome {
 	switch {
 	case !written:
@@ -291,7 +290,7 @@
 	return policy.Reset
 }
 
-// newRequest makes the request of a call.
+// newRequest builds the request of a call.
 func newRequest(c *call) (*http.Request, error) {
 	path, body := "/events", c.attempts[0].m.Body
 	header := http.Header{"X-Expires-In-Ms": {strconv.FormatInt(max(1, clock.Until(c.deadline).Milliseconds()), 10)}}
@@ -316,14 +315,14 @@
 	return req, nil
 }
 
-// bundleItem is a message in a bundle.
+// bundleItem is the wire form of a message in a bundle.
 type bundleItem struct {
 	ID   string `json:"id"`
 	Key  string `json:"key,omitempty"`
 	Body []byte `json:"body"`
 }
 
-// maxItemSize is the most that a message takes in a bundle: any byte of an id may be escaped.
+// maxItemSize is the largest size of a message in a bundle: JSON may escape any byte of an id as six.
 func maxItemSize(m *message) int {
 	return base64.StdEncoding.EncodedLen(len(m.Body)) + 6*(len(m.Trace)+len(m.Key)) + len(`{"id":"","key":"","body":""},[]`)
 }
@@ -331,16 +330,16 @@
 func bundleBody(c *call) []byte {
 	items := make([]bundleItem, 0, len(c.attempts))
 	for _, a := range c.attempts {
-		items = append(items, bundleItem{a.m.Trace, a.m.Key, append([]byte{}, a.m.Body...)}) // null is no body
+		items = append(items, bundleItem{a.m.Trace, a.m.Key, append([]byte{}, a.m.Body...)}) // a nil slice would become null, which is no body
 	}
 	data, err := json.Marshal(items)
 	if err != nil {
-		panic(err) // strings and bytes only: cannot fail
+		panic(err) // bundleItem marshals without error
 	}
 	return data
 }
 
-// headResult is what a head tells besides its message's end.
+// headResult reads from a head what does not depend on the outcome: the advised wait and the load report.
 func (h *hostClient) headResult(head *http.Response) (r result) {
 	if head != nil {
 		r.wait = parseRetryAfter(head.Header.Get("Retry-After"))
@@ -349,7 +348,7 @@
 	return r
 }
 
-// statusOutcome is what a status other than 200 says.
+// statusOutcome maps a status other than 200 to an outcome.
 func statusOutcome(head *http.Response) (o policy.Outcome, gone bool) {
 	switch head.StatusCode {
 	case http.StatusTooManyRequests:
@@ -364,10 +363,10 @@
 	case http.StatusGone:
 		return policy.Moot, true
 	}
-	return policy.Error, false // 500, and what is not known: it may have run
+	return policy.Error, false // 500 and unknown codes: the call may have run
 }
 
-// bundleResults reads the end of each message of a bundle. One that is missing or unreadable may have run.
+// bundleResults reads the state of each message of a bundle. A message whose state is missing or unreadable may have run.
 func bundleResults(c *call, r result, body []byte) []result {
 	unread := r
 	unread.outcome = policy.Error
@@ -400,7 +399,7 @@
 	return results
 }
 
-// parseReport reads what a host tells of its limit.
+// parseReport reads a host's load report. Fields that are invalid or not configured are ignored.
 func (h *hostClient) parseReport(text string) policy.Report {
 	var rep policy.Report
 	text, ok := strings.CutPrefix(text, "TEXT ")
@@ -410,7 +409,7 @@
 	for pair := range strings.SplitSeq(text, ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(pair), "=")
 		x, err := strconv.ParseFloat(value, 64)
-		// NaN compares as false.
+		// The condition also rejects NaN, which compares as false.
 		if err != nil || !(x >= 0 && x <= maxReportValue) || !slices.Contains(h.reportFields, name) {
 			continue
 		}
@@ -424,7 +423,7 @@
 	return rep
 }
 
-// parseRetryAfter reads a Retry-After, whole or decimal; 0 if there is none that can be read.
+// parseRetryAfter parses a Retry-After in seconds, with or without decimals. It returns 0 if there is no valid one.
 func parseRetryAfter(text string) time.Duration {
 	x, err := strconv.ParseFloat(text, 64)
 	if err != nil || !(x > 0) || x > 1e6 {
@@ -433,7 +432,7 @@
 	return time.Duration(x * float64(time.Second))
 }
 
-// sameResults gives every attempt of a call the same end.
+// sameResults returns the same result for every attempt of a call.
 func sameResults(c *call, r result) []result {
 	results := make([]result, len(c.attempts))
 	for i := range results {
--- a/internal/relay/hosts_test.go
+++ b/internal/relay/hosts_test.go
@@ -36,7 +36,7 @@
 	return h
 }
 
-// newCall is a call to addr with messages of these ids.
+// newCall returns a call to addr that carries messages with these ids.
 func newCall(addr string, ids ...string) *call {
 	c := &call{route: "s-1", addr: addr, sent: time.Now(), deadline: time.Now().Add(testTimeout)}
 	for _, id := range ids {
@@ -53,15 +53,15 @@
 	t.Helper()
 	for end := time.Now().Add(testTimeout); !ok(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("never: %s", what)
+			t.Fatalf("timed out waiting for: %s", what)
 		}
 	}
 }
 
 func addrOf(s *httptest.Server) string { return s.Listener.Addr().String() }
 
-// rawHost reads whole requests on plain sockets and hands each to serve, with its place among all, from 1.
-// serve returns false to close the connection.
+// rawHost serves on plain sockets. It reads complete requests and passes each to serve with its number, counted from 1 over
+// all connections. serve returns false to close the connection.
 func rawHost(t *testing.T, serve func(n int, conn net.Conn, req *http.Request) bool) (addr string, requests *atomic.Int32) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -121,8 +121,8 @@
 	}
 }
 
-// A Transport would send this request again by itself: it carries an Idempotency-Key, its connection was used
-// before, and no byte of an answer came.
+// http.Transport would resend this request by itself: it has an Idempotency-Key, its connection was reused, and no byte of an
+// answer was received.
 func TestNothingIsSentAgainByItself(t *testing.T) {
 	for _, body := range []string{"some", ""} {
 		addr, requests := rawHost(t, func(n int, conn net.Conn, _ *http.Request) bool {
@@ -178,7 +178,7 @@
 	}
 }
 
-// stuckConn takes part of a request and then breaks.
+// stuckConn accepts only part of a request and then fails.
 type stuckConn struct {
 	net.Conn
 	left int
@@ -214,7 +214,7 @@
 func TestNoAnswerInTimeClosesTheConnection(t *testing.T) {
 	left := make(chan struct{})
 	s := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
-		io.Copy(io.Discard, r.Body) // only its end is wanted
+		io.Copy(io.Discard, r.Body)
 		<-r.Context().Done()
 		close(left)
 	}))
@@ -232,7 +232,7 @@
 	}
 }
 
-// An answer that came as its call was given up once lay unread, and a wait that it told was not heeded.
+// An answer that arrives as its call times out must be read: it may carry a Retry-After, which was once lost that way.
 func TestAnAnswerThatCameByTheTimeOutIsRead(t *testing.T) {
 	addr, _ := rawHost(t, func(_ int, conn net.Conn, _ *http.Request) bool {
 		fmt.Fprint(conn, "HTTP/1.1 429 Too Many Requests\r\nContent-Length: 0\r\nRetry-After: 0.612\r\n\r\n")
@@ -256,7 +256,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := raw.Read(func(fd uintptr) bool { // until it is there
+	if err := raw.Read(func(fd uintptr) bool { // until the answer has been received
 		n, _, _ := syscall.Recvfrom(int(fd), make([]byte, 1), syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 		return n > 0
 	}); err != nil {
@@ -280,7 +280,7 @@
 	if n := requests.Load(); n != 0 {
 		t.Errorf("the host saw %d requests", n)
 	}
-	// The connection is kept, and needs no second look.
+	// The connection was kept. A call on it is not confirmed again.
 	r := h.do(t.Context(), newCall(addr, "b"), func() bool { t.Error("asked again"); return false })
 	if r[0].outcome != policy.OK {
 		t.Errorf("outcome on the kept connection %v", r[0].outcome)
@@ -290,7 +290,7 @@
 func TestConnectionsAreKept(t *testing.T) {
 	const calls = 6
 	var opened atomic.Int32
-	var together sync.WaitGroup // every round waits until all of its calls are there
+	var together sync.WaitGroup // each round answers once all of its calls have arrived
 	s := httptest.NewUnstartedServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		together.Done()
 		together.Wait()
@@ -317,7 +317,7 @@
 		done.Wait()
 	}
 	if n := opened.Load(); n != calls {
-		t.Errorf("%d connections for %d calls at once", n, calls)
+		t.Errorf("%d connections for %d concurrent calls", n, calls)
 	}
 }
 
@@ -338,9 +338,9 @@
 		t.Fatalf("outcome %v", r[0].outcome)
 	}
 	select {
-	case <-closed: // the server sets no limit of its own: the relay closed it
+	case <-closed: // by the relay, as the server has no idle limit
 	case <-time.After(testTimeout):
-		t.Error("still open")
+		t.Error("the idle connection is still open")
 	}
 }
 
@@ -351,7 +351,7 @@
 	defer two.Close()
 	h := newTestHostClient(t, testConfig())
 	h.maxConns, h.connectTimeout = 1, 100*time.Millisecond
-	for i, s := range []*httptest.Server{one, two, one} { // each takes the place of the idle one before
+	for i, s := range []*httptest.Server{one, two, one} { // each call replaces the idle connection of the one before
 		if r := h.do(t.Context(), newCall(addrOf(s), "a"), alwaysAllowed); r[0].outcome != policy.OK || h.open != 1 {
 			t.Errorf("call %d: outcome %v, %d open", i, r[0].outcome, h.open)
 		}
@@ -360,7 +360,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	// That the relay itself has no room is no failure of the host.
+	// The relay's own limit must not count as a failure of the host.
 	if r := h.do(t.Context(), newCall(addrOf(two), "a"), alwaysAllowed); r[0].outcome != policy.Moot {
 		t.Errorf("beyond the bound: outcome %v", r[0].outcome)
 	}
@@ -476,7 +476,7 @@
 
 const okAnswer = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"
 
-// An answer brings more than belongs to it: the rest must not answer the next call.
+// Bytes that follow an answer must not be read as the answer to the next call.
 func TestWhatComesBehindAnAnswerAnswersNoOtherCall(t *testing.T) {
 	for _, behind := range []string{okAnswer, "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n", "noise", "\r\n"} {
 		for _, late := range []bool{false, true} {
@@ -500,14 +500,14 @@
 			}
 			eventually(t, "the connection dropped", func() bool { h.mu.Lock(); defer h.mu.Unlock(); return h.open == 0 })
 			if r := h.do(t.Context(), newCall(addr, "b"), alwaysAllowed); r[0].outcome != policy.Error {
-				t.Errorf("%q: the second call has the first one's rest: %v", behind, r[0].outcome)
+				t.Errorf("%q: the second call got what followed the first answer: %v", behind, r[0].outcome)
 			}
 		}
 	}
 }
 
-// A spoilt answer may have run. A single message is delivered where the first line says 200. In no case does it take
-// long, and the connection is of no further use.
+// A call with a malformed answer may have run, and a single message counts as delivered if the status line says 200. Reading
+// the answer must end before the call times out, and the connection must not be reused.
 func TestSpoiltAnswers(t *testing.T) {
 	const bundleHead = "HTTP/1.1 200 OK\r\nContent-Length: "
 	for _, c := range []struct {
@@ -536,7 +536,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
 			addr, _ := rawHost(t, func(_ int, conn net.Conn, _ *http.Request) bool {
-				io.WriteString(conn, c.answer) // and the connection stays open
+				io.WriteString(conn, c.answer) // the connection stays open
 				return true
 			})
 			h := newTestHostClient(t, testConfig())
@@ -552,7 +552,7 @@
 					}
 				}
 				if time.Now().After(call.deadline) {
-					t.Error("told with the call's time-out alone")
+					t.Error("no result before the call's time-out")
 				}
 				h.mu.Lock()
 				if h.open > 0 {
@@ -564,7 +564,7 @@
 	}
 }
 
-// 1xx answers come ahead of the one that counts, and a connection that carried them can carry more.
+// 1xx answers precede the final answer, and the connection can be reused after them.
 func TestInformationAheadOfAnAnswer(t *testing.T) {
 	addr, _ := rawHost(t, func(_ int, conn net.Conn, _ *http.Request) bool {
 		fmt.Fprint(conn, "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n"+okAnswer)
@@ -578,7 +578,7 @@
 	}
 }
 
-// A host that answers before it has read all, and closes, has answered.
+// The answer counts if a host sends it before it has read the whole request, and then closes.
 func TestAnEarlyAnswerCounts(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -601,7 +601,7 @@
 	}
 }
 
-// A host's connections go with it: another one may come up at its address.
+// Connections belong to a host, not to its address: another host may come up there.
 func TestAHostThatGoesLosesItsConnections(t *testing.T) {
 	addr, _ := rawHost(t, func(_ int, conn net.Conn, _ *http.Request) bool {
 		fmt.Fprint(conn, okAnswer)
@@ -622,7 +622,7 @@
 	}
 }
 
-// A host that closes an idle connection is noticed before a request is written to it.
+// A host's close of an idle connection is detected before the next request is written to it.
 func TestAnIdleCloseIsNoticed(t *testing.T) {
 	addr, _ := rawHost(t, func(_ int, conn net.Conn, _ *http.Request) bool {
 		fmt.Fprint(conn, okAnswer)
@@ -637,7 +637,7 @@
 	}
 }
 
-// Reports that make no sense never reach the module.
+// Invalid load reports must not reach the module.
 func TestOddReports(t *testing.T) {
 	h := newTestHostClient(t, testConfig())
 	for _, text := range []string{
@@ -650,7 +650,7 @@
 	}
 }
 
-// Took is from the request's writing: a connection that is slow to come up says nothing of how long answers take.
+// The measured duration starts when the request is written: the time to connect says nothing about how long answers take.
 func TestACallIsTimedFromItsWriting(t *testing.T) {
 	addr, _ := rawHost(t, func(_ int, conn net.Conn, _ *http.Request) bool {
 		fmt.Fprint(conn, okAnswer)
--- a/internal/relay/memories.go
+++ b/internal/relay/memories.go
@@ -15,24 +15,24 @@
 	"onyxroad.dev/onyxroad/policy"
 )
 
-// What is known of partners outlasts the process in a file of its own, put down from time to time and at a planned end. It
-// is worth nothing but time: one that is missing, torn or old does no harm.
+// The module's learned state about partners is saved to a file at intervals and at an orderly shutdown, and restored by the
+// next process. It only saves learning time: a missing, torn or outdated file does no harm.
 
 const memoriesFile = "partners.json"
 
 var errNoMemories = errors.New("relay: no memories")
 
-// memories is the file's content, after a checksum.
+// memories is the file's content, which follows a line with its checksum.
 type memories struct {
 	Saved    time.Time     // on the log's timeline
-	Clock    time.Duration // and by the module's clock
+	Clock    time.Duration // the same time on the module's clock
 	Memories []policy.Memory
 }
 
-// maxMemoriesSize is the file's size at most, in bytes.
+// maxMemoriesSize is the largest size of the file in bytes.
 func maxMemoriesSize(cfg Config) int64 { return min(128<<10, int64(cfg.Limits.DiskMB*1e6/16)) }
 
-// saveMemories writes what is known. The loop calls it; writing is done beside it, one at a time.
+// saveMemories saves the state if the interval has passed. The loop calls it; a goroutine does the writing, one at a time.
 func (r *Relay) saveMemories() {
 	if r.cfg.MemoriesEvery <= 0 || clock.Since(r.putAt) < r.cfg.MemoriesEvery || !r.putting.CompareAndSwap(false, true) {
 		return
@@ -67,11 +67,11 @@
 		err = os.Rename(path+".tmp", path)
 	}
 	if err != nil && !r.putFailed.Swap(true) {
-		r.log.Warn("what is known of partners is not put down", "err", err)
+		r.log.Warn("cannot save the state of partners", "err", err)
 	}
 }
 
-// saveMemoriesAtExit is the last one, at a planned end, when the loop is over.
+// saveMemoriesAtExit saves the state at an orderly shutdown, after the loop has ended.
 func (r *Relay) saveMemoriesAtExit() {
 	if r.cfg.MemoriesEvery <= 0 || r.heir != nil {
 		return
@@ -84,7 +84,7 @@
 	}
 }
 
-// readMemories reads what a process before has put down.
+// readMemories reads the file that an earlier process saved.
 func readMemories(dir string) (m memories, err error) {
 	data, err := os.ReadFile(filepath.Join(dir, memoriesFile))
 	if errors.Is(err, fs.ErrNotExist) {
@@ -102,7 +102,7 @@
 	return m, nil
 }
 
-// restoreMemories has the module know what a process before knew. The list came first.
+// restoreMemories passes the state of an earlier process to the module, which must have the list by then.
 func (r *Relay) restoreMemories() {
 	m := r.recalled
 	if len(m.Memories) == 0 {
@@ -110,6 +110,6 @@
 	}
 	age := clock.Since(r.wal.Local(m.Saved))
 	r.sender.Recall(m.Memories, m.Clock, age)
-	r.log.Info("recalled partners", "routes", len(m.Memories), "age", age)
+	r.log.Info("restored the state of partners", "routes", len(m.Memories), "age", age)
 	r.recalled = memories{}
 }
--- a/internal/relay/pool.go
+++ b/internal/relay/pool.go
@@ -14,28 +14,28 @@
 	"onyxroad.dev/onyxroad/internal/sockets"
 )
 
-// connRetryInterval is how long a call waits before it looks for a free connection or descriptor again.
+// connRetryInterval is how long a call waits before it tries again to get a connection or a descriptor.
 const connRetryInterval = 20 * time.Millisecond
 
 var (
-	errTooManyConns = errors.New("all connections that the relay may hold are in use")
-	errPoolClosed   = errors.New("no more connections are opened")
+	errTooManyConns = errors.New("outbound connection limit reached, and all connections are in use")
+	errPoolClosed   = errors.New("connection pool closed")
 )
 
-// peer is a host at an address. Another host may come up at an address that was in use: it has other connections.
+// peer is a host at an address. Connections are not shared with another host that later comes up at the same address.
 type peer struct{ route, addr string }
 
-// pool keeps the connections to hosts, idle ones for the next call. It is the relay's own: a Transport's sends some
-// requests again by itself, which a message that must not run twice can't bear, dials where nobody can look again
-// before the request is written, and does not show what came behind an answer.
+// pool manages the connections to hosts and keeps idle ones for the next call. It replaces http.Transport, which resends some
+// requests by itself although a message may not be allowed to run twice, offers no hook between dialling and writing a
+// request, and does not show bytes that follow an answer.
 type pool struct {
 	dial           func(ctx context.Context, network, addr string) (net.Conn, error)
 	connectTimeout time.Duration
 	idleTimeout    time.Duration
-	maxConns       int // connections
+	maxConns       int
 
 	mu     sync.Mutex
-	idle   map[peer][]*hostConn // the last used last
+	idle   map[peer][]*hostConn // least recently used first
 	open   int                  // connections, idle or not
 	closed bool
 }
@@ -45,7 +45,7 @@
 	*conn
 	pool      *pool
 	peer      peer
-	idleSince time.Time // idle since then
+	idleSince time.Time
 	timer     *time.Timer
 }
 
@@ -59,13 +59,14 @@
 	}
 }
 
-// get returns an idle connection to a host, else a new one; fresh tells which.
+// get returns an idle connection to a host, or else opens one, which isNew reports. At the relay's own limits it retries
+// until the connect time-out.
 func (p *pool) get(ctx context.Context, to peer) (c *hostConn, isNew bool, err error) {
 	for c := p.takeIdle(to); c != nil; c = p.takeIdle(to) {
 		if _, quiet := c.unwatch(); quiet && clock.Since(c.idleSince) < p.idleTimeout {
 			return c, false, nil
 		}
-		c.discard() // closed by the host, or something came that no call had asked for
+		c.discard() // too old, closed by the host, or unexpected bytes were received
 	}
 	ctx, cancel := context.WithTimeout(ctx, p.connectTimeout)
 	defer cancel()
@@ -85,7 +86,7 @@
 	}
 }
 
-// isLocalShortage tells whether a connection did not come up for want of what this relay may hold: that says nothing of the host.
+// isLocalShortage reports whether a connection failed for lack of local resources, which says nothing about the host.
 func isLocalShortage(err error) bool {
 	return errors.Is(err, errTooManyConns) || errors.Is(err, errPoolClosed) || errors.Is(err, syscall.EMFILE) || errors.Is(err, syscall.ENFILE) ||
 		errors.Is(err, syscall.ENOBUFS) || errors.Is(err, syscall.ENOMEM) || errors.Is(err, syscall.EADDRNOTAVAIL)
@@ -115,7 +116,7 @@
 	return &hostConn{conn: newConn(nc), pool: p, peer: to}, nil
 }
 
-// takeIdle takes the connection that was used last out of the pool; nil if there is none.
+// takeIdle takes the most recently used idle connection out of the pool; nil if there is none.
 func (p *pool) takeIdle(to peer) *hostConn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -128,7 +129,7 @@
 	return c
 }
 
-// release puts a connection into the pool for the next call.
+// release returns a connection to the pool for the next call, and closes it there if the host closes it or sends anything.
 func (c *hostConn) release() {
 	p := c.pool
 	p.mu.Lock()
@@ -156,13 +157,13 @@
 	c.pool.discard(c)
 }
 
-// discard, remove and evict are called with mu held.
+// discard closes a connection that is not idle. It, remove, evictOldest and discardIdle are called with mu held.
 func (p *pool) discard(c *hostConn) {
 	p.open--
 	c.Close()
 }
 
-// remove takes a connection out of the pool; false if it was not in it.
+// remove takes an idle connection out of the pool; false if it is not there.
 func (p *pool) remove(c *hostConn) bool {
 	list := p.idle[c.peer]
 	i := slices.Index(list, c)
@@ -176,7 +177,7 @@
 	return true
 }
 
-// evictOldest closes the connection that has been idle longest.
+// evictOldest closes the connection that has been idle for the longest time.
 func (p *pool) evictOldest() {
 	var oldest *hostConn
 	for _, list := range p.idle {
@@ -190,7 +191,7 @@
 	}
 }
 
-// closeIdle closes the idle connections to a host, at whatever address.
+// closeIdle closes the idle connections to a host at all of its addresses.
 func (p *pool) closeIdle(route string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -208,14 +209,14 @@
 	}
 }
 
-// setMaxConns changes how many connections there may be.
+// setMaxConns changes the limit on connections, without closing any.
 func (p *pool) setMaxConns(most int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.maxConns = most
 }
 
-// close closes all idle connections and keeps none from here on.
+// close closes all idle connections, and from now on every connection that is released.
 func (p *pool) close() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/relay/window.go
+++ b/internal/relay/window.go
@@ -6,34 +6,33 @@
 	"slices"
 )
 
-// window is what the module is given of all that is owed, by destination, where a backlog is kept. It knows destinations
-// and room, and nothing of routes: of each destination so many messages at most, of all together so many that were never
-// sent. It is apart from I/O, and belongs to the loop.
+// window limits which messages are at the module when there is a backlog. It limits the messages of each destination, and the
+// messages of all destinations that were never sent; it knows nothing of routes. It does no I/O and is owned by the loop.
 type window struct {
-	maxUnsent  int // messages at the module that were never sent
-	maxPerDest int // of each destination, sent or not
-	maxHeld    int // at the module, sent or not
+	maxUnsent  int // limit on messages at the module that were never sent
+	maxPerDest int // limit for each destination, sent or not
+	maxHeld    int // limit for all messages at the module, sent or not
 	dests      map[int]*destWindow
-	held       int // at the module
+	held       int // messages at the module
 	sent       int // of these, sent at least once
-	onDisk     int // on disk, or on the way there
+	onDisk     int // messages on disk or moving there
 	loadQueue  []*destWindow
 }
 
-// destWindow is what the window knows of one destination.
+// destWindow is the window's state of one destination.
 type destWindow struct {
 	dest    int
-	held    int        // at the module
-	unsent  []*message // of these, in no order
-	onDisk  int        // on disk, or on the way there
-	loading bool       // messages of it are on their way back
-	queued  bool       // it is among those that may have room
+	held    int        // messages at the module
+	unsent  []*message // of these, never sent, in no order
+	onDisk  int        // messages on disk or moving there
+	loading bool       // a job is loading messages from disk
+	queued  bool       // in window.loadQueue
 }
 
 func newWindow(size int, share float64, most int) *window {
 	w := &window{maxUnsent: size, maxPerDest: max(1, int(share*float64(size))), maxHeld: 4 * size, dests: map[int]*destWindow{}}
 	if most > 0 {
-		// The module's own room is for what it has; it never gets so near as to refuse for lack of it.
+		// Stay below the module's own limit, so that it never refuses a message for lack of space.
 		w.maxHeld = min(w.maxHeld, most*4/5)
 		w.maxUnsent = max(1, min(w.maxUnsent, w.maxHeld/2))
 		w.maxPerDest = min(w.maxPerDest, w.maxUnsent)
@@ -41,7 +40,7 @@
 	return w
 }
 
-// dest is a destination's.
+// dest returns the state of a destination and creates it if needed.
 func (w *window) dest(dest int) *destWindow {
 	c := w.dests[dest]
 	if c == nil {
@@ -51,19 +50,20 @@
 	return c
 }
 
-// fairShare is how many messages of a destination may be at the module where all that owe something get the same.
+// fairShare is the number of messages per destination if all destinations with messages share the window equally.
 func (w *window) fairShare() int { return min(w.maxPerDest, max(1, w.maxUnsent/max(1, len(w.dests)))) }
 
-// admits tells whether a new message of a destination may go to the module at once. Not before what is on disk of the same.
+// admits reports whether a new message may go to the module directly. It may not overtake messages of its destination that
+// are on disk.
 func (w *window) admits(dest int) bool {
 	c := w.dests[dest]
 	return w.held < w.maxHeld && (c == nil || c.onDisk == 0 && c.held < w.maxPerDest || !storable(dest))
 }
 
-// storable tells whether the store knows such numbers of destinations.
+// storable reports whether the store can represent the destination's number.
 func storable(dest int) bool { return int64(dest) <= math.MaxUint32 }
 
-// add books a message that the module is given.
+// add counts a message that is passed to the module.
 func (w *window) add(m *message) {
 	c := w.dest(m.Dest)
 	c.held++
@@ -78,7 +78,7 @@
 	w.sent++
 }
 
-// markSent books a message's first send.
+// markSent counts a message's first send.
 func (w *window) markSent(m *message) {
 	if m.cell != nil && m.place >= 0 {
 		w.removeUnsent(m)
@@ -94,7 +94,7 @@
 	c.unsent, m.place = c.unsent[:len(c.unsent)-1], -1
 }
 
-// remove books a message that the module has done with.
+// remove counts out a message that has left the module.
 func (w *window) remove(m *message) {
 	c := m.cell
 	if c == nil {
@@ -112,7 +112,7 @@
 	w.dropIfEmpty(c)
 }
 
-// addOnDisk books messages that come to the disk or go from there.
+// addOnDisk changes the number of a destination's messages on disk by n, which may be negative.
 func (w *window) addOnDisk(dest, n int) {
 	c := w.dest(dest)
 	c.onDisk += n
@@ -121,7 +121,7 @@
 	w.dropIfEmpty(c)
 }
 
-// queueLoad has a destination looked at for room.
+// queueLoad queues a destination with messages on disk for nextLoads.
 func (w *window) queueLoad(c *destWindow) {
 	if c.onDisk > 0 && !c.queued {
 		c.queued = true
@@ -135,17 +135,17 @@
 	}
 }
 
-// loadRequest is how many messages of a destination shall come back from the disk.
+// loadRequest asks for n messages of a destination to be loaded from disk.
 type loadRequest struct{ dest, n int }
 
-// nextLoads says what shall come back now, most messages in all: of destinations in the order in which they came to have room.
-// Half of a destination's share is waited for, so that few reads bring many.
+// nextLoads returns what to load from disk now, at most limit messages in all. Destinations come in the order in which they
+// were queued. One is loaded only once half of its share is free, so that few reads bring many messages.
 func (w *window) nextLoads(limit int) (all []loadRequest) {
 	share := w.fairShare()
 	room := w.maxUnsent - (w.held - w.sent)
 	if share > 1 {
-		// Those that have more than their share make way for those that have less: see excess. With more destinations than
-		// room for a message of each, this would have them change places for ever.
+		// Load a sixteenth beyond the window: excess then evicts from the destinations that exceed their share. With more
+		// destinations than the window has messages, this would swap messages in and out for ever.
 		room = max(room, w.maxUnsent/16)
 	}
 	room = min(room, w.maxHeld-w.held)
@@ -157,7 +157,7 @@
 			break
 		}
 		if c.queued = false; c.onDisk == 0 || c.loading || c.held > share/2 {
-			continue // it wants again when a message of it ends
+			continue // queued again when one of its messages leaves the module
 		}
 		n := min(share-c.held, c.onDisk, limit, room)
 		c.loading = true
@@ -167,7 +167,7 @@
 	return all
 }
 
-// finishLoad books that a load is over, whatever came of it.
+// finishLoad marks a load as finished, successful or not.
 func (w *window) finishLoad(dest int) {
 	if c := w.dests[dest]; c != nil {
 		c.loading = false
@@ -176,8 +176,9 @@
 	}
 }
 
-// excess picks what has to leave the module for the disk, so that the window holds no more than its size, and so many at
-// least: of those destinations that have most the least urgent, and none that may not leave. It frees a sixteenth at once.
+// excess picks the messages to evict to disk so that at most maxUnsent unsent ones remain, and atLeast in any case: the least
+// urgent ones of the destinations with the most messages, and only evictable ones. If it evicts at all, it frees another
+// sixteenth of the window.
 func (w *window) excess(atLeast int, evictable func(*message) bool) (all []*message) {
 	over := max(atLeast, w.held-w.sent-w.maxUnsent)
 	if over <= 0 {
@@ -200,14 +201,14 @@
 			}
 		}
 		if len(all) >= need {
-			break // who has no more than the others keeps it
+			break // no need to take from destinations within their share
 		}
 	}
 	return all
 }
 
-// leastUrgent are the n leastUrgent urgent messages that were never sent and may leave. With one, all that come after it by its order
-// leave: an order of the same key must hold.
+// leastUrgent returns up to n of the least urgent messages that were never sent, and stops at the first that is not evictable:
+// an evicted message takes all that rank after it along, which keeps messages of the same order key in order.
 func (c *destWindow) leastUrgent(n int, evictable func(*message) bool) []*message {
 	all := slices.Clone(c.unsent)
 	slices.SortFunc(all, func(a, b *message) int { return cmp.Or(cmp.Compare(b.rank(), a.rank()), cmp.Compare(b.ID, a.ID)) })
@@ -218,7 +219,7 @@
 	return all
 }
 
-// rank is a message's place in its destination's order.
+// rank is the message's sort key among those of its destination; see rankOf.
 func (m *message) rank() int64 {
 	if m.Rank == 0 {
 		return m.Deadline.UnixNano()
@@ -226,5 +227,5 @@
 	return m.Rank
 }
 
-// noDeadline is later than any deadline.
+// noDeadline is later than every deadline.
 const noDeadline = math.MaxInt64
