--- a/internal/relay/backlog_test.go
+++ b/internal/relay/backlog_test.go
@@ -21,29 +21,29 @@
 
 // memoryStore is an in-memory owed.Store.
 type memoryStore struct {
-	all  map[uint32]owed.Entry
-	room int // 0: unlimited
-	fail error
+	entries  map[uint32]owed.Entry
+	capacity int // 0: unlimited
+	err      error
 }
 
 func (s *memoryStore) Apply(put []owed.Entry, remove []owed.Ref) error {
-	if s.fail != nil {
-		return s.fail
+	if s.err != nil {
+		return s.err
 	}
-	if s.room > 0 && len(put) > 0 && len(s.all)+len(put) > s.room {
+	if s.capacity > 0 && len(put) > 0 && len(s.entries)+len(put) > s.capacity {
 		return owed.ErrFull
 	}
 	for _, r := range remove {
-		delete(s.all, r.ID)
+		delete(s.entries, r.ID)
 	}
 	for _, e := range put {
-		s.all[e.ID] = e
+		s.entries[e.ID] = e
 	}
 	return nil
 }
 
 func (s *memoryStore) sorted(keep func(owed.Entry) bool, by func(owed.Entry) int64) (all []owed.Entry) {
-	for _, e := range s.all {
+	for _, e := range s.entries {
 		if keep(e) {
 			all = append(all, e)
 		}
@@ -59,16 +59,16 @@
 
 func (s *memoryStore) First(dest, n int) ([]owed.Entry, error) {
 	all := s.sorted(func(e owed.Entry) bool { return e.Dest == dest }, func(e owed.Entry) int64 { return e.Rank })
-	return all[:min(n, len(all))], s.fail
+	return all[:min(n, len(all))], s.err
 }
 
 func (s *memoryStore) Due(by int64, n int) ([]owed.Entry, error) {
 	all := s.sorted(func(e owed.Entry) bool { return e.Deadline <= by }, func(e owed.Entry) int64 { return e.Deadline })
-	return all[:min(n, len(all))], s.fail
+	return all[:min(n, len(all))], s.err
 }
 
 func (s *memoryStore) NextDue() (next int64, ok bool, err error) {
-	for _, e := range s.all {
+	for _, e := range s.entries {
 		if !ok || e.Deadline < next {
 			next, ok = e.Deadline, true
 		}
@@ -77,7 +77,7 @@
 }
 
 func (s *memoryStore) Find(trace string) (owed.Ref, bool, error) {
-	for _, e := range s.all {
+	for _, e := range s.entries {
 		if e.Trace == trace {
 			return e.Ref, true, nil
 		}
@@ -86,14 +86,14 @@
 }
 
 func (s *memoryStore) Get(id uint32) (owed.Entry, bool, error) {
-	e, ok := s.all[id]
+	e, ok := s.entries[id]
 	return e, ok, nil
 }
 
-func (s *memoryStore) Len() int { return len(s.all) }
+func (s *memoryStore) Len() int { return len(s.entries) }
 
 func (s *memoryStore) Count(dest int) (n int) {
-	for _, e := range s.all {
+	for _, e := range s.entries {
 		if e.Dest == dest {
 			n++
 		}
@@ -103,18 +103,18 @@
 
 func (s *memoryStore) Dests() iter.Seq2[int, int] {
 	counts := map[int]int{}
-	for _, e := range s.all {
+	for _, e := range s.entries {
 		counts[e.Dest]++
 	}
 	return maps.All(counts)
 }
 
-func (s *memoryStore) Disk() int64  { return int64(len(s.all)) }
+func (s *memoryStore) Disk() int64  { return int64(len(s.entries)) }
 func (s *memoryStore) Close() error { return nil }
 
 func (s *memoryStore) open() (owed.Store, owed.Found, error) {
-	found := owed.Found{Messages: len(s.all)}
-	for id := range s.all {
+	found := owed.Found{Messages: len(s.entries)}
+	for id := range s.entries {
 		found.MaxID = max(found.MaxID, id)
 	}
 	return s, found, nil
@@ -123,10 +123,10 @@
 // backlogRelay is a relay with a backlog. Its loop is not running, and the test runs its jobs.
 type backlogRelay struct {
 	*Relay
-	t    *testing.T
-	s    *memoryStore
-	d    *crashdisk.Disk
-	jobs []*job
+	t     *testing.T
+	store *memoryStore
+	disk  *crashdisk.Disk
+	jobs  []*job
 }
 
 func newBacklogRelay(t *testing.T, s *memoryStore, d *crashdisk.Disk, window int) *backlogRelay {
@@ -146,7 +146,7 @@
 		t.Fatal(err)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	b := &backlogRelay{Relay: r, t: t, s: s, d: d}
+	b := &backlogRelay{Relay: r, t: t, store: s, disk: d}
 	t.Cleanup(func() { cancel(); r.calls.Wait(); r.hosts.close(); r.wal.Close(); r.lock.Close() })
 	r.callCtx = ctx
 	r.owed.startJob = func(j *job) { b.jobs = append(b.jobs, j) }
@@ -164,7 +164,7 @@
 		}
 		j := b.jobs[0]
 		b.jobs = b.jobs[1:]
-		j.run(b.s)
+		j.run(b.store)
 		b.step([]any{j})
 	}
 	b.t.Fatal("the backlog keeps starting jobs")
@@ -186,20 +186,20 @@
 	b.t.Helper()
 	held := 0
 	for id, m := range b.msgs {
-		if _, ok := b.s.all[id]; ok {
+		if _, ok := b.store.entries[id]; ok {
 			b.t.Errorf("message %d is in the log and on disk", id)
 		}
 		if !m.ended && b.wal.Owes(m.Message) {
 			held++
 		}
 	}
-	if held+len(b.s.all) != want || b.held+b.owed.count() != want || b.owed.onDisk != len(b.s.all) {
-		b.t.Errorf("%d in the log, %d on disk, %d counted, %d of them on disk; want %d", held, len(b.s.all), b.held+b.owed.count(), b.owed.onDisk, want)
+	if held+len(b.store.entries) != want || b.held+b.owed.count() != want || b.owed.onDisk != len(b.store.entries) {
+		b.t.Errorf("%d in the log, %d on disk, %d counted, %d of them on disk; want %d", held, len(b.store.entries), b.held+b.owed.count(), b.owed.onDisk, want)
 	}
 }
 
-func TestWhatTheWindowDoesNotHoldLiesOnDisk(t *testing.T) {
-	b := newBacklogRelay(t, &memoryStore{all: map[uint32]owed.Entry{}}, crashdisk.New(), 64)
+func TestMessagesBeyondTheWindowMoveToDisk(t *testing.T) {
+	b := newBacklogRelay(t, &memoryStore{entries: map[uint32]owed.Entry{}}, crashdisk.New(), 64)
 	for i := range 10 {
 		b.submit(100, 100*i, 7, time.Hour)
 		b.runJobs()
@@ -246,8 +246,8 @@
 	b.checkOwed(0)
 }
 
-func TestTheMostUrgentComesBackFirst(t *testing.T) {
-	b := newBacklogRelay(t, &memoryStore{all: map[uint32]owed.Entry{}}, crashdisk.New(), 64)
+func TestMostUrgentMessageIsLoadedFirst(t *testing.T) {
+	b := newBacklogRelay(t, &memoryStore{entries: map[uint32]owed.Entry{}}, crashdisk.New(), 64)
 	b.submit(64, 0, 7, 3*time.Hour)
 	b.submit(200, 1000, 7, 2*time.Hour)
 	b.submit(1, 2000, 7, time.Hour)
@@ -261,8 +261,8 @@
 	}
 }
 
-func TestEndsOnDiskAreToldInTime(t *testing.T) {
-	b := newBacklogRelay(t, &memoryStore{all: map[uint32]owed.Entry{}}, crashdisk.New(), 64)
+func TestMessagesThatExpireOnDiskGetNotices(t *testing.T) {
+	b := newBacklogRelay(t, &memoryStore{entries: map[uint32]owed.Entry{}}, crashdisk.New(), 64)
 	b.submit(32, 0, 7, time.Hour) // the destination's share
 	b.submit(100, 1000, 7, expiryLead/2)
 	b.submit(5, 2000, 7, time.Hour)
@@ -283,15 +283,15 @@
 	}
 }
 
-func TestAFullOrFailingDiskTurnsNewWorkAway(t *testing.T) {
-	for name, spoil := range map[string]func(*memoryStore){
-		"full":    func(s *memoryStore) { s.room = 1 },
-		"failing": func(s *memoryStore) { s.fail = errors.New("sick") },
+func TestFullOrFailingDiskRejectsNewMessages(t *testing.T) {
+	for name, breakStore := range map[string]func(*memoryStore){
+		"full":    func(s *memoryStore) { s.capacity = 1 },
+		"failing": func(s *memoryStore) { s.err = errors.New("sick") },
 	} {
 		t.Run(name, func(t *testing.T) {
-			s := &memoryStore{all: map[uint32]owed.Entry{}}
+			s := &memoryStore{entries: map[uint32]owed.Entry{}}
 			b := newBacklogRelay(t, s, crashdisk.New(), 64)
-			spoil(s)
+			breakStore(s)
 			b.submit(100, 0, 7, time.Hour)
 			b.runJobs()
 			in := newHandIn("late", 7, time.Hour)
@@ -300,10 +300,10 @@
 				t.Errorf("beyond the window: %+v, %v", a, ok)
 			}
 			b.submit(1, 1000, 8, time.Hour) // the window has room
-			if b.held+b.owed.count() != 101 || len(s.all) != 0 {
-				t.Errorf("%d owed, %d on disk", b.held+b.owed.count(), len(s.all))
+			if b.held+b.owed.count() != 101 || len(s.entries) != 0 {
+				t.Errorf("%d owed, %d on disk", b.held+b.owed.count(), len(s.entries))
 			}
-			s.room, s.fail = 0, nil
+			s.capacity, s.err = 0, nil
 			b.owed.failedAt = time.Time{}
 			b.runJobs()
 			b.checkOwed(101)
@@ -313,10 +313,10 @@
 }
 
 // A message whose client disconnects while it is moving to disk, or on disk, must end, and must not reappear at a restart.
-func TestAWithdrawnMessageLeavesTheDiskBeforeTheLog(t *testing.T) {
+func TestWithdrawnMessageIsRemovedFromDiskBeforeLog(t *testing.T) {
 	for _, when := range []string{"before its job", "under its job", "on disk"} {
 		t.Run(when, func(t *testing.T) {
-			b := newBacklogRelay(t, &memoryStore{all: map[uint32]owed.Entry{}}, crashdisk.New(), 64)
+			b := newBacklogRelay(t, &memoryStore{entries: map[uint32]owed.Entry{}}, crashdisk.New(), 64)
 			b.submit(33, 0, 7, time.Hour)
 			if len(b.jobs) != 1 {
 				t.Fatalf("%d jobs", len(b.jobs))
@@ -344,7 +344,7 @@
 			}
 			b.runJobs()
 			b.checkOwed(33)
-			if _, ok, _ := b.s.Find("gone"); ok || b.traces["gone"] != nil {
+			if _, ok, _ := b.store.Find("gone"); ok || b.traces["gone"] != nil {
 				t.Error("it is still there")
 			}
 		})
@@ -352,8 +352,8 @@
 }
 
 // In an ordered class messages are loaded in their order of arrival, even if a later one has an earlier deadline.
-func TestTheBacklogKeepsAKeysOrder(t *testing.T) {
-	b := newBacklogRelay(t, &memoryStore{all: map[uint32]owed.Entry{}}, crashdisk.New(), 64)
+func TestBacklogKeepsOrderOfKey(t *testing.T) {
+	b := newBacklogRelay(t, &memoryStore{entries: map[uint32]owed.Entry{}}, crashdisk.New(), 64)
 	b.cfg.Settings.Classes[0].Ordered = true
 	rng := rand.New(rand.NewPCG(1, 2))
 	for i := range 200 {
@@ -383,8 +383,8 @@
 }
 
 // A clock that is set back over a restart must not give messages on disk more time.
-func TestTheClockSetBackGivesNoTimeOnDisk(t *testing.T) {
-	d, s := crashdisk.New(), &memoryStore{all: map[uint32]owed.Entry{}}
+func TestClockSetBackExtendsNoDeadlineOnDisk(t *testing.T) {
+	d, s := crashdisk.New(), &memoryStore{entries: map[uint32]owed.Entry{}}
 	b := newBacklogRelay(t, s, d, 64)
 	b.submit(100, 0, 7, time.Hour)
 	b.runJobs()
@@ -411,28 +411,28 @@
 
 // Whenever the process ends between writes to the log and to the backlog, each accepted message must be recovered exactly once,
 // and a message that was sent must not be recovered as untried.
-func TestNoMomentBetweenLogAndBacklogLosesAMessage(t *testing.T) {
+func TestCrashBetweenLogAndBacklogLosesNoMessage(t *testing.T) {
 	rng := rand.New(rand.NewPCG(7, 11))
 	for state := 0; state < *crashStates; {
-		s, d := &memoryStore{all: map[uint32]owed.Entry{}}, crashdisk.New()
+		s, d := &memoryStore{entries: map[uint32]owed.Entry{}}, crashdisk.New()
 		b := newBacklogRelay(t, s, d, 64)
 		owes, sent, next := map[string]bool{}, map[string]bool{}, 0
-		var shots []struct {
+		var snapshots []struct {
 			logs       *crashdisk.Disk
 			store      map[uint32]owed.Entry
 			owes, sent map[string]bool
 		}
-		shoot := func(when func() bool) {
+		takeSnapshot := func(when func() bool) {
 			if !when() {
 				return
 			}
-			shots = append(shots, struct {
+			snapshots = append(snapshots, struct {
 				logs       *crashdisk.Disk
 				store      map[uint32]owed.Entry
 				owes, sent map[string]bool
-			}{d.Crash(func() bool { return true }), maps.Clone(s.all), maps.Clone(owes), maps.Clone(sent)})
+			}{d.Crash(func() bool { return true }), maps.Clone(s.entries), maps.Clone(owes), maps.Clone(sent)})
 		}
-		often := func() bool { return rng.IntN(4) == 0 }
+		sometimes := func() bool { return rng.IntN(4) == 0 }
 		for range 60 {
 			switch rng.IntN(5) {
 			case 0, 1:
@@ -463,17 +463,17 @@
 				if len(b.jobs) > 0 {
 					j := b.jobs[0]
 					b.jobs = b.jobs[1:]
-					shoot(often)
+					takeSnapshot(sometimes)
 					j.run(s)
-					shoot(often) // done, but not reported to the loop
+					takeSnapshot(sometimes) // done, but not reported to the loop
 					b.step([]any{j})
 				} else {
 					b.step(nil)
 				}
 			}
-			shoot(often)
+			takeSnapshot(sometimes)
 		}
-		for _, x := range shots {
+		for _, x := range snapshots {
 			state++
 			_, found, err := wal.OpenWith(wal.Options{FS: x.logs, Limit: 40e6, Format: wal.Format, Name: "n3", Also: backlogOwnerName("n3")})
 			if err != nil {
@@ -513,9 +513,9 @@
 
 // A relay without a backlog must not start on a folder while messages may be on disk, and must start once the backlog is
 // empty.
-func TestAFolderWithABacklogIsRefusedWithoutOne(t *testing.T) {
+func TestRelayWithoutBacklogRefusesFolderWithOne(t *testing.T) {
 	d := crashdisk.New()
-	b := newBacklogRelay(t, &memoryStore{all: map[uint32]owed.Entry{}}, d, 64)
+	b := newBacklogRelay(t, &memoryStore{entries: map[uint32]owed.Entry{}}, d, 64)
 	b.submit(100, 0, 7, time.Hour)
 	b.runJobs()
 	plain := wal.Options{Limit: 40e6, Format: wal.Format, Name: "n3"}
--- a/internal/relay/config_test.go
+++ b/internal/relay/config_test.go
@@ -8,7 +8,7 @@
 )
 
 // An invalid configuration is rejected with an error that names the file and the reason, both at start and at a reload.
-func TestABadConfigurationIsRefusedByName(t *testing.T) {
+func TestInvalidConfigErrorNamesFileAndReason(t *testing.T) {
 	const good = `{"discovery":"127.0.0.1:8500","listen":"127.0.0.1:0","settings":{"services":[{"name":"a"}]}}`
 	path := filepath.Join(t.TempDir(), "config.json")
 	getenv := func(name string) string {
@@ -40,7 +40,7 @@
 }
 
 // A reload that finds a partly written file retries, since SIGHUP is sent only once.
-func TestAConfigurationIsReadAgain(t *testing.T) {
+func TestReloadRetriesPartlyWrittenFile(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "config.json")
 	whole := `{"listen":"127.0.0.1:1","discovery":"127.0.0.1:2","settings":` + settingsJSON + `}`
 	if err := os.WriteFile(path, []byte(whole[:len(whole)/2]), 0o600); err != nil {
--- a/internal/relay/discovery.go
+++ b/internal/relay/discovery.go
@@ -118,7 +118,7 @@
 
 // run follows the list until ctx ends.
 func (w *watcher) run(ctx context.Context) {
-	pause, rejectedDelay := minRetryDelay, minRejectedDelay
+	delay, rejectedDelay := minRetryDelay, minRejectedDelay
 	if w.hasList {
 		// With a list to start from, relays that start together spread their requests.
 		w.wait(ctx, w.spread(reconnectSpread))
@@ -131,24 +131,24 @@
 		}
 		w.log.Warn("watch ended", "version", w.version, "err", err)
 		if w.version != oldVersion {
-			pause = minRetryDelay
+			delay = minRetryDelay
 		}
 		maxSpread := listDeadline
 		if w.served {
-			pause, maxSpread = minRetryDelay, reconnectSpread
+			delay, maxSpread = minRetryDelay, reconnectSpread
 		}
 		switch {
 		case errors.Is(err, errAgentMoved):
 			// Another agent may use other version numbers. The old list stays in use until the new agent sends one.
-			w.needFull, w.moved, pause = true, true, minRetryDelay
+			w.needFull, w.moved, delay = true, true, minRetryDelay
 		case errors.Is(err, errTurnedAway):
 			w.wait(ctx, w.capDelay(time.Duration((0.5+w.random())*float64(rejectedDelay))+w.spread(listDeadline)))
 			rejectedDelay = min(maxRejectedDelay, 2*rejectedDelay)
 		case failedHere(err):
 			w.wait(ctx, localFailureDelay)
 		default:
-			w.wait(ctx, w.capDelay(pause+w.spread(maxSpread)))
-			pause, rejectedDelay = min(maxRetryDelay, 2*pause), minRejectedDelay
+			w.wait(ctx, w.capDelay(delay+w.spread(maxSpread)))
+			delay, rejectedDelay = min(maxRetryDelay, 2*delay), minRejectedDelay
 		}
 	}
 }
@@ -336,7 +336,7 @@
 // run sends queued notices until ctx ends. It repeats a notice that was not confirmed: a duplicate does no harm, whereas a
 // missing one loses a message.
 func (f *noticeSender) run(ctx context.Context) {
-	pause, wait := minRetryDelay, minNoticeTimeout
+	delay, timeout := minRetryDelay, minNoticeTimeout
 	for {
 		f.mu.Lock()
 		batch := f.queue[:min(len(f.queue), noticeBatch)]
@@ -349,26 +349,26 @@
 			}
 			continue
 		}
-		if err := f.post(ctx, batch, wait); err != nil {
+		if err := f.post(ctx, batch, timeout); err != nil {
 			f.log.Warn("notices not confirmed", "count", len(batch), "err", err)
 			switch {
 			case errors.Is(err, errAgentMoved):
-				pause = minRetryDelay
+				delay = minRetryDelay
 				continue // immediately, at the new address
 			case errors.Is(err, context.DeadlineExceeded):
-				wait = min(maxNoticeTimeout, 2*wait)
+				timeout = min(maxNoticeTimeout, 2*timeout)
 				f.agent.client.CloseIdleConnections() // they may be dead too
 				continue                              // without a delay: the time-out was one
 			}
 			select {
 			case <-ctx.Done():
 				return
-			case <-time.After(pause):
+			case <-time.After(delay):
 			}
-			pause = min(maxNoticeRetryDelay, 2*pause)
+			delay = min(maxNoticeRetryDelay, 2*delay)
 			continue
 		}
-		pause, wait = minRetryDelay, minNoticeTimeout
+		delay, timeout = minRetryDelay, minNoticeTimeout
 		ids := make([]uint32, 0, len(batch))
 		for _, n := range batch {
 			ids = append(ids, n.id)
@@ -382,18 +382,18 @@
 	}
 }
 
-func (f *noticeSender) post(ctx context.Context, batch []notice, wait time.Duration) error {
+func (f *noticeSender) post(ctx context.Context, batch []notice, timeout time.Duration) error {
 	addr, ctx, done := f.agent.session(ctx)
 	defer done()
-	err := f.postTo(ctx, addr, batch, wait)
+	err := f.postTo(ctx, addr, batch, timeout)
 	if cause := context.Cause(ctx); err != nil && cause != nil {
 		return cause
 	}
 	return err
 }
 
-func (f *noticeSender) postTo(ctx context.Context, addr string, batch []notice, wait time.Duration) error {
-	ctx, cancel := context.WithTimeout(ctx, wait)
+func (f *noticeSender) postTo(ctx context.Context, addr string, batch []notice, timeout time.Duration) error {
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	var lines bytes.Buffer
 	enc := json.NewEncoder(&lines)
--- a/internal/relay/durable_test.go
+++ b/internal/relay/durable_test.go
@@ -59,7 +59,7 @@
 	eventually(t, "everything is on disk", func() bool { r.maintainLog(); return len(r.promises) == 0 })
 }
 
-func TestAnAnswerAndACallWaitForTheDisk(t *testing.T) {
+func TestAnswersAndCallsWaitForSync(t *testing.T) {
 	var gate sync.RWMutex
 	d := crashdisk.New()
 	r := newDurableRelay(t, d, &gate)
@@ -90,7 +90,7 @@
 	}
 }
 
-func TestASlowDiskTurnsClientsAway(t *testing.T) {
+func TestSlowDiskRejectsClients(t *testing.T) {
 	var gate sync.RWMutex
 	r := newDurableRelay(t, crashdisk.New(), &gate)
 	gate.Lock()
@@ -113,7 +113,7 @@
 	}
 }
 
-func TestAFailedSyncTakesNothingOn(t *testing.T) {
+func TestFailedSyncRejectsNewMessages(t *testing.T) {
 	var gate sync.RWMutex
 	d := crashdisk.New()
 	r := newDurableRelay(t, d, &gate)
@@ -145,7 +145,7 @@
 	}
 }
 
-func TestWhatIsNotKnownIsTakenToHaveRunLongAgo(t *testing.T) {
+func TestUncertainAttemptsCountAsRunLongAgo(t *testing.T) {
 	r := newTestRelay(t)
 	m := &message{Message: &wal.Message{ID: 1, Dest: 7, Deadline: time.Now().Add(time.Minute), Doubt: true}}
 	if e := r.resumed(m, nil); !e.Resumed.Ran || e.Resumed.RanAgo < time.Hour {
@@ -161,7 +161,7 @@
 	}
 }
 
-func TestMemoriesComeBackWhole(t *testing.T) {
+func TestMemoriesAreReadBackOrRejected(t *testing.T) {
 	var gate sync.RWMutex
 	r := newDurableRelay(t, crashdisk.New(), &gate)
 	if _, err := readMemories(r.cfg.StateDir); !errors.Is(err, errNoMemories) {
@@ -189,7 +189,7 @@
 
 // A client that disconnects while its message's call waits for the disk submits the message again. The first call must then
 // not be made as well.
-func TestACallThatWaitsForTheDiskIsNotMadeForAClientThatLeft(t *testing.T) {
+func TestDelayedCallIsDroppedWhenClientDisconnects(t *testing.T) {
 	var gate sync.RWMutex
 	r := newDurableRelay(t, crashdisk.New(), &gate)
 	r.guard.OnViolation(func(text string) { t.Error(text) })
--- a/internal/relay/handover.go
+++ b/internal/relay/handover.go
@@ -434,7 +434,7 @@
 // takeOver locks and opens the log, the backlog and the exclusions, either by a hand-over from a process that is serving or
 // from what an earlier process left.
 func (r *Relay) takeOver() error {
-	l, from, listener, err := requestHandover(r.cfg)
+	l, state, listener, err := requestHandover(r.cfg)
 	if err != nil {
 		r.log.Warn("not handed over", "err", err)
 	}
@@ -451,7 +451,7 @@
 		}
 	}
 	if err == nil {
-		if err = r.byHand.load(from.Seen); err != nil {
+		if err = r.byHand.load(state.Seen); err != nil {
 			err = errors.Join(err, r.owed.close(), r.wal.Close())
 			r.owed = nil
 		}
@@ -471,7 +471,7 @@
 		}
 		return fmt.Errorf("relay: %w", err)
 	}
-	r.found, r.legacy = found, from
+	r.found, r.legacy = found, state
 	if found.Report != nil && !found.Report.Sound() {
 		r.log.Error("the state folder is damaged", "report", found.Report.Words())
 	}
@@ -479,10 +479,10 @@
 		return nil
 	}
 	l.SetDeadline(time.Time{})
-	r.parent, r.lastID = l, max(r.lastID, from.LastID)
-	r.started = from.moduleStart()
+	r.parent, r.lastID = l, max(r.lastID, state.LastID)
+	r.started = state.moduleStart()
 	r.cfg.Known = List{}
-	for _, m := range from.Members {
+	for _, m := range state.Members {
 		entry, err := json.Marshal(m)
 		if err != nil {
 			panic(err) // member marshals without error
@@ -499,7 +499,7 @@
 }
 
 // requestHandover requests a hand-over from the process that is serving. The link is nil if there is none.
-func requestHandover(cfg Config) (l *handoverLink, from handoverState, listener *net.TCPListener, err error) {
+func requestHandover(cfg Config) (l *handoverLink, state handoverState, listener *net.TCPListener, err error) {
 	c, err := sockets.DialUnix(filepath.Join(cfg.StateDir, handoverSocket))
 	if err != nil {
 		return nil, handoverState{}, nil, nil // no process is serving
@@ -513,8 +513,8 @@
 		}
 	}()
 	c.SetDeadline(clock.Now().Add(handoverTimeout))
-	mark, oob := make([]byte, 1), make([]byte, syscall.CmsgSpace(4))
-	_, n, _, _, err := c.ReadMsgUnix(mark, oob)
+	marker, oob := make([]byte, 1), make([]byte, syscall.CmsgSpace(4))
+	_, n, _, _, err := c.ReadMsgUnix(marker, oob)
 	if err != nil {
 		return nil, handoverState{}, nil, fmt.Errorf("relay: take over: %w", err)
 	}
@@ -522,10 +522,10 @@
 		return nil, handoverState{}, nil, fmt.Errorf("relay: take over: %w", err)
 	}
 	l = newHandoverLink(c)
-	if err = l.dec.Decode(&from); err != nil {
+	if err = l.dec.Decode(&state); err != nil {
 		return nil, handoverState{}, listener, fmt.Errorf("relay: take over: %w", err)
 	}
-	return l, from, listener, nil
+	return l, state, listener, nil
 }
 
 // receivedListener returns the listener whose descriptor arrived in a control message.
--- a/internal/relay/handover_test.go
+++ b/internal/relay/handover_test.go
@@ -14,7 +14,7 @@
 
 // The log cannot tell whether an attempt that is still in flight has run; its outcome will. Such an attempt must not be
 // reported to the module as one that has run.
-func TestACallThatIsOutIsNotTakenToHaveRun(t *testing.T) {
+func TestInFlightAttemptIsNotReportedAsRun(t *testing.T) {
 	r := newTestRelay(t)
 	for _, c := range []struct {
 		out  int // -1: none
@@ -38,23 +38,23 @@
 
 // A step of the wall clock during a hand-over must change neither the module's clock nor the time that a forwarded message
 // has left.
-func TestAHandOverOutlastsAStepOfTheWallClock(t *testing.T) {
+func TestHandoverSurvivesWallClockStep(t *testing.T) {
 	for _, seconds := range []int64{-3600, -5, 5, 3600} {
 		var wall wallstep.Clock
 		restore := wall.Use()
-		old, again := startHandover(t, func(old *Relay) {
+		old, successor := startHandover(t, func(old *Relay) {
 			old.started = old.started.Add(-time.Minute) // as if it had run for a minute
 			wall.Step(seconds)
 		})
-		if ahead := again.now() - old.now(); ahead.Abs() > time.Second {
+		if ahead := successor.now() - old.now(); ahead.Abs() > time.Second {
 			t.Errorf("step of %d s: the module clock of the new process is off by %v", seconds, ahead)
 		}
 		m := &wal.Message{Trace: "passed-on", Class: 0, Dest: 7, Key: "k", Deadline: clock.Now().Add(5 * time.Second)}
 		wall.Step(seconds)
 		in := &handIn{m: m, reply: make(chan answer, 1)}
 		old.post(in)
-		settle(t, again, "the message that was submitted to the old process", func() bool { return again.traces["passed-on"] != nil })
-		if left := clock.Until(again.traces["passed-on"].Deadline); left < 3*time.Second || left > 5*time.Second {
+		settle(t, successor, "the message that was submitted to the old process", func() bool { return successor.traces["passed-on"] != nil })
+		if left := clock.Until(successor.traces["passed-on"].Deadline); left < 3*time.Second || left > 5*time.Second {
 			t.Errorf("step of %d s: a forwarded message has %v left of 5 s", seconds, left)
 		}
 		restore()
@@ -63,7 +63,7 @@
 
 // startHandover returns a serving relay and a second one that has taken over from it. before is called before the old relay's
 // loop starts.
-func startHandover(t *testing.T, before func(old *Relay)) (old, again *Relay) {
+func startHandover(t *testing.T, before func(old *Relay)) (old, successor *Relay) {
 	t.Helper()
 	old = newTestRelay(t)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -76,14 +76,14 @@
 	go old.loop(ctx)
 	end := old.serveHandovers()
 	t.Cleanup(func() { end(); stop(); <-old.over; listener.Close() })
-	if again, err = New(t.Context(), old.cfg, quiet()); err != nil {
+	if successor, err = New(t.Context(), old.cfg, quiet()); err != nil {
 		t.Fatal(err)
 	}
-	if again.parent == nil {
+	if successor.parent == nil {
 		t.Fatal("the new process started without a hand-over")
 	}
-	again.callCtx = t.Context()
-	again.resume()
-	go again.readPredecessor(again.parent)
-	return old, again
+	successor.callCtx = t.Context()
+	successor.resume()
+	go successor.readPredecessor(successor.parent)
+	return old, successor
 }
--- a/internal/relay/hosts.go
+++ b/internal/relay/hosts.go
@@ -61,16 +61,16 @@
 	attempts []*attempt
 	size     int // upper bound of the body's size as a bundle
 
-	progress atomic.Int32 // a callProgress, shared by the loop and the call's goroutine
+	state atomic.Int32 // a callProgress, shared by the loop and the call's goroutine
 }
 
-// callProgress tells whether a call's first byte may have been sent.
-type callProgress = int32
+// callState tells whether a call's first byte may have been sent.
+type callState = int32
 
 const (
-	callPending callProgress = iota
-	callWriting              // its request is being written or has been
-	callRevoked              // its request will not be written
+	callPending callState = iota
+	callWriting           // its request is being written or has been
+	callRevoked           // its request will not be written
 )
 
 // beginWrite reports whether the call's request may be written. If so, the call can no longer be revoked.
@@ -78,12 +78,12 @@
 	if slices.ContainsFunc(c.attempts, func(a *attempt) bool { return !now.Before(a.deadline) }) {
 		c.revoke()
 	}
-	return c.progress.CompareAndSwap(callPending, callWriting)
+	return c.state.CompareAndSwap(callPending, callWriting)
 }
 
 // revoke prevents a call whose request is not being written yet. It returns false if it is too late.
 func (c *call) revoke() bool {
-	return c.progress.CompareAndSwap(callPending, callRevoked) || c.progress.Load() == callRevoked
+	return c.state.CompareAndSwap(callPending, callRevoked) || c.state.Load() == callRevoked
 }
 
 // attempt is one message's share of a call.
--- a/internal/relay/hosts_test.go
+++ b/internal/relay/hosts_test.go
@@ -123,7 +123,7 @@
 
 // http.Transport would resend this request by itself: it has an Idempotency-Key, its connection was reused, and no byte of an
 // answer was received.
-func TestNothingIsSentAgainByItself(t *testing.T) {
+func TestClientNeverResendsByItself(t *testing.T) {
 	for _, body := range []string{"some", ""} {
 		addr, requests := rawHost(t, func(n int, conn net.Conn, _ *http.Request) bool {
 			if n == 1 {
@@ -158,7 +158,7 @@
 	}
 }
 
-func TestAConnectionThatNeverComesUpEndsInTime(t *testing.T) {
+func TestConnectTimeout(t *testing.T) {
 	cfg := testConfig()
 	cfg.ConnectTimeout = 20 * time.Millisecond
 	h := newTestHostClient(t, cfg)
@@ -178,13 +178,13 @@
 	}
 }
 
-// stuckConn accepts only part of a request and then fails.
-type stuckConn struct {
+// truncatingConn accepts only part of a request and then fails.
+type truncatingConn struct {
 	net.Conn
 	left int
 }
 
-func (c *stuckConn) Write(b []byte) (int, error) {
+func (c *truncatingConn) Write(b []byte) (int, error) {
 	if len(b) > c.left {
 		n, _ := c.Conn.Write(b[:c.left])
 		c.Conn.Close()
@@ -194,12 +194,12 @@
 	return c.Conn.Write(b)
 }
 
-func TestABreakBeforeTheLastByteNeverRan(t *testing.T) {
+func TestPartlyWrittenRequestNeverRan(t *testing.T) {
 	addr, requests := rawHost(t, func(int, net.Conn, *http.Request) bool { return true })
 	h := newTestHostClient(t, testConfig())
 	h.dial = func(ctx context.Context, network, addr string) (net.Conn, error) {
 		conn, err := (&net.Dialer{}).DialContext(ctx, network, addr)
-		return &stuckConn{conn, 10_000}, err
+		return &truncatingConn{conn, 10_000}, err
 	}
 	c := newCall(addr, "a")
 	c.attempts[0].m.Body = make([]byte, 60_000)
@@ -233,7 +233,7 @@
 }
 
 // An answer that arrives as its call times out must be read: it may carry a Retry-After, which was once lost that way.
-func TestAnAnswerThatCameByTheTimeOutIsRead(t *testing.T) {
+func TestAnswerAtTimeoutIsRead(t *testing.T) {
 	addr, _ := rawHost(t, func(_ int, conn net.Conn, _ *http.Request) bool {
 		fmt.Fprint(conn, "HTTP/1.1 429 Too Many Requests\r\nContent-Length: 0\r\nRetry-After: 0.612\r\n\r\n")
 		return true
@@ -268,7 +268,7 @@
 	}
 }
 
-func TestACallIsLookedAtAgainOnceItsConnectionIsUp(t *testing.T) {
+func TestCallIsConfirmedOnceConnected(t *testing.T) {
 	addr, requests := rawHost(t, func(_ int, conn net.Conn, _ *http.Request) bool {
 		fmt.Fprint(conn, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
 		return true
@@ -287,7 +287,7 @@
 	}
 }
 
-func TestConnectionsAreKept(t *testing.T) {
+func TestConnectionsAreReused(t *testing.T) {
 	const calls = 6
 	var opened atomic.Int32
 	var together sync.WaitGroup // each round answers once all of its calls have arrived
@@ -459,7 +459,7 @@
 	}
 }
 
-func TestABundlesAnswerMustBeWhole(t *testing.T) {
+func TestBundleNeedsCompleteAnswer(t *testing.T) {
 	addr, _ := rawHost(t, func(_ int, conn net.Conn, _ *http.Request) bool {
 		fmt.Fprint(conn, "HTTP/1.1 200 OK\r\nContent-Length: 500\r\n\r\n[{\"id\":\"a\",\"state\":\"ok\"}")
 		return false
@@ -477,7 +477,7 @@
 const okAnswer = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"
 
 // Bytes that follow an answer must not be read as the answer to the next call.
-func TestWhatComesBehindAnAnswerAnswersNoOtherCall(t *testing.T) {
+func TestBytesAfterAnAnswerAreNotTheNextAnswer(t *testing.T) {
 	for _, behind := range []string{okAnswer, "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n", "noise", "\r\n"} {
 		for _, late := range []bool{false, true} {
 			var conns sync.Map
@@ -508,7 +508,7 @@
 
 // A call with a malformed answer may have run, and a single message counts as delivered if the status line says 200. Reading
 // the answer must end before the call times out, and the connection must not be reused.
-func TestSpoiltAnswers(t *testing.T) {
+func TestMalformedAnswers(t *testing.T) {
 	const bundleHead = "HTTP/1.1 200 OK\r\nContent-Length: "
 	for _, c := range []struct {
 		name   string
@@ -565,7 +565,7 @@
 }
 
 // 1xx answers precede the final answer, and the connection can be reused after them.
-func TestInformationAheadOfAnAnswer(t *testing.T) {
+func TestInformationalAnswersAreSkipped(t *testing.T) {
 	addr, _ := rawHost(t, func(_ int, conn net.Conn, _ *http.Request) bool {
 		fmt.Fprint(conn, "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n"+okAnswer)
 		return true
@@ -602,7 +602,7 @@
 }
 
 // Connections belong to a host, not to its address: another host may come up there.
-func TestAHostThatGoesLosesItsConnections(t *testing.T) {
+func TestConnectionsAreNotSharedBetweenHosts(t *testing.T) {
 	addr, _ := rawHost(t, func(_ int, conn net.Conn, _ *http.Request) bool {
 		fmt.Fprint(conn, okAnswer)
 		return true
@@ -623,7 +623,7 @@
 }
 
 // A host's close of an idle connection is detected before the next request is written to it.
-func TestAnIdleCloseIsNoticed(t *testing.T) {
+func TestIdleCloseIsDetected(t *testing.T) {
 	addr, _ := rawHost(t, func(_ int, conn net.Conn, _ *http.Request) bool {
 		fmt.Fprint(conn, okAnswer)
 		return false
@@ -638,7 +638,7 @@
 }
 
 // Invalid load reports must not reach the module.
-func TestOddReports(t *testing.T) {
+func TestInvalidReportsAreIgnored(t *testing.T) {
 	h := newTestHostClient(t, testConfig())
 	for _, text := range []string{
 		"", "TEXT", "x1=25", "TEXT x1", "TEXT x1=", "TEXT x1=NaN", "TEXT x1=Inf", "TEXT x1=-Inf", "TEXT x1=-3", "TEXT x1=1e300",
@@ -651,7 +651,7 @@
 }
 
 // The measured duration starts when the request is written: the time to connect says nothing about how long answers take.
-func TestACallIsTimedFromItsWriting(t *testing.T) {
+func TestDurationExcludesConnecting(t *testing.T) {
 	addr, _ := rawHost(t, func(_ int, conn net.Conn, _ *http.Request) bool {
 		fmt.Fprint(conn, okAnswer)
 		return true
--- a/internal/relay/resubmission_test.go
+++ b/internal/relay/resubmission_test.go
@@ -92,13 +92,13 @@
 }
 
 func TestAMessageThatEndedInTheBacklogIsNotTakenOnAgain(t *testing.T) {
-	b := newBacklogRelay(t, &memoryStore{all: map[uint32]owed.Entry{}}, crashdisk.New(), 64)
+	b := newBacklogRelay(t, &memoryStore{entries: map[uint32]owed.Entry{}}, crashdisk.New(), 64)
 	b.submit(100, 0, 7, time.Hour)
 	b.runJobs()
 	in := newHandIn("late", 7, 300*time.Millisecond)
 	b.step([]any{in})
 	b.runJobs()
-	if _, ok, _ := b.s.Find("late"); !ok {
+	if _, ok, _ := b.store.Find("late"); !ok {
 		t.Fatal("not on disk")
 	}
 	eventually(t, "its end is told", func() bool {
@@ -106,14 +106,14 @@
 		if len(b.jobs) > 0 {
 			j := b.jobs[0]
 			b.jobs = b.jobs[1:]
-			j.run(b.s)
+			j.run(b.store)
 			b.step([]any{j})
 		}
 		return b.owed.unconfirmed[in.m.ID].ID != 0
 	})
 	b.step([]any{confirmed{[]uint32{in.m.ID}}})
 	b.runJobs()
-	if _, ok, _ := b.s.Find("late"); ok {
+	if _, ok, _ := b.store.Find("late"); ok {
 		t.Fatal("still on disk")
 	}
 	again := newHandIn("late", 7, time.Hour)
--- a/internal/relay/revoked_test.go
+++ b/internal/relay/revoked_test.go
@@ -97,7 +97,7 @@
 			if name != "cut off" && a.m.out != 1 {
 				t.Errorf("%d attempts out", a.m.out)
 			}
-			if c.progress.Load() != callRevoked {
+			if c.state.Load() != callRevoked {
 				t.Error("its call may still leave")
 			}
 			close(up)
