--- a/internal/relay/backlog.go
+++ b/internal/relay/backlog.go
@@ -71,18 +71,18 @@
 	maxRecoveredID uint32 // highest id that was on disk at the start of the process
 	clockOffset    time.Duration
 
-	outgoing     []*message          // moving to disk, and not in a job
-	incoming     []*message          // moving to memory: in the log again, and still on disk
-	removals     []owed.Ref          // ended, and still on disk
-	unconfirmed  map[uint32]owed.Ref // on disk, with final notices that are not confirmed yet
-	sharedIDs    map[uint32]time.Time
-	job          *job // under way
+	outgoing     []*message           // moving to disk, and not in a job
+	incoming     []*message           // moving to memory: in the log again, and still on disk
+	removals     []owed.Ref           // ended, and still on disk
+	unconfirmed  map[uint32]owed.Ref  // on disk, with final notices that are not confirmed yet
+	sharedIDs    map[uint32]time.Time // ids on disk that were submitted again, with the time of the latest request
+	job          *job                 // running; nil if none
 	startJob     func(*job)
 	jobs         sync.WaitGroup
-	nextDeadline int64 // earliest deadline on disk as of the last job; noDeadline: none
-	full         bool  // the last write found no space
-	failing      bool  // the last job failed
-	failedAt     time.Time
+	nextDeadline int64     // earliest deadline on disk as of the last job; noDeadline: none
+	full         bool      // the last write found no space
+	failing      bool      // the last job failed
+	failedAt     time.Time // when the last job failed or found no space
 	loadAfter    time.Time // no messages are loaded before: the log was full
 	diskBytes    int64
 
@@ -209,7 +209,7 @@
 	ref, ok, err := o.store.Find(trace)
 	switch {
 	case err != nil:
-		o.relay.log.Warn("backlog not read", "err", err)
+		o.relay.log.Warn("cannot look up a message in the backlog", "err", err)
 		return backlogUnavailable(), true // whether the message is on disk is unknown
 	case !ok:
 		return answer{}, false
@@ -268,8 +268,8 @@
 	o.outgoing = append(o.outgoing, m)
 }
 
-// evictable reports whether a message at the module may move to disk: it was never sent, it is durable in the log, and
-// no client waits for it.
+// evictable reports whether a message at the module may move to disk: it was never sent, it is durable in the log, and no
+// client waits for it.
 func (o *backlogQueue) evictable(m *message) bool {
 	return !m.ended && m.move == notMoving && m.sends == 0 && m.out == 0 && m.Attempts == 0 && len(m.MayRun) == 0 &&
 		m.Final == nil && !m.Withdrawn && m.next == nil && storable(m.Dest) && m.seq <= o.relay.wal.Durable() && o.relay.wal.Owes(m.Message)
--- a/internal/relay/backlog_test.go
+++ b/internal/relay/backlog_test.go
@@ -213,7 +213,7 @@
 		in := newHandIn(id, 7, time.Hour)
 		b.step([]any{in})
 		if a, ok := answered(in); !ok || a.status != http.StatusAccepted {
-			t.Errorf("%s again: %+v, %v", id, a, ok)
+			t.Errorf("%s submitted again: %+v, %v", id, a, ok)
 		}
 	}
 	b.runJobs()
@@ -223,7 +223,7 @@
 	b.runJobs()
 	b.checkOwed(1010)
 	if c := b.owed.dests[8]; c == nil || c.held != 10 {
-		t.Errorf("a destination with little owed has %+v at the module", c)
+		t.Errorf("a destination with few messages has %+v at the module", c)
 	}
 	// As messages end, others are loaded, and each is passed to the module once.
 	seen := map[uint32]bool{}
@@ -232,7 +232,7 @@
 		for id, m := range b.msgs {
 			if m.move == notMoving && !m.ended && m.cell != nil {
 				if seen[id] {
-					t.Fatalf("message %d came back", id)
+					t.Fatalf("message %d was passed to the module twice", id)
 				}
 				seen[id] = true
 				b.later = b.delivered(b.later, m)
@@ -257,7 +257,7 @@
 	}
 	b.runJobs()
 	if m := b.traces["m2000"]; m == nil || m.cell == nil {
-		t.Error("the most urgent message did not come back first")
+		t.Error("the most urgent message was not loaded first")
 	}
 }
 
@@ -268,7 +268,7 @@
 	b.submit(5, 2000, 7, time.Hour)
 	b.runJobs()
 	if n := len(b.finals.queue); n != 100 {
-		t.Fatalf("%d ends told, want 100", n)
+		t.Fatalf("%d notices, want 100", n)
 	}
 	for _, n := range b.finals.queue {
 		if n.Status != "deferred" {
@@ -335,7 +335,7 @@
 				}
 				b.step([]any{withdrawal{in.m.ID}})
 				if !b.wal.Owes(in.m) {
-					t.Error("it left the log before the disk")
+					t.Error("the message was removed from the log before the disk")
 				}
 			case "on disk":
 				b.step([]any{in})
@@ -345,7 +345,7 @@
 			b.runJobs()
 			b.checkOwed(33)
 			if _, ok, _ := b.store.Find("gone"); ok || b.traces["gone"] != nil {
-				t.Error("it is still there")
+				t.Error("the message is still known")
 			}
 		})
 	}
@@ -373,7 +373,7 @@
 		}
 		for _, id := range ids {
 			if id != last+1 {
-				t.Fatalf("message %d before %d", id, last+1)
+				t.Fatalf("message %d was loaded before %d", id, last+1)
 			}
 			last = id
 			b.step([]any{withdrawal{id}})
@@ -392,7 +392,7 @@
 	var err error
 	for range 2 { // the offset persists at the next start
 		if b.owed.clockOffset, err = b.loadClockOffset(); err != nil || b.owed.clockOffset != 50*time.Minute {
-			t.Fatalf("offset %v, %v", b.owed.clockOffset, err)
+			t.Fatalf("clock offset %v, %v", b.owed.clockOffset, err)
 		}
 		b.behind = 0
 	}
@@ -402,7 +402,7 @@
 	b.runJobs()
 	for _, m := range b.msgs {
 		if left := time.Until(m.Deadline); left > 10*time.Minute {
-			t.Fatalf("%v left", left)
+			t.Fatalf("a message has %v left, want at most 10m", left)
 		}
 	}
 }
@@ -484,12 +484,12 @@
 				has[m.Trace]++
 				if e, ok := x.store[m.ID]; ok {
 					if e.Trace != m.Trace {
-						t.Fatalf("state %d: one number for %s and %s", state, e.Trace, m.Trace)
+						t.Fatalf("state %d: %s and %s have the same id", state, e.Trace, m.Trace)
 					}
 					delete(x.store, m.ID) // as a start does
 				}
 				if x.sent[m.Trace] != (m.Attempts > 0) {
-					t.Fatalf("state %d: %s was sent: %v, and the log tells of %d sends", state, m.Trace, x.sent[m.Trace], m.Attempts)
+					t.Fatalf("state %d: %s: sent %v, but the log has %d sends", state, m.Trace, x.sent[m.Trace], m.Attempts)
 				}
 			}
 			for _, e := range x.store {
--- a/internal/relay/durable_test.go
+++ b/internal/relay/durable_test.go
@@ -109,7 +109,7 @@
 	waitOnDisk(t, r)
 	r.step(nil)
 	if r.out > 0 || r.held > 0 || len(r.msgs) > 0 {
-		t.Errorf("turned away, and %d calls, %d held, %d known", r.out, r.held, len(r.msgs))
+		t.Errorf("after the rejection: %d calls, %d held, %d known messages; want none", r.out, r.held, len(r.msgs))
 	}
 }
 
@@ -149,7 +149,7 @@
 	r := newTestRelay(t)
 	m := &message{Message: &wal.Message{ID: 1, Dest: 7, Deadline: time.Now().Add(time.Minute), Doubt: true}}
 	if e := r.resumed(m, nil); !e.Resumed.Ran || e.Resumed.RanAgo < time.Hour {
-		t.Errorf("in doubt: %+v", e.Resumed)
+		t.Errorf("attempts unknown: %+v", e.Resumed)
 	}
 	// The clock was set back by an hour: a message that seems seconds old may be an hour old.
 	sent := time.Now().Add(time.Hour)
@@ -165,7 +165,7 @@
 	var gate sync.RWMutex
 	r := newDurableRelay(t, crashdisk.New(), &gate)
 	if _, err := readMemories(r.cfg.StateDir); !errors.Is(err, errNoMemories) {
-		t.Errorf("before any: %v", err)
+		t.Errorf("without a file: %v", err)
 	}
 	data, err := r.encodeMemories()
 	if err != nil {
@@ -182,7 +182,7 @@
 			t.Fatal(err)
 		}
 		if m, err := readMemories(r.cfg.StateDir); err == nil || len(m.Memories) > 0 {
-			t.Errorf("damaged, and %+v", m)
+			t.Errorf("damaged file was accepted: %+v", m)
 		}
 	}
 }
@@ -201,10 +201,10 @@
 	waitOnDisk(t, r)
 	r.step(nil)
 	if r.out > 0 {
-		t.Errorf("%d calls out for a message that is withdrawn", r.out)
+		t.Errorf("%d calls in flight for a withdrawn message", r.out)
 	}
 	waitOnDisk(t, r)
 	if r.held > 0 || len(r.msgs) > 0 {
-		t.Errorf("%d held, %d known", r.held, len(r.msgs))
+		t.Errorf("%d held, %d known messages; want none", r.held, len(r.msgs))
 	}
 }
--- a/internal/relay/handover_test.go
+++ b/internal/relay/handover_test.go
@@ -27,7 +27,7 @@
 			out = &policy.Out{Attempt: c.out}
 		}
 		if got := r.resumed(m, out).Resumed; got.Ran != c.ran || got.RanZone != c.zone || len(m.MayRun) != 2 {
-			t.Errorf("out %d: %+v", c.out, got)
+			t.Errorf("attempt %d in flight: resumed as %+v", c.out, got)
 		}
 	}
 	m := &message{Message: &wal.Message{Attempts: 1, MayRun: []wal.Attempt{{N: 0, At: time.Now()}}}}
--- a/internal/relay/hosts.go
+++ b/internal/relay/hosts.go
@@ -61,7 +61,7 @@
 	attempts []*attempt
 	size     int // upper bound of the body's size as a bundle
 
-	state atomic.Int32 // a callProgress, shared by the loop and the call's goroutine
+	state atomic.Int32 // a callState, shared by the loop and the call's goroutine
 }
 
 // callState tells whether a call's first byte may have been sent.
--- a/internal/relay/hosts_test.go
+++ b/internal/relay/hosts_test.go
@@ -117,7 +117,7 @@
 	}
 	g := <-got
 	if g.path != "/events" || g.id != "a" || g.key != "key-a" || g.body != "body of a" || g.length != 9 || g.expires == "" {
-		t.Errorf("the host saw %+v", g)
+		t.Errorf("the host received %+v", g)
 	}
 }
 
@@ -141,7 +141,7 @@
 			t.Errorf("body %q: outcome %v, want a reset", body, r[0].outcome)
 		}
 		if n := requests.Load(); n != 2 {
-			t.Errorf("body %q: the host saw %d requests", body, n)
+			t.Errorf("body %q: the host received %d requests, want 2", body, n)
 		}
 	}
 }
@@ -174,7 +174,7 @@
 		t.Errorf("took %v", took)
 	}
 	if h.open != 0 {
-		t.Errorf("%d connections counted", h.open)
+		t.Errorf("%d connections counted as open", h.open)
 	}
 }
 
@@ -207,7 +207,7 @@
 		t.Errorf("outcome %v", r[0].outcome)
 	}
 	if n := requests.Load(); n != 0 {
-		t.Errorf("the host saw %d whole requests", n)
+		t.Errorf("the host received %d complete requests", n)
 	}
 }
 
@@ -278,12 +278,12 @@
 		t.Errorf("outcome %v", r[0].outcome)
 	}
 	if n := requests.Load(); n != 0 {
-		t.Errorf("the host saw %d requests", n)
+		t.Errorf("the host received %d requests, want none", n)
 	}
 	// The connection was kept. A call on it is not confirmed again.
-	r := h.do(t.Context(), newCall(addr, "b"), func() bool { t.Error("asked again"); return false })
+	r := h.do(t.Context(), newCall(addr, "b"), func() bool { t.Error("a call on a reused connection was confirmed"); return false })
 	if r[0].outcome != policy.OK {
-		t.Errorf("outcome on the kept connection %v", r[0].outcome)
+		t.Errorf("outcome on the reused connection: %v", r[0].outcome)
 	}
 }
 
@@ -362,7 +362,7 @@
 	}
 	// The relay's own limit must not count as a failure of the host.
 	if r := h.do(t.Context(), newCall(addrOf(two), "a"), alwaysAllowed); r[0].outcome != policy.Moot {
-		t.Errorf("beyond the bound: outcome %v", r[0].outcome)
+		t.Errorf("beyond the limit: outcome %v", r[0].outcome)
 	}
 	busy.discard()
 }
@@ -470,7 +470,7 @@
 		}
 	}
 	if r := newTestHostClient(t, testConfig()).do(t.Context(), newCall(addr, "a"), alwaysAllowed); r[0].outcome != policy.OK {
-		t.Errorf("a single message is delivered with the first line: %v", r[0].outcome)
+		t.Errorf("single message with status 200 and an incomplete body: outcome %v, want OK", r[0].outcome)
 	}
 }
 
@@ -498,7 +498,7 @@
 			if r := h.do(t.Context(), newCall(addr, "a"), alwaysAllowed); r[0].outcome != policy.OK {
 				t.Fatalf("%q: outcome %v", behind, r[0].outcome)
 			}
-			eventually(t, "the connection dropped", func() bool { h.mu.Lock(); defer h.mu.Unlock(); return h.open == 0 })
+			eventually(t, "the connection is closed", func() bool { h.mu.Lock(); defer h.mu.Unlock(); return h.open == 0 })
 			if r := h.do(t.Context(), newCall(addr, "b"), alwaysAllowed); r[0].outcome != policy.Error {
 				t.Errorf("%q: the second call got what followed the first answer: %v", behind, r[0].outcome)
 			}
@@ -556,7 +556,7 @@
 				}
 				h.mu.Lock()
 				if h.open > 0 {
-					t.Errorf("%d messages: the connection is kept", len(ids))
+					t.Errorf("%d messages: the connection was not closed", len(ids))
 				}
 				h.mu.Unlock()
 			}
@@ -614,7 +614,7 @@
 	asked := false
 	h.do(t.Context(), other, func() bool { asked = true; return true })
 	if !asked || h.open != 2 {
-		t.Errorf("another host got the connection: %d open", h.open)
+		t.Errorf("the connection was reused for another host: %d open", h.open)
 	}
 	h.closeIdle("s-1")
 	if h.open != 1 {
@@ -633,7 +633,7 @@
 		if r := h.do(t.Context(), newCall(addr, "a"), alwaysAllowed); r[0].outcome != policy.OK {
 			t.Errorf("outcome %v", r[0].outcome)
 		}
-		eventually(t, "noticed", func() bool { h.mu.Lock(); defer h.mu.Unlock(); return h.open == 0 })
+		eventually(t, "the close is detected", func() bool { h.mu.Lock(); defer h.mu.Unlock(); return h.open == 0 })
 	}
 }
 
@@ -682,10 +682,10 @@
 		}
 		a := readAnswer(conn, req, several)
 		if a.err == nil && (a.head == nil || conn.r.Buffered() > 0) {
-			t.Errorf("%q can carry another call", data)
+			t.Errorf("%q: connection counts as reusable", data)
 		}
 		if len(a.body) > bodyMost {
-			t.Errorf("%d bytes kept", len(a.body))
+			t.Errorf("body of %d bytes exceeds the limit", len(a.body))
 		}
 		if a.head != nil {
 			h := &hostClient{reportFields: []string{"x0", "x1"}}
