--- a/internal/relay/discovery.go
+++ b/internal/relay/discovery.go
@@ -207,6 +207,7 @@
 	return err
 }
 
+// stream fetches the full list if it is needed, and then reads the lines of one watch.
 func (w *watcher) stream(ctx context.Context, addr string) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -250,6 +251,7 @@
 	return io.ErrUnexpectedEOF
 }
 
+// deliver passes a list or changes to onList.
 func (w *watcher) deliver(l List) {
 	w.version, w.needFull, w.moved = l.Version, w.needFull && !l.Full, false
 	w.onList(l)
@@ -280,6 +282,7 @@
 	return nil
 }
 
+// get requests a URL. A status that turns the relay away becomes errTurnedAway.
 func (w *watcher) get(ctx context.Context, url string) (*http.Response, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
--- a/internal/relay/durable.go
+++ b/internal/relay/durable.go
@@ -95,6 +95,8 @@
 	}
 }
 
+// finishStep gives the answers and notices of a durable step and starts its calls. Calls whose messages have
+// ended, and delayed calls that the module no longer allows, are aborted.
 func (r *Relay) finishStep(p pendingStep) {
 	for _, in := range p.waiting {
 		in.reply <- p.answers[in.as.ID]
--- a/internal/relay/handover.go
+++ b/internal/relay/handover.go
@@ -107,6 +107,7 @@
 	order
 }
 
+// forwardedAnswer is the new process's answer to the forwardedRequest with the same Seq.
 type forwardedAnswer struct {
 	Seq, ID uint32
 	Status  int
@@ -157,6 +158,7 @@
 	return &handoverLink{UnixConn: c, dec: json.NewDecoder(c), enc: json.NewEncoder(c), pending: map[uint32]*handIn{}}
 }
 
+// send writes one frame, or the state, to the other process.
 func (l *handoverLink) send(v any) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -280,6 +282,7 @@
 	return nil
 }
 
+// handoverState returns the state that the new process needs in addition to the log.
 func (r *Relay) handoverState() handoverState {
 	e := handoverState{Began: r.started, Clock: r.readClock(), LastID: r.lastID, Seen: r.byHand.ids, Memories: r.sender.Memories()}
 	for _, t := range r.routes {
@@ -338,6 +341,7 @@
 	}
 }
 
+// forwardOutcome reports an attempt's outcome to the new process. cut marks a time-out of an attempt whose call goes on.
 func (r *Relay) forwardOutcome(a *attempt, res result, cut bool) {
 	a.settled = a.settled || cut
 	if a.timer != nil && !cut {
--- a/internal/relay/memories.go
+++ b/internal/relay/memories.go
@@ -49,6 +49,7 @@
 	}()
 }
 
+// encodeMemories returns the content of the file.
 func (r *Relay) encodeMemories() ([]byte, error) {
 	text, err := json.Marshal(memories{r.wal.Stamp(clock.Now()), r.now(), r.sender.Memories()})
 	if err != nil {
@@ -57,6 +58,7 @@
 	return append(fmt.Appendf(nil, "%08x\n", crc32.Checksum(text, crc32.MakeTable(crc32.Castagnoli))), text...), nil
 }
 
+// writeMemories replaces the file. A state that exceeds maxMemoriesSize is not written.
 func (r *Relay) writeMemories(data []byte) {
 	if int64(len(data)) > maxMemoriesSize(r.cfg) {
 		return
--- a/internal/relay/pool.go
+++ b/internal/relay/pool.go
@@ -92,6 +92,7 @@
 		errors.Is(err, syscall.ENOBUFS) || errors.Is(err, syscall.ENOMEM) || errors.Is(err, syscall.EADDRNOTAVAIL)
 }
 
+// connect opens a connection. At the limit it first closes the oldest idle connection.
 func (p *pool) connect(ctx context.Context, to peer) (*hostConn, error) {
 	p.mu.Lock()
 	if p.open >= p.maxConns {
@@ -202,6 +203,7 @@
 	}
 }
 
+// discardIdle closes all idle connections to a peer.
 func (p *pool) discardIdle(to peer) {
 	for _, c := range slices.Clone(p.idle[to]) {
 		p.remove(c)
