--- a/internal/relay/accept.go
+++ b/internal/relay/accept.go
@@ -74,7 +74,7 @@
 
 // refuse refuses a submission whose message the log has not accepted, or may hold nevertheless.
 func (r *Relay) refuse(in *submission, cause error) {
-	a := noRoom()
+	a := backlogUnavailable()
 	if m := in.msg; m.Message == in.m {
 		r.held--
 		r.metrics.countRejected(m.Class, a)
@@ -105,7 +105,7 @@
 		return true
 	}
 	if old == nil {
-		a, ok := r.backlog.known(in.m.Trace)
+		a, ok := r.backlog.lookup(in.m.Trace)
 		if ok {
 			in.reply <- a
 		}
@@ -114,7 +114,7 @@
 	if old.Withdrawn && (old.outstanding == 0 || r.cfg.MayDuplicate) {
 		return false // a new message replaces it
 	}
-	if r.join(in, old) {
+	if r.joinPending(in, old) {
 		return true
 	}
 	a := r.repeatAnswer(old)
@@ -132,7 +132,7 @@
 	case len(r.knownDests) > 0 && !r.knownDests[m.Dest]:
 		return badRequest("no such destination: %d", m.Dest), reasonNoDest
 	case r.backlog.refuses(m.Dest), r.cfg.Settings.MaxHeld > 0 && r.held >= r.cfg.Settings.MaxHeld:
-		return noRoom(), reasonNoRoom
+		return backlogUnavailable(), reasonNoRoom
 	}
 	return answer{}, ""
 }
--- a/internal/relay/admin.go
+++ b/internal/relay/admin.go
@@ -107,7 +107,7 @@
 
 // updateGauges updates the gauges.
 func (r *Relay) updateGauges() {
-	r.metrics.current.Store(int64(r.held + r.backlog.owing()))
+	r.metrics.current.Store(int64(r.held + r.backlog.count()))
 	r.metrics.size.Store(int64(len(r.routes)))
 	remembered, evicted := r.wal.CompletionStats()
 	r.resubmitted.remembered.Store(int64(remembered))
--- a/internal/relay/backlog.go
+++ b/internal/relay/backlog.go
@@ -17,142 +17,144 @@
 	"onyxroad.dev/onyxroad/policy"
 )
 
-// The backlog: what is owed beyond the window lies on disk, untried. A message is in the log or on disk at all times, for a
-// moment in both, and which of the two counts is told by the log:
+// The backlog stores on disk the messages that exceed the window in memory and were never tried. A message is always in the
+// log, in the store ("on disk"), or briefly in both, and then the log takes precedence:
 //
-//	taken on            in the log; its client has its answer
-//	leaving             in the log and, once the store says so, on disk; then it ends in the log, with no notice
-//	on disk             the loop knows its destination's count alone
-//	entering            read, and taken on in the log anew under its number; it leaves the disk, and only then the module has it
+//	accepted            in the log; its client has its answer
+//	moving to disk      in the log and, once written, in the store; then it ends in the log, without a notice
+//	on disk             the loop knows only how many messages each destination has there
+//	moving to memory    read, and accepted into the log again under its id; then removed from the store, and only then
+//	                    passed to the module
 //
-// So nothing that the module may have sent is ever on disk, and a restart that finds a message in both has the log's. The
-// loop decides what moves (see window); one goroutine at a time does the reading and writing (see job), so that no step
-// waits for the disk.
+// So a message that the module may have sent is never on disk, and a restart that finds a message in both places uses the
+// log's. The loop decides what moves (see window). One goroutine at a time reads and writes the store (see job), so that
+// no step waits for the disk.
 
 const (
-	batchStored = 512                    // messages that a job puts, and that it reads
-	dueAhead    = 100 * time.Millisecond // an end on disk is told so long before its time at most
-	dueBatch    = 2048                   // ends that a job reads
-	dueMost     = 16 * dueBatch          // ends told and not yet taken, from which on none are read
-	storeRetry  = 250 * time.Millisecond // pause after the disk failed
-	sharedFor   = 2 * time.Second        // a client that leaves has left by then
-
-	// Of the log's room for what is live: above the one messages leave for the disk, above the other none come back.
-	leaveFill = 0.6
+	jobBatch               = 512                    // messages that one job writes, and that it reads
+	expiryLead             = 100 * time.Millisecond // how long before its deadline a message on disk may be ended
+	expiryBatch            = 2048                   // expired messages that one job reads
+	maxUnconfirmedExpiries = 16 * expiryBatch       // unconfirmed notices from which on no more expired messages are read
+	storeRetryInterval     = 250 * time.Millisecond // after a failed or full disk
+	sharedIDLifetime       = 2 * time.Second        // within which a client that disconnects has done so
+
+	// Fractions of the log's space for live records. Above evictFill messages move to disk; above loadFill none come back.
+	evictFill = 0.6
 	loadFill  = 0.5
 )
 
-// outOfTime is the end of a message whose time is up on disk, or on its way.
-var outOfTime = wal.Final{Deferred: policy.ExpiredUnsent == policy.Refuse, Again: policy.MinRetryAfter}
+// expiredFinal is the final state of a message that expires on disk or while it moves.
+var expiredFinal = wal.Final{Deferred: policy.ExpiredUnsent == policy.Refuse, Again: policy.MinRetryAfter}
 
-// Backlog says how a relay keeps one.
+// Backlog configures a relay's backlog.
 type Backlog struct {
 	Open   func() (owed.Store, owed.OpenReport, error)
-	Window int     // messages in memory that were never sent
-	Share  float64 // of these, for each destination
+	Window int     // most messages in memory that were never sent
+	Share  float64 // fraction of Window that one destination may have in memory
 }
 
-// move is where a message is on its way to.
-type move int
+// transfer is the state of a message's move between memory and disk.
+type transfer int
 
 const (
-	staying  move = iota
-	leaving       // for the disk
-	entering      // from there
+	notMoving transfer = iota
+	movingToDisk
+	movingToMemory
 )
 
-// overflow is the loop's side of the backlog.
-type overflow struct {
+// backlogQueue is the loop's side of the backlog. Its methods accept a nil receiver where a relay without a backlog calls them.
+type backlogQueue struct {
 	*window
 	Backlog
-	relay  *Relay
-	store  owed.Store
-	oldest uint32 // numbers up to this were on disk when the process began
-	offset time.Duration
-
-	out    []*message          // leaving, and not with a job
-	in     []*message          // in the log again, and still on disk
-	gone   []owed.Ref          // over, and still on disk
-	ending map[uint32]owed.Ref // their ends were told, and not yet taken
-	shared map[uint32]time.Time
-	job    *storeJob // under way
-	start  func(*storeJob)
-	runs   sync.WaitGroup
-	next   int64 // soonest deadline on disk, as of the last look; never: none
-	full   bool  // there was no room at the last try
-	worn   bool  // the disk failed at the last try
-	tried  time.Time
-	hold   time.Time // nothing is read before: the log had no room
-	bytes  int64
+	relay          *Relay
+	store          owed.Store
+	maxRecoveredID uint32 // highest id that was on disk at the start of the process
+	clockOffset    time.Duration
+
+	outgoing     []*message           // moving to disk, and not in a job
+	incoming     []*message           // moving to memory: in the log again, and still on disk
+	removals     []owed.Ref           // ended, and still on disk
+	unconfirmed  map[uint32]owed.Ref  // on disk, with final notices that are not confirmed yet
+	sharedIDs    map[uint32]time.Time // ids on disk that were submitted again, with the time of the latest request
+	job          *storeJob            // running; nil if none
+	startJob     func(*storeJob)
+	jobs         sync.WaitGroup
+	nextDeadline int64     // earliest deadline on disk as of the last job; noDeadline: none
+	full         bool      // the last write found no space
+	failing      bool      // the last job failed
+	failedAt     time.Time // when the last job failed or found no space
+	loadAfter    time.Time // no messages are loaded before: the log was full
+	diskBytes    int64
 
 	movedOut, movedIn, ended, refused int64
 }
 
-// newOverflow opens the store. What the log has does not count on disk.
-func (r *Relay) newOverflow(found wal.Recovery) error {
+// openBacklog opens the store, and removes from it the messages that are in the log.
+func (r *Relay) openBacklog(found wal.Recovery) error {
 	b := r.cfg.Backlog
 	if b == nil {
 		return nil
 	}
-	store, kept, err := b.Open()
+	store, contents, err := b.Open()
 	if err != nil {
 		return fmt.Errorf("relay: %w", err)
 	}
-	o := &overflow{
+	o := &backlogQueue{
 		window: newWindow(b.Window, b.Share, r.cfg.Settings.MaxHeld), Backlog: *b, relay: r, store: store,
-		ending: map[uint32]owed.Ref{}, shared: map[uint32]time.Time{}, oldest: kept.MaxID, next: 0,
+		unconfirmed: map[uint32]owed.Ref{}, sharedIDs: map[uint32]time.Time{}, maxRecoveredID: contents.MaxID, nextDeadline: 0,
 	}
-	if kept.Lost || kept.Rebuilt || len(kept.Problems) > 0 {
-		r.log.Error("the backlog was damaged", "messages", kept.Messages, "lost", kept.Lost, "aside", kept.Problems)
+	if contents.Lost || contents.Rebuilt || len(contents.Problems) > 0 {
+		r.log.Error("the backlog was damaged", "messages", contents.Messages, "lost", contents.Lost, "aside", contents.Problems)
 	}
-	o.start = func(j *storeJob) {
-		o.runs.Go(func() {
+	o.startJob = func(j *storeJob) {
+		o.jobs.Go(func() {
 			j.run(o.store)
 			r.post(j)
 		})
 	}
 	if store.Len() > 0 {
-		var both []owed.Ref
+		var duplicates []owed.Ref
 		for _, m := range found.Messages {
 			e, ok, err := store.Get(m.ID)
 			if err != nil {
 				return errors.Join(fmt.Errorf("relay: backlog: %w", err), store.Close())
 			}
 			if ok && e.Trace == m.Trace {
-				both = append(both, e.Ref)
+				duplicates = append(duplicates, e.Ref)
 			}
 		}
-		if len(both) > 0 {
-			if err := store.Apply(nil, both); err != nil {
+		if len(duplicates) > 0 {
+			if err := store.Apply(nil, duplicates); err != nil {
 				return errors.Join(fmt.Errorf("relay: backlog: %w", err), store.Close())
 			}
 		}
 	}
-	if o.offset, err = r.clockOffset(); err != nil {
+	if o.clockOffset, err = r.loadClockOffset(); err != nil {
 		return errors.Join(err, store.Close())
 	}
 	for dest, n := range store.Dests() {
-		o.stored(dest, n)
+		o.addOnDisk(dest, n)
 	}
-	o.bytes = store.DiskBytes()
-	if o.disk > 0 {
-		r.log.Info("recovered the backlog", "messages", o.disk, "destinations", len(o.cells), "bytes", o.bytes)
+	o.diskBytes = store.DiskBytes()
+	if o.onDisk > 0 {
+		r.log.Info("recovered the backlog", "messages", o.onDisk, "destinations", len(o.dests), "bytes", o.diskBytes)
 	}
-	r.backlog, r.lastID = o, max(r.lastID, kept.MaxID)
+	r.backlog, r.lastID = o, max(r.lastID, contents.MaxID)
 	return nil
 }
 
-// clockName is the file that tells how far the clock was set back since the first message came to the disk, in nanoseconds.
-const clockName = "backlog.clock"
+// clockOffsetFile holds, in nanoseconds, by how much in all the clock was set back since the backlog was first used.
+const clockOffsetFile = "backlog.clock"
 
-// clockOffset is how far: no message gets time from a clock that was set back over a restart.
-func (r *Relay) clockOffset() (time.Duration, error) {
+// loadClockOffset reads that offset and adds r.behind to it, so that a clock that is set back over a restart gives no message
+// more time.
+func (r *Relay) loadClockOffset() (time.Duration, error) {
 	fs := r.cfg.Disk
 	if fs == nil {
 		fs = disk.Dir(r.cfg.StateDir)
 	}
 	ns := int64(0)
-	data, err := fs.ReadFile(clockName)
+	data, err := fs.ReadFile(clockOffsetFile)
 	if err == nil {
 		ns, err = strconv.ParseInt(strings.TrimSpace(string(data)), 10, 64)
 	} else if errors.Is(err, os.ErrNotExist) {
@@ -160,16 +162,16 @@
 	}
 	if err == nil && r.clockBehind > 0 {
 		ns += int64(r.clockBehind)
-		err = disk.Replace(fs, clockName, fmt.Appendln(nil, ns))
+		err = disk.Replace(fs, clockOffsetFile, fmt.Appendln(nil, ns))
 	}
 	if err != nil {
-		return 0, fmt.Errorf("relay: backlog: %s: %w", clockName, err)
+		return 0, fmt.Errorf("relay: backlog: %s: %w", clockOffsetFile, err)
 	}
 	return time.Duration(ns), nil
 }
 
-// rankOf is what orders a message among those of its destination: its deadline, and where its class keeps order, whatever
-// comes first.
+// rankOf returns the sort key of a message among those of its destination: its deadline, or, if its class is ordered, a key
+// that grows with the time of arrival.
 func (r *Relay) rankOf(m *wal.Message) int64 {
 	if m.Order == "" || !r.cfg.Settings.Classes[m.Class].Ordered {
 		return r.wal.Stamp(m.Deadline).UnixNano()
@@ -177,125 +179,127 @@
 	longest := time.Duration(0)
 	for i, c := range r.cfg.Settings.Classes {
 		if c.Ordered {
-			longest = max(longest, r.cfg.longest(i))
+			longest = max(longest, r.cfg.maxLifetime(i))
 		}
 	}
 	return r.wal.Stamp(clock.Now().Add(longest)).UnixNano()
 }
 
-// storedTime is a time as it stands on disk: on the log's timeline, as it was before the clock was set back over a boot, if it
-// was. restoredTime is the way back.
-func (o *overflow) storedTime(at time.Time) int64 {
-	return o.relay.wal.Stamp(at).Add(o.offset).UnixNano()
+// storedTime converts a time to its form on disk: on the log's timeline, plus the offset by which the clock was set back over
+// restarts. restoredTime is the inverse.
+func (o *backlogQueue) storedTime(at time.Time) int64 {
+	return o.relay.wal.Stamp(at).Add(o.clockOffset).UnixNano()
 }
 
-func (o *overflow) restoredTime(ns int64) time.Time {
-	return o.relay.wal.Local(time.Unix(0, ns).Add(-o.offset))
+func (o *backlogQueue) restoredTime(ns int64) time.Time {
+	return o.relay.wal.Local(time.Unix(0, ns).Add(-o.clockOffset))
 }
 
-// ref names a message on disk.
-func (o *overflow) ref(m *message) owed.Ref {
+// ref returns the reference of a message in the store.
+func (o *backlogQueue) ref(m *message) owed.Ref {
 	return owed.Ref{ID: m.ID, Trace: m.Trace, Dest: m.Dest, Rank: m.rank(), Deadline: o.storedTime(m.Deadline)}
 }
 
-// known is the answer to a hand-in of a message that lies on disk already; false if none does. Its client is not the only
-// one any more.
-func (o *overflow) known(trace string) (answer, bool) {
-	if o == nil || o.disk == 0 {
+// lookup answers a request for a message that is already on disk; false if it is not. Since the message then has more than
+// one client, withdraw ignores it for sharedIDLifetime.
+func (o *backlogQueue) lookup(trace string) (answer, bool) {
+	if o == nil || o.onDisk == 0 {
 		return answer{}, false
 	}
 	ref, ok, err := o.store.Find(trace)
 	switch {
 	case err != nil:
-		o.relay.log.Warn("backlog not read", "err", err)
-		return noRoom(), true // whether it is there is not known
+		o.relay.log.Warn("cannot look up a message in the backlog", "err", err)
+		return backlogUnavailable(), true // whether the message is on disk is unknown
 	case !ok:
 		return answer{}, false
-	case o.ending[ref.ID].ID != 0:
-		return finalAnswer(outOfTime), true
+	case o.unconfirmed[ref.ID].ID != 0:
+		return finalAnswer(expiredFinal), true
 	}
-	o.shared[ref.ID] = clock.Now()
+	o.sharedIDs[ref.ID] = clock.Now()
 	return answer{status: http.StatusAccepted}, true
 }
 
-// refuses tells whether a new message would have to go to a disk that takes nothing, or is far behind.
-func (o *overflow) refuses(dest int) bool {
-	if o == nil || o.admits(dest) && o.held-o.sent < o.size {
+// refuses reports whether a new message would have to go to disk while the disk is full, failing or far behind.
+func (o *backlogQueue) refuses(dest int) bool {
+	if o == nil || o.admits(dest) && o.held-o.sent < o.maxUnsent {
 		return false
 	}
-	if !o.full && !o.worn && len(o.out) < 4*o.size {
+	if !o.full && !o.failing && len(o.outgoing) < 4*o.maxUnsent {
 		return false
 	}
 	o.refused++
 	return true
 }
 
-// enter, leave and sends book what becomes of a message at the module; see window.
-func (o *overflow) enter(m *message) {
+// add, remove and markSent keep count of the messages at the module; see window.
+func (o *backlogQueue) add(m *message) {
 	if o != nil {
-		o.window.enter(m)
+		o.window.add(m)
 	}
 }
 
-func (o *overflow) leave(m *message) {
+func (o *backlogQueue) remove(m *message) {
 	if o != nil {
-		o.window.leave(m)
+		o.window.remove(m)
 	}
 }
 
-func (o *overflow) sends(m *message) {
+func (o *backlogQueue) markSent(m *message) {
 	if o != nil {
-		o.window.sends(m)
+		o.window.markSent(m)
 	}
 }
 
-// divert has a new message go to the disk in place of the module, if the window does not admit it.
-func (o *overflow) divert(m *message) bool {
+// divert sends a new message to disk instead of the module if the window does not admit it.
+func (o *backlogQueue) divert(m *message) bool {
 	if o == nil || m.Attempts > 0 || !storable(m.Dest) || o.admits(m.Dest) {
 		return false
 	}
 	o.relay.held--
-	o.send(m)
+	o.moveToDisk(m)
 	return true
 }
 
-// send has a message that the module does not have leave for the disk.
-func (o *overflow) send(m *message) {
-	m.move = leaving
-	o.stored(m.Dest, 1)
-	o.out = append(o.out, m)
+// moveToDisk queues a message that is not at the module for the disk.
+func (o *backlogQueue) moveToDisk(m *message) {
+	m.move = movingToDisk
+	o.addOnDisk(m.Dest, 1)
+	o.outgoing = append(o.outgoing, m)
 }
 
-// mayLeave tells whether a message at the module may lie on disk: nothing of it has run or is out, and nobody waits for it.
-func (o *overflow) mayLeave(m *message) bool {
-	return !m.ended && m.move == staying && m.sends == 0 && m.outstanding == 0 && m.Attempts == 0 && len(m.MayRun) == 0 &&
+// evictable reports whether a message at the module may move to disk: it was never sent, it is durable in the log, and no
+// client waits for it.
+func (o *backlogQueue) evictable(m *message) bool {
+	return !m.ended && m.move == notMoving && m.sends == 0 && m.outstanding == 0 && m.Attempts == 0 && len(m.MayRun) == 0 &&
 		m.Final == nil && !m.Withdrawn && m.continuation == nil && storable(m.Dest) && m.seq <= o.relay.wal.Durable() && o.relay.wal.IsLive(m.Message)
 }
 
-// balance has leave what the window is too small for. The module hears of it before it decides anything more.
-func (o *overflow) balance() {
-	if o == nil || o.full || o.worn {
+// evictExcess moves the messages that exceed the window to disk. The module is told before it makes its next decision.
+func (o *backlogQueue) evictExcess() {
+	if o == nil || o.full || o.failing {
 		return
 	}
 	least := 0
-	if o.relay.wal.FillRatio() > leaveFill {
+	if o.relay.wal.FillRatio() > evictFill {
 		least = 1 + (o.held-o.sent)/8
 	}
-	for _, m := range o.excess(least, o.mayLeave) {
+	for _, m := range o.excess(least, o.evictable) {
 		o.relay.held--
-		o.leave(m)
+		o.remove(m)
 		o.relay.nextEvents = append(o.relay.nextEvents, policy.Event{Kind: policy.Withdrawn, ID: m.ID})
-		o.send(m)
+		o.moveToDisk(m)
 	}
 }
 
-// drop ends a message on its way that is owed no more. One that may be on disk leaves that first: a restart would have it.
-func (o *overflow) drop(m *message) {
-	for i, x := range o.out {
-		if x == m && m.move == leaving {
-			o.out = append(o.out[:i], o.out[i+1:]...)
-			m.move, m.ended = staying, true
-			o.stored(m.Dest, -1)
+// cancelTransfer ends a message that is withdrawn while it moves. If it may be on disk, it is removed there before it ends in the
+// log: a restart would otherwise send it.
+func (o *backlogQueue) cancelTransfer(m *message) {
+	for i, x := range o.outgoing {
+		if x == m && m.move == movingToDisk {
+			o.outgoing = append(o.outgoing[:i], o.outgoing[i+1:]...)
+			m.move, m.ended = notMoving, true
+			o.addOnDisk(m.Dest, -1)
 			o.relay.release(m)
 			return
 		}
@@ -303,51 +307,51 @@
 	m.dropped = true
 }
 
-// withdraw ends a message whose client has left after it went to the disk.
-func (o *overflow) withdraw(id uint32) {
-	if o == nil || o.disk == 0 {
+// withdraw ends a message on disk whose client has disconnected without its answer.
+func (o *backlogQueue) withdraw(id uint32) {
+	if o == nil || o.onDisk == 0 {
 		return
 	}
-	if _, ok := o.shared[id]; ok || o.ending[id].ID != 0 {
+	if _, ok := o.sharedIDs[id]; ok || o.unconfirmed[id].ID != 0 {
 		return
 	}
 	e, ok, err := o.store.Get(id)
 	if err != nil || !ok {
 		return
 	}
-	o.gone = append(o.gone, e.Ref)
+	o.removals = append(o.removals, e.Ref)
 }
 
-// confirmed takes that the end of a message on disk was taken; false if it is not one.
-func (o *overflow) confirmed(id uint32) bool {
+// confirm removes a message on disk whose final notice was confirmed; false if the id is not of such a message.
+func (o *backlogQueue) confirm(id uint32) bool {
 	if o == nil {
 		return false
 	}
-	ref, ok := o.ending[id]
+	ref, ok := o.unconfirmed[id]
 	if ok {
-		delete(o.ending, id)
-		o.gone = append(o.gone, ref)
-		o.relay.wal.RememberCompletion(ref.Trace, o.restoredTime(ref.Deadline), wal.CompletionOf(outOfTime))
+		delete(o.unconfirmed, id)
+		o.removals = append(o.removals, ref)
+		o.relay.wal.RememberCompletion(ref.Trace, o.restoredTime(ref.Deadline), wal.CompletionOf(expiredFinal))
 	}
 	return ok
 }
 
-// keeps tells whether the module is given a message that a start found in the log. Else it goes to the disk: what was never
-// tried waits its turn behind what lies there.
-func (o *overflow) keeps(m *message) bool {
-	if o == nil || m.Attempts > 0 || len(m.MayRun) > 0 || m.Doubt || !storable(m.Dest) || o.admits(m.Dest) && o.held-o.sent < o.size {
+// admitRecovered reports whether a message that was recovered from the log goes to the module. Otherwise it queues the message
+// for the disk: one that was never tried waits behind those already there.
+func (o *backlogQueue) admitRecovered(m *message) bool {
+	if o == nil || m.Attempts > 0 || len(m.MayRun) > 0 || m.Doubt || !storable(m.Dest) || o.admits(m.Dest) && o.held-o.sent < o.maxUnsent {
 		return true
 	}
-	o.send(m)
+	o.moveToDisk(m)
 	return false
 }
 
-// wait waits until no job is under way; false if that takes too long.
-func (o *overflow) wait(most time.Duration) bool {
+// waitForJob waits until no job is running. It returns false on a time-out.
+func (o *backlogQueue) waitForJob(timeout time.Duration) bool {
 	if o == nil || o.job == nil {
 		return true
 	}
-	timer := time.NewTimer(most)
+	timer := time.NewTimer(timeout)
 	defer timer.Stop()
 	for {
 		select {
@@ -363,40 +367,40 @@
 	}
 }
 
-// close ends the store. What a job has done that the loop has not heard of is in the log as well.
-func (o *overflow) close() error {
+// close closes the store. What a job has done without the loop knowing yet is in the log as well.
+func (o *backlogQueue) close() error {
 	if o == nil || o.store == nil {
 		return nil
 	}
-	o.runs.Wait()
+	o.jobs.Wait()
 	err := o.store.Close()
 	o.store = nil
 	return err
 }
 
-// reopen opens the store again after a hand-over that came to nothing.
-func (o *overflow) reopen() error {
+// reopen opens the store again after a failed hand-over.
+func (o *backlogQueue) reopen() error {
 	if o == nil || o.store != nil {
 		return nil
 	}
 	var err error
-	for end := clock.Now().Add(retakeFor); ; time.Sleep(lockPause) {
+	for end := clock.Now().Add(relockTimeout); ; time.Sleep(lockRetryInterval) {
 		if o.store, _, err = o.Open(); err == nil || clock.Now().After(end) {
 			return err
 		}
 	}
 }
 
-// owing is how many messages are owed that the module does not have.
-func (o *overflow) owing() int {
+// count returns the number of messages that are on disk or moving there.
+func (o *backlogQueue) count() int {
 	if o == nil {
 		return 0
 	}
-	return o.disk
+	return o.onDisk
 }
 
-// tell has the second address show the backlog's figures.
-func (o *overflow) tell() {
+// publish updates the backlog's metrics.
+func (o *backlogQueue) publish() {
 	if o == nil {
 		return
 	}
@@ -404,8 +408,8 @@
 	o.relay.metrics.backlog.Store(&text)
 }
 
-// String is the backlog's figures, for the second address.
-func (o *overflow) String() string {
+// String returns the backlog's metrics as lines of the admin address.
+func (o *backlogQueue) String() string {
 	gauge := func(b bool) int {
 		if b {
 			return 1
@@ -415,10 +419,10 @@
 	return fmt.Sprintf("\nrelay.backlog.messages:%d|g\nrelay.backlog.destinations:%d|g\nrelay.backlog.bytes:%d|g\nrelay.backlog.window:%d|g\n"+
 		"relay.backlog.moving:%d|g\nrelay.backlog.out:%d|c\nrelay.backlog.in:%d|c\nrelay.backlog.ended:%d|c\nrelay.backlog.refused:%d|c\n"+
 		"relay.backlog.full:%d|g\nrelay.backlog.failing:%d|g",
-		o.disk, len(o.cells), o.bytes, o.held, len(o.out)+len(o.in), o.movedOut, o.movedIn, o.ended, o.refused, gauge(o.full), gauge(o.worn))
+		o.onDisk, len(o.dests), o.diskBytes, o.held, len(o.outgoing)+len(o.incoming), o.movedOut, o.movedIn, o.ended, o.refused, gauge(o.full), gauge(o.failing))
 }
 
-// noRoom is the answer to a message that would have to go to a disk which takes nothing.
-func noRoom() answer {
+// backlogUnavailable answers a message that the backlog would have to store, but cannot.
+func backlogUnavailable() answer {
 	return answer{status: http.StatusServiceUnavailable, retryAfter: policy.MinRetryAfter}
 }
--- a/internal/relay/backlog_test.go
+++ b/internal/relay/backlog_test.go
@@ -19,31 +19,31 @@
 	"onyxroad.dev/onyxroad/policy"
 )
 
-// shelf is a store in memory.
-type shelf struct {
-	all  map[uint32]owed.Entry
-	room int // 0: no end
-	fail error
+// memoryStore is an in-memory owed.Store.
+type memoryStore struct {
+	entries  map[uint32]owed.Entry
+	capacity int // 0: unlimited
+	err      error
 }
 
-func (s *shelf) Apply(put []owed.Entry, remove []owed.Ref) error {
-	if s.fail != nil {
-		return s.fail
+func (s *memoryStore) Apply(put []owed.Entry, remove []owed.Ref) error {
+	if s.err != nil {
+		return s.err
 	}
-	if s.room > 0 && len(put) > 0 && len(s.all)+len(put) > s.room {
+	if s.capacity > 0 && len(put) > 0 && len(s.entries)+len(put) > s.capacity {
 		return owed.ErrFull
 	}
 	for _, r := range remove {
-		delete(s.all, r.ID)
+		delete(s.entries, r.ID)
 	}
 	for _, e := range put {
-		s.all[e.ID] = e
+		s.entries[e.ID] = e
 	}
 	return nil
 }
 
-func (s *shelf) sorted(keep func(owed.Entry) bool, by func(owed.Entry) int64) (all []owed.Entry) {
-	for _, e := range s.all {
+func (s *memoryStore) sorted(keep func(owed.Entry) bool, by func(owed.Entry) int64) (all []owed.Entry) {
+	for _, e := range s.entries {
 		if keep(e) {
 			all = append(all, e)
 		}
@@ -57,18 +57,18 @@
 	return all
 }
 
-func (s *shelf) First(dest, n int) ([]owed.Entry, error) {
+func (s *memoryStore) First(dest, n int) ([]owed.Entry, error) {
 	all := s.sorted(func(e owed.Entry) bool { return e.Dest == dest }, func(e owed.Entry) int64 { return e.Rank })
-	return all[:min(n, len(all))], s.fail
+	return all[:min(n, len(all))], s.err
 }
 
-func (s *shelf) Due(by int64, n int) ([]owed.Entry, error) {
+func (s *memoryStore) Due(by int64, n int) ([]owed.Entry, error) {
 	all := s.sorted(func(e owed.Entry) bool { return e.Deadline <= by }, func(e owed.Entry) int64 { return e.Deadline })
-	return all[:min(n, len(all))], s.fail
+	return all[:min(n, len(all))], s.err
 }
 
-func (s *shelf) NextDue() (next int64, ok bool, err error) {
-	for _, e := range s.all {
+func (s *memoryStore) NextDue() (next int64, ok bool, err error) {
+	for _, e := range s.entries {
 		if !ok || e.Deadline < next {
 			next, ok = e.Deadline, true
 		}
@@ -76,8 +76,8 @@
 	return next, ok, nil
 }
 
-func (s *shelf) Find(trace string) (owed.Ref, bool, error) {
-	for _, e := range s.all {
+func (s *memoryStore) Find(trace string) (owed.Ref, bool, error) {
+	for _, e := range s.entries {
 		if e.Trace == trace {
 			return e.Ref, true, nil
 		}
@@ -85,15 +85,15 @@
 	return owed.Ref{}, false, nil
 }
 
-func (s *shelf) Get(id uint32) (owed.Entry, bool, error) {
-	e, ok := s.all[id]
+func (s *memoryStore) Get(id uint32) (owed.Entry, bool, error) {
+	e, ok := s.entries[id]
 	return e, ok, nil
 }
 
-func (s *shelf) Len() int { return len(s.all) }
+func (s *memoryStore) Len() int { return len(s.entries) }
 
-func (s *shelf) Count(dest int) (n int) {
-	for _, e := range s.all {
+func (s *memoryStore) Count(dest int) (n int) {
+	for _, e := range s.entries {
 		if e.Dest == dest {
 			n++
 		}
@@ -101,35 +101,35 @@
 	return n
 }
 
-func (s *shelf) Dests() iter.Seq2[int, int] {
+func (s *memoryStore) Dests() iter.Seq2[int, int] {
 	counts := map[int]int{}
-	for _, e := range s.all {
+	for _, e := range s.entries {
 		counts[e.Dest]++
 	}
 	return maps.All(counts)
 }
 
-func (s *shelf) DiskBytes() int64 { return int64(len(s.all)) }
-func (s *shelf) Close() error     { return nil }
+func (s *memoryStore) DiskBytes() int64 { return int64(len(s.entries)) }
+func (s *memoryStore) Close() error     { return nil }
 
-func (s *shelf) open() (owed.Store, owed.OpenReport, error) {
-	found := owed.OpenReport{Messages: len(s.all)}
-	for id := range s.all {
+func (s *memoryStore) open() (owed.Store, owed.OpenReport, error) {
+	found := owed.OpenReport{Messages: len(s.entries)}
+	for id := range s.entries {
 		found.MaxID = max(found.MaxID, id)
 	}
 	return s, found, nil
 }
 
-// backlogged is a relay with a backlog whose loop is not running, and whose jobs run when the test says so.
-type backlogged struct {
+// backlogRelay is a relay with a backlog. Its loop is not running, and the test runs its jobs.
+type backlogRelay struct {
 	*Relay
-	t    *testing.T
-	s    *shelf
-	d    *crashdisk.Disk
-	jobs []*storeJob
+	t     *testing.T
+	store *memoryStore
+	disk  *crashdisk.Disk
+	jobs  []*storeJob
 }
 
-func newBacklogged(t *testing.T, s *shelf, d *crashdisk.Disk, window int) *backlogged {
+func newBacklogRelay(t *testing.T, s *memoryStore, d *crashdisk.Disk, window int) *backlogRelay {
 	t.Helper()
 	c, err := parseConfig([]byte(`{"name":"n3","listen":"127.0.0.1:0","discovery":"127.0.0.1:1","limits":{"disk_mb":40},"settings":` + settingsJSON +
 		`,"known":{"version":1,"full":true,"servers":[
@@ -146,16 +146,16 @@
 		t.Fatal(err)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	b := &backlogged{Relay: r, t: t, s: s, d: d}
+	b := &backlogRelay{Relay: r, t: t, store: s, disk: d}
 	t.Cleanup(func() { cancel(); r.callWG.Wait(); r.hosts.close(); r.wal.Close(); r.logLock.Close() })
 	r.callCtx = ctx
-	r.backlog.start = func(j *storeJob) { b.jobs = append(b.jobs, j) }
+	r.backlog.startJob = func(j *storeJob) { b.jobs = append(b.jobs, j) }
 	r.restore()
 	return b
 }
 
-// settle runs jobs until there is none.
-func (b *backlogged) settle() {
+// runJobs runs jobs until there are none.
+func (b *backlogRelay) runJobs() {
 	b.t.Helper()
 	for range 1000 {
 		b.step(nil)
@@ -164,13 +164,13 @@
 		}
 		j := b.jobs[0]
 		b.jobs = b.jobs[1:]
-		j.run(b.s)
+		j.run(b.store)
 		b.step([]any{j})
 	}
-	b.t.Fatal("the backlog does not come to rest")
+	b.t.Fatal("the backlog keeps starting jobs")
 }
 
-func (b *backlogged) hand(n, from, dest int, left time.Duration) {
+func (b *backlogRelay) submit(n, from, dest int, left time.Duration) {
 	b.t.Helper()
 	for i := range n {
 		in := newSubmission(fmt.Sprintf("m%d", from+i), dest, left)
@@ -181,94 +181,94 @@
 	}
 }
 
-// once checks that each message is in one place, and how many there are.
-func (b *backlogged) once(want int) {
+// checkOwed checks that each message is either in the log or on disk, and that there are want of them.
+func (b *backlogRelay) checkOwed(want int) {
 	b.t.Helper()
 	held := 0
 	for id, m := range b.msgs {
-		if _, ok := b.s.all[id]; ok {
+		if _, ok := b.store.entries[id]; ok {
 			b.t.Errorf("message %d is in the log and on disk", id)
 		}
 		if !m.ended && b.wal.IsLive(m.Message) {
 			held++
 		}
 	}
-	if held+len(b.s.all) != want || b.held+b.backlog.owing() != want || b.backlog.disk != len(b.s.all) {
-		b.t.Errorf("%d in the log, %d on disk, %d counted, %d of them on disk; want %d", held, len(b.s.all), b.held+b.backlog.owing(), b.backlog.disk, want)
+	if held+len(b.store.entries) != want || b.held+b.backlog.count() != want || b.backlog.onDisk != len(b.store.entries) {
+		b.t.Errorf("%d in the log, %d on disk, %d counted, %d of them on disk; want %d", held, len(b.store.entries), b.held+b.backlog.count(), b.backlog.onDisk, want)
 	}
 }
 
-func TestWhatTheWindowDoesNotHoldLiesOnDisk(t *testing.T) {
-	b := newBacklogged(t, &shelf{all: map[uint32]owed.Entry{}}, crashdisk.New(), 64)
+func TestMessagesBeyondTheWindowMoveToDisk(t *testing.T) {
+	b := newBacklogRelay(t, &memoryStore{entries: map[uint32]owed.Entry{}}, crashdisk.New(), 64)
 	for i := range 10 {
-		b.hand(100, 100*i, 7, time.Hour)
-		b.settle()
+		b.submit(100, 100*i, 7, time.Hour)
+		b.runJobs()
 	}
-	b.once(1000)
+	b.checkOwed(1000)
 	if b.held > 64 || len(b.msgs) > 64 || b.sender.AvoidedRoutes(b.now()) != 0 {
 		t.Errorf("%d at the module, %d in memory", b.held, len(b.msgs))
 	}
-	// One that is handed in again under its id is known, wherever it lies.
+	// A message that is submitted again is recognised in memory and on disk.
 	for _, id := range []string{"m0", "m999"} {
 		in := newSubmission(id, 7, time.Hour)
 		b.step([]any{in})
 		if a, ok := answered(in); !ok || a.status != http.StatusAccepted {
-			t.Errorf("%s again: %+v, %v", id, a, ok)
+			t.Errorf("%s submitted again: %+v, %v", id, a, ok)
 		}
 	}
-	b.settle()
-	b.once(1000)
-	// Another destination has room at once, by its share.
-	b.hand(10, 5000, 8, time.Hour)
-	b.settle()
-	b.once(1010)
-	if c := b.backlog.cells[8]; c == nil || c.held != 10 {
-		t.Errorf("a destination with little owed has %+v at the module", c)
+	b.runJobs()
+	b.checkOwed(1000)
+	// Another destination is admitted at once, thanks to its share.
+	b.submit(10, 5000, 8, time.Hour)
+	b.runJobs()
+	b.checkOwed(1010)
+	if c := b.backlog.dests[8]; c == nil || c.held != 10 {
+		t.Errorf("a destination with few messages has %+v at the module", c)
 	}
-	// As messages end, others come back, and every one is given to the module once.
+	// As messages end, others are loaded, and each is passed to the module once.
 	seen := map[uint32]bool{}
 	for len(seen) < 1010 {
 		before := len(seen)
 		for id, m := range b.msgs {
-			if m.move == staying && !m.ended && m.cell != nil {
+			if m.move == notMoving && !m.ended && m.cell != nil {
 				if seen[id] {
-					t.Fatalf("message %d came back", id)
+					t.Fatalf("message %d was passed to the module twice", id)
 				}
 				seen[id] = true
 				b.nextEvents = b.completeDelivered(b.nextEvents, m)
 			}
 		}
-		b.settle()
+		b.runJobs()
 		if len(seen) == before {
-			t.Fatalf("%d came back, and no more", before)
+			t.Fatalf("no more messages were loaded after %d", before)
 		}
 	}
-	b.once(0)
+	b.checkOwed(0)
 }
 
-func TestTheMostUrgentComesBackFirst(t *testing.T) {
-	b := newBacklogged(t, &shelf{all: map[uint32]owed.Entry{}}, crashdisk.New(), 64)
-	b.hand(64, 0, 7, 3*time.Hour)
-	b.hand(200, 1000, 7, 2*time.Hour)
-	b.hand(1, 2000, 7, time.Hour)
-	b.settle()
+func TestMostUrgentMessageIsLoadedFirst(t *testing.T) {
+	b := newBacklogRelay(t, &memoryStore{entries: map[uint32]owed.Entry{}}, crashdisk.New(), 64)
+	b.submit(64, 0, 7, 3*time.Hour)
+	b.submit(200, 1000, 7, 2*time.Hour)
+	b.submit(1, 2000, 7, time.Hour)
+	b.runJobs()
 	for _, m := range b.msgs {
 		b.step([]any{withdrawal{m.ID}})
 	}
-	b.settle()
+	b.runJobs()
 	if m := b.byTrace["m2000"]; m == nil || m.cell == nil {
-		t.Error("the most urgent message did not come back first")
+		t.Error("the most urgent message was not loaded first")
 	}
 }
 
-func TestEndsOnDiskAreToldInTime(t *testing.T) {
-	b := newBacklogged(t, &shelf{all: map[uint32]owed.Entry{}}, crashdisk.New(), 64)
-	b.hand(32, 0, 7, time.Hour) // the destination's share
-	b.hand(100, 1000, 7, dueAhead/2)
-	b.hand(5, 2000, 7, time.Hour)
-	b.settle()
+func TestMessagesThatExpireOnDiskGetNotices(t *testing.T) {
+	b := newBacklogRelay(t, &memoryStore{entries: map[uint32]owed.Entry{}}, crashdisk.New(), 64)
+	b.submit(32, 0, 7, time.Hour) // the destination's share
+	b.submit(100, 1000, 7, expiryLead/2)
+	b.submit(5, 2000, 7, time.Hour)
+	b.runJobs()
 	if n := len(b.finals.queue); n != 100 {
-		t.Fatalf("%d ends told, want 100", n)
+		t.Fatalf("%d notices, want 100", n)
 	}
 	for _, n := range b.finals.queue {
 		if n.Status != "deferred" {
@@ -276,84 +276,84 @@
 		}
 		b.step([]any{noticesConfirmed{[]uint32{n.id}}})
 	}
-	b.settle()
-	b.once(37)
+	b.runJobs()
+	b.checkOwed(37)
 	if n := b.metrics.forClass(0).deferred.Load(); n != 100 {
 		t.Errorf("%d counted as deferred", n)
 	}
 }
 
-func TestAFullOrFailingDiskTurnsNewWorkAway(t *testing.T) {
-	for name, spoil := range map[string]func(*shelf){
-		"full":    func(s *shelf) { s.room = 1 },
-		"failing": func(s *shelf) { s.fail = errors.New("sick") },
+func TestFullOrFailingDiskRejectsNewMessages(t *testing.T) {
+	for name, breakStore := range map[string]func(*memoryStore){
+		"full":    func(s *memoryStore) { s.capacity = 1 },
+		"failing": func(s *memoryStore) { s.err = errors.New("sick") },
 	} {
 		t.Run(name, func(t *testing.T) {
-			s := &shelf{all: map[uint32]owed.Entry{}}
-			b := newBacklogged(t, s, crashdisk.New(), 64)
-			spoil(s)
-			b.hand(100, 0, 7, time.Hour)
-			b.settle()
+			s := &memoryStore{entries: map[uint32]owed.Entry{}}
+			b := newBacklogRelay(t, s, crashdisk.New(), 64)
+			breakStore(s)
+			b.submit(100, 0, 7, time.Hour)
+			b.runJobs()
 			in := newSubmission("late", 7, time.Hour)
 			b.step([]any{in})
 			if a, ok := answered(in); !ok || a.status != http.StatusServiceUnavailable || a.retryAfter <= 0 {
 				t.Errorf("beyond the window: %+v, %v", a, ok)
 			}
-			b.hand(1, 1000, 8, time.Hour) // the window has room
-			if b.held+b.backlog.owing() != 101 || len(s.all) != 0 {
-				t.Errorf("%d owed, %d on disk", b.held+b.backlog.owing(), len(s.all))
+			b.submit(1, 1000, 8, time.Hour) // the window has room
+			if b.held+b.backlog.count() != 101 || len(s.entries) != 0 {
+				t.Errorf("%d owed, %d on disk", b.held+b.backlog.count(), len(s.entries))
 			}
-			s.room, s.fail = 0, nil
-			b.backlog.tried = time.Time{}
-			b.settle()
-			b.once(101)
-			b.hand(1, 2000, 7, time.Hour)
+			s.capacity, s.err = 0, nil
+			b.backlog.failedAt = time.Time{}
+			b.runJobs()
+			b.checkOwed(101)
+			b.submit(1, 2000, 7, time.Hour)
 		})
 	}
 }
 
-// A client that leaves while its message is on the way to the disk, or there, is owed nothing, and a restart has nothing.
-func TestAWithdrawnMessageLeavesTheDiskBeforeTheLog(t *testing.T) {
+// A message whose client disconnects while it is moving to disk, or on disk, must end, and must not reappear at a restart.
+func TestWithdrawnMessageIsRemovedFromDiskBeforeLog(t *testing.T) {
 	for _, when := range []string{"before its job", "under its job", "on disk"} {
 		t.Run(when, func(t *testing.T) {
-			b := newBacklogged(t, &shelf{all: map[uint32]owed.Entry{}}, crashdisk.New(), 64)
-			b.hand(33, 0, 7, time.Hour)
+			b := newBacklogRelay(t, &memoryStore{entries: map[uint32]owed.Entry{}}, crashdisk.New(), 64)
+			b.submit(33, 0, 7, time.Hour)
 			if len(b.jobs) != 1 {
 				t.Fatalf("%d jobs", len(b.jobs))
 			}
-			// The one under way is of the 33rd message; the 34th waits behind it.
+			// The running job moves the 33rd message; the 34th waits for the next one.
 			in := newSubmission("gone", 7, time.Hour)
 			switch when {
 			case "before its job":
 				b.step([]any{in})
 				b.step([]any{withdrawal{in.m.ID}})
 			case "under its job":
-				b.settle()
+				b.runJobs()
 				b.step([]any{in})
 				if len(b.jobs) != 1 {
 					t.Fatalf("%d jobs", len(b.jobs))
 				}
 				b.step([]any{withdrawal{in.m.ID}})
 				if !b.wal.IsLive(in.m) {
-					t.Error("it left the log before the disk")
+					t.Error("the message was removed from the log before the disk")
 				}
 			case "on disk":
 				b.step([]any{in})
-				b.settle()
+				b.runJobs()
 				b.step([]any{withdrawal{in.m.ID}})
 			}
-			b.settle()
-			b.once(33)
-			if _, ok, _ := b.s.Find("gone"); ok || b.byTrace["gone"] != nil {
-				t.Error("it is still there")
+			b.runJobs()
+			b.checkOwed(33)
+			if _, ok, _ := b.store.Find("gone"); ok || b.byTrace["gone"] != nil {
+				t.Error("the message is still known")
 			}
 		})
 	}
 }
 
-// In a class that keeps order what comes later goes later, though its time may be up before.
-func TestTheBacklogKeepsAKeysOrder(t *testing.T) {
-	b := newBacklogged(t, &shelf{all: map[uint32]owed.Entry{}}, crashdisk.New(), 64)
+// In an ordered class messages are loaded in their order of arrival, even if a later one has an earlier deadline.
+func TestBacklogKeepsOrderOfKey(t *testing.T) {
+	b := newBacklogRelay(t, &memoryStore{entries: map[uint32]owed.Entry{}}, crashdisk.New(), 64)
 	b.cfg.Settings.Classes[0].Ordered = true
 	rng := rand.New(rand.NewPCG(1, 2))
 	for i := range 200 {
@@ -361,78 +361,78 @@
 		in.m.Order = "one"
 		b.step([]any{in})
 		if rng.IntN(10) == 0 {
-			b.settle()
+			b.runJobs()
 		}
 	}
-	b.settle()
+	b.runJobs()
 	last := uint32(0)
 	for last < 200 {
 		ids := slices.Sorted(maps.Keys(b.msgs))
 		if len(ids) == 0 {
-			t.Fatalf("nothing comes back behind %d", last)
+			t.Fatalf("nothing is loaded after %d", last)
 		}
 		for _, id := range ids {
 			if id != last+1 {
-				t.Fatalf("message %d before %d", id, last+1)
+				t.Fatalf("message %d was loaded before %d", id, last+1)
 			}
 			last = id
 			b.step([]any{withdrawal{id}})
 		}
-		b.settle()
+		b.runJobs()
 	}
 }
 
-// The clock set back over a restart gives no message on disk more time.
-func TestTheClockSetBackGivesNoTimeOnDisk(t *testing.T) {
-	d, s := crashdisk.New(), &shelf{all: map[uint32]owed.Entry{}}
-	b := newBacklogged(t, s, d, 64)
-	b.hand(100, 0, 7, time.Hour)
-	b.settle()
+// A clock that is set back over a restart must not give messages on disk more time.
+func TestClockSetBackExtendsNoDeadlineOnDisk(t *testing.T) {
+	d, s := crashdisk.New(), &memoryStore{entries: map[uint32]owed.Entry{}}
+	b := newBacklogRelay(t, s, d, 64)
+	b.submit(100, 0, 7, time.Hour)
+	b.runJobs()
 	b.clockBehind = 50 * time.Minute
 	var err error
-	for range 2 { // it stays so at the start after
-		if b.backlog.offset, err = b.clockOffset(); err != nil || b.backlog.offset != 50*time.Minute {
-			t.Fatalf("offset %v, %v", b.backlog.offset, err)
+	for range 2 { // the offset persists at the next start
+		if b.backlog.clockOffset, err = b.loadClockOffset(); err != nil || b.backlog.clockOffset != 50*time.Minute {
+			t.Fatalf("clock offset %v, %v", b.backlog.clockOffset, err)
 		}
 		b.clockBehind = 0
 	}
 	for _, m := range b.msgs {
 		b.step([]any{withdrawal{m.ID}})
 	}
-	b.settle()
+	b.runJobs()
 	for _, m := range b.msgs {
 		if left := time.Until(m.Deadline); left > 10*time.Minute {
-			t.Fatalf("%v left", left)
+			t.Fatalf("a message has %v left, want at most 10m", left)
 		}
 	}
 }
 
-var crashStates = flag.Int("crash-states", 1000, "states of log and backlog together that are drawn")
+var crashStates = flag.Int("crash-states", 1000, "number of random states of log and backlog to check")
 
-// The process ends at any boundary between log and backlog: whatever was taken on is there once, and what was sent is not
-// taken for untried.
-func TestNoMomentBetweenLogAndBacklogLosesAMessage(t *testing.T) {
+// Whenever the process ends between writes to the log and to the backlog, each accepted message must be recovered exactly once,
+// and a message that was sent must not be recovered as untried.
+func TestCrashBetweenLogAndBacklogLosesNoMessage(t *testing.T) {
 	rng := rand.New(rand.NewPCG(7, 11))
 	for state := 0; state < *crashStates; {
-		s, d := &shelf{all: map[uint32]owed.Entry{}}, crashdisk.New()
-		b := newBacklogged(t, s, d, 64)
+		s, d := &memoryStore{entries: map[uint32]owed.Entry{}}, crashdisk.New()
+		b := newBacklogRelay(t, s, d, 64)
 		owes, sent, next := map[string]bool{}, map[string]bool{}, 0
-		var shots []struct {
+		var snapshots []struct {
 			logs       *crashdisk.Disk
 			store      map[uint32]owed.Entry
 			owes, sent map[string]bool
 		}
-		shoot := func(when func() bool) {
+		takeSnapshot := func(when func() bool) {
 			if !when() {
 				return
 			}
-			shots = append(shots, struct {
+			snapshots = append(snapshots, struct {
 				logs       *crashdisk.Disk
 				store      map[uint32]owed.Entry
 				owes, sent map[string]bool
-			}{d.Crash(func() bool { return true }), maps.Clone(s.all), maps.Clone(owes), maps.Clone(sent)})
+			}{d.Crash(func() bool { return true }), maps.Clone(s.entries), maps.Clone(owes), maps.Clone(sent)})
 		}
-		often := func() bool { return rng.IntN(4) == 0 }
+		sometimes := func() bool { return rng.IntN(4) == 0 }
 		for range 60 {
 			switch rng.IntN(5) {
 			case 0, 1:
@@ -447,10 +447,10 @@
 			case 2:
 				for _, id := range slices.Sorted(maps.Keys(b.msgs)) {
 					m := b.msgs[id]
-					if m.move == staying && !m.ended && m.cell != nil && rng.IntN(3) == 0 {
+					if m.move == notMoving && !m.ended && m.cell != nil && rng.IntN(3) == 0 {
 						if rng.IntN(2) == 0 {
-							if m.sends == 0 { // a send that stays out
-								b.carryOut([]policy.Action{{Kind: policy.Send, ID: id, Route: "s-1", TimeoutAt: b.now() + time.Hour}}, nil)
+							if m.sends == 0 { // a send without an outcome
+								b.execute([]policy.Action{{Kind: policy.Send, ID: id, Route: "s-1", TimeoutAt: b.now() + time.Hour}}, nil)
 								sent[m.Trace] = true
 							}
 						} else if m.sends == 0 {
@@ -463,19 +463,19 @@
 				if len(b.jobs) > 0 {
 					j := b.jobs[0]
 					b.jobs = b.jobs[1:]
-					shoot(often)
+					takeSnapshot(sometimes)
 					j.run(s)
-					shoot(often) // done, and the loop has not heard
+					takeSnapshot(sometimes) // done, but not reported to the loop
 					b.step([]any{j})
 				} else {
 					b.step(nil)
 				}
 			}
-			shoot(often)
+			takeSnapshot(sometimes)
 		}
-		for _, x := range shots {
+		for _, x := range snapshots {
 			state++
-			_, found, err := wal.OpenWith(wal.Options{FS: x.logs, Limit: 40e6, Format: wal.SegmentFormat, Name: "n3", PreviousName: withBacklog("n3")})
+			_, found, err := wal.OpenWith(wal.Options{FS: x.logs, Limit: 40e6, Format: wal.SegmentFormat, Name: "n3", PreviousName: backlogOwnerName("n3")})
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -484,39 +484,40 @@
 				has[m.Trace]++
 				if e, ok := x.store[m.ID]; ok {
 					if e.Trace != m.Trace {
-						t.Fatalf("state %d: one number for %s and %s", state, e.Trace, m.Trace)
+						t.Fatalf("state %d: %s and %s have the same id", state, e.Trace, m.Trace)
 					}
 					delete(x.store, m.ID) // as a start does
 				}
 				if x.sent[m.Trace] != (m.Attempts > 0) {
-					t.Fatalf("state %d: %s was sent: %v, and the log tells of %d sends", state, m.Trace, x.sent[m.Trace], m.Attempts)
+					t.Fatalf("state %d: %s: sent %v, but the log has %d sends", state, m.Trace, x.sent[m.Trace], m.Attempts)
 				}
 			}
 			for _, e := range x.store {
 				if has[e.Trace]++; x.sent[e.Trace] {
-					t.Fatalf("state %d: %s was sent, and lies on disk untried", state, e.Trace)
+					t.Fatalf("state %d: %s was sent, but is on disk as untried", state, e.Trace)
 				}
 			}
 			for trace := range x.owes {
 				if has[trace] != 1 {
-					t.Fatalf("state %d: %s is there %d times", state, trace, has[trace])
+					t.Fatalf("state %d: %s was recovered %d times", state, trace, has[trace])
 				}
 			}
 			for trace := range has {
 				if !x.owes[trace] {
-					t.Fatalf("state %d: %s is owed no more, and there", state, trace)
+					t.Fatalf("state %d: %s has ended, but was recovered", state, trace)
 				}
 			}
 		}
 	}
 }
 
-// A relay that knows of no backlog does not start on the folder while something may lie on disk, and does once nothing is.
-func TestAFolderWithABacklogIsRefusedWithoutOne(t *testing.T) {
+// A relay without a backlog must not start on a folder while messages may be on disk, and must start once the backlog is
+// empty.
+func TestRelayWithoutBacklogRefusesFolderWithOne(t *testing.T) {
 	d := crashdisk.New()
-	b := newBacklogged(t, &shelf{all: map[uint32]owed.Entry{}}, d, 64)
-	b.hand(100, 0, 7, time.Hour)
-	b.settle()
+	b := newBacklogRelay(t, &memoryStore{entries: map[uint32]owed.Entry{}}, d, 64)
+	b.submit(100, 0, 7, time.Hour)
+	b.runJobs()
 	plain := wal.Options{Limit: 40e6, Format: wal.SegmentFormat, Name: "n3"}
 	plain.FS = d.AfterKill()
 	if _, _, err := wal.OpenWith(plain); !errors.Is(err, wal.ErrForeignFolder) {
@@ -526,10 +527,10 @@
 		for _, m := range b.msgs {
 			b.nextEvents = b.completeDelivered(b.nextEvents, m)
 		}
-		b.settle()
+		b.runJobs()
 	}
-	b.once(0)
-	if err := b.endLog(); err != nil {
+	b.checkOwed(0)
+	if err := b.closeLog(); err != nil {
 		t.Fatal(err)
 	}
 	plain.FS = d.AfterKill()
--- a/internal/relay/carry.go
+++ b/internal/relay/carry.go
@@ -12,10 +12,8 @@
 	"onyxroad.dev/onyxroad/policy"
 )
 
-// What a step carries out: the module's decisions, first in the log, then on the sockets.
-
-// carryOut does what the module has decided: first in the log, in one write, then on the sockets.
-func (r *Relay) carryOut(acts []policy.Action, waiting []*submission) {
+// execute carries out the module's decisions: first in the log, in one write, then on the sockets.
+func (r *Relay) execute(acts []policy.Action, waiting []*submission) {
 	answers := make(map[uint32]answer, len(waiting))
 	for _, in := range waiting {
 		answers[in.msg.ID] = answer{status: http.StatusAccepted}
@@ -27,7 +25,7 @@
 		switch a.Kind {
 		case policy.Send:
 			if m == nil {
-				r.log.Error("send of a message that is not held", "id", a.ID) // a slot less is better than no relay
+				r.log.Error("send of a message that is not held", "id", a.ID) // losing a slot is better than a crash
 				continue
 			}
 			calls = r.addSend(calls, m, a)
@@ -47,30 +45,31 @@
 			r.wal.SetFinal(m.Message, final)
 			ended = append(ended, m)
 		case policy.Wake:
-			r.wakeAt = clock.Now().Add(a.Delay) // the module keeps one wake in mind, the last that it asked for
+			r.wakeAt = clock.Now().Add(a.Delay) // the module has one wake-up, the last that it requested
 		case policy.CloseIdle:
 			r.hosts.closeIdle(a.Route)
 		}
 	}
-	p := promise{waiting: waiting, answers: answers, ended: ended, calls: calls}
-	// A send that is not in the log must not leave: after a restart it would be made again. An end that is not must not be
-	// told: after a restart the message would be sent.
+	p := pendingStep{waiting: waiting, answers: answers, ended: ended, calls: calls}
+	// A send must not leave before the log has it: a restart would repeat it. An end must not be reported before the log has
+	// it: a restart would send the message.
 	err := r.record(calls)
 	if err != nil && !errors.Is(err, wal.ErrNeedsNewFile) {
 		r.log.Warn("log not written", "calls", len(calls), "err", err)
-		r.giveBack(calls, policy.ConnectFailed)
+		r.abortCalls(calls, policy.ConnectFailed)
 		p.calls = nil
-		err = r.record(nil) // what was noted may find room without the sends
+		err = r.record(nil) // the other entries may fit without the sends
 	}
 	if err != nil {
 		p.unwritten = true
-		p.waiting = r.answerTaken(p)
+		p.waiting = r.answerAccepted(p)
 	}
-	r.promise(p)
+	r.finishWhenDurable(p)
 }
 
-// answerTaken answers those whose messages are in the log, though what the step has decided is not, and returns the others.
-func (r *Relay) answerTaken(p promise) (waiting []*submission) {
+// answerAccepted answers the clients whose messages are durable in the log although the step's decisions are not, and
+// returns the others.
+func (r *Relay) answerAccepted(p pendingStep) (waiting []*submission) {
 	durable := r.wal.Durable()
 	return slices.DeleteFunc(p.waiting, func(in *submission) bool {
 		taken := p.answers[in.msg.ID]
@@ -82,13 +81,13 @@
 	})
 }
 
-// addSend puts a send into the call that the module has decided on.
+// addSend adds a send to the call that the module has assigned it to, or starts a new call.
 func (r *Relay) addSend(calls []*call, m *message, a policy.Action) []*call {
 	t := r.routes[a.Route]
 	var c *call
-	size := itemSize(m)
+	size := maxItemSize(m)
 	for _, x := range calls {
-		// Bodies hold so much at most, and many small messages are no reason to have one large one turned away.
+		// A bundle's body is limited too: many small messages must not get a large one rejected.
 		if x.number == a.Call && x.size+size <= maxBodyBytes {
 			c = x
 		}
@@ -99,17 +98,17 @@
 	}
 	until := r.started.Add(a.TimeoutAt)
 	c.size += size
-	c.attempts = append(c.attempts, &attempt{call: c, m: m, n: m.sends, until: until})
-	r.backlog.sends(m)
+	c.attempts = append(c.attempts, &attempt{call: c, m: m, n: m.sends, deadline: until})
+	r.backlog.markSent(m)
 	m.sends++
 	m.outstanding++
-	if len(c.attempts) == 1 || until.After(c.until) == r.cfg.MayDuplicate {
-		c.until = until // where a second copy may be out, the rest of a call outlasts one message's time-out
+	if len(c.attempts) == 1 || until.After(c.deadline) == r.cfg.MayDuplicate {
+		c.deadline = until // the latest where duplicates are allowed, as a call then outlasts one message's time-out; else the earliest
 	}
 	return calls
 }
 
-// record writes the sends of calls and all that was noted in this step.
+// record writes the sends of calls, and everything else that this step has added to the log, in one write.
 func (r *Relay) record(calls []*call) error {
 	var sends []wal.Send
 	for _, c := range calls {
@@ -125,18 +124,18 @@
 	return r.wal.RecordSends(sends...)
 }
 
-// giveBack ends calls that are not made with an outcome which proves so.
-func (r *Relay) giveBack(calls []*call, as policy.Outcome) {
+// abortCalls ends calls that will not be made, with an outcome that says that they never ran.
+func (r *Relay) abortCalls(calls []*call, as policy.Outcome) {
 	for _, c := range calls {
 		for _, a := range c.attempts {
 			r.nextEvents = r.finishAttempt(r.nextEvents, a, result{outcome: as})
 		}
 	}
-	r.soon()
+	r.scheduleStep()
 }
 
-// launch makes a call, away from the loop.
-func (r *Relay) launch(c *call) {
+// startCall makes a call on a goroutine of its own.
+func (r *Relay) startCall(c *call) {
 	r.checkSends(c)
 	for _, a := range c.attempts {
 		r.logTransition(a.m, stateHeld, stateOut, reasonSend, slog.String("endpoint", c.route), slog.Int("attempt", a.n))
@@ -144,20 +143,20 @@
 	r.callsOut++
 	r.inFlight[c] = struct{}{}
 	for _, a := range c.attempts {
-		if a.until.Before(c.until) {
-			a.timer = time.AfterFunc(clock.Until(a.until), func() { r.post(attemptTimeout{a}) })
+		if a.deadline.Before(c.deadline) {
+			a.timer = time.AfterFunc(clock.Until(a.deadline), func() { r.post(attemptTimeout{a}) })
 		}
 	}
 	r.callWG.Add(1)
 	go func() {
 		defer r.callWG.Done()
-		results := r.hosts.do(r.callCtx, c, func() bool { return r.mayStill(c) })
+		results := r.hosts.do(r.callCtx, c, func() bool { return r.stillAllowed(c) })
 		r.post(&callFinished{c, results})
 	}()
 }
 
-// mayStill asks the loop whether a call that was held up may leave.
-func (r *Relay) mayStill(c *call) bool {
+// stillAllowed asks the loop whether a delayed call may still be sent.
+func (r *Relay) stillAllowed(c *call) bool {
 	ids := make([]uint32, 0, len(c.attempts))
 	for _, a := range c.attempts {
 		ids = append(ids, a.m.ID)
@@ -174,7 +173,7 @@
 	}
 }
 
-// notify queues the notice that ends a message. recorded tells whether the log has that end.
+// notify queues the final notice of a message. recorded tells whether the log has the message's end.
 func (r *Relay) notify(m *message, recorded bool) {
 	r.guard.CheckEnd(m.Trace, m.notified, recorded, clock.Until(m.Deadline))
 	m.notified = true
--- a/internal/relay/clients_test.go
+++ b/internal/relay/clients_test.go
@@ -260,7 +260,7 @@
 	in := newSubmission("m1", 7, 5*time.Second)
 	stepSubmissions(r, in)
 	m := r.msgs[in.m.ID]
-	r.carryOut([]policy.Action{{Kind: policy.Refuse, ID: m.ID, Delay: 700 * time.Millisecond}}, nil)
+	r.execute([]policy.Action{{Kind: policy.Refuse, ID: m.ID, Delay: 700 * time.Millisecond}}, nil)
 	if a := stepSubmissions(r, newSubmission("m1", 7, 5*time.Second))[0]; a.status != http.StatusServiceUnavailable || a.retryAfter != 700*time.Millisecond {
 		t.Errorf("answer %+v", a)
 	}
@@ -321,7 +321,7 @@
 // A Send of a message that is not held must not crash the loop.
 func TestSendOfUnknownMessageIsIgnored(t *testing.T) {
 	r := newTestRelay(t)
-	r.carryOut([]policy.Action{{Kind: policy.Send, ID: 4711, Route: "s-1", TimeoutAt: time.Minute}}, nil)
+	r.execute([]policy.Action{{Kind: policy.Send, ID: 4711, Route: "s-1", TimeoutAt: time.Minute}}, nil)
 	if r.callsOut != 0 {
 		t.Errorf("%d calls", r.callsOut)
 	}
@@ -380,7 +380,7 @@
 		},
 		"the listener is closed": func(s *clients) {
 			done := make(chan struct{})
-			go func() { defer close(done); s.close(time.Now().Add(patience)) }()
+			go func() { defer close(done); s.close(time.Now().Add(testTimeout)) }()
 			t.Cleanup(func() { <-done })
 			for asked := 0; asked == 0; runtime.Gosched() {
 				s.mu.Lock()
--- a/internal/relay/discovery.go
+++ b/internal/relay/discovery.go
@@ -18,48 +18,49 @@
 )
 
 const (
-	watchSilence  = 4500 * time.Millisecond // see watcher.silence
-	watchLineMost = 1 << 20
-	retryFirst    = 50 * time.Millisecond
-	retryMost     = time.Second
-	// The platform answers a notice at once, and one is late 300 ms after its message's time: a connection that has fallen silent
-	// must not take all of that from those that wait behind it. Where answers are slow, later tries wait longer.
-	noticeFirst  = 100 * time.Millisecond
-	noticeMost   = time.Second
-	noticePause  = 100 * time.Millisecond // at most, between a request that failed at once and the next
-	fetchTimeout = time.Second
-	// A call that fails on this machine reaches nobody, and there is no reason to spread the next one.
-	failedHerePause = 50 * time.Millisecond
-	// Turned away calls are work for discovery too: a fleet that comes again at once keeps it from serving anyone.
-	awayFirst   = time.Second
-	awayMost    = 8 * time.Second
-	spreadFor   = 150 * time.Millisecond // for each relay of a fleet of spreadLeast or more
-	spreadLeast = 7
-	// Whatever the list has to tell counts as told by then, from when discovery had it and could be reached, or from when a watch
-	// fell silent: no pause, for whatever reason, may reach beyond. After a move it is sooner.
-	toldWithin  = 6 * time.Second
-	movedWithin = 4 * time.Second
-	replyFor    = 500 * time.Millisecond // of that is left for the call
-	// What the agent has counts as told at once: half of the time in which a drain is to be heeded is for asking.
-	askWithin = 250 * time.Millisecond
-	servedFor = 2   // empty lines, one every 2 s, after which a watch was served, not ended as one too many
-	batchOf   = 256 // notices in a request
+	watchTimeout  = 4500 * time.Millisecond // see watcher.timeout
+	maxWatchLine  = 1 << 20
+	minRetryDelay = 50 * time.Millisecond
+	maxRetryDelay = time.Second
+	// The platform answers a notice at once, and a notice is late 300 ms after its message's deadline: a dead connection must not
+	// use up that time for the notices that wait behind it. Each time-out doubles the next one, for when answers are slow.
+	minNoticeTimeout    = 100 * time.Millisecond
+	maxNoticeTimeout    = time.Second
+	maxNoticeRetryDelay = 100 * time.Millisecond // after a request that failed without a time-out
+	fetchTimeout        = time.Second
+	// A request that fails on this machine puts no load on discovery, so its retry is not spread.
+	localFailureDelay = 50 * time.Millisecond
+	// Requests that are turned away put load on discovery too: a fleet that retries at once keeps it from serving anyone.
+	minRejectedDelay = time.Second
+	maxRejectedDelay = 8 * time.Second
+	spreadPerRelay   = 150 * time.Millisecond // in fleets of minSpreadFleet relays or more
+	minSpreadFleet   = 7
+	// A relay counts as informed of a change listDeadline after discovery has it and is reachable, or after a watch falls silent.
+	// No delay may exceed that. After discovery has moved, movedListDeadline applies.
+	listDeadline      = 6 * time.Second
+	movedListDeadline = 4 * time.Second
+	replyReserve      = 500 * time.Millisecond // part of the deadline that is kept for the request itself
+	// A relay counts as informed at once of what the agent already has: half of the time in which it has to stop sending to a
+	// draining host may pass before it asks.
+	reconnectSpread  = 250 * time.Millisecond
+	servedHeartbeats = 2   // empty lines, sent every 2 s, after which a watch counts as served rather than turned away
+	noticeBatch      = 256 // notices in a request
 )
 
 var (
-	errMoved   = errors.New("discovery has another address now")
-	errTooLong = errors.New("list too long")
-	errAway    = errors.New("discovery turns this relay away")
+	errAgentMoved  = errors.New("discovery's address has changed")
+	errListTooLong = errors.New("list exceeds 1 MiB")
+	errTurnedAway  = errors.New("discovery turns this relay away")
 )
 
-// agent is discovery's agent, which another configuration may put at another address.
+// agent is a client of discovery's agent, whose address a new configuration may change.
 type agent struct {
 	client *http.Client
 
-	mu    sync.Mutex
-	addr  string
-	moved context.Context // ends when addr changes
-	leave context.CancelFunc
+	mu       sync.Mutex
+	addr     string
+	moved    context.Context // ends when addr changes
+	endMoved context.CancelFunc
 }
 
 func newAgent(addr string) *agent {
@@ -69,11 +70,11 @@
 		MaxConnsPerHost:    4,
 		IdleConnTimeout:    30 * time.Second,
 	}}}
-	a.moved, a.leave = context.WithCancel(context.Background())
+	a.moved, a.endMoved = context.WithCancel(context.Background())
 	return a
 }
 
-// move has all go to addr from here on: what is under way at the old address ends with errMoved.
+// move changes the agent's address. Requests in progress at the old address end with errAgentMoved.
 func (a *agent) move(addr string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -81,108 +82,109 @@
 		return
 	}
 	a.addr = addr
-	a.leave()
-	a.moved, a.leave = context.WithCancel(context.Background())
+	a.endMoved()
+	a.moved, a.endMoved = context.WithCancel(context.Background())
 	a.client.CloseIdleConnections()
 }
 
-// here returns the address and a context for work there, which ends with ctx, when the agent moves, or by done.
-func (a *agent) here(ctx context.Context) (addr string, work context.Context, done func()) {
+// session returns the agent's address and a context for requests there, which ends with ctx, when the agent moves, or when
+// done is called.
+func (a *agent) session(ctx context.Context) (addr string, work context.Context, done func()) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	work, cancel := context.WithCancelCause(ctx)
-	stop := context.AfterFunc(a.moved, func() { cancel(errMoved) })
+	stop := context.AfterFunc(a.moved, func() { cancel(errAgentMoved) })
 	return a.addr, work, func() { stop(); cancel(nil) }
 }
 
-// watcher follows discovery's list.
+// watcher keeps the relay's list of hosts up to date with discovery's.
 type watcher struct {
-	log     *slog.Logger
-	agent   *agent
-	silence time.Duration // a watch with no line for so long is dead: one comes every 2 s
-	told    func(List)
-	fleet   int            // relays that follow it
-	random  func() float64 // from 0 to 1
-	sleep   func(context.Context, time.Duration)
-	now     func() time.Time
+	log       *slog.Logger
+	agent     *agent
+	timeout   time.Duration // for the next line of a watch: discovery sends one every 2 s
+	onList    func(List)
+	fleetSize int            // number of relays that follow the list
+	random    func() float64 // from 0 to 1
+	sleep     func(context.Context, time.Duration)
+	now       func() time.Time
 
-	since   time.Time // what discovery has had since then may have been missed: the last line, or the last call's beginning
-	moved   bool      // and it has not been heard at its new address
-	version int64     // of the list as told
-	held    bool      // the relay holds a list, however old
-	whole   bool      // changes alone won't do: the list is to be had whole
-	served  bool      // the last watch was
+	missedSince time.Time // time of the last line, or of the last request's start: changes since then may have been missed
+	moved       bool      // the agent has moved and has not sent a list since
+	version     int64     // of the last list passed to onList
+	hasList     bool      // the relay starts with a list, which may be outdated
+	needFull    bool      // changes are not enough: fetch the full list
+	served      bool      // the last watch counts as served; see servedHeartbeats
 }
 
 // run follows the list until ctx ends.
 func (w *watcher) run(ctx context.Context) {
-	pause, away := retryFirst, awayFirst
-	if w.held {
-		// There is a list to go by. A fleet that starts together must not ask as one.
-		w.wait(ctx, w.spread(askWithin))
+	delay, rejectedDelay := minRetryDelay, minRejectedDelay
+	if w.hasList {
+		// With a list to start from, relays that start together spread their requests.
+		w.wait(ctx, w.spread(reconnectSpread))
 	}
 	for ctx.Err() == nil {
-		was := w.version
-		err := w.follow(ctx)
+		oldVersion := w.version
+		err := w.watchOnce(ctx)
 		if ctx.Err() != nil {
 			return
 		}
 		w.log.Warn("watch ended", "version", w.version, "err", err)
-		if w.version != was {
-			pause = retryFirst
+		if w.version != oldVersion {
+			delay = minRetryDelay
 		}
-		soon := toldWithin
+		maxSpread := listDeadline
 		if w.served {
-			pause, soon = retryFirst, askWithin
+			delay, maxSpread = minRetryDelay, reconnectSpread
 		}
 		switch {
-		case errors.Is(err, errMoved):
-			// Another agent need not number its versions alike. The old list serves until this one speaks.
-			w.whole, w.moved, pause = true, true, retryFirst
-		case errors.Is(err, errAway):
-			w.wait(ctx, w.inTime(time.Duration((0.5+w.random())*float64(away))+w.spread(toldWithin)))
-			away = min(awayMost, 2*away)
+		case errors.Is(err, errAgentMoved):
+			// Another agent may use other version numbers. The old list stays in use until the new agent sends one.
+			w.needFull, w.moved, delay = true, true, minRetryDelay
+		case errors.Is(err, errTurnedAway):
+			w.wait(ctx, w.capDelay(time.Duration((0.5+w.random())*float64(rejectedDelay))+w.spread(listDeadline)))
+			rejectedDelay = min(maxRejectedDelay, 2*rejectedDelay)
 		case isLocalFailure(err):
-			w.wait(ctx, failedHerePause)
+			w.wait(ctx, localFailureDelay)
 		default:
-			w.wait(ctx, w.inTime(pause+w.spread(soon)))
-			pause, away = min(retryMost, 2*pause), awayFirst
+			w.wait(ctx, w.capDelay(delay+w.spread(maxSpread)))
+			delay, rejectedDelay = min(maxRetryDelay, 2*delay), minRejectedDelay
 		}
 	}
 }
 
-// spread is this relay's place, within most, among those of a large fleet that would call together.
+// spread returns a random delay of at most most, which spreads the requests of a large fleet; 0 in a small one.
 func (w *watcher) spread(most time.Duration) time.Duration {
-	if w.fleet < spreadLeast {
+	if w.fleetSize < minSpreadFleet {
 		return 0
 	}
-	return time.Duration(w.random() * float64(min(most, time.Duration(w.fleet)*spreadFor)))
+	return time.Duration(w.random() * float64(min(most, time.Duration(w.fleetSize)*spreadPerRelay)))
 }
 
-// inTime is a pause that lets the next call be answered before what the last one has missed counts as told. What is cut off is
-// drawn anew: a fleet that is turned away must not come again as one.
-func (w *watcher) inTime(d time.Duration) time.Duration {
-	within := toldWithin
+// capDelay limits a delay so that the next request is answered within the list's deadline. A delay that exceeds the limit is
+// drawn again below it, so that a fleet that was turned away does not retry all at once.
+func (w *watcher) capDelay(d time.Duration) time.Duration {
+	within := listDeadline
 	if w.moved {
-		within = movedWithin
+		within = movedListDeadline
 	}
-	if most := max(retryFirst, within-replyFor-w.now().Sub(w.since)); d > most {
+	if most := max(minRetryDelay, within-replyReserve-w.now().Sub(w.missedSince)); d > most {
 		return time.Duration((1 + w.random()) / 2 * float64(most))
 	}
 	return d
 }
 
-// wait lets d pass; less if the agent moves.
+// wait sleeps for d, or until the agent moves or ctx ends.
 func (w *watcher) wait(ctx context.Context, d time.Duration) {
-	_, here, done := w.agent.here(ctx)
+	_, session, done := w.agent.session(ctx)
 	defer done()
-	w.sleep(here, d)
-	if errors.Is(context.Cause(here), errMoved) {
-		w.whole, w.moved = true, true
+	w.sleep(session, d)
+	if errors.Is(context.Cause(session), errAgentMoved) {
+		w.needFull, w.moved = true, true
 	}
 }
 
-// sleep lets d pass; less if ctx ends.
+// sleep sleeps for d, or until ctx ends.
 func sleep(ctx context.Context, d time.Duration) {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
@@ -192,12 +194,12 @@
 	}
 }
 
-// follow is one watch, until its connection ends or falls silent. A connection that is cut off says nothing:
-// only the missing lines tell. version is kept up, so that the next watch resumes where this one ended.
-func (w *watcher) follow(ctx context.Context) error {
-	addr, ctx, done := w.agent.here(ctx)
+// watchOnce runs one watch until its connection ends or no line arrives within the time-out, which is the only sign of a
+// connection that is cut off. It maintains version, so that the next watch resumes where this one ended.
+func (w *watcher) watchOnce(ctx context.Context) error {
+	addr, ctx, done := w.agent.session(ctx)
 	defer done()
-	w.served, w.since = false, w.now()
+	w.served, w.missedSince = false, w.now()
 	err := w.stream(ctx, addr)
 	if cause := context.Cause(ctx); cause != nil {
 		return cause
@@ -205,13 +207,14 @@
 	return err
 }
 
+// stream fetches the full list if it is needed, and then reads the lines of one watch.
 func (w *watcher) stream(ctx context.Context, addr string) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	silence := time.AfterFunc(w.silence, cancel)
+	silence := time.AfterFunc(w.timeout, cancel)
 	defer silence.Stop()
-	if w.whole && w.fetch(ctx, addr) != nil {
-		w.version = 0 // the watch itself may give the whole list
+	if w.needFull && w.fetch(ctx, addr) != nil {
+		w.version = 0 // makes the watch start with the full list
 	}
 	res, err := w.get(ctx, fmt.Sprintf("http://%s/catalog/members?stream=1&index=%d", addr, w.version))
 	if err != nil {
@@ -219,41 +222,42 @@
 	}
 	defer res.Body.Close()
 	lines := bufio.NewScanner(res.Body)
-	lines.Buffer(nil, watchLineMost)
-	empty := 0
-	fetched := int64(math.MinInt64) // changes up to this version are in the whole list that was fetched meanwhile
+	lines.Buffer(nil, maxWatchLine)
+	heartbeats := 0
+	fetched := int64(math.MinInt64) // version of the last full list that was fetched during the watch
 	for lines.Scan() {
-		silence.Reset(w.silence)
-		w.since = w.now()
+		silence.Reset(w.timeout)
+		w.missedSince = w.now()
 		if line := bytes.TrimSpace(lines.Bytes()); len(line) > 0 {
 			l, err := parseList(line)
 			if err != nil {
-				// Asked for once more it would be as unreadable, for ever: the whole list makes up for it.
-				w.log.Warn("unreadable line of the watch", "err", err)
-				w.whole = true
-			} else if l.Version > fetched { // else it was on its way when the whole list was fetched
-				w.take(l)
+				// The line would be as malformed on each retry. Fetch the full list instead.
+				w.log.Warn("malformed line in the watch", "err", err)
+				w.needFull = true
+			} else if l.Version > fetched { // older changes are contained in the full list
+				w.deliver(l)
 			}
-		} else if empty++; empty >= servedFor {
+		} else if heartbeats++; heartbeats >= servedHeartbeats {
 			w.served = true
 		}
-		if w.whole && w.fetch(ctx, addr) == nil {
+		if w.needFull && w.fetch(ctx, addr) == nil {
 			fetched = w.version
 		}
 	}
 	if err := lines.Err(); err != nil {
-		w.whole = w.whole || errors.Is(err, bufio.ErrTooLong)
+		w.needFull = w.needFull || errors.Is(err, bufio.ErrTooLong)
 		return err
 	}
 	return io.ErrUnexpectedEOF
 }
 
-func (w *watcher) take(l List) {
-	w.version, w.whole, w.moved = l.Version, w.whole && !l.Full, false
-	w.told(l)
+// deliver passes a list or changes to onList.
+func (w *watcher) deliver(l List) {
+	w.version, w.needFull, w.moved = l.Version, w.needFull && !l.Full, false
+	w.onList(l)
 }
 
-// fetch asks for the whole list.
+// fetch requests the full list.
 func (w *watcher) fetch(ctx context.Context, addr string) error {
 	ctx, cancel := context.WithTimeout(ctx, fetchTimeout)
 	defer cancel()
@@ -262,22 +266,23 @@
 		return err
 	}
 	defer res.Body.Close()
-	data, err := io.ReadAll(io.LimitReader(res.Body, watchLineMost+1))
+	data, err := io.ReadAll(io.LimitReader(res.Body, maxWatchLine+1))
 	if err != nil {
 		return err
 	}
-	if len(data) > watchLineMost {
-		return errTooLong
+	if len(data) > maxWatchLine {
+		return errListTooLong
 	}
 	l, err := parseList(data)
 	if err != nil {
 		return err
 	}
 	l.Full = true
-	w.take(l)
+	w.deliver(l)
 	return nil
 }
 
+// get requests a URL. A status that turns the relay away becomes errTurnedAway.
 func (w *watcher) get(ctx context.Context, url string) (*http.Response, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
@@ -290,18 +295,18 @@
 	if res.StatusCode != http.StatusOK {
 		res.Body.Close()
 		if res.StatusCode == http.StatusServiceUnavailable || res.StatusCode == http.StatusTooManyRequests {
-			return nil, fmt.Errorf("%w: %s", errAway, res.Status)
+			return nil, fmt.Errorf("%w: %s", errTurnedAway, res.Status)
 		}
-		return nil, fmt.Errorf("discovery answers %s", res.Status)
+		return nil, fmt.Errorf("discovery returned status %s", res.Status)
 	}
 	return res, nil
 }
 
-// finals delivers the final notices to the platform, each until it is taken.
-type finals struct {
-	log   *slog.Logger
-	agent *agent
-	taken func(ids []uint32)
+// noticeSender delivers final notices to the platform and repeats each until it is confirmed.
+type noticeSender struct {
+	log         *slog.Logger
+	agent       *agent
+	onConfirmed func(ids []uint32)
 
 	mu     sync.Mutex
 	queue  []notice
@@ -316,12 +321,12 @@
 	AgainMS int64  `json:"again_ms,omitempty"`
 }
 
-func newFinals(log *slog.Logger, agent *agent, taken func([]uint32)) *finals {
-	return &finals{log: log, agent: agent, taken: taken, signal: make(chan struct{}, 1)}
+func newNoticeSender(log *slog.Logger, agent *agent, taken func([]uint32)) *noticeSender {
+	return &noticeSender{log: log, agent: agent, onConfirmed: taken, signal: make(chan struct{}, 1)}
 }
 
-// add queues notices. It never waits, so that the loop does not.
-func (f *finals) add(ns ...notice) {
+// add queues notices. It never blocks the loop.
+func (f *noticeSender) add(ns ...notice) {
 	f.mu.Lock()
 	f.queue = append(f.queue, ns...)
 	f.mu.Unlock()
@@ -331,13 +336,13 @@
 	}
 }
 
-// run sends what is queued until ctx ends. A notice that the platform did not confirm goes again: one for a
-// message that is over does no harm, one that is missing loses a message.
-func (f *finals) run(ctx context.Context) {
-	pause, wait := retryFirst, noticeFirst
+// run sends queued notices until ctx ends. It repeats a notice that was not confirmed: a duplicate does no harm, whereas a
+// missing one loses a message.
+func (f *noticeSender) run(ctx context.Context) {
+	delay, timeout := minRetryDelay, minNoticeTimeout
 	for {
 		f.mu.Lock()
-		batch := f.queue[:min(len(f.queue), batchOf)]
+		batch := f.queue[:min(len(f.queue), noticeBatch)]
 		f.mu.Unlock()
 		if len(batch) == 0 {
 			select {
@@ -347,26 +352,26 @@
 			}
 			continue
 		}
-		if err := f.post(ctx, batch, wait); err != nil {
-			f.log.Warn("notices not taken", "count", len(batch), "err", err)
+		if err := f.post(ctx, batch, timeout); err != nil {
+			f.log.Warn("notices not confirmed", "count", len(batch), "err", err)
 			switch {
-			case errors.Is(err, errMoved):
-				pause = retryFirst
-				continue // at once, to the new address
+			case errors.Is(err, errAgentMoved):
+				delay = minRetryDelay
+				continue // immediately, at the new address
 			case errors.Is(err, context.DeadlineExceeded):
-				wait = min(noticeMost, 2*wait)
-				f.agent.client.CloseIdleConnections() // as silent, perhaps
-				continue                              // it has waited
+				timeout = min(maxNoticeTimeout, 2*timeout)
+				f.agent.client.CloseIdleConnections() // they may be dead too
+				continue                              // without a delay: the time-out was one
 			}
 			select {
 			case <-ctx.Done():
 				return
-			case <-time.After(pause):
+			case <-time.After(delay):
 			}
-			pause = min(noticePause, 2*pause)
+			delay = min(maxNoticeRetryDelay, 2*delay)
 			continue
 		}
-		pause, wait = retryFirst, noticeFirst
+		delay, timeout = minRetryDelay, minNoticeTimeout
 		ids := make([]uint32, 0, len(batch))
 		for _, n := range batch {
 			ids = append(ids, n.id)
@@ -376,22 +381,22 @@
 			f.queue = nil
 		}
 		f.mu.Unlock()
-		f.taken(ids)
+		f.onConfirmed(ids)
 	}
 }
 
-func (f *finals) post(ctx context.Context, batch []notice, wait time.Duration) error {
-	addr, ctx, done := f.agent.here(ctx)
+func (f *noticeSender) post(ctx context.Context, batch []notice, timeout time.Duration) error {
+	addr, ctx, done := f.agent.session(ctx)
 	defer done()
-	err := f.postTo(ctx, addr, batch, wait)
+	err := f.postTo(ctx, addr, batch, timeout)
 	if cause := context.Cause(ctx); err != nil && cause != nil {
 		return cause
 	}
 	return err
 }
 
-func (f *finals) postTo(ctx context.Context, addr string, batch []notice, wait time.Duration) error {
-	ctx, cancel := context.WithTimeout(ctx, wait)
+func (f *noticeSender) postTo(ctx context.Context, addr string, batch []notice, timeout time.Duration) error {
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	var lines bytes.Buffer
 	enc := json.NewEncoder(&lines)
@@ -413,7 +418,7 @@
 		return err
 	}
 	if res.StatusCode != http.StatusNoContent {
-		return fmt.Errorf("platform answers %s", res.Status)
+		return fmt.Errorf("platform returned status %s", res.Status)
 	}
 	return nil
 }
--- a/internal/relay/durable_test.go
+++ b/internal/relay/durable_test.go
@@ -14,7 +14,8 @@
 	"onyxroad.dev/onyxroad/internal/wal"
 )
 
-// newDurableRelay is a relay in "power" on a disk in memory, whose loop is not running. Its syncs wait for the gate.
+// newDurableRelay returns a relay with Config.Power on an in-memory disk. Its loop is not running, and its syncs block while
+// the gate is locked.
 func newDurableRelay(t *testing.T, d *crashdisk.Disk, gate *sync.RWMutex) *Relay {
 	t.Helper()
 	d.Fail = func(op, _ string) error {
@@ -42,7 +43,7 @@
 	return r
 }
 
-// answered is a hand-in's answer, if it has one.
+// answered returns the answer to a request, if there is one yet.
 func answered(in *submission) (a answer, ok bool) {
 	select {
 	case a = <-in.reply:
@@ -52,13 +53,13 @@
 	}
 }
 
-// whole waits until the disk has everything, and carries out what waited for that.
-func whole(t *testing.T, r *Relay) {
+// waitOnDisk waits until everything is on disk and all pending steps are finished.
+func waitOnDisk(t *testing.T, r *Relay) {
 	t.Helper()
-	eventually(t, "all is on disk", func() bool { r.tend(); return len(r.promises) == 0 })
+	eventually(t, "everything is on disk", func() bool { r.maintainLog(); return len(r.promises) == 0 })
 }
 
-func TestAnAnswerAndACallWaitForTheDisk(t *testing.T) {
+func TestAnswersAndCallsWaitForSync(t *testing.T) {
 	var gate sync.RWMutex
 	d := crashdisk.New()
 	r := newDurableRelay(t, d, &gate)
@@ -66,14 +67,14 @@
 	in, twin := newSubmission("a", 7, time.Minute), newSubmission("a", 7, time.Minute)
 	r.step([]any{in})
 	r.step([]any{twin})
-	r.tend()
+	r.maintainLog()
 	_, one := answered(in)
 	_, two := answered(twin)
 	if one || two || r.callsOut > 0 {
 		t.Errorf("before it is on disk: answers %v and %v, %d calls", one, two, r.callsOut)
 	}
 	gate.Unlock()
-	whole(t, r)
+	waitOnDisk(t, r)
 	for _, in := range []*submission{in, twin} {
 		if a, ok := answered(in); !ok || a.status != http.StatusAccepted {
 			t.Errorf("once it is on disk: %+v, %v", a, ok)
@@ -82,43 +83,43 @@
 	if r.callsOut != 1 {
 		t.Errorf("%d calls", r.callsOut)
 	}
-	// The power fails here: nothing that was not synced is there.
+	// A loss of power here loses everything that was not synced.
 	_, found, err := wal.OpenWith(wal.Options{FS: d.Crash(func() bool { return false }), Limit: 1 << 20, Format: wal.SegmentFormat})
 	if err != nil || len(found.Messages) != 1 || len(found.Messages[0].MayRun) != 1 {
 		t.Errorf("after a loss of power: %+v, %v", found.Messages, err)
 	}
 }
 
-func TestASlowDiskTurnsClientsAway(t *testing.T) {
+func TestSlowDiskRejectsClients(t *testing.T) {
 	var gate sync.RWMutex
 	r := newDurableRelay(t, crashdisk.New(), &gate)
 	gate.Lock()
 	in, twin := newSubmission("a", 7, time.Minute), newSubmission("a", 7, time.Minute)
 	r.step([]any{in, twin})
 	r.promises[0].since = time.Now().Add(-time.Second)
-	r.tend()
+	r.maintainLog()
 	for _, in := range []*submission{in, twin} {
 		if a, ok := answered(in); !ok || a.status != http.StatusServiceUnavailable || a.retryAfter <= 0 {
-			t.Errorf("while the disk tarries: %+v, %v", a, ok)
+			t.Errorf("while the disk is slow: %+v, %v", a, ok)
 		}
 	}
 	gate.Unlock()
-	whole(t, r)
+	waitOnDisk(t, r)
 	r.step(nil)
-	whole(t, r)
+	waitOnDisk(t, r)
 	r.step(nil)
 	if r.callsOut > 0 || r.held > 0 || len(r.msgs) > 0 {
-		t.Errorf("turned away, and %d calls, %d held, %d known", r.callsOut, r.held, len(r.msgs))
+		t.Errorf("after the rejection: %d calls, %d held, %d known messages; want none", r.callsOut, r.held, len(r.msgs))
 	}
 }
 
-func TestAFailedSyncTakesNothingOn(t *testing.T) {
+func TestFailedSyncRejectsNewMessages(t *testing.T) {
 	var gate sync.RWMutex
 	d := crashdisk.New()
 	r := newDurableRelay(t, d, &gate)
 	old := newSubmission("a", 7, time.Minute)
 	r.step([]any{old})
-	whole(t, r)
+	waitOnDisk(t, r)
 	d.Fail = func(op, _ string) error {
 		if op == "sync" {
 			return errors.New("input/output error")
@@ -127,46 +128,46 @@
 	}
 	in := newSubmission("b", 7, time.Minute)
 	r.step([]any{in})
-	eventually(t, "the failure is known", func() bool { r.tend(); return r.logFailed })
+	eventually(t, "the failure is known", func() bool { r.maintainLog(); return r.logFailed })
 	late := newSubmission("c", 7, time.Minute)
 	r.step([]any{late})
 	if a, ok := answered(late); !ok || a.status != http.StatusServiceUnavailable {
 		t.Errorf("after a failed sync: %+v, %v", a, ok)
 	}
 	d.Fail = nil
-	eventually(t, "a new file is there", func() bool { r.tend(); return !r.logFailed })
-	whole(t, r)
+	eventually(t, "a new file is there", func() bool { r.maintainLog(); return !r.logFailed })
+	waitOnDisk(t, r)
 	again := newSubmission("d", 7, time.Minute)
 	r.step([]any{again})
-	whole(t, r)
+	waitOnDisk(t, r)
 	if a, ok := answered(again); !ok || a.status != http.StatusAccepted {
 		t.Errorf("in the new file: %+v, %v", a, ok)
 	}
 }
 
-func TestWhatIsNotKnownIsTakenToHaveRunLongAgo(t *testing.T) {
+func TestUncertainAttemptsCountAsRunLongAgo(t *testing.T) {
 	r := newTestRelay(t)
 	m := &message{Message: &wal.Message{ID: 1, Dest: 7, Deadline: time.Now().Add(time.Minute), Doubt: true}}
 	if e := r.resumedEvent(m, nil); !e.Resumed.MayHaveRun || e.Resumed.FirstRunAgo < time.Hour {
-		t.Errorf("in doubt: %+v", e.Resumed)
+		t.Errorf("attempts unknown: %+v", e.Resumed)
 	}
-	// The clock was set back by an hour: what has been out for seconds may have been out for that long.
+	// The clock was set back by an hour: a message that seems seconds old may be an hour old.
 	sent := time.Now().Add(time.Hour)
 	m = &message{Message: &wal.Message{ID: 2, Dest: 7, Deadline: sent.Add(5 * time.Second), MayRun: []wal.Attempt{{At: sent}}}}
-	r.resumeAt(wal.Recovery{Messages: []*wal.Message{m.Message}}, sent)
+	r.adjustForClockSetBack(wal.Recovery{Messages: []*wal.Message{m.Message}}, sent)
 	e := r.resumedEvent(m, nil)
 	if e.TimeLeft > 6*time.Second || !e.Resumed.MayHaveRun || e.Resumed.FirstRunAgo < time.Hour {
 		t.Errorf("after the clock was set back: left %v, %+v", e.TimeLeft, e.Resumed)
 	}
 }
 
-func TestMemoriesComeBackWhole(t *testing.T) {
+func TestMemoriesAreReadBackOrRejected(t *testing.T) {
 	var gate sync.RWMutex
 	r := newDurableRelay(t, crashdisk.New(), &gate)
 	if _, err := readMemories(r.cfg.StateDir); !errors.Is(err, errNoMemories) {
-		t.Errorf("before any: %v", err)
+		t.Errorf("without a file: %v", err)
 	}
-	data, err := r.memoriesNow()
+	data, err := r.encodeMemories()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -175,19 +176,20 @@
 	if err != nil || len(m.Memories) != 1 || m.Memories[0].Route != "s-1" || m.Clock <= 0 {
 		t.Errorf("%+v, %v", m, err)
 	}
-	path := filepath.Join(r.cfg.StateDir, memoriesName)
+	path := filepath.Join(r.cfg.StateDir, memoriesFile)
 	for _, bad := range [][]byte{data[:len(data)/2], append([]byte{data[0] ^ 1}, data[1:]...), {}} {
 		if err := os.WriteFile(path, bad, 0o600); err != nil {
 			t.Fatal(err)
 		}
 		if m, err := readMemories(r.cfg.StateDir); err == nil || len(m.Memories) > 0 {
-			t.Errorf("damaged, and %+v", m)
+			t.Errorf("damaged file was accepted: %+v", m)
 		}
 	}
 }
 
-// A client that leaves while its message's call waits for the disk hands it in anew: that call must not leave as well.
-func TestACallThatWaitsForTheDiskIsNotMadeForAClientThatLeft(t *testing.T) {
+// A client that disconnects while its message's call waits for the disk submits the message again. The first call must then
+// not be made as well.
+func TestDelayedCallIsDroppedWhenClientDisconnects(t *testing.T) {
 	var gate sync.RWMutex
 	r := newDurableRelay(t, crashdisk.New(), &gate)
 	r.guard.OnViolation(func(text string) { t.Error(text) })
@@ -196,13 +198,13 @@
 	r.step([]any{in})
 	r.step([]any{withdrawal{r.byTrace["a"].ID}})
 	gate.Unlock()
-	whole(t, r)
+	waitOnDisk(t, r)
 	r.step(nil)
 	if r.callsOut > 0 {
-		t.Errorf("%d calls out for a message that is withdrawn", r.callsOut)
+		t.Errorf("%d calls in flight for a withdrawn message", r.callsOut)
 	}
-	whole(t, r)
+	waitOnDisk(t, r)
 	if r.held > 0 || len(r.msgs) > 0 {
-		t.Errorf("%d held, %d known", r.held, len(r.msgs))
+		t.Errorf("%d held, %d known messages; want none", r.held, len(r.msgs))
 	}
 }
--- a/internal/relay/exclusions.go
+++ b/internal/relay/exclusions.go
@@ -40,9 +40,9 @@
 	dir     string
 	changed chan struct{} // capacity 1
 
-	mu        sync.Mutex // held while the set is handed over
-	owned     bool       // this process owns the set
-	successor *link      // otherwise the process that owns it; nil if none does yet
+	mu        sync.Mutex    // held while the set is handed over
+	owned     bool          // this process owns the set
+	successor *handoverLink // otherwise the process that owns it; nil if none does yet
 	excluded  map[string]bool
 	seen      map[string]bool
 	seenOrder []string    // the ids of seen, oldest first
@@ -126,7 +126,7 @@
 	if successor := x.successor; successor != nil {
 		x.mu.Unlock()
 		in := &submission{exclusionChange: change, reply: make(chan answer, 1)}
-		successor.ask(in)
+		successor.forward(in)
 		return <-in.reply
 	}
 	defer x.mu.Unlock()
--- a/internal/relay/handover.go
+++ b/internal/relay/handover.go
@@ -22,45 +22,46 @@
 	"onyxroad.dev/onyxroad/policy"
 )
 
-// Handing over to a new process, which asks for it on a Unix socket in the state folder. Together the two are one
-// relay, and all has one owner at any time:
+// A running relay hands over to a new process of the same relay, which requests it over a Unix socket in the state
+// folder. Every resource has exactly one owner at any time:
 //
-//	phase           listener           log and decisions     calls out
+//	phase           listener           log and decisions     calls in flight
 //	old alone       old                old                   old
 //	handing over    both hold it       nobody                old
-//	handed over     new                new                   each its own; the old tells the new its outcomes
-//	new alone       new                new                   new; what the old has not told of may have run
+//	handed over     new                new                   each its own; the old reports its outcomes to the new
+//	new alone       new                new                   new; old calls with no reported outcome may have run
 //
-// The lock on the log decides. The old process gives it up with all that it knows, and takes it again if the new one
-// does not say that it has it. What reaches the old process later is passed on.
+// The lock on the log determines the owner. The old process releases it together with its state, and locks the log again
+// if the new one does not confirm that it has it. The old process forwards whatever reaches it after the hand-over.
 
 const (
-	linkName    = "handover.sock"
-	linkFor     = 2 * time.Second // for each side's part in handing over
-	linkWriteBy = time.Second     // for a frame
-	retakeFor   = 5 * time.Second // to have the lock again from a process that did not go on
-	lockPause   = 20 * time.Millisecond
-	asideMost   = 10 * time.Second // a process that has handed over stays no longer, SIGTERM or not
+	handoverSocket      = "handover.sock"
+	handoverTimeout     = 2 * time.Second // for each side of the exchange
+	frameWriteTimeout   = time.Second
+	relockTimeout       = 5 * time.Second // for locking the log again after a hand-over that failed
+	lockRetryInterval   = 20 * time.Millisecond
+	maxPredecessorDrain = 10 * time.Second // after which a process that has handed over exits even without SIGTERM
 )
 
-// estate is what a process that hands over tells besides the log.
-type estate struct {
-	Began    time.Time // the zero of the module's clock, by the wall clock; for a process of before
+// handoverState is the state that a process hands over in addition to the log.
+type handoverState struct {
+	Began    time.Time // zero of the module's clock on the wall clock; used if Clock is not comparable
 	Clock    clockReading
 	LastID   uint32
 	Members  []member
-	Seen     []string // ids that the list has ever named
+	Seen     []string // ids of all endpoints that the list has ever contained
 	Memories []policy.RouteState
-	Out      []outCall
+	Out      []outstandingAttempt
 }
 
-// clockReading is what the module's clock showed when the machine's stood so. The zero reading tells nothing.
+// clockReading pairs simultaneous readings of the machine's monotonic clock and of the module's clock. The zero value
+// holds no reading.
 type clockReading struct {
 	Machine clock.Machine
 	Module  time.Duration
 }
 
-// readClock reads the module's clock for another process.
+// readClock returns a reading that another process on this machine can translate; see moduleStart.
 func (r *Relay) readClock() clockReading {
 	machine, ok := clock.ReadMachine()
 	if !ok {
@@ -69,8 +70,9 @@
 	return clockReading{machine, r.now()}
 }
 
-// startedBy is the zero of a module's clock as this process sees it.
-func (e *estate) startedBy() time.Time {
+// moduleStart returns the time on this process's clock at which the other process's module clock was zero. It uses the
+// monotonic clock where both readings are of the same boot, and otherwise the wall clock.
+func (e *handoverState) moduleStart() time.Time {
 	now := clock.Now()
 	if machine, ok := clock.ReadMachine(); ok && machine.Follows(e.Clock.Machine) {
 		return now.Add(-e.Clock.Module - (machine.Monotonic - e.Clock.Machine.Monotonic))
@@ -78,44 +80,46 @@
 	return now.Add(-now.Sub(e.Began))
 }
 
-// outCall is an attempt that is out. Cut: its message was told of a time-out, and its call goes on for others.
-type outCall struct {
+// outstandingAttempt is an attempt in flight. With Cut set, it has already timed out for its message while its call goes
+// on for the call's other messages.
+type outstandingAttempt struct {
 	policy.OutstandingAttempt
 	ID  uint32
 	Cut bool
 }
 
-// frame is what goes over a link once the new process has the log: one of these.
+// frame is one message on a handoverLink once the new process has the log. Exactly one field is set.
 type frame struct {
-	Mine  bool          `json:",omitempty"` // new to old: it has the log
-	Hand  *passed       `json:",omitempty"` // old to new
-	Leave uint32        `json:",omitempty"` // old to new: the client of this message has left
-	End   *passedEnd    `json:",omitempty"` // old to new
-	Reply *passedAnswer `json:",omitempty"` // new to old
+	Mine  bool              `json:",omitempty"` // new to old: the new process owns the log
+	Hand  *forwardedRequest `json:",omitempty"` // old to new
+	Leave uint32            `json:",omitempty"` // old to new: the client of this message has left
+	End   *forwardedOutcome `json:",omitempty"` // old to new
+	Reply *forwardedAnswer  `json:",omitempty"` // new to old
 }
 
-// passed is a message that was handed in at the old process, or an operator's call there.
-type passed struct {
+// forwardedRequest is a message that a client submitted to the old process, or an operator's call there.
+type forwardedRequest struct {
 	Seq     uint32
 	Message *wal.Message `json:",omitempty"`
 	Body    []byte       `json:",omitempty"`
-	// Left is the message's time that is left; 0 from a process of before, whose deadlines go by the wall clock.
+	// Left is the time until the message's deadline. 0 comes from an older version, whose deadlines are wall-clock times.
 	Left time.Duration `json:",omitempty"`
 	exclusionChange
 }
 
-type passedAnswer struct {
+// forwardedAnswer is the new process's answer to the forwardedRequest with the same Seq.
+type forwardedAnswer struct {
 	Seq, ID uint32
 	Status  int
 	Again   time.Duration
 	Text    string
 }
 
-// passedEnd is an attempt's outcome.
-type passedEnd struct {
+// forwardedOutcome is the outcome of an attempt that the old process made.
+type forwardedOutcome struct {
 	ID      uint32
 	N       int
-	Cut     bool // its call goes on
+	Cut     bool // timed out for this message; the call goes on for others
 	Outcome policy.Outcome
 	Gone    bool
 	Wait    time.Duration
@@ -123,133 +127,137 @@
 	Took    time.Duration
 }
 
-// outKey names an attempt; message numbers are the log's, and the same on both sides.
-type outKey struct {
+// attemptKey identifies an attempt. Message ids come from the log and are the same in both processes.
+type attemptKey struct {
 	id uint32
 	n  int
 }
 
-// The loop's events of a hand-over, besides passedEnd.
+// Hand-over events of the loop, in addition to forwardedOutcome.
 type (
-	takeover struct{ link *link } // a new process asks for this one's place
-	alone    struct{}             // the old process has ended
+	handoverRequest struct{ link *handoverLink } // a new process requests a hand-over
+	predecessorGone struct{}                     // the old process has exited
 )
 
-// turnedBack answers a hand-in that cannot be passed on.
-var turnedBack = answer{status: http.StatusServiceUnavailable, retryAfter: policy.MinRetryAfter}
+// handoverUnavailable answers a request that cannot be forwarded to the new process.
+var handoverUnavailable = answer{status: http.StatusServiceUnavailable, retryAfter: policy.MinRetryAfter}
 
-// link joins the two processes.
-type link struct {
+// handoverLink is the connection between the two processes.
+type handoverLink struct {
 	*net.UnixConn
 	dec *json.Decoder
 
-	mu      sync.Mutex // guards writing, and what follows
+	mu      sync.Mutex // guards writes and the fields below
 	enc     *json.Encoder
-	asked   map[uint32]*submission
+	pending map[uint32]*submission
 	lastSeq uint32
-	over    bool
+	closed  bool
 }
 
-func newLink(c *net.UnixConn) *link {
-	return &link{UnixConn: c, dec: json.NewDecoder(c), enc: json.NewEncoder(c), asked: map[uint32]*submission{}}
+func newHandoverLink(c *net.UnixConn) *handoverLink {
+	return &handoverLink{UnixConn: c, dec: json.NewDecoder(c), enc: json.NewEncoder(c), pending: map[uint32]*submission{}}
 }
 
-func (l *link) send(v any) error {
+// send writes one frame, or the state, to the other process.
+func (l *handoverLink) send(v any) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.SetWriteDeadline(clock.Now().Add(linkWriteBy))
+	l.SetWriteDeadline(clock.Now().Add(frameWriteTimeout))
 	return l.enc.Encode(v)
 }
 
 // The old process's side.
 
-// heirs lets a new process ask for the relay's place until the returned function is called. Without the socket, one
-// that comes waits for the log until this one ends.
-func (r *Relay) heirs() (end func()) {
-	path := filepath.Join(r.cfg.StateDir, linkName)
+// serveHandovers accepts hand-over requests of a new process until the returned function is called. If the socket cannot be
+// opened, a new process waits for the log's lock until this one exits.
+func (r *Relay) serveHandovers() (end func()) {
+	path := filepath.Join(r.cfg.StateDir, handoverSocket)
 	ctx, stop := context.WithCancel(context.Background())
-	var waits sync.WaitGroup
-	waits.Go(func() {
+	var listening sync.WaitGroup
+	listening.Go(func() {
 		var l *net.UnixListener
 		err := retryTransient(ctx, r.log, "listen for a new process", forever, func() (err error) {
-			os.Remove(path) // left by a process before: this one has the log
+			os.Remove(path) // a leftover of an earlier process: this one holds the log's lock
 			l, err = sockets.ListenUnix(path)
 			return err
 		})
 		if err != nil {
 			if ctx.Err() == nil {
-				r.log.Warn("no hand-over to a new process", "err", err)
+				r.log.Warn("cannot listen for hand-over requests", "err", err)
 			}
 			return
 		}
 		defer context.AfterFunc(ctx, func() { l.Close() })()
-		r.awaitHeirs(l)
+		r.acceptHandovers(l)
 	})
-	return func() { stop(); waits.Wait() }
+	return func() { stop(); listening.Wait() }
 }
 
-// awaitHeirs takes connections of new processes until the listener is closed.
-func (r *Relay) awaitHeirs(l *net.UnixListener) {
+// acceptHandovers posts each connection of a new process to the loop until the listener is closed.
+func (r *Relay) acceptHandovers(l *net.UnixListener) {
 	for {
 		c, err := l.AcceptUnix()
 		if errors.Is(err, net.ErrClosed) {
 			return
 		} else if err != nil {
-			time.Sleep(lockPause)
+			time.Sleep(lockRetryInterval)
 			continue
 		}
-		if !r.post(takeover{newLink(c)}) {
+		if !r.post(handoverRequest{newHandoverLink(c)}) {
 			c.Close()
 		}
 	}
 }
 
-// handOver gives a new process all that it needs. Where that does not come to take it, all stays as it was.
-func (r *Relay) handOver(l *link) {
+// handOver transfers the relay to a new process. If that fails, this process takes the log and the backlog back and goes
+// on serving.
+func (r *Relay) handOver(l *handoverLink) {
 	if r.stopping || r.noSends || r.successor != nil || r.listener == nil {
 		l.Close()
 		return
 	}
 	began := clock.Now()
-	r.exclusions.mu.Lock() // no call is lost between the two
+	r.exclusions.mu.Lock() // so that no operator's call is lost between the two processes
 	defer r.exclusions.mu.Unlock()
 	err := errors.Join(r.wal.Flush(), r.exclusions.save())
-	if err == nil && !(r.settle(linkFor/2) && r.backlog.wait(linkFor/2) && len(r.withheld) == 0) {
+	if err == nil && !(r.waitDurable(handoverTimeout/2) && r.backlog.waitForJob(handoverTimeout/2) && len(r.withheld) == 0) {
 		err = errors.New("the disk is behind")
 	}
 	if err == nil {
 		err = r.backlog.close()
 	}
 	if err == nil {
-		err = r.offer(l)
+		err = r.transfer(l)
 	}
 	if err != nil {
 		l.Close()
-		for end := clock.Now().Add(retakeFor); r.logLock == nil; time.Sleep(lockPause) {
+		for end := clock.Now().Add(relockTimeout); r.logLock == nil; time.Sleep(lockRetryInterval) {
 			if r.logLock, err = wal.Lock(r.cfg.StateDir); err != nil && clock.Now().After(end) {
-				// Another has the log and does not answer: what it owes is there. Writing to it would spoil it.
+				// Another process holds the log and every message in it, but does not respond. Writing to the log would
+				// corrupt it.
 				panic(fmt.Sprintf("relay: the log is lost to another process: %v", err))
 			}
 		}
 		r.log.Warn("not handed over", "err", err)
 		if err := r.backlog.reopen(); err != nil {
-			panic(fmt.Sprintf("relay: the backlog is lost to another process: %v", err)) // as of the log
+			panic(fmt.Sprintf("relay: the backlog is lost to another process: %v", err)) // for the same reason as the log
 		}
 		if err := r.wal.Reclaim(); err != nil {
-			r.log.Error("the log is not as it was before the hand-over", "err", err)
+			r.log.Error("cannot resume the log after a failed hand-over", "err", err)
 		}
 		return
 	}
 	r.successor, r.held = l, 0
 	r.exclusions.owned, r.exclusions.successor = false, l
-	go r.answers(l)
+	go r.readReplies(l)
 	close(r.handedOver)
 	r.log.Info("handed over", "calls", r.callsOut, "took", clock.Since(began))
 }
 
-// offer passes on the listener, what this process knows, and the lock, and waits until the other has it.
-func (r *Relay) offer(l *link) error {
-	l.SetDeadline(clock.Now().Add(linkFor))
+// transfer sends the listener, releases the log's lock, sends the state, and waits until the other process confirms that it
+// owns the log.
+func (r *Relay) transfer(l *handoverLink) error {
+	l.SetDeadline(clock.Now().Add(handoverTimeout))
 	raw, err := r.listener.SyscallConn()
 	if err != nil {
 		return err
@@ -262,10 +270,10 @@
 	}
 	r.logLock.Close()
 	r.logLock = nil
-	if err := l.send(r.estate()); err != nil {
+	if err := l.send(r.handoverState()); err != nil {
 		return err
 	}
-	l.SetReadDeadline(clock.Now().Add(linkFor))
+	l.SetReadDeadline(clock.Now().Add(handoverTimeout))
 	var f frame
 	if err := l.dec.Decode(&f); err != nil {
 		return err
@@ -274,8 +282,9 @@
 	return nil
 }
 
-func (r *Relay) estate() estate {
-	e := estate{Began: r.started, Clock: r.readClock(), LastID: r.lastID, Seen: r.exclusions.seenOrder, Memories: r.sender.RouteStates()}
+// handoverState returns the state that the new process needs in addition to the log.
+func (r *Relay) handoverState() handoverState {
+	e := handoverState{Began: r.started, Clock: r.readClock(), LastID: r.lastID, Seen: r.exclusions.seenOrder, Memories: r.sender.RouteStates()}
 	for _, t := range r.routes {
 		cell, state := t.Destination, "draining"
 		if t.InService {
@@ -289,35 +298,37 @@
 	for c := range r.inFlight {
 		number++
 		for _, a := range c.attempts {
-			e.Out = append(e.Out, outCall{policy.OutstandingAttempt{Call: number, Attempt: a.n, Route: c.route, Sent: c.sent.Sub(r.started),
-				TimeoutAt: a.until.Sub(r.started)}, a.m.ID, a.over})
+			e.Out = append(e.Out, outstandingAttempt{policy.OutstandingAttempt{Call: number, Attempt: a.n, Route: c.route, Sent: c.sent.Sub(r.started),
+				TimeoutAt: a.deadline.Sub(r.started)}, a.m.ID, a.settled})
 		}
 	}
-	slices.SortFunc(e.Out, func(a, b outCall) int { return cmp.Or(cmp.Compare(a.Sent, b.Sent), int(int64(a.ID)-int64(b.ID))) })
+	slices.SortFunc(e.Out, func(a, b outstandingAttempt) int {
+		return cmp.Or(cmp.Compare(a.Sent, b.Sent), int(int64(a.ID)-int64(b.ID)))
+	})
 	return e
 }
 
-// passOn is a step of a process that has handed over.
-func (r *Relay) passOn(batch []any) {
+// forwardStep replaces step in a process that has handed over: it forwards events to the new process.
+func (r *Relay) forwardStep(batch []any) {
 	for _, e := range batch {
 		switch e := e.(type) {
 		case *submission:
-			r.successor.ask(e)
+			r.successor.forward(e)
 		case withdrawal:
 			r.successor.send(frame{Leave: e.id})
 		case *callFinished:
 			r.callsOut--
 			delete(r.inFlight, e.c)
 			for i, a := range e.c.attempts {
-				r.tellEnd(a, e.results[i], false)
+				r.forwardOutcome(a, e.results[i], false)
 			}
 		case attemptTimeout:
-			if !e.a.over {
-				r.tellEnd(e.a, result{outcome: policy.Timeout, took: clock.Since(e.a.sent)}, true)
+			if !e.a.settled {
+				r.forwardOutcome(e.a, result{outcome: policy.Timeout, took: clock.Since(e.a.sent)}, true)
 			}
 		case sendCheck:
-			e.reply <- false // it goes back, and the new process decides anew
-		case takeover:
+			e.reply <- false // the attempt ends as moot, and the new process decides anew
+		case handoverRequest:
 			e.link.Close()
 		case stopIntake:
 			r.stopping = true
@@ -330,43 +341,44 @@
 	}
 }
 
-func (r *Relay) tellEnd(a *attempt, res result, cut bool) {
-	a.over = a.over || cut
+// forwardOutcome reports an attempt's outcome to the new process. cut marks a time-out of an attempt whose call goes on.
+func (r *Relay) forwardOutcome(a *attempt, res result, cut bool) {
+	a.settled = a.settled || cut
 	if a.timer != nil && !cut {
 		a.timer.Stop()
 	}
 	if res.outcome == policy.OK && a.m.markCounted() {
 		r.metrics.forClass(a.m.Class).answered.Add(1)
 	}
-	r.successor.send(frame{End: &passedEnd{a.m.ID, a.n, cut, res.outcome, res.gone, res.wait, res.report, res.took}})
+	r.successor.send(frame{End: &forwardedOutcome{a.m.ID, a.n, cut, res.outcome, res.gone, res.wait, res.report, res.took}})
 }
 
-// ask passes a hand-in on. Its answer comes by answers.
-func (l *link) ask(in *submission) {
+// forward sends a request to the new process. readReplies delivers its answer.
+func (l *handoverLink) forward(in *submission) {
 	l.mu.Lock()
 	l.lastSeq++
 	seq := l.lastSeq
-	if l.over {
+	if l.closed {
 		l.mu.Unlock()
-		in.reply <- turnedBack
+		in.reply <- handoverUnavailable
 		return
 	}
-	l.asked[seq] = in
+	l.pending[seq] = in
 	l.mu.Unlock()
-	p := passed{Seq: seq, Message: in.m, exclusionChange: in.exclusionChange}
+	p := forwardedRequest{Seq: seq, Message: in.m, exclusionChange: in.exclusionChange}
 	if in.m != nil {
 		p.Body, p.Left = in.m.Body, clock.Until(in.m.Deadline)
 	}
 	if err := l.send(frame{Hand: &p}); err != nil {
-		l.reply(passedAnswer{Seq: seq, Status: turnedBack.status, Again: turnedBack.retryAfter})
+		l.resolve(forwardedAnswer{Seq: seq, Status: handoverUnavailable.status, Again: handoverUnavailable.retryAfter})
 	}
 }
 
-// reply answers a hand-in, once.
-func (l *link) reply(a passedAnswer) {
+// resolve answers a forwarded request. Only the first answer to a request counts.
+func (l *handoverLink) resolve(a forwardedAnswer) {
 	l.mu.Lock()
-	in := l.asked[a.Seq]
-	delete(l.asked, a.Seq)
+	in := l.pending[a.Seq]
+	delete(l.pending, a.Seq)
 	l.mu.Unlock()
 	if in != nil {
 		if in.m != nil {
@@ -376,39 +388,40 @@
 	}
 }
 
-// answers takes the new process's answers until the link ends.
-func (r *Relay) answers(l *link) {
+// readReplies delivers the new process's answers until the link closes. Requests that are then still unanswered are refused
+// as unavailable.
+func (r *Relay) readReplies(l *handoverLink) {
 	for {
 		var f frame
 		if err := l.dec.Decode(&f); err != nil {
 			break
 		}
 		if f.Reply != nil {
-			l.reply(*f.Reply)
+			l.resolve(*f.Reply)
 		}
 	}
 	l.mu.Lock()
-	l.over = true
-	left := l.asked
-	l.asked = map[uint32]*submission{}
+	l.closed = true
+	unanswered := l.pending
+	l.pending = map[uint32]*submission{}
 	l.mu.Unlock()
-	for _, in := range left {
-		in.reply <- turnedBack
+	for _, in := range unanswered {
+		in.reply <- handoverUnavailable
 	}
 }
 
-// stepAside is what remains for a process that has handed over: its clients' requests are passed on, each answer ends
-// its connection, and calls run to their ends, until SIGTERM and no longer than asideMost. Closing the listener here
-// resets nothing: the new process holds the same socket.
-func (r *Relay) stepAside(ctx context.Context, listener net.Listener) {
+// drainAfterHandover runs in a process that has handed over, until SIGTERM or for maxPredecessorDrain, whichever is shorter.
+// Requests of its clients are forwarded, each answer closes its connection, and calls in flight run to completion. Closing
+// the listener resets no connection: the new process holds the same socket.
+func (r *Relay) drainAfterHandover(ctx context.Context, listener net.Listener) {
 	r.serving.Store(false)
 	listener.Close()
 	r.clients.disableKeepAlive()
 	r.hosts.close()
-	r.share(0.5)
+	r.setLimitShare(0.5)
 	select {
 	case <-ctx.Done():
-	case <-time.After(asideMost):
+	case <-time.After(maxPredecessorDrain):
 	}
 	began := clock.Now()
 	time.Sleep(acceptGrace)
@@ -422,32 +435,33 @@
 
 // The new process's side.
 
-// takeUp takes the log over, from a process that serves now or from one that has ended.
-func (r *Relay) takeUp() error {
-	l, from, listener, err := inherit(r.cfg)
+// takeOver locks and opens the log, the backlog and the exclusions, either by a hand-over from a process that is serving or
+// from what an earlier process left.
+func (r *Relay) takeOver() error {
+	l, state, listener, err := requestHandover(r.cfg)
 	if err != nil {
 		r.log.Warn("not handed over", "err", err)
 	}
 	var found wal.Recovery
 	if r.logLock, err = wal.Lock(r.cfg.StateDir); err == nil {
-		r.wal, found, err = wal.OpenWith(r.options())
+		r.wal, found, err = wal.OpenWith(r.logOptions())
 	}
 	if err == nil && l == nil {
-		r.recollect(found)
+		r.restoreState(found)
 	}
 	if err == nil {
-		if err = r.newOverflow(found); err != nil {
+		if err = r.openBacklog(found); err != nil {
 			err = errors.Join(err, r.wal.Close())
 		}
 	}
 	if err == nil {
-		if err = r.exclusions.load(from.Seen); err != nil {
+		if err = r.exclusions.load(state.Seen); err != nil {
 			err = errors.Join(err, r.backlog.close(), r.wal.Close())
 			r.backlog = nil
 		}
 	}
 	if err == nil && l != nil && l.send(frame{Mine: true}) != nil {
-		err = errors.Join(wal.ErrLocked, r.backlog.close(), r.wal.Close()) // that process waits no longer, or has ended: begin anew
+		err = errors.Join(wal.ErrLocked, r.backlog.close(), r.wal.Close()) // the old process gave up waiting or has exited: retry
 		r.backlog = nil
 	}
 	if err != nil {
@@ -461,7 +475,7 @@
 		}
 		return fmt.Errorf("relay: %w", err)
 	}
-	r.recovery, r.inheritedState = found, from
+	r.recovery, r.inheritedState = found, state
 	if found.Report != nil && !found.Report.Intact() {
 		r.log.Error("the state folder is damaged", "report", found.Report.Summary())
 	}
@@ -469,13 +483,13 @@
 		return nil
 	}
 	l.SetDeadline(time.Time{})
-	r.predecessor, r.lastID = l, max(r.lastID, from.LastID)
-	r.started = from.startedBy()
+	r.predecessor, r.lastID = l, max(r.lastID, state.LastID)
+	r.started = state.moduleStart()
 	r.cfg.Known = List{}
-	for _, m := range from.Members {
+	for _, m := range state.Members {
 		entry, err := json.Marshal(m)
 		if err != nil {
-			panic(err) // plain fields only: cannot fail
+			panic(err) // member marshals without error
 		}
 		r.cfg.Known.Entries = append(r.cfg.Known.Entries, entry)
 	}
@@ -484,15 +498,15 @@
 	} else {
 		listener.Close()
 	}
-	r.share(0.5)
+	r.setLimitShare(0.5)
 	return nil
 }
 
-// inherit asks the process that serves now for its place. The link is nil if there is none.
-func inherit(cfg Config) (l *link, from estate, listener *net.TCPListener, err error) {
-	c, err := sockets.DialUnix(filepath.Join(cfg.StateDir, linkName))
+// requestHandover requests a hand-over from the process that is serving. The link is nil if there is none.
+func requestHandover(cfg Config) (l *handoverLink, state handoverState, listener *net.TCPListener, err error) {
+	c, err := sockets.DialUnix(filepath.Join(cfg.StateDir, handoverSocket))
 	if err != nil {
-		return nil, estate{}, nil, nil // nobody there
+		return nil, handoverState{}, nil, nil // no process is serving
 	}
 	defer func() {
 		if err != nil {
@@ -502,31 +516,31 @@
 			}
 		}
 	}()
-	c.SetDeadline(clock.Now().Add(linkFor))
-	mark, oob := make([]byte, 1), make([]byte, syscall.CmsgSpace(4))
-	_, n, _, _, err := c.ReadMsgUnix(mark, oob)
+	c.SetDeadline(clock.Now().Add(handoverTimeout))
+	marker, oob := make([]byte, 1), make([]byte, syscall.CmsgSpace(4))
+	_, n, _, _, err := c.ReadMsgUnix(marker, oob)
 	if err != nil {
-		return nil, estate{}, nil, fmt.Errorf("relay: take over: %w", err)
+		return nil, handoverState{}, nil, fmt.Errorf("relay: take over: %w", err)
 	}
-	if listener, err = passedListener(oob[:n]); err != nil {
-		return nil, estate{}, nil, fmt.Errorf("relay: take over: %w", err)
+	if listener, err = receivedListener(oob[:n]); err != nil {
+		return nil, handoverState{}, nil, fmt.Errorf("relay: take over: %w", err)
 	}
-	l = newLink(c)
-	if err = l.dec.Decode(&from); err != nil {
-		return nil, estate{}, listener, fmt.Errorf("relay: take over: %w", err)
+	l = newHandoverLink(c)
+	if err = l.dec.Decode(&state); err != nil {
+		return nil, handoverState{}, listener, fmt.Errorf("relay: take over: %w", err)
 	}
-	return l, from, listener, nil
+	return l, state, listener, nil
 }
 
-// passedListener is the listener that came with a message.
-func passedListener(oob []byte) (*net.TCPListener, error) {
+// receivedListener returns the listener whose descriptor arrived in a control message.
+func receivedListener(oob []byte) (*net.TCPListener, error) {
 	messages, err := syscall.ParseSocketControlMessage(oob)
 	if err != nil || len(messages) != 1 {
-		return nil, errors.Join(errors.New("no socket came"), err)
+		return nil, errors.Join(errors.New("no socket received"), err)
 	}
 	fds, err := syscall.ParseUnixRights(&messages[0])
 	if err != nil || len(fds) != 1 {
-		return nil, errors.Join(errors.New("no socket came"), err)
+		return nil, errors.Join(errors.New("no socket received"), err)
 	}
 	syscall.CloseOnExec(fds[0])
 	f := os.NewFile(uintptr(fds[0]), "listener")
@@ -538,13 +552,13 @@
 	tcp, ok := l.(*net.TCPListener)
 	if !ok {
 		l.Close()
-		return nil, errors.New("another kind of socket came")
+		return nil, errors.New("received socket is not a TCP listener")
 	}
 	return tcp, nil
 }
 
-// heed takes what the old process tells until it ends, and from then on knows that it is alone.
-func (r *Relay) heed(l *link) {
+// readPredecessor handles the frames of the old process until the link closes, and then posts predecessorGone.
+func (r *Relay) readPredecessor(l *handoverLink) {
 	for {
 		var f frame
 		if err := l.dec.Decode(&f); err != nil {
@@ -557,7 +571,7 @@
 			r.post(withdrawal{f.Leave})
 		case f.Hand != nil && f.Hand.Message == nil:
 			a := r.exclusions.set(f.Hand.exclusionChange)
-			l.send(frame{Reply: &passedAnswer{Seq: f.Hand.Seq, Status: a.status, Text: a.text}})
+			l.send(frame{Reply: &forwardedAnswer{Seq: f.Hand.Seq, Status: a.status, Text: a.text}})
 		case f.Hand != nil:
 			m := f.Hand.Message
 			m.Body = f.Hand.Body
@@ -569,22 +583,22 @@
 			if !r.post(in) {
 				break
 			}
-			go func() { // as many at most as the old process has clients
+			go func() { // at most one for each client connection of the old process
 				select {
 				case a := <-in.reply:
-					l.send(frame{Reply: &passedAnswer{seq, m.ID, a.status, a.retryAfter, a.text}})
+					l.send(frame{Reply: &forwardedAnswer{seq, m.ID, a.status, a.retryAfter, a.text}})
 				case <-r.loopDone:
 				}
 			}()
 		}
 	}
 	l.Close()
-	r.post(alone{})
+	r.post(predecessorGone{})
 }
 
-// inherited takes the outcome of an attempt that the old process made.
-func (r *Relay) inherited(evs []policy.Event, e passedEnd) []policy.Event {
-	key := outKey{e.ID, e.N}
+// applyForwardedOutcome applies the outcome of an attempt that the old process made.
+func (r *Relay) applyForwardedOutcome(evs []policy.Event, e forwardedOutcome) []policy.Event {
+	key := attemptKey{e.ID, e.N}
 	a := r.predecessorAttempts[key]
 	if a == nil {
 		return evs
@@ -593,28 +607,30 @@
 		delete(r.predecessorAttempts, key)
 	}
 	if e.Outcome == policy.OK {
-		a.m.counted = true // counted where it came
+		a.m.counted = true // the old process has counted it
 	}
 	return r.finishAttempt(evs, a, result{e.Outcome, e.Gone, e.Wait, e.Report, e.Took})
 }
 
-// bereft ends the attempts that the old process has not told of: they may have run.
-func (r *Relay) bereft(evs []policy.Event) []policy.Event {
-	keys := make([]outKey, 0, len(r.predecessorAttempts))
+// endPredecessorAttempts ends the attempts whose outcomes the old process did not report. They may have run, so they end
+// as resets.
+func (r *Relay) endPredecessorAttempts(evs []policy.Event) []policy.Event {
+	keys := make([]attemptKey, 0, len(r.predecessorAttempts))
 	for k := range r.predecessorAttempts {
 		keys = append(keys, k)
 	}
-	slices.SortFunc(keys, func(a, b outKey) int { return cmp.Or(cmp.Compare(a.id, b.id), cmp.Compare(a.n, b.n)) })
+	slices.SortFunc(keys, func(a, b attemptKey) int { return cmp.Or(cmp.Compare(a.id, b.id), cmp.Compare(a.n, b.n)) })
 	for _, k := range keys {
-		evs = r.inherited(evs, passedEnd{ID: k.id, N: k.n, Outcome: policy.Reset})
+		evs = r.applyForwardedOutcome(evs, forwardedOutcome{ID: k.id, N: k.n, Outcome: policy.Reset})
 	}
-	r.share(1)
+	r.setLimitShare(1)
 	return evs
 }
 
-// share sets the part of the relay's limits that this process may use.
-func (r *Relay) share(part float64) {
-	r.clients.setLimit(int(part * float64(r.cfg.Limits.Sockets*9/20)))
-	r.hosts.bound(int(part * float64(r.cfg.Limits.Sockets*3/8)))
-	debug.SetMemoryLimit(int64(part * float64(r.memoryLimit)))
+// setLimitShare sets the fraction of the relay's limits that this process may use: two processes share them during a
+// hand-over.
+func (r *Relay) setLimitShare(fraction float64) {
+	r.clients.setLimit(int(fraction * float64(r.cfg.Limits.Sockets*9/20)))
+	r.hosts.setMaxConns(int(fraction * float64(r.cfg.Limits.Sockets*3/8)))
+	debug.SetMemoryLimit(int64(fraction * float64(r.memoryLimit)))
 }
--- a/internal/relay/handover_test.go
+++ b/internal/relay/handover_test.go
@@ -12,8 +12,9 @@
 	"onyxroad.dev/onyxroad/policy"
 )
 
-// Whether a call that is still out has run is told by its outcome, not by its place in the log.
-func TestACallThatIsOutIsNotTakenToHaveRun(t *testing.T) {
+// The log cannot tell whether an attempt that is still in flight has run; its outcome will. Such an attempt must not be
+// reported to the module as one that has run.
+func TestInFlightAttemptIsNotReportedAsRun(t *testing.T) {
 	r := newTestRelay(t)
 	for _, c := range []struct {
 		out  int // -1: none
@@ -26,42 +27,43 @@
 			out = &policy.OutstandingAttempt{Attempt: c.out}
 		}
 		if got := r.resumedEvent(m, out).Resumed; got.MayHaveRun != c.ran || got.FirstRunZone != c.zone || len(m.MayRun) != 2 {
-			t.Errorf("out %d: %+v", c.out, got)
+			t.Errorf("attempt %d in flight: resumed as %+v", c.out, got)
 		}
 	}
 	m := &message{Message: &wal.Message{Attempts: 1, MayRun: []wal.Attempt{{N: 0, At: time.Now()}}}}
 	if r.resumedEvent(m, &policy.OutstandingAttempt{Attempt: 0}).Resumed.MayHaveRun {
-		t.Error("the one call, which is out, is taken to have run")
+		t.Error("the only call, which is in flight, counts as run")
 	}
 }
 
-// The two processes of a hand-over have one clock for their decisions, and a message its time, whatever the wall clock does
-// between them.
-func TestAHandOverOutlastsAStepOfTheWallClock(t *testing.T) {
+// A step of the wall clock during a hand-over must change neither the module's clock nor the time that a forwarded message
+// has left.
+func TestHandoverSurvivesWallClockStep(t *testing.T) {
 	for _, seconds := range []int64{-3600, -5, 5, 3600} {
 		var wall wallstep.Clock
 		restore := wall.Use()
-		old, again := handedOver(t, func(old *Relay) {
-			old.started = old.started.Add(-time.Minute) // it has served for a while
+		old, successor := startHandover(t, func(old *Relay) {
+			old.started = old.started.Add(-time.Minute) // as if it had run for a minute
 			wall.Step(seconds)
 		})
-		if ahead := again.now() - old.now(); ahead.Abs() > time.Second {
-			t.Errorf("step of %d s: the new process decides by a clock that is off by %v", seconds, ahead)
+		if ahead := successor.now() - old.now(); ahead.Abs() > time.Second {
+			t.Errorf("step of %d s: the module clock of the new process is off by %v", seconds, ahead)
 		}
 		m := &wal.Message{Trace: "passed-on", Class: 0, Dest: 7, Key: "k", Deadline: clock.Now().Add(5 * time.Second)}
 		wall.Step(seconds)
 		in := &submission{m: m, reply: make(chan answer, 1)}
 		old.post(in)
-		stepUntil(t, again, "the message that was handed in at the old process", func() bool { return again.byTrace["passed-on"] != nil })
-		if left := clock.Until(again.byTrace["passed-on"].Deadline); left < 3*time.Second || left > 5*time.Second {
-			t.Errorf("step of %d s: a message that is passed on has %v left of 5 s", seconds, left)
+		stepUntil(t, successor, "the message that was submitted to the old process", func() bool { return successor.byTrace["passed-on"] != nil })
+		if left := clock.Until(successor.byTrace["passed-on"].Deadline); left < 3*time.Second || left > 5*time.Second {
+			t.Errorf("step of %d s: a forwarded message has %v left of 5 s", seconds, left)
 		}
 		restore()
 	}
 }
 
-// handedOver is a relay that serves and the process that takes its place. before is called when the first one serves.
-func handedOver(t *testing.T, before func(old *Relay)) (old, again *Relay) {
+// startHandover returns a serving relay and a second one that has taken over from it. before is called before the old relay's
+// loop starts.
+func startHandover(t *testing.T, before func(old *Relay)) (old, successor *Relay) {
 	t.Helper()
 	old = newTestRelay(t)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -72,16 +74,16 @@
 	before(old)
 	ctx, stop := context.WithCancel(t.Context())
 	go old.loop(ctx)
-	end := old.heirs()
+	end := old.serveHandovers()
 	t.Cleanup(func() { end(); stop(); <-old.loopDone; listener.Close() })
-	if again, err = New(t.Context(), old.cfg, discardLogger()); err != nil {
+	if successor, err = New(t.Context(), old.cfg, discardLogger()); err != nil {
 		t.Fatal(err)
 	}
-	if again.predecessor == nil {
-		t.Fatal("the new process has begun by itself")
+	if successor.predecessor == nil {
+		t.Fatal("the new process started without a hand-over")
 	}
-	again.callCtx = t.Context()
-	again.restore()
-	go again.heed(again.predecessor)
-	return old, again
+	successor.callCtx = t.Context()
+	successor.restore()
+	go successor.readPredecessor(successor.predecessor)
+	return old, successor
 }
--- a/internal/relay/hosts.go
+++ b/internal/relay/hosts.go
@@ -23,126 +23,125 @@
 	"onyxroad.dev/onyxroad/policy"
 )
 
-// idleShare is the share of the hosts' keep-alive limit after which the relay closes an idle connection itself.
-// Guards against a request that crosses the host's own close: it ends as a reset, which may have run.
-const idleShare = 0.8
+// idleTimeoutRatio is the fraction of the hosts' keep-alive limit after which the relay closes an idle connection itself.
+// A request that crosses the host's own close ends as a reset, and a reset may have run.
+const idleTimeoutRatio = 0.8
 
 const (
-	// wholeFor bounds how long an answer may take from its first byte to its last. Guards against heads and bodies
-	// that do not end.
-	wholeFor = 500 * time.Millisecond
-	// lastLook is for an answer that came as its call was given up: long enough to read what is there.
-	lastLook = time.Millisecond
-	// reportMost bounds what a host may tell of its limit.
-	reportMost = 1e9
-	informMost = 16 // 1xx answers before one
+	// answerReadTimeout bounds the time from the first to the last byte of an answer, as heads and bodies may never end.
+	answerReadTimeout = 500 * time.Millisecond
+	// lateReadTimeout is for an answer that arrives as its call times out: long enough to read what has been received.
+	lateReadTimeout = time.Millisecond
+	// maxReportValue bounds the values of a host's load report.
+	maxReportValue   = 1e9
+	maxInformational = 16 // 1xx answers before one
 )
 
 var (
-	errSpoilt = errors.New("spoilt answer")
-	errLast   = errors.New("the answer is whole, its connection at its end")
+	errMalformedAnswer = errors.New("malformed answer")
+	errConnSpent       = errors.New("the answer is complete, but its connection cannot be reused")
 )
 
-// hosts makes the outbound calls.
-type hosts struct {
+// hostClient makes outbound calls.
+type hostClient struct {
 	*pool
-	reports []string
-	sent    func(*call) // told of each call that is written whole; may be nil
-	guard   *invariant.Guard
+	reportFields []string
+	onWritten    func(*call) // called once a call's request is written; may be nil
+	guard        *invariant.Guard
 }
 
-// call is one request to a host, with one message or several.
+// call is one request to a host that carries one message or a bundle.
 type call struct {
-	number   uint32 // the module's
+	number   uint32 // assigned by the module
 	route    string
 	addr     string
 	zone     int
 	sent     time.Time
-	until    time.Time // given up then
+	deadline time.Time // when the call times out
 	attempts []*attempt
-	size     int // of the body, at most, if it carries several
+	size     int // upper bound of the body's size as a bundle
 
-	progress atomic.Int32 // a callProgress: the loop and the call's goroutine agree by it
+	state atomic.Int32 // a callState, shared by the loop and the call's goroutine
 }
 
-// callProgress is whether a call's first byte may have left.
-type callProgress = int32
+// callState tells whether a call's first byte may have been sent.
+type callState = int32
 
 const (
-	callPending callProgress = iota
-	callLeaving              // its request is being written, or was
-	callRevoked              // it will not be
+	callPending callState = iota
+	callWriting           // its request is being written or has been
+	callRevoked           // its request will not be written
 )
 
-// leave tells whether a call's request may be written. From then on nothing revokes it.
-func (c *call) leave(now time.Time) bool {
-	if slices.ContainsFunc(c.attempts, func(a *attempt) bool { return !now.Before(a.until) }) {
+// beginWrite reports whether the call's request may be written. If so, the call can no longer be revoked.
+func (c *call) beginWrite(now time.Time) bool {
+	if slices.ContainsFunc(c.attempts, func(a *attempt) bool { return !now.Before(a.deadline) }) {
 		c.revoke()
 	}
-	return c.progress.CompareAndSwap(callPending, callLeaving)
+	return c.state.CompareAndSwap(callPending, callWriting)
 }
 
-// revoke has a call not be made whose request is not being written yet; false if it is, or was.
+// revoke prevents a call whose request is not being written yet. It returns false if it is too late.
 func (c *call) revoke() bool {
-	return c.progress.CompareAndSwap(callPending, callRevoked) || c.progress.Load() == callRevoked
+	return c.state.CompareAndSwap(callPending, callRevoked) || c.state.Load() == callRevoked
 }
 
-// attempt is one message's part in a call.
+// attempt is one message's share of a call.
 type attempt struct {
 	*call
-	m     *message
-	n     int
-	until time.Time
-	timer *time.Timer // ends it before the rest of its call; nil if it ends with it
-	over  bool        // its outcome is told
+	m        *message
+	n        int
+	deadline time.Time
+	timer    *time.Timer // ends the attempt before its call; nil if both end together
+	settled  bool        // its outcome has been processed
 }
 
-// result is how an attempt ended.
+// result is the result of an attempt.
 type result struct {
 	outcome policy.Outcome
-	gone    bool // the message is over: nothing more is owed
+	gone    bool // the host has given the message up: it must not be sent again
 	wait    time.Duration
 	report  policy.Report
-	took    time.Duration // from when the request was written
+	took    time.Duration // from the start of writing the request to the first byte of the answer
 }
 
-func newHosts(cfg Config) *hosts {
-	return &hosts{pool: newPool(cfg), reports: cfg.Reports, guard: invariant.New(slog.Default())}
+func newHostClient(cfg Config) *hostClient {
+	return &hostClient{pool: newPool(cfg), reportFields: cfg.Reports, guard: invariant.New(slog.Default())}
 }
 
-// do makes a call and tells the end of each of its attempts, in their order. clear is asked once more before
-// the request is written where a new connection had to come up first.
-func (h *hosts) do(ctx context.Context, c *call, clear func() bool) []result {
-	ctx, cancel := context.WithDeadline(ctx, c.until)
+// do makes a call and returns the results of its attempts, in their order. If a new connection had to be opened, it calls
+// allowed before it writes the request.
+func (h *hostClient) do(ctx context.Context, c *call, allowed func() bool) []result {
+	ctx, cancel := context.WithDeadline(ctx, c.deadline)
 	defer cancel()
-	conn, fresh, err := h.get(ctx, peer{c.route, c.addr})
+	conn, isNew, err := h.get(ctx, peer{c.route, c.addr})
 	switch {
-	case err != nil && scarce(err):
-		return alike(c, result{outcome: policy.Moot})
+	case err != nil && isLocalShortage(err):
+		return sameResults(c, result{outcome: policy.Moot})
 	case err != nil:
-		return alike(c, result{outcome: policy.ConnectFailed})
+		return sameResults(c, result{outcome: policy.ConnectFailed})
 	}
-	// While the connection came up, a drain or a wait may have been told.
-	if fresh && !clear() {
-		conn.keep()
-		return alike(c, result{outcome: policy.Moot})
+	// While the connection was being opened, the host may have announced a drain or a wait.
+	if isNew && !allowed() {
+		conn.release()
+		return sameResults(c, result{outcome: policy.Moot})
 	}
 	req, err := newRequest(c)
 	if err != nil {
-		conn.keep()
-		return alike(c, result{outcome: policy.Moot})
+		conn.release()
+		return sameResults(c, result{outcome: policy.Moot})
 	}
-	// A message of it may have ended since the call was decided on, or its time may be up.
-	if !c.leave(clock.Now()) {
-		conn.keep()
-		return alike(c, result{outcome: policy.Moot})
+	// Since the decision, one of its messages may have ended or expired.
+	if !c.beginWrite(clock.Now()) {
+		conn.release()
+		return sameResults(c, result{outcome: policy.Moot})
 	}
 	return h.exchange(ctx, req, c, conn)
 }
 
-// exchange writes the request, reads its answer, and keeps or drops the connection.
-func (h *hosts) exchange(ctx context.Context, req *http.Request, c *call, conn *hostConn) []result {
-	// A call is given up by closing its connection: no answer to it is read any more.
+// exchange writes the request, reads the answer, and releases or discards the connection.
+func (h *hostClient) exchange(ctx context.Context, req *http.Request, c *call, conn *hostConn) []result {
+	// A call that times out or is cancelled stops reading; its connection is then closed.
 	stop := context.AfterFunc(ctx, func() { conn.SetDeadline(pastDeadline) })
 	began := clock.Now()
 	for _, a := range c.attempts {
@@ -150,38 +149,38 @@
 	}
 	err := writeRequest(conn, req)
 	written := err == nil
-	if written && h.sent != nil {
-		h.sent(c)
+	if written && h.onWritten != nil {
+		h.onWritten(c)
 	}
 	several := len(c.attempts) > 1
-	a := readAnswer(conn, req, several) // there may be an answer though not all could be written
+	a := readAnswer(conn, req, several) // a host may answer before the whole request is written
 	if stop() && a.err == nil && written {
 		conn.SetDeadline(time.Time{})
-		conn.keep()
+		conn.release()
 	} else {
-		conn.drop()
+		conn.discard()
 	}
-	if a.came.IsZero() {
-		a.came = clock.Now()
+	if a.firstByteAt.IsZero() {
+		a.firstByteAt = clock.Now()
 	}
-	r := h.told(a.head)
-	r.took = a.came.Sub(began)
-	spoilt := a.err != nil && !errors.Is(a.err, errLast)
+	r := h.headResult(a.head)
+	r.took = a.firstByteAt.Sub(began)
+	malformed := a.err != nil && !errors.Is(a.err, errConnSpent)
 	switch {
 	case a.head != nil && a.head.StatusCode == http.StatusOK && !several:
-		r.outcome = policy.OK // with the first line: what follows means nothing
-	case spoilt:
-		// The last byte tells: without it no host has begun. Whatever is doubtful may have run.
-		r.outcome = broken(ctx, written)
+		r.outcome = policy.OK // the status line alone decides
+	case malformed:
+		// No host starts work before it has the last byte of a request. Once that is written, the call may have run.
+		r.outcome = failureOutcome(ctx, written)
 	case a.head.StatusCode == http.StatusOK:
 		return bundleResults(c, r, a.body)
 	default:
-		r.outcome, r.gone = outcome(a.head)
+		r.outcome, r.gone = statusOutcome(a.head)
 	}
-	return alike(c, r)
+	return sameResults(c, r)
 }
 
-// writeRequest writes a request in one go.
+// writeRequest writes a request in a single write.
 func writeRequest(conn *hostConn, req *http.Request) error {
 	var text bytes.Buffer
 	if err := req.Write(&text); err != nil {
@@ -191,49 +190,49 @@
 	return err
 }
 
-// hostAnswer is what came in answer to a call.
+// hostAnswer is what was received in answer to a call.
 type hostAnswer struct {
-	head *http.Response // of a spoilt one perhaps its first line alone; nil if that cannot be read either
-	body []byte         // of an answer to several messages
-	err  error          // why it is not whole, or more than whole: its connection is of no further use
-	came time.Time      // its first byte
+	head        *http.Response // of a malformed answer perhaps only the status line; nil if not even that is readable
+	body        []byte         // only of an answer to a bundle
+	err         error          // not nil if the answer is incomplete or its connection cannot be reused
+	firstByteAt time.Time      // zero if nothing was received
 }
 
-// readAnswer reads an answer, to several messages or to one.
+// readAnswer reads the answer to a single message or, if several is set, to a bundle.
 func readAnswer(conn *hostConn, req *http.Request, several bool) (a hostAnswer) {
 	conn.allow(maxHeadBytes)
 	_, a.err = conn.r.Peek(1)
 	if errors.Is(a.err, os.ErrDeadlineExceeded) {
-		// Past a deadline nothing is read, not even what is there: a wait that it tells binds all the same.
-		conn.SetReadDeadline(clock.Now().Add(lastLook))
+		// Past its deadline a connection returns not even what it has received. A Retry-After in it still binds.
+		conn.SetReadDeadline(clock.Now().Add(lateReadTimeout))
 		_, a.err = conn.r.Peek(1)
 	}
 	if a.err != nil {
 		return a
 	}
-	// Where the call ended this very moment, this takes the place of its deadline, and it ends so much later.
-	a.came = clock.Now()
-	conn.SetReadDeadline(a.came.Add(wholeFor))
-	for range informMost {
+	// If the call times out at this moment, this replaces its deadline and extends the read by answerReadTimeout at most.
+	a.firstByteAt = clock.Now()
+	conn.SetReadDeadline(a.firstByteAt.Add(answerReadTimeout))
+	for range maxInformational {
 		var line []byte
 		if line, a.err = peekLine(conn.r); a.err != nil {
 			return a
 		}
 		if a.head, a.err = http.ReadResponse(conn.r, req); a.err != nil {
-			a.head = firstLine(line, req)
+			a.head = parseStatusLine(line, req)
 			return a
 		}
 		if a.head.StatusCode >= 200 {
-			a.body, a.err = readRest(conn, a.head, several)
+			a.body, a.err = readAnswerBody(conn, a.head, several)
 			return a
 		}
 		a.head = nil
 	}
-	a.err = errSpoilt
+	a.err = errMalformedAnswer
 	return a
 }
 
-// peekLine looks at what comes, to the end of its first line.
+// peekLine returns the first line that is received, without consuming it.
 func peekLine(r *bufio.Reader) ([]byte, error) {
 	for {
 		ahead, _ := r.Peek(r.Buffered())
@@ -241,13 +240,13 @@
 			return bytes.Clone(ahead[:i+1]), nil
 		}
 		if _, err := r.Peek(len(ahead) + 1); err != nil {
-			return nil, err // bufio.ErrBufferFull: a line without end
+			return nil, err // bufio.ErrBufferFull if the line is too long
 		}
 	}
 }
 
-// firstLine reads a first line by itself; nil if it cannot be read.
-func firstLine(line []byte, req *http.Request) *http.Response {
+// parseStatusLine parses a status line without its head; nil if it is malformed.
+func parseStatusLine(line []byte, req *http.Request) *http.Response {
 	head, err := http.ReadResponse(bufio.NewReader(io.MultiReader(bytes.NewReader(line), strings.NewReader("\r\n"))), req)
 	if err != nil {
 		return nil
@@ -255,31 +254,31 @@
 	return head
 }
 
-// readRest reads an answer's body. It returns an error also if the connection can carry no further call.
-func readRest(conn *hostConn, head *http.Response, several bool) (body []byte, err error) {
+// readAnswerBody reads an answer's body. It also returns an error if the connection cannot be reused.
+func readAnswerBody(conn *hostConn, head *http.Response, several bool) (body []byte, err error) {
 	if head.ContentLength > maxBodyBytes {
-		return nil, errSpoilt
+		return nil, errMalformedAnswer
 	}
 	conn.allow(maxWireBytes)
 	rest := io.LimitReader(head.Body, maxBodyBytes+1)
 	if several && head.StatusCode == http.StatusOK {
 		if body, err = io.ReadAll(rest); err == nil && len(body) > maxBodyBytes {
-			err = errSpoilt
+			err = errMalformedAnswer
 		}
 	} else if n, copyErr := io.Copy(io.Discard, rest); copyErr != nil || n > maxBodyBytes {
-		err = cmp.Or(copyErr, errSpoilt)
+		err = cmp.Or(copyErr, errMalformedAnswer)
 	}
 	switch {
 	case err != nil:
 		return nil, err
 	case conn.r.Buffered() > 0, head.Close, head.ContentLength < 0 && len(head.TransferEncoding) == 0:
-		return body, errLast
+		return body, errConnSpent
 	}
 	return body, nil
 }
 
-// broken is the outcome of a call whose answer did not come.
-func broken(ctx context.Context, written bool) policy.Outcome {
+// failureOutcome returns the outcome of a call without a complete answer.
+func failureOutcome(ctx context.Context, written bool) policy.Outcome {
 	switch {
 	case !written:
 		return policy.ConnectFailed
@@ -291,12 +290,12 @@
 	return policy.Reset
 }
 
-// newRequest makes the request of a call.
+// newRequest builds the request of a call.
 func newRequest(c *call) (*http.Request, error) {
 	path, body := "/events", c.attempts[0].m.Body
-	header := http.Header{"X-Expires-In-Ms": {strconv.FormatInt(max(1, clock.Until(c.until).Milliseconds()), 10)}}
+	header := http.Header{"X-Expires-In-Ms": {strconv.FormatInt(max(1, clock.Until(c.deadline).Milliseconds()), 10)}}
 	if len(c.attempts) > 1 {
-		path, body = "/events/bundle", bundle(c)
+		path, body = "/events/bundle", bundleBody(c)
 		header.Set("Content-Type", "application/json")
 	} else {
 		m := c.attempts[0].m
@@ -316,41 +315,41 @@
 	return req, nil
 }
 
-// item is a message in a bundle.
-type item struct {
+// bundleItem is the wire form of a message in a bundle.
+type bundleItem struct {
 	ID   string `json:"id"`
 	Key  string `json:"key,omitempty"`
 	Body []byte `json:"body"`
 }
 
-// itemSize is the most that a message takes in a bundle: any byte of an id may be escaped.
-func itemSize(m *message) int {
+// maxItemSize is the largest size of a message in a bundle: JSON may escape any byte of an id as six.
+func maxItemSize(m *message) int {
 	return base64.StdEncoding.EncodedLen(len(m.Body)) + 6*(len(m.Trace)+len(m.Key)) + len(`{"id":"","key":"","body":""},[]`)
 }
 
-func bundle(c *call) []byte {
-	items := make([]item, 0, len(c.attempts))
+func bundleBody(c *call) []byte {
+	items := make([]bundleItem, 0, len(c.attempts))
 	for _, a := range c.attempts {
-		items = append(items, item{a.m.Trace, a.m.Key, append([]byte{}, a.m.Body...)}) // null is no body
+		items = append(items, bundleItem{a.m.Trace, a.m.Key, append([]byte{}, a.m.Body...)}) // a nil slice would become null, which is no body
 	}
 	data, err := json.Marshal(items)
 	if err != nil {
-		panic(err) // strings and bytes only: cannot fail
+		panic(err) // bundleItem marshals without error
 	}
 	return data
 }
 
-// told is what a head tells besides its message's end.
-func (h *hosts) told(head *http.Response) (r result) {
+// headResult reads from a head what does not depend on the outcome: the advised wait and the load report.
+func (h *hostClient) headResult(head *http.Response) (r result) {
 	if head != nil {
-		r.wait = seconds(head.Header.Get("Retry-After"))
-		r.report = h.report(head.Header.Get("Endpoint-Load-Metrics"))
+		r.wait = parseRetryAfter(head.Header.Get("Retry-After"))
+		r.report = h.parseReport(head.Header.Get("Endpoint-Load-Metrics"))
 	}
 	return r
 }
 
-// outcome is what a status other than 200 says.
-func outcome(head *http.Response) (o policy.Outcome, gone bool) {
+// statusOutcome maps a status other than 200 to an outcome.
+func statusOutcome(head *http.Response) (o policy.Outcome, gone bool) {
 	switch head.StatusCode {
 	case http.StatusTooManyRequests:
 		return policy.Full, false
@@ -364,10 +363,10 @@
 	case http.StatusGone:
 		return policy.Moot, true
 	}
-	return policy.Error, false // 500, and what is not known: it may have run
+	return policy.Error, false // 500 and unknown codes: the call may have run
 }
 
-// bundleResults reads the end of each message of a bundle. One that is missing or unreadable may have run.
+// bundleResults reads the state of each message of a bundle. A message whose state is missing or unreadable may have run.
 func bundleResults(c *call, r result, body []byte) []result {
 	unread := r
 	unread.outcome = policy.Error
@@ -382,7 +381,7 @@
 			states[item.ID] = item.State
 		}
 	}
-	results := alike(c, unread)
+	results := sameResults(c, unread)
 	for i, a := range c.attempts {
 		switch states[a.m.Trace] {
 		case "ok":
@@ -400,8 +399,8 @@
 	return results
 }
 
-// report reads what a host tells of its limit.
-func (h *hosts) report(text string) policy.Report {
+// parseReport reads a host's load report. Fields that are invalid or not configured are ignored.
+func (h *hostClient) parseReport(text string) policy.Report {
 	var rep policy.Report
 	text, ok := strings.CutPrefix(text, "TEXT ")
 	if !ok {
@@ -410,8 +409,8 @@
 	for pair := range strings.SplitSeq(text, ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(pair), "=")
 		x, err := strconv.ParseFloat(value, 64)
-		// NaN compares as false.
-		if err != nil || !(x >= 0 && x <= reportMost) || !slices.Contains(h.reports, name) {
+		// The condition also rejects NaN, which compares as false.
+		if err != nil || !(x >= 0 && x <= maxReportValue) || !slices.Contains(h.reportFields, name) {
 			continue
 		}
 		switch name {
@@ -424,8 +423,8 @@
 	return rep
 }
 
-// seconds reads a Retry-After, whole or decimal; 0 if there is none that can be read.
-func seconds(text string) time.Duration {
+// parseRetryAfter parses a Retry-After in seconds, with or without decimals. It returns 0 if there is no valid one.
+func parseRetryAfter(text string) time.Duration {
 	x, err := strconv.ParseFloat(text, 64)
 	if err != nil || !(x > 0) || x > 1e6 {
 		return 0
@@ -433,8 +432,8 @@
 	return time.Duration(x * float64(time.Second))
 }
 
-// alike gives every attempt of a call the same end.
-func alike(c *call, r result) []result {
+// sameResults returns the same result for every attempt of a call.
+func sameResults(c *call, r result) []result {
 	results := make([]result, len(c.attempts))
 	for i := range results {
 		results[i] = r
--- a/internal/relay/hosts_test.go
+++ b/internal/relay/hosts_test.go
@@ -22,7 +22,7 @@
 	"onyxroad.dev/onyxroad/policy"
 )
 
-const patience = 10 * time.Second // longer than any condition takes
+const testTimeout = 10 * time.Second // longer than any condition takes
 
 func testConfig() Config {
 	c := Config{ConnectTimeout: 2 * time.Second, KeepAlive: time.Minute, Reports: []string{"x0", "x1"}}
@@ -30,38 +30,38 @@
 	return c
 }
 
-func testHosts(t *testing.T, cfg Config) *hosts {
-	h := newHosts(cfg)
+func newTestHostClient(t *testing.T, cfg Config) *hostClient {
+	h := newHostClient(cfg)
 	t.Cleanup(h.close)
 	return h
 }
 
-// newCall is a call to addr with messages of these ids.
+// newCall returns a call to addr that carries messages with these ids.
 func newCall(addr string, ids ...string) *call {
-	c := &call{route: "s-1", addr: addr, sent: time.Now(), until: time.Now().Add(patience)}
+	c := &call{route: "s-1", addr: addr, sent: time.Now(), deadline: time.Now().Add(testTimeout)}
 	for _, id := range ids {
 		m := &message{Message: &wal.Message{Trace: id, Key: "key-" + id, Body: []byte("body of " + id)}}
-		c.attempts = append(c.attempts, &attempt{call: c, m: m, until: c.until})
+		c.attempts = append(c.attempts, &attempt{call: c, m: m, deadline: c.deadline})
 	}
 	return c
 }
 
-func yes() bool { return true }
+func alwaysAllowed() bool { return true }
 
 // eventually waits for a condition.
 func eventually(t *testing.T, what string, ok func() bool) {
 	t.Helper()
-	for end := time.Now().Add(patience); !ok(); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(testTimeout); !ok(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("never: %s", what)
+			t.Fatalf("timed out waiting for: %s", what)
 		}
 	}
 }
 
 func addrOf(s *httptest.Server) string { return s.Listener.Addr().String() }
 
-// rawHost reads whole requests on plain sockets and hands each to serve, with its place among all, from 1.
-// serve returns false to close the connection.
+// rawHost serves on plain sockets. It reads complete requests and passes each to serve with its number, counted from 1 over
+// all connections. serve returns false to close the connection.
 func rawHost(t *testing.T, serve func(n int, conn net.Conn, req *http.Request) bool) (addr string, requests *atomic.Int32) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -112,18 +112,18 @@
 	}))
 	defer s.Close()
 	c := newCall(addrOf(s), "a")
-	if r := testHosts(t, testConfig()).do(t.Context(), c, yes); r[0].outcome != policy.OK {
+	if r := newTestHostClient(t, testConfig()).do(t.Context(), c, alwaysAllowed); r[0].outcome != policy.OK {
 		t.Fatalf("outcome %v", r[0].outcome)
 	}
 	g := <-got
 	if g.path != "/events" || g.id != "a" || g.key != "key-a" || g.body != "body of a" || g.length != 9 || g.expires == "" {
-		t.Errorf("the host saw %+v", g)
+		t.Errorf("the host received %+v", g)
 	}
 }
 
-// A Transport would send this request again by itself: it carries an Idempotency-Key, its connection was used
-// before, and no byte of an answer came.
-func TestNothingIsSentAgainByItself(t *testing.T) {
+// http.Transport would resend this request by itself: it has an Idempotency-Key, its connection was reused, and no byte of an
+// answer was received.
+func TestClientNeverResendsByItself(t *testing.T) {
 	for _, body := range []string{"some", ""} {
 		addr, requests := rawHost(t, func(n int, conn net.Conn, _ *http.Request) bool {
 			if n == 1 {
@@ -131,17 +131,17 @@
 			}
 			return n == 1
 		})
-		h := testHosts(t, testConfig())
+		h := newTestHostClient(t, testConfig())
 		first, second := newCall(addr, "a"), newCall(addr, "b")
 		second.attempts[0].m.Body = []byte(body)
-		if r := h.do(t.Context(), first, yes); r[0].outcome != policy.OK {
+		if r := h.do(t.Context(), first, alwaysAllowed); r[0].outcome != policy.OK {
 			t.Fatalf("first call: %v", r[0].outcome)
 		}
-		if r := h.do(t.Context(), second, yes); r[0].outcome != policy.Reset {
+		if r := h.do(t.Context(), second, alwaysAllowed); r[0].outcome != policy.Reset {
 			t.Errorf("body %q: outcome %v, want a reset", body, r[0].outcome)
 		}
 		if n := requests.Load(); n != 2 {
-			t.Errorf("body %q: the host saw %d requests", body, n)
+			t.Errorf("body %q: the host received %d requests, want 2", body, n)
 		}
 	}
 }
@@ -152,39 +152,39 @@
 		t.Fatal(err)
 	}
 	l.Close()
-	r := testHosts(t, testConfig()).do(t.Context(), newCall(l.Addr().String(), "a"), yes)
+	r := newTestHostClient(t, testConfig()).do(t.Context(), newCall(l.Addr().String(), "a"), alwaysAllowed)
 	if r[0].outcome != policy.ConnectFailed {
 		t.Errorf("outcome %v", r[0].outcome)
 	}
 }
 
-func TestAConnectionThatNeverComesUpEndsInTime(t *testing.T) {
+func TestConnectTimeout(t *testing.T) {
 	cfg := testConfig()
 	cfg.ConnectTimeout = 20 * time.Millisecond
-	h := testHosts(t, cfg)
+	h := newTestHostClient(t, cfg)
 	h.dial = func(ctx context.Context, _, _ string) (net.Conn, error) {
 		<-ctx.Done()
 		return nil, ctx.Err()
 	}
 	began := time.Now()
-	if r := h.do(t.Context(), newCall("127.0.0.1:1", "a"), yes); r[0].outcome != policy.ConnectFailed {
+	if r := h.do(t.Context(), newCall("127.0.0.1:1", "a"), alwaysAllowed); r[0].outcome != policy.ConnectFailed {
 		t.Errorf("outcome %v", r[0].outcome)
 	}
-	if took := time.Since(began); took > patience/2 {
+	if took := time.Since(began); took > testTimeout/2 {
 		t.Errorf("took %v", took)
 	}
 	if h.open != 0 {
-		t.Errorf("%d connections counted", h.open)
+		t.Errorf("%d connections counted as open", h.open)
 	}
 }
 
-// stuckConn takes part of a request and then breaks.
-type stuckConn struct {
+// truncatingConn accepts only part of a request and then fails.
+type truncatingConn struct {
 	net.Conn
 	left int
 }
 
-func (c *stuckConn) Write(b []byte) (int, error) {
+func (c *truncatingConn) Write(b []byte) (int, error) {
 	if len(b) > c.left {
 		n, _ := c.Conn.Write(b[:c.left])
 		c.Conn.Close()
@@ -194,56 +194,56 @@
 	return c.Conn.Write(b)
 }
 
-func TestABreakBeforeTheLastByteNeverRan(t *testing.T) {
+func TestPartlyWrittenRequestNeverRan(t *testing.T) {
 	addr, requests := rawHost(t, func(int, net.Conn, *http.Request) bool { return true })
-	h := testHosts(t, testConfig())
+	h := newTestHostClient(t, testConfig())
 	h.dial = func(ctx context.Context, network, addr string) (net.Conn, error) {
 		conn, err := (&net.Dialer{}).DialContext(ctx, network, addr)
-		return &stuckConn{conn, 10_000}, err
+		return &truncatingConn{conn, 10_000}, err
 	}
 	c := newCall(addr, "a")
 	c.attempts[0].m.Body = make([]byte, 60_000)
-	if r := h.do(t.Context(), c, yes); r[0].outcome != policy.ConnectFailed {
+	if r := h.do(t.Context(), c, alwaysAllowed); r[0].outcome != policy.ConnectFailed {
 		t.Errorf("outcome %v", r[0].outcome)
 	}
 	if n := requests.Load(); n != 0 {
-		t.Errorf("the host saw %d whole requests", n)
+		t.Errorf("the host received %d complete requests", n)
 	}
 }
 
 func TestNoAnswerInTimeClosesTheConnection(t *testing.T) {
 	left := make(chan struct{})
 	s := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
-		io.Copy(io.Discard, r.Body) // only its end is wanted
+		io.Copy(io.Discard, r.Body)
 		<-r.Context().Done()
 		close(left)
 	}))
 	defer s.Close()
-	h := testHosts(t, testConfig())
+	h := newTestHostClient(t, testConfig())
 	c := newCall(addrOf(s), "a")
-	c.until = time.Now().Add(100 * time.Millisecond)
-	if r := h.do(t.Context(), c, yes); r[0].outcome != policy.Timeout {
+	c.deadline = time.Now().Add(100 * time.Millisecond)
+	if r := h.do(t.Context(), c, alwaysAllowed); r[0].outcome != policy.Timeout {
 		t.Errorf("outcome %v", r[0].outcome)
 	}
 	select {
 	case <-left:
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		t.Error("the host still has the connection")
 	}
 }
 
-// An answer that came as its call was given up once lay unread, and a wait that it told was not heeded.
-func TestAnAnswerThatCameByTheTimeOutIsRead(t *testing.T) {
+// An answer that arrives as its call times out must be read: it may carry a Retry-After, which was once lost that way.
+func TestAnswerAtTimeoutIsRead(t *testing.T) {
 	addr, _ := rawHost(t, func(_ int, conn net.Conn, _ *http.Request) bool {
 		fmt.Fprint(conn, "HTTP/1.1 429 Too Many Requests\r\nContent-Length: 0\r\nRetry-After: 0.612\r\n\r\n")
 		return true
 	})
-	h := testHosts(t, testConfig())
+	h := newTestHostClient(t, testConfig())
 	conn, _, err := h.get(t.Context(), peer{"a", addr})
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer conn.drop()
+	defer conn.discard()
 	c := newCall(addr, "a")
 	req, err := newRequest(c)
 	if err != nil {
@@ -256,41 +256,41 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := raw.Read(func(fd uintptr) bool { // until it is there
+	if err := raw.Read(func(fd uintptr) bool { // until the answer has been received
 		n, _, _ := syscall.Recvfrom(int(fd), make([]byte, 1), syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 		return n > 0
 	}); err != nil {
 		t.Fatal(err)
 	}
 	conn.SetDeadline(pastDeadline)
-	if a := readAnswer(conn, req, false); a.err != nil || h.told(a.head).wait != 612*time.Millisecond {
+	if a := readAnswer(conn, req, false); a.err != nil || h.headResult(a.head).wait != 612*time.Millisecond {
 		t.Errorf("answer %+v", a)
 	}
 }
 
-func TestACallIsLookedAtAgainOnceItsConnectionIsUp(t *testing.T) {
+func TestCallIsConfirmedOnceConnected(t *testing.T) {
 	addr, requests := rawHost(t, func(_ int, conn net.Conn, _ *http.Request) bool {
 		fmt.Fprint(conn, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
 		return true
 	})
-	h := testHosts(t, testConfig())
+	h := newTestHostClient(t, testConfig())
 	if r := h.do(t.Context(), newCall(addr, "a"), func() bool { return false }); r[0].outcome != policy.Moot {
 		t.Errorf("outcome %v", r[0].outcome)
 	}
 	if n := requests.Load(); n != 0 {
-		t.Errorf("the host saw %d requests", n)
+		t.Errorf("the host received %d requests, want none", n)
 	}
-	// The connection is kept, and needs no second look.
-	r := h.do(t.Context(), newCall(addr, "b"), func() bool { t.Error("asked again"); return false })
+	// The connection was kept. A call on it is not confirmed again.
+	r := h.do(t.Context(), newCall(addr, "b"), func() bool { t.Error("a call on a reused connection was confirmed"); return false })
 	if r[0].outcome != policy.OK {
-		t.Errorf("outcome on the kept connection %v", r[0].outcome)
+		t.Errorf("outcome on the reused connection: %v", r[0].outcome)
 	}
 }
 
-func TestConnectionsAreKept(t *testing.T) {
+func TestConnectionsAreReused(t *testing.T) {
 	const calls = 6
 	var opened atomic.Int32
-	var together sync.WaitGroup // every round waits until all of its calls are there
+	var together sync.WaitGroup // each round answers once all of its calls have arrived
 	s := httptest.NewUnstartedServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		together.Done()
 		together.Wait()
@@ -303,13 +303,13 @@
 	}
 	s.Start()
 	defer s.Close()
-	h := testHosts(t, testConfig())
+	h := newTestHostClient(t, testConfig())
 	for range 3 {
 		together.Add(calls)
 		var done sync.WaitGroup
 		for i := range calls {
 			done.Go(func() {
-				if r := h.do(t.Context(), newCall(addrOf(s), fmt.Sprint(i)), yes); r[0].outcome != policy.OK {
+				if r := h.do(t.Context(), newCall(addrOf(s), fmt.Sprint(i)), alwaysAllowed); r[0].outcome != policy.OK {
 					t.Errorf("outcome %v", r[0].outcome)
 				}
 			})
@@ -317,7 +317,7 @@
 		done.Wait()
 	}
 	if n := opened.Load(); n != calls {
-		t.Errorf("%d connections for %d calls at once", n, calls)
+		t.Errorf("%d connections for %d concurrent calls", n, calls)
 	}
 }
 
@@ -333,14 +333,14 @@
 	defer s.Close()
 	cfg := testConfig()
 	cfg.KeepAlive = 50 * time.Millisecond
-	h := testHosts(t, cfg)
-	if r := h.do(t.Context(), newCall(addrOf(s), "a"), yes); r[0].outcome != policy.OK {
+	h := newTestHostClient(t, cfg)
+	if r := h.do(t.Context(), newCall(addrOf(s), "a"), alwaysAllowed); r[0].outcome != policy.OK {
 		t.Fatalf("outcome %v", r[0].outcome)
 	}
 	select {
-	case <-closed: // the server sets no limit of its own: the relay closed it
-	case <-time.After(patience):
-		t.Error("still open")
+	case <-closed: // by the relay, as the server has no idle limit
+	case <-time.After(testTimeout):
+		t.Error("the idle connection is still open")
 	}
 }
 
@@ -349,10 +349,10 @@
 	one, two := httptest.NewServer(ok), httptest.NewServer(ok)
 	defer one.Close()
 	defer two.Close()
-	h := testHosts(t, testConfig())
-	h.most, h.connectTimeout = 1, 100*time.Millisecond
-	for i, s := range []*httptest.Server{one, two, one} { // each takes the place of the idle one before
-		if r := h.do(t.Context(), newCall(addrOf(s), "a"), yes); r[0].outcome != policy.OK || h.open != 1 {
+	h := newTestHostClient(t, testConfig())
+	h.maxConns, h.connectTimeout = 1, 100*time.Millisecond
+	for i, s := range []*httptest.Server{one, two, one} { // each call replaces the idle connection of the one before
+		if r := h.do(t.Context(), newCall(addrOf(s), "a"), alwaysAllowed); r[0].outcome != policy.OK || h.open != 1 {
 			t.Errorf("call %d: outcome %v, %d open", i, r[0].outcome, h.open)
 		}
 	}
@@ -360,11 +360,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	// That the relay itself has no room is no failure of the host.
-	if r := h.do(t.Context(), newCall(addrOf(two), "a"), yes); r[0].outcome != policy.Moot {
-		t.Errorf("beyond the bound: outcome %v", r[0].outcome)
+	// The relay's own limit must not count as a failure of the host.
+	if r := h.do(t.Context(), newCall(addrOf(two), "a"), alwaysAllowed); r[0].outcome != policy.Moot {
+		t.Errorf("beyond the limit: outcome %v", r[0].outcome)
 	}
-	busy.drop()
+	busy.discard()
 }
 
 func TestAnswerCodes(t *testing.T) {
@@ -396,7 +396,7 @@
 			}
 			w.WriteHeader(c.status)
 		}))
-		if r := testHosts(t, testConfig()).do(t.Context(), newCall(addrOf(s), "a"), yes); r[0].took <= 0 {
+		if r := newTestHostClient(t, testConfig()).do(t.Context(), newCall(addrOf(s), "a"), alwaysAllowed); r[0].took <= 0 {
 			t.Errorf("%d: took %v", c.status, r[0].took)
 		} else if r[0].took = 0; r[0] != c.want {
 			t.Errorf("%d %v: %+v, want %+v", c.status, c.header, r[0], c.want)
@@ -446,7 +446,7 @@
 				io.WriteString(w, c.answer)
 			}))
 			defer s.Close()
-			results := testHosts(t, testConfig()).do(t.Context(), newCall(addrOf(s), ids...), yes)
+			results := newTestHostClient(t, testConfig()).do(t.Context(), newCall(addrOf(s), ids...), alwaysAllowed)
 			for i, r := range results {
 				if r.outcome != c.want[i] || r.gone != (c.name == "every state" && i == 3) {
 					t.Errorf("%s: %+v, want %v", ids[i], r, c.want[i])
@@ -459,25 +459,25 @@
 	}
 }
 
-func TestABundlesAnswerMustBeWhole(t *testing.T) {
+func TestBundleNeedsCompleteAnswer(t *testing.T) {
 	addr, _ := rawHost(t, func(_ int, conn net.Conn, _ *http.Request) bool {
 		fmt.Fprint(conn, "HTTP/1.1 200 OK\r\nContent-Length: 500\r\n\r\n[{\"id\":\"a\",\"state\":\"ok\"}")
 		return false
 	})
-	for i, r := range testHosts(t, testConfig()).do(t.Context(), newCall(addr, "a", "b"), yes) {
+	for i, r := range newTestHostClient(t, testConfig()).do(t.Context(), newCall(addr, "a", "b"), alwaysAllowed) {
 		if r.outcome != policy.Reset {
 			t.Errorf("attempt %d: %v", i, r.outcome)
 		}
 	}
-	if r := testHosts(t, testConfig()).do(t.Context(), newCall(addr, "a"), yes); r[0].outcome != policy.OK {
-		t.Errorf("a single message is delivered with the first line: %v", r[0].outcome)
+	if r := newTestHostClient(t, testConfig()).do(t.Context(), newCall(addr, "a"), alwaysAllowed); r[0].outcome != policy.OK {
+		t.Errorf("single message with status 200 and an incomplete body: outcome %v, want OK", r[0].outcome)
 	}
 }
 
 const okAnswer = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"
 
-// An answer brings more than belongs to it: the rest must not answer the next call.
-func TestWhatComesBehindAnAnswerAnswersNoOtherCall(t *testing.T) {
+// Bytes that follow an answer must not be read as the answer to the next call.
+func TestBytesAfterAnAnswerAreNotTheNextAnswer(t *testing.T) {
 	for _, behind := range []string{okAnswer, "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n", "noise", "\r\n"} {
 		for _, late := range []bool{false, true} {
 			var conns sync.Map
@@ -494,21 +494,21 @@
 				}
 				return true
 			})
-			h := testHosts(t, testConfig())
-			if r := h.do(t.Context(), newCall(addr, "a"), yes); r[0].outcome != policy.OK {
+			h := newTestHostClient(t, testConfig())
+			if r := h.do(t.Context(), newCall(addr, "a"), alwaysAllowed); r[0].outcome != policy.OK {
 				t.Fatalf("%q: outcome %v", behind, r[0].outcome)
 			}
-			eventually(t, "the connection dropped", func() bool { h.mu.Lock(); defer h.mu.Unlock(); return h.open == 0 })
-			if r := h.do(t.Context(), newCall(addr, "b"), yes); r[0].outcome != policy.Error {
-				t.Errorf("%q: the second call has the first one's rest: %v", behind, r[0].outcome)
+			eventually(t, "the connection is closed", func() bool { h.mu.Lock(); defer h.mu.Unlock(); return h.open == 0 })
+			if r := h.do(t.Context(), newCall(addr, "b"), alwaysAllowed); r[0].outcome != policy.Error {
+				t.Errorf("%q: the second call got what followed the first answer: %v", behind, r[0].outcome)
 			}
 		}
 	}
 }
 
-// A spoilt answer may have run. A single message is delivered where the first line says 200. In no case does it take
-// long, and the connection is of no further use.
-func TestSpoiltAnswers(t *testing.T) {
+// A call with a malformed answer may have run, and a single message counts as delivered if the status line says 200. Reading
+// the answer must end before the call times out, and the connection must not be reused.
+func TestMalformedAnswers(t *testing.T) {
 	const bundleHead = "HTTP/1.1 200 OK\r\nContent-Length: "
 	for _, c := range []struct {
 		name   string
@@ -536,27 +536,27 @@
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
 			addr, _ := rawHost(t, func(_ int, conn net.Conn, _ *http.Request) bool {
-				io.WriteString(conn, c.answer) // and the connection stays open
+				io.WriteString(conn, c.answer) // the connection stays open
 				return true
 			})
-			h := testHosts(t, testConfig())
+			h := newTestHostClient(t, testConfig())
 			for _, ids := range [][]string{{"a"}, {"a", "b"}} {
 				want := c.single
 				if len(ids) > 1 {
 					want = c.bundle
 				}
 				call := newCall(addr, ids...)
-				for _, r := range h.do(t.Context(), call, yes) {
+				for _, r := range h.do(t.Context(), call, alwaysAllowed) {
 					if r.outcome != want {
 						t.Errorf("%d messages: outcome %v, want %v", len(ids), r.outcome, want)
 					}
 				}
-				if time.Now().After(call.until) {
-					t.Error("told with the call's time-out alone")
+				if time.Now().After(call.deadline) {
+					t.Error("no result before the call's time-out")
 				}
 				h.mu.Lock()
 				if h.open > 0 {
-					t.Errorf("%d messages: the connection is kept", len(ids))
+					t.Errorf("%d messages: the connection was not closed", len(ids))
 				}
 				h.mu.Unlock()
 			}
@@ -564,21 +564,21 @@
 	}
 }
 
-// 1xx answers come ahead of the one that counts, and a connection that carried them can carry more.
-func TestInformationAheadOfAnAnswer(t *testing.T) {
+// 1xx answers precede the final answer, and the connection can be reused after them.
+func TestInformationalAnswersAreSkipped(t *testing.T) {
 	addr, _ := rawHost(t, func(_ int, conn net.Conn, _ *http.Request) bool {
 		fmt.Fprint(conn, "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n"+okAnswer)
 		return true
 	})
-	h := testHosts(t, testConfig())
+	h := newTestHostClient(t, testConfig())
 	for range 2 {
-		if r := h.do(t.Context(), newCall(addr, "a"), yes); r[0].outcome != policy.OK || h.open != 1 {
+		if r := h.do(t.Context(), newCall(addr, "a"), alwaysAllowed); r[0].outcome != policy.OK || h.open != 1 {
 			t.Errorf("outcome %v, %d connections", r[0].outcome, h.open)
 		}
 	}
 }
 
-// A host that answers before it has read all, and closes, has answered.
+// The answer counts if a host sends it before it has read the whole request, and then closes.
 func TestAnEarlyAnswerCounts(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -595,26 +595,26 @@
 		io.Copy(io.Discard, conn)
 		conn.Close()
 	}()
-	h := testHosts(t, testConfig())
-	if r := h.do(t.Context(), newCall(l.Addr().String(), "a"), yes); r[0].outcome != policy.Full {
+	h := newTestHostClient(t, testConfig())
+	if r := h.do(t.Context(), newCall(l.Addr().String(), "a"), alwaysAllowed); r[0].outcome != policy.Full {
 		t.Errorf("outcome %v", r[0].outcome)
 	}
 }
 
-// A host's connections go with it: another one may come up at its address.
-func TestAHostThatGoesLosesItsConnections(t *testing.T) {
+// Connections belong to a host, not to its address: another host may come up there.
+func TestConnectionsAreNotSharedBetweenHosts(t *testing.T) {
 	addr, _ := rawHost(t, func(_ int, conn net.Conn, _ *http.Request) bool {
 		fmt.Fprint(conn, okAnswer)
 		return true
 	})
-	h := testHosts(t, testConfig())
-	h.do(t.Context(), newCall(addr, "a"), yes)
+	h := newTestHostClient(t, testConfig())
+	h.do(t.Context(), newCall(addr, "a"), alwaysAllowed)
 	other := newCall(addr, "b")
 	other.route = "s-2"
 	asked := false
 	h.do(t.Context(), other, func() bool { asked = true; return true })
 	if !asked || h.open != 2 {
-		t.Errorf("another host got the connection: %d open", h.open)
+		t.Errorf("the connection was reused for another host: %d open", h.open)
 	}
 	h.closeIdle("s-1")
 	if h.open != 1 {
@@ -622,41 +622,41 @@
 	}
 }
 
-// A host that closes an idle connection is noticed before a request is written to it.
-func TestAnIdleCloseIsNoticed(t *testing.T) {
+// A host's close of an idle connection is detected before the next request is written to it.
+func TestIdleCloseIsDetected(t *testing.T) {
 	addr, _ := rawHost(t, func(_ int, conn net.Conn, _ *http.Request) bool {
 		fmt.Fprint(conn, okAnswer)
 		return false
 	})
-	h := testHosts(t, testConfig())
+	h := newTestHostClient(t, testConfig())
 	for range 3 {
-		if r := h.do(t.Context(), newCall(addr, "a"), yes); r[0].outcome != policy.OK {
+		if r := h.do(t.Context(), newCall(addr, "a"), alwaysAllowed); r[0].outcome != policy.OK {
 			t.Errorf("outcome %v", r[0].outcome)
 		}
-		eventually(t, "noticed", func() bool { h.mu.Lock(); defer h.mu.Unlock(); return h.open == 0 })
+		eventually(t, "the close is detected", func() bool { h.mu.Lock(); defer h.mu.Unlock(); return h.open == 0 })
 	}
 }
 
-// Reports that make no sense never reach the module.
-func TestOddReports(t *testing.T) {
-	h := testHosts(t, testConfig())
+// Invalid load reports must not reach the module.
+func TestInvalidReportsAreIgnored(t *testing.T) {
+	h := newTestHostClient(t, testConfig())
 	for _, text := range []string{
 		"", "TEXT", "x1=25", "TEXT x1", "TEXT x1=", "TEXT x1=NaN", "TEXT x1=Inf", "TEXT x1=-Inf", "TEXT x1=-3", "TEXT x1=1e300",
 		"TEXT x1=0x", "TEXT y=3", "TEXT x0=nan",
 	} {
-		if r := h.report(text); r != (policy.Report{}) {
+		if r := h.parseReport(text); r != (policy.Report{}) {
 			t.Errorf("%q: %+v", text, r)
 		}
 	}
 }
 
-// Took is from the request's writing: a connection that is slow to come up says nothing of how long answers take.
-func TestACallIsTimedFromItsWriting(t *testing.T) {
+// The measured duration starts when the request is written: the time to connect says nothing about how long answers take.
+func TestDurationExcludesConnecting(t *testing.T) {
 	addr, _ := rawHost(t, func(_ int, conn net.Conn, _ *http.Request) bool {
 		fmt.Fprint(conn, okAnswer)
 		return true
 	})
-	h := testHosts(t, testConfig())
+	h := newTestHostClient(t, testConfig())
 	c := newCall(addr, "a")
 	var up time.Time
 	r := h.do(t.Context(), c, func() bool {
@@ -682,14 +682,14 @@
 		}
 		a := readAnswer(conn, req, several)
 		if a.err == nil && (a.head == nil || conn.r.Buffered() > 0) {
-			t.Errorf("%q can carry another call", data)
+			t.Errorf("%q: connection counts as reusable", data)
 		}
 		if len(a.body) > maxBodyBytes {
-			t.Errorf("%d bytes kept", len(a.body))
+			t.Errorf("body of %d bytes exceeds the limit", len(a.body))
 		}
 		if a.head != nil {
-			h := &hosts{reports: []string{"x0", "x1"}}
-			if r := h.told(a.head); !(r.report.Limit >= 0 && r.report.Limit <= reportMost) || r.wait < 0 {
+			h := &hostClient{reportFields: []string{"x0", "x1"}}
+			if r := h.headResult(a.head); !(r.report.Limit >= 0 && r.report.Limit <= maxReportValue) || r.wait < 0 {
 				t.Errorf("%q: %+v", data, r)
 			}
 		}
--- a/internal/relay/job.go
+++ b/internal/relay/job.go
@@ -14,7 +14,7 @@
 type storeJob struct {
 	put    []owed.Entry
 	remove []owed.Ref
-	loads  []load
+	loads  []loadRequest
 	due    int64 // read entries that expire by then; 0: none
 
 	putMessages, removedMessages []*message // messages whose entries are put and removed
@@ -54,27 +54,27 @@
 		j.loaded = append(j.loaded, all...)
 	}
 	if j.due > 0 && j.err == nil {
-		j.expired, j.err = s.Due(j.due, dueBatch)
+		j.expired, j.err = s.Due(j.due, expiryBatch)
 	}
 	next, ok, err := s.NextDue()
 	if j.nextDue = next; !ok || err != nil {
-		j.nextDue = never
+		j.nextDue = noDeadline
 	}
 }
 
 // maintain ends messages that expire while in transit and starts the next job. The loop calls it after each step and
 // periodically.
-func (o *overflow) maintain() {
+func (o *backlogQueue) maintain() {
 	if o == nil {
 		return
 	}
 	now := clock.Now()
-	for id, at := range o.shared {
-		if now.Sub(at) > sharedFor {
-			delete(o.shared, id)
+	for id, at := range o.sharedIDs {
+		if now.Sub(at) > sharedIDLifetime {
+			delete(o.sharedIDs, id)
 		}
 	}
-	for _, all := range [][]*message{o.out, o.in} {
+	for _, all := range [][]*message{o.outgoing, o.incoming} {
 		o.expireMoving(all, now)
 	}
 	if o.job != nil {
@@ -82,59 +82,59 @@
 		o.expireMoving(o.job.removedMessages, now)
 		return
 	}
-	if (o.worn || o.full) && now.Sub(o.tried) < storeRetry {
+	if (o.failing || o.full) && now.Sub(o.failedAt) < storeRetryInterval {
 		return
 	}
 	if j := o.nextJob(now); j != nil {
 		o.job = j
-		o.start(j)
+		o.startJob(j)
 	}
 }
 
 // expireMoving reports the ends of messages in transit whose deadline has passed.
-func (o *overflow) expireMoving(all []*message, now time.Time) {
+func (o *backlogQueue) expireMoving(all []*message, now time.Time) {
 	var ended []*message
 	for _, m := range all {
-		if m.ended || m.dropped || now.Before(m.Deadline.Add(-dueAhead)) {
+		if m.ended || m.dropped || now.Before(m.Deadline.Add(-expiryLead)) {
 			continue
 		}
 		m.ended = true
-		o.relay.metrics.countEnd(m, outOfTime)
-		o.relay.wal.SetFinal(m.Message, outOfTime)
+		o.relay.metrics.countEnd(m, expiredFinal)
+		o.relay.wal.SetFinal(m.Message, expiredFinal)
 		ended = append(ended, m)
 		o.ended++
 	}
-	o.relay.tellEnds(ended)
+	o.relay.recordEnds(ended)
 }
 
 // nextJob returns the next work for the store; nil if there is none.
-func (o *overflow) nextJob(now time.Time) *storeJob {
+func (o *backlogQueue) nextJob(now time.Time) *storeJob {
 	durable := o.relay.wal.Durable()
 	j := &storeJob{}
-	rest := o.out[:0:0]
-	for _, m := range o.out {
-		if len(j.put) >= batchStored || m.seq > durable {
+	rest := o.outgoing[:0:0]
+	for _, m := range o.outgoing {
+		if len(j.put) >= jobBatch || m.seq > durable {
 			rest = append(rest, m)
 			continue
 		}
 		j.putMessages, j.put = append(j.putMessages, m), append(j.put, owed.Entry{Ref: o.ref(m), Data: wal.Marshal(m.Message)})
 	}
-	o.out = rest
-	rest = o.in[:0:0]
-	for _, m := range o.in {
+	o.outgoing = rest
+	rest = o.incoming[:0:0]
+	for _, m := range o.incoming {
 		if m.seq > durable {
 			rest = append(rest, m)
 			continue
 		}
 		j.removedMessages, j.remove = append(j.removedMessages, m), append(j.remove, o.ref(m))
 	}
-	o.in = rest
-	j.removedRefs, o.gone = o.gone, nil
+	o.incoming = rest
+	j.removedRefs, o.removals = o.removals, nil
 	j.remove = append(j.remove, j.removedRefs...)
-	if !o.relay.stopping && now.After(o.hold) && o.relay.wal.FillRatio() < loadFill {
-		j.loads = o.loads(batchStored)
+	if !o.relay.stopping && now.After(o.loadAfter) && o.relay.wal.FillRatio() < loadFill {
+		j.loads = o.nextLoads(jobBatch)
 	}
-	if by := o.storedTime(now.Add(dueAhead)); o.next <= by && len(o.ending) < dueMost && !o.relay.noSends {
+	if by := o.storedTime(now.Add(expiryLead)); o.nextDeadline <= by && len(o.unconfirmed) < maxUnconfirmedExpiries && !o.relay.noSends {
 		j.due = by
 	}
 	if len(j.put)+len(j.remove)+len(j.loads) == 0 && j.due == 0 {
@@ -144,39 +144,39 @@
 }
 
 // jobFinished applies a job's results and returns the events that the module has to see.
-func (o *overflow) jobFinished(evs []policy.Event, j *storeJob) []policy.Event {
-	o.job, o.bytes = nil, j.bytes
+func (o *backlogQueue) jobFinished(evs []policy.Event, j *storeJob) []policy.Event {
+	o.job, o.diskBytes = nil, j.bytes
 	for _, l := range j.loads {
-		o.loaded(l.dest)
+		o.finishLoad(l.dest)
 	}
 	o.noteDiskState(j)
-	if o.worn || j.full {
-		o.out = append(j.putMessages, o.out...)
+	if o.failing || j.full {
+		o.outgoing = append(j.putMessages, o.outgoing...)
 		j.putMessages = nil
 	}
-	if o.worn {
+	if o.failing {
 		// It is unknown whether the writes were applied; applying them again is harmless.
-		o.in, o.gone = append(j.removedMessages, o.in...), append(j.removedRefs, o.gone...)
+		o.incoming, o.removals = append(j.removedMessages, o.incoming...), append(j.removedRefs, o.removals...)
 		return evs
 	}
 	for _, m := range j.putMessages {
 		if m.dropped || m.ended {
-			m.move = entering // remove it from disk again; then it is over
-			o.in = append(o.in, m)
+			m.move = movingToMemory // remove it from disk again; then it is over
+			o.incoming = append(o.incoming, m)
 			continue
 		}
-		m.move = staying
+		m.move = notMoving
 		o.movedOut++
 		o.relay.wal.End(m.Message) // it is durable on disk
 		m.ended = true
 		o.relay.retire(m)
 	}
 	for _, ref := range j.removedRefs {
-		o.stored(ref.Dest, -1)
+		o.addOnDisk(ref.Dest, -1)
 	}
 	for _, m := range j.removedMessages {
-		o.stored(m.Dest, -1)
-		m.move = staying
+		o.addOnDisk(m.Dest, -1)
+		m.move = notMoving
 		switch {
 		case m.dropped:
 			m.ended = true
@@ -188,29 +188,29 @@
 			evs = append(evs, o.loadedEvent(m))
 		}
 	}
-	o.next = j.nextDue
+	o.nextDeadline = j.nextDue
 	o.relay.endExpired(j.expired)
 	o.relay.acceptLoaded(j.loaded)
 	return evs
 }
 
 // noteDiskState tracks whether the disk accepts writes.
-func (o *overflow) noteDiskState(j *storeJob) {
+func (o *backlogQueue) noteDiskState(j *storeJob) {
 	log := o.relay.log
 	if j.err != nil {
-		if o.tried = clock.Now(); !o.worn {
+		if o.failedAt = clock.Now(); !o.failing {
 			log.Error("the backlog's disk fails: nothing new goes there", "err", j.err)
 		}
-		o.worn = true
+		o.failing = true
 		return
 	}
-	if o.worn {
+	if o.failing {
 		log.Info("the backlog's disk accepts writes again")
 	}
-	o.worn = false
+	o.failing = false
 	if j.full {
-		if o.tried = clock.Now(); !o.full {
-			log.Warn("the backlog is full: new messages beyond the window are refused", "messages", o.disk, "bytes", j.bytes)
+		if o.failedAt = clock.Now(); !o.full {
+			log.Warn("the backlog is full: new messages beyond the window are refused", "messages", o.onDisk, "bytes", j.bytes)
 		}
 		o.full = true
 	} else if len(j.put) > 0 && o.full {
@@ -220,11 +220,11 @@
 }
 
 // loadedEvent tells the module about a message from the disk.
-func (o *overflow) loadedEvent(m *message) policy.Event {
+func (o *backlogQueue) loadedEvent(m *message) policy.Event {
 	o.relay.held++
 	o.movedIn++
-	o.enter(m)
-	if m.ID <= o.oldest {
+	o.add(m)
+	if m.ID <= o.maxRecoveredID {
 		return o.relay.resumedEvent(m, nil)
 	}
 	return o.relay.takenEvent(m)
@@ -235,15 +235,15 @@
 	o := r.backlog
 	var notices []notice
 	for _, e := range all {
-		if r.msgs[e.ID] != nil || o.ending[e.ID].ID != 0 {
+		if r.msgs[e.ID] != nil || o.unconfirmed[e.ID].ID != 0 {
 			continue // in transit, or already reported
 		}
-		o.ending[e.ID] = e.Ref
+		o.unconfirmed[e.ID] = e.Ref
 		o.ended++
 		if m, err := wal.Unmarshal(e.Data); err == nil {
-			r.metrics.countEnd(&message{Message: m}, outOfTime)
+			r.metrics.countEnd(&message{Message: m}, expiredFinal)
 		}
-		notices = append(notices, newNotice(e.ID, e.Trace, outOfTime))
+		notices = append(notices, newNotice(e.ID, e.Trace, expiredFinal))
 	}
 	r.finals.add(notices...)
 }
@@ -254,18 +254,18 @@
 	var ms []*message
 	var walMessages []*wal.Message
 	for _, e := range all {
-		if r.msgs[e.ID] != nil || o.ending[e.ID].ID != 0 {
+		if r.msgs[e.ID] != nil || o.unconfirmed[e.ID].ID != 0 {
 			continue
 		}
 		m, err := wal.Unmarshal(e.Data)
 		if err != nil {
 			r.log.Error("cannot read a message of the backlog", "id", e.Trace, "err", err)
-			o.ending[e.ID] = e.Ref
+			o.unconfirmed[e.ID] = e.Ref
 			r.finals.add(newNotice(e.ID, e.Trace, wal.Final{}))
 			continue
 		}
 		m.Deadline = o.restoredTime(e.Deadline)
-		ms, walMessages = append(ms, &message{Message: m, move: entering}), append(walMessages, m)
+		ms, walMessages = append(ms, &message{Message: m, move: movingToMemory}), append(walMessages, m)
 	}
 	if len(walMessages) == 0 {
 		return
@@ -274,12 +274,12 @@
 		if !r.logFull {
 			r.log.Warn("the backlog waits for the log", "err", err)
 		}
-		o.hold = clock.Now().Add(storeRetry)
+		o.loadAfter = clock.Now().Add(storeRetryInterval)
 		return
 	}
 	for _, m := range ms {
 		m.seq = r.wal.Written()
 		r.msgs[m.ID], r.byTrace[m.Trace] = m, m
 	}
-	o.in = append(o.in, ms...)
+	o.incoming = append(o.incoming, ms...)
 }
--- a/internal/relay/lifecycle_test.go
+++ b/internal/relay/lifecycle_test.go
@@ -36,7 +36,7 @@
 	}
 	m := r.byTrace["m1"]
 	stepUntil(t, r, "its first call ends", func() bool { return m.outstanding == 0 })
-	r.carryOut([]policy.Action{{Kind: policy.Fail, ID: m.ID}}, nil)
+	r.execute([]policy.Action{{Kind: policy.Fail, ID: m.ID}}, nil)
 	r.step([]any{noticesConfirmed{[]uint32{m.ID}}})
 	var reasons []string
 	last := string(stateNew)
--- a/internal/relay/memories.go
+++ b/internal/relay/memories.go
@@ -15,30 +15,30 @@
 	"onyxroad.dev/onyxroad/policy"
 )
 
-// What is known of partners outlasts the process in a file of its own, put down from time to time and at a planned end. It
-// is worth nothing but time: one that is missing, torn or old does no harm.
+// The module's learned state about partners is saved to a file at intervals and at an orderly shutdown, and restored by the
+// next process. It only saves learning time: a missing, torn or outdated file does no harm.
 
-const memoriesName = "partners.json"
+const memoriesFile = "partners.json"
 
 var errNoMemories = errors.New("relay: no memories")
 
-// memories is the file's content, after a checksum.
+// memories is the file's content, which follows a line with its checksum.
 type memories struct {
 	Saved    time.Time     // on the log's timeline
-	Clock    time.Duration // and by the module's clock
+	Clock    time.Duration // the same time on the module's clock
 	Memories []policy.RouteState
 }
 
-// memoriesMost is the file's size at most, in bytes.
-func memoriesMost(cfg Config) int64 { return min(128<<10, int64(cfg.Limits.DiskMB*1e6/16)) }
+// maxMemoriesSize is the largest size of the file in bytes.
+func maxMemoriesSize(cfg Config) int64 { return min(128<<10, int64(cfg.Limits.DiskMB*1e6/16)) }
 
-// putDown writes what is known. The loop calls it; writing is done beside it, one at a time.
-func (r *Relay) putDown() {
+// saveMemories saves the state if the interval has passed. The loop calls it; a goroutine does the writing, one at a time.
+func (r *Relay) saveMemories() {
 	if r.cfg.MemoriesEvery <= 0 || clock.Since(r.memoriesSavedAt) < r.cfg.MemoriesEvery || !r.savingMemories.CompareAndSwap(false, true) {
 		return
 	}
 	r.memoriesSavedAt = clock.Now()
-	data, err := r.memoriesNow()
+	data, err := r.encodeMemories()
 	if err != nil {
 		r.savingMemories.Store(false)
 		return
@@ -49,7 +49,8 @@
 	}()
 }
 
-func (r *Relay) memoriesNow() ([]byte, error) {
+// encodeMemories returns the content of the file.
+func (r *Relay) encodeMemories() ([]byte, error) {
 	text, err := json.Marshal(memories{r.wal.Stamp(clock.Now()), r.now(), r.sender.RouteStates()})
 	if err != nil {
 		return nil, fmt.Errorf("relay: memories: %w", err)
@@ -57,36 +58,37 @@
 	return append(fmt.Appendf(nil, "%08x\n", crc32.Checksum(text, crc32.MakeTable(crc32.Castagnoli))), text...), nil
 }
 
+// writeMemories replaces the file. A state that exceeds maxMemoriesSize is not written.
 func (r *Relay) writeMemories(data []byte) {
-	if int64(len(data)) > memoriesMost(r.cfg) {
+	if int64(len(data)) > maxMemoriesSize(r.cfg) {
 		return
 	}
-	path := filepath.Join(r.cfg.StateDir, memoriesName)
+	path := filepath.Join(r.cfg.StateDir, memoriesFile)
 	err := os.WriteFile(path+".tmp", data, 0o600)
 	if err == nil {
 		err = os.Rename(path+".tmp", path)
 	}
 	if err != nil && !r.saveFailed.Swap(true) {
-		r.log.Warn("what is known of partners is not put down", "err", err)
+		r.log.Warn("cannot save the state of partners", "err", err)
 	}
 }
 
-// putDownLast is the last one, at a planned end, when the loop is over.
-func (r *Relay) putDownLast() {
+// saveMemoriesAtExit saves the state at an orderly shutdown, after the loop has ended.
+func (r *Relay) saveMemoriesAtExit() {
 	if r.cfg.MemoriesEvery <= 0 || r.successor != nil {
 		return
 	}
 	for !r.savingMemories.CompareAndSwap(false, true) {
 		time.Sleep(time.Millisecond)
 	}
-	if data, err := r.memoriesNow(); err == nil {
+	if data, err := r.encodeMemories(); err == nil {
 		r.writeMemories(data)
 	}
 }
 
-// readMemories reads what a process before has put down.
+// readMemories reads the file that an earlier process saved.
 func readMemories(dir string) (m memories, err error) {
-	data, err := os.ReadFile(filepath.Join(dir, memoriesName))
+	data, err := os.ReadFile(filepath.Join(dir, memoriesFile))
 	if errors.Is(err, fs.ErrNotExist) {
 		return m, errNoMemories
 	} else if err != nil {
@@ -102,14 +104,14 @@
 	return m, nil
 }
 
-// recall has the module know what a process before knew. The list came first.
-func (r *Relay) recall() {
+// restoreMemories passes the state of an earlier process to the module, which must have the list by then.
+func (r *Relay) restoreMemories() {
 	m := r.recalled
 	if len(m.Memories) == 0 {
 		return
 	}
 	age := clock.Since(r.wal.Local(m.Saved))
 	r.sender.RestoreRouteStates(m.Memories, m.Clock, age)
-	r.log.Info("recalled partners", "routes", len(m.Memories), "age", age)
+	r.log.Info("restored the state of partners", "routes", len(m.Memories), "age", age)
 	r.recalled = memories{}
 }
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -89,9 +89,9 @@
 	continuation *message // the message that replaced it when it was submitted again after its withdrawal
 
 	// Only used with a backlog; see overflow and window.
-	cell        *cell // nil: the module does not have it
-	unsentIndex int   // index among the cell's messages that were never sent; -1: sent
-	move        move
+	cell        *destWindow // nil: the module does not have it
+	unsentIndex int         // index among the cell's messages that were never sent; -1: sent
+	move        transfer
 	dropped     bool // in transit to or from the disk, and no longer owed
 	refused     bool // its client was told of the refusal, so no notice is due
 	confirmed   bool // in transit, and its notice was accepted
@@ -101,9 +101,9 @@
 type Relay struct {
 	cfg          Config
 	log          *slog.Logger
-	hosts        *hosts
+	hosts        *hostClient
 	clients      *clients
-	finals       *finals
+	finals       *noticeSender
 	agent        *agent
 	events       chan any
 	loopDone     chan struct{} // closed when the loop has ended
@@ -125,8 +125,8 @@
 
 	// Set before the loop starts.
 	listener       *net.TCPListener // nil until Run listens, unless a predecessor passed it on
-	predecessor    *link            // link to the process that handed over to this one; nil if there was none
-	inheritedState estate           // state that the predecessor passed on
+	predecessor    *handoverLink    // link to the process that handed over to this one; nil if there was none
+	inheritedState handoverState    // state that the predecessor passed on
 	memoryLimit    int64            // memory limit, shared by both processes during a handover
 	stopAdmin      func()
 
@@ -145,19 +145,19 @@
 	held                int          // messages that the module has not finished with
 	callsOut            int          // calls in progress
 	lastID              uint32
-	inFlight            map[*call]struct{}  // calls in progress
-	logLock             *os.File            // the log's lock file; nil while this process does not hold it
-	successor           *link               // link to the process that this one has handed over to
-	predecessorAttempts map[outKey]*attempt // attempts in progress at the predecessor
-	excluded            map[string]bool     // endpoints excluded by operators, as last reported to the module
-	outOfService        outages             // endpoints that must receive nothing new
-	wakeAt              time.Time           // zero: no wake-up requested
-	nextEvents          []policy.Event      // for the next step
-	logFull             bool                // the log refused new work last time
-	backlog             *overflow           // nil: no backlog is kept
-	postponed           []any               // events received while the loop waited for a job, for the next step
-
-	promises        []promise // waiting for the disk, oldest first
+	inFlight            map[*call]struct{}      // calls in progress
+	logLock             *os.File                // the log's lock file; nil while this process does not hold it
+	successor           *handoverLink           // link to the process that this one has handed over to
+	predecessorAttempts map[attemptKey]*attempt // attempts in progress at the predecessor
+	excluded            map[string]bool         // endpoints excluded by operators, as last reported to the module
+	outOfService        outages                 // endpoints that must receive nothing new
+	wakeAt              time.Time               // zero: no wake-up requested
+	nextEvents          []policy.Event          // for the next step
+	logFull             bool                    // the log refused new work last time
+	backlog             *backlogQueue           // nil: no backlog is kept
+	postponed           []any                   // events received while the loop waited for a job, for the next step
+
+	promises        []pendingStep // waiting for the disk, oldest first
 	withheld        []withheldAnswer
 	syncDone        chan struct{} // capacity 1: more data has become durable
 	logFailed       bool          // the disk has failed the log
@@ -186,7 +186,7 @@
 		return nil, fmt.Errorf("relay: %w", err)
 	}
 	r := &Relay{
-		cfg: cfg, log: log, hosts: newHosts(cfg), agent: newAgent(cfg.Discovery),
+		cfg: cfg, log: log, hosts: newHostClient(cfg), agent: newAgent(cfg.Discovery),
 		events: make(chan any, eventQueueSize), loopDone: make(chan struct{}), drained: make(chan struct{}),
 		started: clock.Now().Add(-moduleClockStart), sender: sender, handedOver: make(chan struct{}),
 		exclusions: newExclusions(log, cfg.StateDir), excluded: map[string]bool{},
@@ -194,9 +194,9 @@
 		knownDests: map[int]bool{}, metrics: newMetrics(cfg.Classes), stopAdmin: func() {},
 		syncDone: make(chan struct{}, 1), guard: invariant.New(log), traced: log.Enabled(ctx, slog.LevelDebug), pid: os.Getpid(), startupBegan: clock.Now(),
 		resubmitted: resubmissions{logLimit: rate.Sometimes{First: 1, Interval: time.Second}}, outOfService: outages{},
-		inFlight: map[*call]struct{}{}, predecessorAttempts: map[outKey]*attempt{}, memoryLimit: debug.SetMemoryLimit(-1),
+		inFlight: map[*call]struct{}{}, predecessorAttempts: map[attemptKey]*attempt{}, memoryLimit: debug.SetMemoryLimit(-1),
 	}
-	r.hosts.sent = func(c *call) {
+	r.hosts.onWritten = func(c *call) {
 		for _, a := range c.attempts {
 			r.metrics.forClass(a.m.Class).sends.Add(1)
 		}
@@ -204,7 +204,7 @@
 	// Clients with requests need a third of the file descriptors. The rest of this limit is for slow disconnects.
 	r.clients = newClients(log, cfg.Limits.Sockets*9/20, r.handleClient)
 	r.clients.guard, r.hosts.guard = r.guard, r.guard
-	r.finals = newFinals(log, r.agent, func(ids []uint32) { r.post(noticesConfirmed{ids}) })
+	r.finals = newNoticeSender(log, r.agent, func(ids []uint32) { r.post(noticesConfirmed{ids}) })
 	// Listen before the old process gives anything up, so that a failure leaves it in place.
 	if cfg.Admin != "" {
 		l, err := listen(ctx, log, "operators", cfg.Admin)
@@ -238,17 +238,17 @@
 	r.restore() // before clients are told that the relay is ready
 	go r.loop(loopCtx)
 	if r.predecessor != nil {
-		go r.heed(r.predecessor)
+		go r.readPredecessor(r.predecessor)
 	}
 	peerCtx, stopPeers := context.WithCancel(loopCtx)
 	defer stopPeers()
 	go r.finals.run(peerCtx)
 	list := watcher{
-		log: r.log, agent: r.agent, silence: watchSilence, version: r.cfg.Known.Version,
-		fleet: r.cfg.Settings.Senders, random: rand.Float64, sleep: sleep, now: clock.Now,
+		log: r.log, agent: r.agent, timeout: watchTimeout, version: r.cfg.Known.Version,
+		fleetSize: r.cfg.Settings.Senders, random: rand.Float64, sleep: sleep, now: clock.Now,
 		// A list from the predecessor must be followed at once: the two processes together know no less than one.
-		held: len(r.cfg.Known.Entries) > 0 && r.predecessor == nil,
-		told: func(l List) { r.post(l) },
+		hasList: len(r.cfg.Known.Entries) > 0 && r.predecessor == nil,
+		onList:  func(l List) { r.post(l) },
 	}
 	go list.run(peerCtx)
 
@@ -263,7 +263,7 @@
 		fleetWG.Go(func() { r.cfg.Duties.Run(peerCtx, r.fleet.presentMembers) })
 	}
 	r.log.Info("serving", "name", r.cfg.Name, "listen", r.listener.Addr().String())
-	defer r.heirs()()
+	defer r.serveHandovers()()
 	select {
 	case <-ctx.Done():
 		r.shutDown(r.listener)
@@ -273,7 +273,7 @@
 		if err := r.fleet.leave(false); err != nil {
 			r.log.Warn("fleet", "err", err)
 		}
-		r.stepAside(ctx, r.listener)
+		r.drainAfterHandover(ctx, r.listener)
 	}
 	stopPeers()
 	stopCalls()
@@ -281,8 +281,8 @@
 	stopLoop()
 	<-r.loopDone
 	r.hosts.close()
-	r.putDownLast()
-	err := r.endLog()
+	r.saveMemoriesAtExit()
+	err := r.closeLog()
 	if r.logLock != nil {
 		err = errors.Join(err, r.logLock.Close())
 	}
@@ -352,12 +352,12 @@
 	evs = r.exclusionEvents(evs)
 	if r.predecessor != nil {
 		// The list must come first: memories refer to its routes.
-		r.carryOut(r.sender.Step(r.now(), evs), nil)
+		r.execute(r.sender.Step(r.now(), evs), nil)
 		r.sender.LoadRouteStates(r.inheritedState.Memories)
 		evs = nil
 	} else if len(r.recalled.Memories) > 0 && len(r.routes) > 0 {
-		r.carryOut(r.sender.Step(r.now(), evs), nil)
-		r.recall()
+		r.execute(r.sender.Step(r.now(), evs), nil)
+		r.restoreMemories()
 		evs = nil
 	}
 	var ended []*message
@@ -394,9 +394,9 @@
 			r.metrics.countEnd(m, wal.Final{})
 			r.wal.SetFinal(w, wal.Final{})
 			ended = append(ended, m)
-		case r.backlog.keeps(m):
+		case r.backlog.admitRecovered(m):
 			r.held++
-			r.backlog.enter(m)
+			r.backlog.add(m)
 			evs = append(evs, r.resumedEvent(m, out))
 		}
 	}
@@ -406,12 +406,12 @@
 	for _, o := range r.inheritedState.Out {
 		if m := r.msgs[o.ID]; m != nil {
 			c := &call{route: o.Route, zone: r.routes[o.Route].Zone, sent: r.started.Add(o.Sent)}
-			r.predecessorAttempts[outKey{o.ID, o.Attempt}] = &attempt{call: c, m: m, n: o.Attempt, over: o.Cut}
+			r.predecessorAttempts[attemptKey{o.ID, o.Attempt}] = &attempt{call: c, m: m, n: o.Attempt, settled: o.Cut}
 		}
 	}
-	r.inheritedState = estate{}
-	r.tellEnds(ended)
-	r.carryOut(r.sender.Step(r.now(), evs), nil)
+	r.inheritedState = handoverState{}
+	r.recordEnds(ended)
+	r.execute(r.sender.Step(r.now(), evs), nil)
 }
 
 // resumedEvent tells the module about an earlier process's message, with times on the module's clock. out is the attempt
@@ -459,15 +459,15 @@
 		case <-timer.C:
 		case <-r.exclusions.changed:
 		case <-r.syncDone:
-			r.tend()
+			r.maintainLog()
 			continue
 		case <-gauges.C:
 			r.updateGauges() // a skipped endpoint may have become available
-			r.backlog.tell()
+			r.backlog.publish()
 			r.checkLimits()
 			if r.successor == nil {
-				r.tend()
-				r.putDown()
+				r.maintainLog()
+				r.saveMemories()
 				r.exclusions.retrySave()
 				r.backlog.maintain()
 			}
@@ -521,7 +521,7 @@
 	routes := map[string]target{}
 	var removed []string
 	for _, raw := range l.Entries {
-		entry, addr, err := r.cfg.listing(raw)
+		entry, addr, err := r.cfg.parseListing(raw)
 		if err != nil {
 			r.log.Warn("unreadable entry of the list", "entry", string(raw), "err", err)
 			if known, ok := r.routes[entry.Route]; ok {
--- a/internal/relay/resubmission_test.go
+++ b/internal/relay/resubmission_test.go
@@ -92,13 +92,13 @@
 }
 
 func TestMessageExpiredInBacklogIsNotAcceptedAgain(t *testing.T) {
-	b := newBacklogged(t, &shelf{all: map[uint32]owed.Entry{}}, crashdisk.New(), 64)
-	b.hand(100, 0, 7, time.Hour)
-	b.settle()
+	b := newBacklogRelay(t, &memoryStore{entries: map[uint32]owed.Entry{}}, crashdisk.New(), 64)
+	b.submit(100, 0, 7, time.Hour)
+	b.runJobs()
 	in := newSubmission("late", 7, 300*time.Millisecond)
 	b.step([]any{in})
-	b.settle()
-	if _, ok, _ := b.s.Find("late"); !ok {
+	b.runJobs()
+	if _, ok, _ := b.store.Find("late"); !ok {
 		t.Fatal("not on disk")
 	}
 	eventually(t, "its end is reported", func() bool {
@@ -106,14 +106,14 @@
 		if len(b.jobs) > 0 {
 			j := b.jobs[0]
 			b.jobs = b.jobs[1:]
-			j.run(b.s)
+			j.run(b.store)
 			b.step([]any{j})
 		}
-		return b.backlog.ending[in.m.ID].ID != 0
+		return b.backlog.unconfirmed[in.m.ID].ID != 0
 	})
 	b.step([]any{noticesConfirmed{[]uint32{in.m.ID}}})
-	b.settle()
-	if _, ok, _ := b.s.Find("late"); ok {
+	b.runJobs()
+	if _, ok, _ := b.store.Find("late"); ok {
 		t.Fatal("still on disk")
 	}
 	again := newSubmission("late", 7, time.Hour)
@@ -121,7 +121,7 @@
 	if a, ok := answered(again); !ok || a.status < 500 {
 		t.Errorf("answered %+v, %v", a, ok)
 	}
-	if how, ok := b.wal.Completed("late"); !ok || how != wal.CompletionOf(outOfTime) {
+	if how, ok := b.wal.Completed("late"); !ok || how != wal.CompletionOf(expiredFinal) {
 		t.Errorf("remembered as %v, %v", how, ok)
 	}
 }
--- a/internal/relay/step.go
+++ b/internal/relay/step.go
@@ -21,11 +21,11 @@
 	evs := append([]policy.Event(nil), r.nextEvents...)
 	r.nextEvents = r.nextEvents[:0]
 	if r.successor != nil {
-		r.passOn(batch)
+		r.forwardStep(batch)
 		return
 	}
 	var checks []sendCheck
-	var takeovers []takeover
+	var takeovers []handoverRequest
 	var submissions []*submission
 	for _, e := range batch {
 		switch e := e.(type) {
@@ -44,19 +44,19 @@
 		case noticesConfirmed:
 			for _, id := range e.ids {
 				switch m := r.msgs[id]; {
-				case r.backlog.confirmed(id):
-				case m != nil && m.move != staying:
+				case r.backlog.confirm(id):
+				case m != nil && m.move != notMoving:
 					m.confirmed = true
 				case m != nil:
 					r.logTransition(m, stateTold, stateGone, reasonConfirmed)
 					r.complete(m, wal.CompletionOf(*m.Final))
 				}
 			}
-		case passedEnd:
-			evs = r.inherited(evs, e)
-		case alone:
-			evs = r.bereft(evs)
-		case takeover:
+		case forwardedOutcome:
+			evs = r.applyForwardedOutcome(evs, e)
+		case predecessorGone:
+			evs = r.endPredecessorAttempts(evs)
+		case handoverRequest:
 			takeovers = append(takeovers, e)
 		case *storeJob:
 			evs = r.backlog.jobFinished(evs, e)
@@ -75,16 +75,16 @@
 			case m.Message != in.m: // a duplicate of one before it, or of one that is not on disk yet
 			case r.backlog.divert(m):
 			case m.Attempts > 0:
-				r.backlog.enter(m)
+				r.backlog.add(m)
 				evs = append(evs, r.resumedEvent(m, nil))
 			default:
-				r.backlog.enter(m)
+				r.backlog.add(m)
 				evs = append(evs, r.takenEvent(m))
 			}
 		}
-		r.carryOut(r.sender.Step(now, evs), waiting)
+		r.execute(r.sender.Step(now, evs), waiting)
 	} else {
-		r.carryOut(nil, waiting)
+		r.execute(nil, waiting)
 	}
 	for _, c := range checks {
 		c.reply <- !r.noSends && r.sender.StillAllowed(c.route, r.now(), c.ids...)
@@ -94,7 +94,7 @@
 		close(r.drained)
 	}
 	if r.backlog != nil && !r.noSends {
-		r.backlog.balance()
+		r.backlog.evictExcess()
 		r.backlog.maintain()
 	}
 	r.answerRejected()
@@ -108,7 +108,7 @@
 // allFinished reports whether every message has ended and every outcome has arrived.
 func (r *Relay) allFinished() bool {
 	for _, m := range r.msgs {
-		if m.outstanding > 0 || !m.Withdrawn && m.move == staying {
+		if m.outstanding > 0 || !m.Withdrawn && m.move == notMoving {
 			return false
 		}
 	}
@@ -124,9 +124,9 @@
 		return evs
 	case m.shared || m.ended:
 		return evs
-	case m.move != staying:
+	case m.move != notMoving:
 		m.counted = true
-		r.backlog.drop(m)
+		r.backlog.cancelTransfer(m)
 		return evs
 	}
 	r.logTransition(m, stateHeld, stateGone, reasonWithdrawn)
@@ -206,7 +206,7 @@
 func (r *Relay) finishAttempt(evs []policy.Event, a *attempt, res result) []policy.Event {
 	m := a.m
 	ok := res.outcome == policy.OK
-	if a.over {
+	if a.settled {
 		// The attempt timed out and its call went on for other messages. A delivery still ends the message.
 		if ok {
 			evs = r.completeDelivered(evs, m)
@@ -221,7 +221,7 @@
 	}
 	r.logTransition(m, stateOut, to, outcomeReasons[res.outcome], slog.String("endpoint", a.route), slog.Int("attempt", a.n),
 		slog.Duration("took", res.took), slog.Duration("wait", res.wait))
-	a.over = true
+	a.settled = true
 	if a.timer != nil {
 		a.timer.Stop()
 	}
@@ -255,7 +255,7 @@
 		m.ended = true
 		r.revokeCalls(m)
 		r.held--
-		r.backlog.leave(m)
+		r.backlog.remove(m)
 	}
 }
 
--- a/internal/relay/transient.go
+++ b/internal/relay/transient.go
@@ -116,11 +116,11 @@
 // hand it over, acquireLog waits until ctx ends.
 func (r *Relay) acquireLog(ctx context.Context) error {
 	for {
-		err := retryTransient(ctx, r.log, "take over the log", startRetryLimit, r.takeUp)
+		err := retryTransient(ctx, r.log, "take over the log", startRetryLimit, r.takeOver)
 		if !errors.Is(err, wal.ErrLocked) || ctx.Err() != nil {
 			return err
 		}
-		sleep(ctx, lockPause)
+		sleep(ctx, lockRetryInterval)
 		r.startupBegan = clock.Now() // it could not have been ready before
 	}
 }
--- a/internal/relay/transient_test.go
+++ b/internal/relay/transient_test.go
@@ -118,7 +118,7 @@
 				t.Errorf("shutdown: %v", err)
 			}
 		}()
-		until := time.After(patience)
+		until := time.After(testTimeout)
 		for !r.serving.Load() {
 			select {
 			case err := <-done:
@@ -179,7 +179,7 @@
 			}
 			m := r.byTrace["m1"]
 			failing.Store(true)
-			r.carryOut([]policy.Action{{Kind: policy.Fail, ID: m.ID}}, nil)
+			r.execute([]policy.Action{{Kind: policy.Fail, ID: m.ID}}, nil)
 			if len(r.finals.queue) > 0 {
 				t.Error("reported before it is in the log")
 			}
@@ -188,7 +188,7 @@
 			}
 			reportedAt := time.Time{}
 			eventually(t, "the end is reported", func() bool {
-				r.tend()
+				r.maintainLog()
 				reportedAt = time.Now()
 				return len(r.finals.queue) > 0
 			})
@@ -224,7 +224,7 @@
 	m := r.byTrace["m1"]
 	for range 5 {
 		r.step(nil)
-		r.tend()
+		r.maintainLog()
 	}
 	if r.callsOut > 0 || m.sends != 1 || m.outstanding != 1 {
 		t.Errorf("while the disk fails: %d calls out, %d sends", r.callsOut, m.sends)
@@ -233,7 +233,7 @@
 		t.Errorf("%d endpoints avoided because of the disk", n)
 	}
 	writes.Store(1000)
-	eventually(t, "the call is made", func() bool { r.step(nil); r.tend(); return r.callsOut > 0 })
+	eventually(t, "the call is made", func() bool { r.step(nil); r.maintainLog(); return r.callsOut > 0 })
 	if len(m.MayRun) != 1 {
 		t.Errorf("recorded %+v", m.MayRun)
 	}
@@ -250,14 +250,14 @@
 	failed := make(chan time.Time, tries)
 	defer sockets.SetFaults(reportingFaults{newCallFaults(syscall.ENETUNREACH, tries, sockets.Connect), failed})()
 	taken := make(chan []uint32, 1)
-	f := newFinals(discardLogger(), newAgent(addrOf(s)), func(ids []uint32) { taken <- ids })
+	f := newNoticeSender(discardLogger(), newAgent(addrOf(s)), func(ids []uint32) { taken <- ids })
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
 	f.add(notice{id: 1, ID: "a", Status: "undeliverable"})
 	go f.run(ctx)
 	select {
 	case <-taken:
-	case <-time.After(2 * patience):
+	case <-time.After(2 * testTimeout):
 		t.Fatal("never accepted")
 	}
 	var last time.Time
@@ -294,7 +294,7 @@
 		ctx, cancel := context.WithCancel(t.Context())
 		var longest time.Duration
 		w := watcher{
-			log: discardLogger(), agent: newAgent("127.0.0.1:1"), silence: patience, fleet: 300, random: func() float64 { return 1 }, now: time.Now,
+			log: discardLogger(), agent: newAgent("127.0.0.1:1"), timeout: testTimeout, fleetSize: 300, random: func() float64 { return 1 }, now: time.Now,
 			sleep: func(_ context.Context, d time.Duration) {
 				if fault.exhausted() {
 					cancel()
