--- a/internal/relay/unwritten_test.go
+++ b/internal/relay/unwritten_test.go
@@ -60,13 +60,13 @@
 				if c.full {
 					r.wal.Limit = r.wal.Size() + 2*disk.Sector
 				}
-				r.carryOut([]policy.Action{{Kind: policy.Refuse, ID: r.byTrace["m1"].ID}}, nil)
+				r.execute([]policy.Action{{Kind: policy.Refuse, ID: r.byTrace["m1"].ID}}, nil)
 				if len(r.finals.queue) > 0 {
 					t.Error("reported, but the next process would send it")
 				}
 				d.failing.Store(false)
 				r.wal.Limit = limit
-				eventually(t, "its end is reported once it is in the log", func() bool { r.tend(); return len(r.finals.queue) > 0 })
+				eventually(t, "its end is reported once it is in the log", func() bool { r.maintainLog(); return len(r.finals.queue) > 0 })
 				next := restartRelay(t, r)
 				if m := next.byTrace["m1"]; m == nil || m.Final == nil || !m.Final.Deferred || next.held != 0 {
 					t.Errorf("the next process has %+v, %d held", m, next.held)
@@ -101,7 +101,7 @@
 			writes.Store(1 << 30)
 			var a answer
 			eventually(t, "answered", func() bool {
-				r.tend()
+				r.maintainLog()
 				got, ok := answered(in)
 				a = got
 				return ok
@@ -140,7 +140,7 @@
 			first, again := newSubmission("m1", 7, 5*time.Second), newSubmission("m1", 7, 5*time.Second)
 			r.step([]any{first})
 			r.step([]any{again})
-			r.tend()
+			r.maintainLog()
 			for _, in := range []*submission{first, again} {
 				if a, ok := answered(in); ok {
 					t.Errorf("answered %+v, but the next process may send it", a)
@@ -150,7 +150,7 @@
 			cleaning.failing.Store(false)
 			for _, in := range []*submission{first, again} {
 				eventually(t, "answered", func() bool {
-					r.tend()
+					r.maintainLog()
 					a, ok := answered(in)
 					if ok && a.status != http.StatusServiceUnavailable && a.status != 0 {
 						t.Errorf("answered %+v", a)
