--- a/policy/policy.go
+++ b/policy/policy.go
@@ -1,10 +1,11 @@
-// Package policy makes the decisions of a sender: which route a message tries, and when the message is retried, held,
-// refused or failed. api.go holds the interface; the decisions are in this file and in pace.go, resume.go, slots.go,
-// byhand.go and spent.go. A message tries the routes of its destination in a fixed order. The first failure rule
-// that matches an outcome decides what follows, and later messages skip a failing route until its skip expires.
+// Package policy makes the decisions of a sender: which route a message tries, and when the message is
+// retried, held, refused or failed. api.go holds the interface; the decisions are in this file and in
+// pace.go, resume.go, slots.go, byhand.go and spent.go. A message tries the routes of its destination in a
+// fixed order. The first failure rule that matches an outcome decides what follows, and later messages skip a
+// failing route until its skip expires.
 //
-// This file is ordered as follows: constants, failure rules, route groups and routes, messages, the guards mayAttempt
-// and mayRefuse, route choice, queue and dispatch, deadlines.
+// This file is ordered as follows: constants, failure rules, route groups and routes, messages, the guards
+// mayAttempt and mayRefuse, route choice, queue and dispatch, deadlines.
 package policy
 
 import (
@@ -18,53 +19,53 @@
 )
 
 const (
-	firstSkip             = 2 * time.Second         // first skip; most outages last longer, and a trial costs one call
+	firstSkip             = 2 * time.Second         // most outages last longer; a trial costs one call
 	maxSkip               = 10 * time.Second        // longest skip, as the site's rules page gives it
 	skipGrowth            = 1.5                     // factor from one skip to the next while trials fail
-	skipJitter            = 0.2                     // share by which a skip varies, so that senders do not return in step
+	skipJitter            = 0.2                     // share that skips vary by, to keep senders out of step
 	outageWait            = 2500 * time.Millisecond // a longer Retry-After means an outage, not a rate limit
 	outageRefusals        = 4                       // refusals in a row that mean an outage
-	sparseRefusals        = 2                       // refusals in a row, over outageRefusalSpan, that hint at one
+	sparseRefusals        = 2                       // refusals in a row over outageRefusalSpan hinting at one
 	weakSuspectChance     = 0.6                     // chance that a single hint makes a route suspect
-	sparseSpread          = 3.5                     // calls at the pace over which refused sparse senders spread
-	outageRefusalSpan     = 2 * time.Second         // least span of such refusals; a rate limit refuses for less
+	sparseSpread          = 3.5                     // spread of refused sparse senders, in calls at the pace
+	outageRefusalSpan     = 2 * time.Second         // least span of refusals; rate limits refuse for less
 	skipFailStreak        = 3                       // failures in a row that skip a route
 	suspectFailStreak     = 2                       // failures in a row that make a route suspect
-	suspectRecentFailures = 3                       // errors or failed connections of the last 8 outcomes that do so
+	suspectRecentFailures = 3                       // errors or failed connections of the last 8 that do so
 	skipRecentFailures    = 5                       // the same, that skip a route
 	paceAfterSkip         = 1.0                     // calls a second after a skip
 	minPace               = 0.03                    // calls a second; a pace does not fall below this
-	minPaceShare          = 0.5                     // lowest pace, as a share of the sender's even part of the limit
+	minPaceShare          = 0.5                     // lowest pace, as a share of an even split of the limit
 	paceGrowth            = 0.25                    // growth of the pace with each success
 	paceGrowthNearCeiling = 0.03                    // growth of the pace near the rate that was refused last
 	maxGrowthSteps        = 8                       // most seconds of growth that one success counts for
-	nearCeiling           = 0.85                    // share of the rate refused last, above which a pace is near it
-	reportNoise           = 1.25                    // reports of a steady limit differ by less than this factor
-	maxPaceOverUse        = 3.0                     // a pace above this multiple of the rate in use does not grow
+	nearCeiling           = 0.85                    // share of the rate refused last that counts as near it
+	reportNoise           = 1.25                    // reports of a steady limit differ by a smaller factor
+	maxPaceOverUse        = 3.0                     // no growth of a pace over this multiple of the used rate
 	paceBurst             = 300 * time.Millisecond  // span of pace that may be sent at once after idling
-	informedShare         = 2.0 / 3                 // less of an overload from senders that saw failures is no violation
-	scatterDevs           = 1                       // standard deviations of the sum of all calls that are kept free
-	creditLapseShare      = 0.1                     // share of OverloadWindow after which unused credit lapses
-	ownTrafficShare       = 0.2                     // own deliveries' part of a sender's share; the rest is even
+	informedShare         = 2.0 / 3                 // below this, senders that saw failures violate no rule
+	scatterDevs           = 1                       // standard deviations of the sum of calls kept as margin
+	creditLapseShare      = 0.1                     // part of OverloadWindow after which unused credit lapses
+	ownTrafficShare       = 0.2                     // part of a share split by own deliveries; rest is even
 	roughWeightFactor     = 1.5                     // a rough weight may exceed the true one by this factor
 	ownRateSpan           = 10 * time.Second        // time constant of the mean rate of own deliveries
-	timeoutDevs           = 6                       // mean deviations above the mean answer time that a timeout allows
+	timeoutDevs           = 6                       // mean deviations above mean answer time for a timeout
 	overdueDevs           = 4                       // the same, after which an answer is overdue
 	minAnswerTime         = 800 * time.Millisecond  // no answer is overdue before this
-	deadlineMargin        = 12 * time.Millisecond   // final answers and timeouts come this long before the deadline
+	deadlineMargin        = 12 * time.Millisecond   // final answers and timeouts precede the deadline by this
 	shedThreshold         = 0.9                     // share of MaxHeld above which held messages are refused
 	groupSlotShare        = 0.4                     // share of the slots that one route group may use
 	maxUnansweredCalls    = 2                       // calls out at a route that has not answered yet
-	overShareDelay        = 0.5                     // of the time left: how much later traffic over a share is ranked
-	lateDelay             = 2.0                     // of the time left: how much later a message past its aim is ranked
-	scanDepth             = 24                      // messages of a destination that are examined for one that may go
+	overShareDelay        = 0.5                     // rank delay over a share, in units of the time left
+	lateDelay             = 2.0                     // rank delay past the aim, in units of the time left
+	scanDepth             = 24                      // messages of a destination searched for one that may go
 	recentAnswerSpan      = 3 * time.Second         // a route that answered within this is taken to work
 	minRetryAfter         = 500 * time.Millisecond  // shortest Retry-After sent with a refusal
 	minLimit              = 1.0                     // calls a second that any destination takes
-	fewSenders            = 6                       // so few fit any connection table, and see enough of a route each
+	fewSenders            = 6                       // so few fit any table, and each sees enough of a route
 	maxTableFull          = 2                       // failed connections in a row that a full table explains
-	tableFullRest         = 300 * time.Millisecond  // rest of a route with a full table, about the time of an answer
-	connScarceSpan        = 30 * time.Second        // how long a kind whose table was full is short of connections
+	tableFullRest         = 300 * time.Millisecond  // rest of a route with a full table; about an answer time
+	connScarceSpan        = 30 * time.Second        // how long a kind lacks connections after a full table
 )
 
 // sample is one outcome at a route, as the failure rules see it.
@@ -91,12 +92,18 @@
 		run := r.refusals >= outageRefusals && s.now-r.refusedAt >= outageRefusalSpan
 		return o.outcome == Full && (o.retryAfter > outageWait || run)
 	}, true, nil},
-	{"full", func(_ *Sender, _ *route, o sample) bool { return o.outcome == Full }, false, (*Sender).halvePace},
+	{"full", func(_ *Sender, _ *route, o sample) bool {
+		return o.outcome == Full
+	}, false, (*Sender).halvePace},
 	{"trial failed", func(_ *Sender, r *route, _ sample) bool { return r.down }, true, nil},
-	// A full connection table refuses at once but may take the next connection, so the route rests for a short
-	// time and idle connections are closed.
-	{"table full", func(_ *Sender, _ *route, o sample) bool { return o.tableFull }, false, (*Sender).restAfterTableFull},
-	{"failures in a row", func(_ *Sender, r *route, _ sample) bool { return r.failStreak >= skipFailStreak }, true, nil},
+	// A full connection table refuses at once but may take the next connection, so the route rests for a
+	// short time and idle connections are closed.
+	{"table full", func(_ *Sender, _ *route, o sample) bool {
+		return o.tableFull
+	}, false, (*Sender).restAfterTableFull},
+	{"failures in a row", func(_ *Sender, r *route, _ sample) bool {
+		return r.failStreak >= skipFailStreak
+	}, true, nil},
 	// An outage may fail most calls and not all of them: successes in between do not clear it.
 	{"mostly failing", func(_ *Sender, r *route, _ sample) bool {
 		return bits.OnesCount8(r.recentFailures) >= skipRecentFailures
@@ -117,16 +124,18 @@
 	return &Sender{
 		settings: settings, rng: rand.New(rand.NewPCG(seed, 0x6f6e7978)),
 		routes: map[string]*route{}, leastLimit: map[int]float64{}, dests: map[int]*dest{},
-		connScarceUntil: map[int]time.Duration{}, msgs: map[uint32]*message{}, keyQueues: map[string]*keyQueue{},
-		customerUse: make([]leakyBucket, len(settings.Customers)), excluded: map[string]bool{},
+		connScarceUntil: map[int]time.Duration{}, msgs: map[uint32]*message{},
+		keyQueues: map[string]*keyQueue{}, excluded: map[string]bool{},
+		customerUse: make([]leakyBucket, len(settings.Customers)),
 	}, nil
 }
 
-// Step applies the events that have arrived by now and returns the actions to take, in order. The returned slice is
-// valid until the next call.
+// Step applies the events that have arrived by now and returns the actions to take, in order. The returned
+// slice is valid until the next call.
 func (s *Sender) Step(now time.Duration, events []Event) []Action {
 	s.now, s.actions = now, s.actions[:0]
-	// With a coarser clock, a wake may come slightly early. A wake due within a millisecond counts as having come.
+	// With a coarser clock, a wake may come slightly early. A wake due within a millisecond counts as having
+	// come.
 	if s.wakeAt <= now+time.Millisecond {
 		s.wakeAt = 0
 	}
@@ -157,7 +166,8 @@
 		if r := s.routes[e.Route]; r != nil {
 			s.recordLimit(r, e.Report)
 			r.group.waitUntil = max(r.group.waitUntil, s.now+e.RetryAfter)
-			s.recordOutcome(r, sample{outcome: e.Outcome, retryAfter: e.RetryAfter, sent: s.now - e.Took}, e.Took)
+			o := sample{outcome: e.Outcome, retryAfter: e.RetryAfter, sent: s.now - e.Took}
+			s.recordOutcome(r, o, e.Took)
 			s.markReady(r.group.dest)
 		}
 	case Withdrawn:
@@ -177,9 +187,10 @@
 
 // Routes and route groups.
 
-// sortRoutes sorts routes by listed weight, lower fee and own zone, and breaks ties by a number drawn once for each
-// route. The own zone comes before others since a call holds its slot for the round trip, most of which is the distance
-// between zones. The random tie-break keeps hundreds of senders from all loading the first of several equal routes.
+// sortRoutes sorts routes by listed weight, lower fee and own zone, and breaks ties by a number drawn once
+// for each route. The own zone comes before others since a call holds its slot for the round trip, most of
+// which is the distance between zones. The random tie-break keeps hundreds of senders from all loading the
+// first of several equal routes.
 func (s *Sender) sortRoutes(d *dest) {
 	less := func(a, b *route) int {
 		switch {
@@ -218,8 +229,8 @@
 	return 0
 }
 
-// limit estimates, on the low side, how many calls a second a route group takes from all senders; 0 if unknown. A group
-// that has reported no limit yet is assumed to have the lowest limit reported for its kind.
+// limit estimates, on the low side, how many calls a second a route group takes from all senders; 0 if
+// unknown. A group that has reported no limit yet is assumed to have the lowest limit reported for its kind.
 func (s *Sender) limit(g *routeGroup) float64 {
 	if l := cmp.Or(g.limit, s.leastLimit[g.kind]); l > 0 || s.settings.NoWeights || len(g.routes) == 0 {
 		return l
@@ -230,21 +241,23 @@
 	return g.routes[0].Weight
 }
 
-// senderShare is this sender's share of the calls a second that a route group takes from all senders. Since traffic is
-// uneven, it mixes an even split and the sender's own delivery rate in a fixed proportion. Over all senders each of the
-// two adds up to what the group takes, and so does the mix.
+// senderShare is this sender's share of the calls a second that a route group takes from all senders. Since
+// traffic is uneven, it mixes an even split and the sender's own delivery rate in a fixed proportion. Over
+// all senders each of the two adds up to what the group takes, and so does the mix.
 func (s *Sender) senderShare(g *routeGroup) float64 {
-	return (1-ownTrafficShare)*math.Max(minLimit, s.limit(g))/float64(s.settings.Senders) + ownTrafficShare*s.ownDeliveryRate(g)
-}
-
-// recoveryRate is how many calls a second this sender may make to a suspect route that takes L calls a second from all
-// senders when warm. The destination is overloaded by OverloadFactor*share*L*OverloadWindow calls in a window, where
-// share is its share of the warm capacity at the end of the window. Senders that saw a failure violate no rule below two
-// thirds of that number, b. They make their calls independently of each other, so that a sum of n calls scatters by
-// sqrt(n), or by half a call for each sender where senders are few. Solving n + scatterDevs*deviation = b gives n, which
-// is split by shares that add up. An unused call lapses, so that a window holds little more than its own budget after an
-// outage of any length. The share grows with the time since the first delivery, but no further than the deliveries in a
-// row support: in an outage that fails most calls, k successes in a row have a chance of 2^-k.
+	even := (1 - ownTrafficShare) * math.Max(minLimit, s.limit(g)) / float64(s.settings.Senders)
+	return even + ownTrafficShare*s.ownDeliveryRate(g)
+}
+
+// recoveryRate is how many calls a second this sender may make to a suspect route that takes L calls a second
+// from all senders when warm. The destination is overloaded by OverloadFactor*share*L*OverloadWindow calls in
+// a window, where share is its share of the warm capacity at the end of the window. Senders that saw a
+// failure violate no rule below two thirds of that number, b. They make their calls independently of each
+// other, so that a sum of n calls scatters by sqrt(n), or by half a call for each sender where senders are
+// few. Solving n + scatterDevs*deviation = b gives n, which is split by shares that add up. An unused call
+// lapses, so that a window holds little more than its own budget after an outage of any length. The share
+// grows with the time since the first delivery, but no further than the deliveries in a row support: in an
+// outage that fails most calls, k successes in a row have a chance of 2^-k.
 func (s *Sender) recoveryRate(r *route) float64 {
 	share, warming := s.settings.ColdShare, 1-s.settings.ColdShare
 	window, warm := s.settings.OverloadWindow.Seconds(), s.settings.WarmWithin.Seconds()
@@ -258,25 +271,28 @@
 	return n / (window * (1 + creditLapseShare)) * s.senderShare(r.group) / takes
 }
 
-// recoveryOpensAt is when a suspect route takes its next call; 0 for a route that is not suspect. It keeps senders from
-// overloading a destination that recovers: all sends to suspect routes of a group draw on one budget. The first call is
-// drawn at random, so that the sum over all senders is right. The budget also applies during the outage, since nobody
-// reports its end.
+// recoveryOpensAt is when a suspect route takes its next call; 0 for a route that is not suspect. It keeps
+// senders from overloading a destination that recovers: all sends to suspect routes of a group draw on one
+// budget. The first call is drawn at random, so that the sum over all senders is right. The budget also
+// applies during the outage, since nobody reports its end.
 func (s *Sender) recoveryOpensAt(r *route) time.Duration {
 	g := r.group
 	r.suspect = r.suspect && (r.recoveringSince == 0 || s.now < r.recoveringSince+s.settings.WarmWithin)
-	if r.okAt == 0 && (g.failStreak >= suspectFailStreak || g.anySuspect() || s.now < g.suspectRemovedAt+s.settings.WarmWithin) {
+	if r.okAt == 0 && (g.failStreak >= suspectFailStreak || g.anySuspect() ||
+		s.now < g.suspectRemovedAt+s.settings.WarmWithin) {
 		s.markSuspect(r) // has not answered yet: suspect if its siblings are, or the routes that it replaced
 	}
 	if !r.suspect {
 		return 0
 	}
 	rate := s.recoveryRate(r)
-	// No credit accrues during a Retry-After wait. Otherwise all senders that were told to wait would call at its end.
+	// No credit accrues during a Retry-After wait. Otherwise all senders that were told to wait would call at
+	// its end.
 	g.creditAt = max(g.creditAt, g.waitUntil)
 	if s.now > g.creditAt {
 		g.credit += rate * (s.now - g.creditAt).Seconds()
-		g.credit -= math.Max(0, math.Floor(g.credit-rate*creditLapseShare*s.settings.OverloadWindow.Seconds()))
+		unused := g.credit - rate*creditLapseShare*s.settings.OverloadWindow.Seconds()
+		g.credit -= math.Max(0, math.Floor(unused))
 		g.creditAt = s.now
 	}
 	if g.credit >= 1 {
@@ -285,8 +301,8 @@
 	return g.creditAt + max(time.Millisecond, interval(rate/(1-g.credit)))
 }
 
-// routeOpensAt is when a route next takes a call as far as its group, skip and pace are concerned; math.MaxInt64 if only
-// an outcome can open it.
+// routeOpensAt is when a route next takes a call as far as its group, skip and pace are concerned;
+// math.MaxInt64 if only an outcome can open it.
 func (s *Sender) routeOpensAt(r *route) time.Duration {
 	g := r.group
 	if !r.usable() || r.down && len(r.calls) > 0 || s.slotsExhausted(r) || g.guessed && g.callsOut > 0 {
@@ -302,9 +318,10 @@
 	return at
 }
 
-// slotsExhausted reports whether a route or its group holds too many slots. Otherwise silent or very slow routes would
-// fill the slots before any timeout shows it. A route that has not answered yet gets only a few calls, and none while
-// its oldest call is overdue. A stall of the whole fleet looks the same; it ends with the first answer.
+// slotsExhausted reports whether a route or its group holds too many slots. Otherwise silent or very slow
+// routes would fill the slots before any timeout shows it. A route that has not answered yet gets only a few
+// calls, and none while its oldest call is overdue. A stall of the whole fleet looks the same; it ends with
+// the first answer.
 func (s *Sender) slotsExhausted(r *route) bool {
 	full := r.group.callsOut >= max(2, int(groupSlotShare*float64(s.settings.Slots)))
 	unknown := r.okAt == 0 && len(r.calls) >= maxUnansweredCalls
@@ -316,15 +333,17 @@
 	return len(r.calls) > 0 && s.now > r.calls[0].overdueAt && r.okSent < r.calls[0].sent
 }
 
-// looksTableFull reports whether a failed connection looks like a full connection table: it failed at once, at a route
-// that answered recently or, with many senders, of a kind that had such failures. Several in a row mean an outage.
+// looksTableFull reports whether a failed connection looks like a full connection table: it failed at once,
+// at a route that answered recently or, with many senders, of a kind that had such failures. Several in a row
+// mean an outage.
 func (s *Sender) looksTableFull(r *route, o sample) bool {
 	scarce := s.settings.Senders > fewSenders && s.now < s.connScarceUntil[r.Kind]
 	failed := o.outcome == ConnectFailed && s.now-o.sent < minAnswerTime
 	return failed && r.group.tableFullCount < maxTableFull && (s.answeredRecently(r) || scarce)
 }
 
-// restAfterTableFull skips a route with a full connection table for a short time and closes its idle connections.
+// restAfterTableFull skips a route with a full connection table for a short time and closes its idle
+// connections.
 func (s *Sender) restAfterTableFull(r *route, _ sample) {
 	r.skipUntil = s.now + time.Duration((0.5+s.rng.Float64())*float64(tableFullRest))
 	s.emit(Action{Kind: CloseIdle, Route: r.Route})
@@ -351,9 +370,9 @@
 		if o.outcome == Timeout || o.outcome == Reset {
 			// Calls may be lost with the connection that carries them, so the next call opens a new one.
 			s.emit(Action{Kind: CloseIdle, Route: r.Route})
-			// A route that answered recently, or after this call was sent, is up: the call was lost. It says nothing
-			// about the route's health or how long answers take. Learning from it would have each further loss hold
-			// a slot for longer.
+			// A route that answered recently, or after this call was sent, is up: the call was lost. It says
+			// nothing about the route's health or how long answers take. Learning from it would have each
+			// further loss hold a slot for longer.
 			if o.outcome == Reset && s.answeredRecently(r) {
 				return
 			}
@@ -413,8 +432,9 @@
 	return s.senderShare(g)*s.settings.OverloadWindow.Seconds() < 1
 }
 
-// suspectWeakly makes a route suspect until its next delivery, if this sender's share is less than one call in an
-// overload window. Otherwise hundreds of senders that saw one failure each would overload the destination together.
+// suspectWeakly makes a route suspect until its next delivery, if this sender's share is less than one call
+// in an overload window. Otherwise hundreds of senders that saw one failure each would overload the
+// destination together.
 func (s *Sender) suspectWeakly(r *route) {
 	if !r.suspect && s.sparse(r.group) {
 		s.markSuspect(r)
@@ -422,11 +442,11 @@
 	}
 }
 
-// weighWeakEvidence treats two refusals some time apart as a sign of an outage. If this sender's share is less than one
-// call in a warm-up, one refusal or one connection that failed as at a full table is treated so with a fixed chance.
-// Otherwise many senders that saw one of these each would all call again at once. Most refusals come from a rate limit,
-// so some senders must go on. Those that do make less than two thirds of the calls as long as each calls less than five
-// times as often as a sender that saw no failure.
+// weighWeakEvidence treats two refusals some time apart as a sign of an outage. If this sender's share is
+// less than one call in a warm-up, one refusal or one connection that failed as at a full table is treated so
+// with a fixed chance. Otherwise many senders that saw one of these each would all call again at once. Most
+// refusals come from a rate limit, so some senders must go on. Those that do make less than two thirds of the
+// calls as long as each calls less than five times as often as a sender that saw no failure.
 func (s *Sender) weighWeakEvidence(r *route) {
 	repeated := r.refusals >= sparseRefusals && s.now-r.refusedAt >= outageRefusalSpan
 	infrequent := !s.answeredRecently(r) && s.senderShare(r.group)*s.settings.WarmWithin.Seconds() < 1
@@ -451,8 +471,8 @@
 	r.suspect, r.weakEvidence, r.recoveringSince, r.okStreak = true, false, 0, 0
 }
 
-// skipRoute starts or prolongs the skip of a route. Failures of calls that were sent before the skip began do not
-// prolong it.
+// skipRoute starts or prolongs the skip of a route. Failures of calls that were sent before the skip began do
+// not prolong it.
 func (s *Sender) skipRoute(r *route, sent time.Duration) {
 	s.markSuspect(r)
 	if r.down && sent < r.skipUntil-r.skipLen {
@@ -466,8 +486,8 @@
 	r.down, r.skipUntil = true, s.now+r.skipLen
 }
 
-// updateAnswerTime updates the mean and the mean deviation of the answer times of a route. A timeout counts as an
-// answer that takes longer.
+// updateAnswerTime updates the mean and the mean deviation of the answer times of a route. A timeout counts
+// as an answer that takes longer.
 func (s *Sender) updateAnswerTime(r *route, took time.Duration) {
 	if r.mean == 0 {
 		r.mean, r.dev = took, took/2
@@ -480,7 +500,8 @@
 func (s *Sender) recordDelivery(r *route, sent, took time.Duration) {
 	g := r.group
 	r.okAt, r.okSent, r.failStreak, r.refusals = s.now, max(r.okSent, sent), 0, 0
-	r.recentFailures, r.recentLosses, g.failStreak, g.tableFullCount = r.recentFailures<<1, r.recentLosses<<1, 0, 0
+	r.recentFailures, r.recentLosses = r.recentFailures<<1, r.recentLosses<<1
+	g.failStreak, g.tableFullCount = 0, 0
 	s.updateAnswerTime(r, took)
 	s.replaceGuessedPace(g)
 	if r.down {
@@ -489,7 +510,8 @@
 	}
 	s.countDelivery(g)
 	if r.okStreak++; r.suspect && r.recoveringSince == 0 {
-		// One delivery clears weak evidence, unless more than one call waits and nothing tells how many may follow.
+		// One delivery clears weak evidence, unless more than one call waits and nothing tells how many may
+		// follow.
 		waits := len(g.dest.queue) > s.callCapacity(r)
 		r.recoveringSince, r.suspect = s.now, !r.weakEvidence || waits && s.limit(g) == 0
 		if usual := max(s.senderShare(g), s.ownDeliveryRate(g)); !r.suspect && waits {
@@ -511,7 +533,8 @@
 	m.deadline = s.now + e.TimeLeft - deadlineMargin
 	m.aimBy = s.now + c.Aim - max(0, c.GiveUp-e.TimeLeft)
 	m.rank = s.now + time.Duration(float64(m.aimBy-s.now)/math.Max(c.Value, 0.01))
-	if e.Resumed == nil && s.exceedsShare(e.Customer) { // a resumed message was counted by the process that accepted it
+	// A resumed message was counted by the process that accepted it.
+	if e.Resumed == nil && s.exceedsShare(e.Customer) {
 		m.rank += time.Duration(overShareDelay * float64(e.TimeLeft))
 	}
 	s.msgs[m.id] = m
@@ -543,7 +566,8 @@
 	return false
 }
 
-// shedLoad refuses the last message of the longest queue while the number of held messages is near its maximum.
+// shedLoad refuses the last message of the longest queue while the number of held messages is near its
+// maximum.
 func (s *Sender) shedLoad() {
 	if s.settings.MaxHeld <= 0 || s.held <= int(shedThreshold*float64(s.settings.MaxHeld)) {
 		return
@@ -588,7 +612,8 @@
 			o = OK
 		}
 		short := (o == Timeout || o == ConnectFailed) && c.timeoutAt < c.sent+minAnswerTime
-		s.recordOutcome(r, sample{outcome: o, retryAfter: e.RetryAfter, sent: c.sent, cutShort: short}, e.Took)
+		res := sample{outcome: o, retryAfter: e.RetryAfter, sent: c.sent, cutShort: short}
+		s.recordOutcome(r, res, e.Took)
 	}
 	s.markReady(m.dest)
 	s.recordAttempt(m, e, c)
@@ -624,15 +649,15 @@
 	}
 }
 
-// mayRefuse reports whether a message may be refused, so that its client may submit it again, under the rules of its
-// effect.
+// mayRefuse reports whether a message may be refused, so that its client may submit it again, under the rules
+// of its effect.
 func (s *Sender) mayRefuse(m *message) bool {
 	free := m.class.Effect == Safe || m.class.Effect == Keyed && m.class.GroupAll
 	return !m.ended && (free || !m.mayHaveRun && len(m.outstanding) == 0)
 }
 
-// mayAttempt is the single guard of all sends. It returns when a send of m to r keeps the rules; math.MaxInt64 if never
-// as things stand.
+// mayAttempt is the single guard of all sends. It returns when a send of m to r keeps the rules;
+// math.MaxInt64 if never as things stand.
 func (s *Sender) mayAttempt(m *message, r *route) time.Duration {
 	const never = time.Duration(math.MaxInt64)
 	// Rule 1: nothing after the end, the deadline or the last attempt.
@@ -739,8 +764,8 @@
 	return a.rank < b.rank || a.rank == b.rank && a.id < b.id
 }
 
-// dispatch sends the messages that may go, in order of rank and slot cost, while slots are free. It skips destinations
-// that nothing has changed since they were found to be blocked.
+// dispatch sends the messages that may go, in order of rank and slot cost, while slots are free. It skips
+// destinations that nothing has changed since they were found to be blocked.
 func (s *Sender) dispatch() {
 	ready := s.popOpened(s.ready[:0])
 	s.ready = ready
@@ -766,8 +791,8 @@
 	s.requeueReady()
 }
 
-// refuseUnreachable refuses the messages of a destination that opens only after their deadlines. The client may submit
-// them through another sender, which may have seen fewer failures.
+// refuseUnreachable refuses the messages of a destination that opens only after their deadlines. The client
+// may submit them through another sender, which may have seen fewer failures.
 func (s *Sender) refuseUnreachable(d *dest) {
 	for i := len(d.queue) - 1; i >= 0; i-- {
 		if m := d.queue[i]; d.opensAt < math.MaxInt64 && d.opensAt >= m.deadline && s.mayRefuseEarly(m) {
@@ -776,11 +801,12 @@
 	}
 }
 
-// startCall starts a call with the destination's next message and, where its kind allows, with further messages for the
-// same route. The call counts once against a limit.
+// startCall starts a call with the destination's next message and, where its kind allows, with further
+// messages for the same route. The call counts once against a limit.
 func (s *Sender) startCall(d *dest) {
 	r := d.nextRoute
-	c := &call{route: r, sent: s.now, overdueAt: s.now + s.maxAnswerTime(r, overdueDevs), endsAt: d.next.deadline}
+	overdueAt := s.now + s.maxAnswerTime(r, overdueDevs)
+	c := &call{route: r, sent: s.now, overdueAt: overdueAt, endsAt: d.next.deadline}
 	s.callsStarted++
 	room, firstAction := s.callCapacity(r), len(s.actions)
 	s.addToCall(d.next, c)
@@ -824,9 +850,9 @@
 	return max(minAnswerTime, r.mean+time.Duration(devs)*r.dev)
 }
 
-// attemptTimeout is when an attempt times out: as late as the answer times of the route call for, but after half of the
-// time left at most. An unsafe message has no second attempt and waits twice as long. A trial of a skipped route has the
-// shortest timeout.
+// attemptTimeout is when an attempt times out: as late as the answer times of the route call for, but after
+// half of the time left at most. An unsafe message has no second attempt and waits twice as long. A trial of
+// a skipped route has the shortest timeout.
 func (s *Sender) attemptTimeout(m *message, r *route) time.Duration {
 	left := m.deadline - s.now
 	usual := max(s.maxAnswerTime(r, timeoutDevs), m.class.Aim/2)
@@ -854,7 +880,8 @@
 
 // Deadlines.
 
-// runTimers gives every message whose time is up its final answer, and demotes those that have missed their aim.
+// runTimers gives every message whose time is up its final answer, and demotes those that have missed their
+// aim.
 func (s *Sender) runTimers() {
 	s.pruneTimers()
 	for len(s.timers) > 0 && (s.timers[0].at <= s.now || s.timers[0].message.ended) {
@@ -869,8 +896,8 @@
 	}
 }
 
-// demoteLate moves a message back that has missed its aim: messages still in time go first, since they have more worth
-// to lose.
+// demoteLate moves a message back that has missed its aim: messages still in time go first, since they have
+// more worth to lose.
 func (s *Sender) demoteLate(m *message) {
 	queued := m.queued
 	s.dequeue(m)
@@ -881,8 +908,8 @@
 	}
 }
 
-// refuse ends a message with a refusal, if the rules of its effect allow one. Its Retry-After covers the waits of the
-// destination's groups, up to MaxRetryAfter.
+// refuse ends a message with a refusal, if the rules of its effect allow one. Its Retry-After covers the
+// waits of the destination's groups, up to MaxRetryAfter.
 func (s *Sender) refuse(m *message) {
 	if !s.mayRefuse(m) {
 		return
