--- a/internal/relay/admin.go
+++ b/internal/relay/admin.go
@@ -155,10 +155,10 @@
 			return badRequest(`the body is not {"host":"ID"}`)
 		}
 		if change.Duty != "" && (duty.CheckName(change.Duty) != nil || change.Epoch == 0) || change.Duty == "" && change.Epoch != 0 {
-			return badRequest("duty and epoch must be given together and valid")
+			return badRequest("an order in the name of a duty has its name and an epoch")
 		}
 		change.Out = path == "/api/exclude"
 		return r.exclusions.set(change)
 	}
-	return answer{status: http.StatusNotFound, text: "no such path"}
+	return answer{status: http.StatusNotFound, text: "no such call"}
 }
--- a/internal/relay/clients.go
+++ b/internal/relay/clients.go
@@ -403,7 +403,7 @@
 func readErrorAnswer(err error) answer {
 	switch {
 	case errors.Is(err, os.ErrDeadlineExceeded):
-		return answer{status: http.StatusRequestTimeout, text: "request timeout"}
+		return answer{status: http.StatusRequestTimeout, text: "request not whole in time"}
 	case errors.Is(err, errTooLarge):
 		return answer{status: http.StatusRequestHeaderFieldsTooLarge, text: "head or body too large"}
 	}
@@ -471,7 +471,7 @@
 		}
 		return answer{status: http.StatusOK}
 	case req.Method != http.MethodPost:
-		return answer{status: http.StatusMethodNotAllowed, text: "messages are submitted by POST"}
+		return answer{status: http.StatusMethodNotAllowed, text: "messages are handed in by POST"}
 	}
 	return r.handleSubmission(c, req)
 }
@@ -491,7 +491,7 @@
 	}
 	if c.r.Buffered() > 0 {
 		// Clients send one request at a time, so Content-Length was wrong and the body is not the intended one.
-		return badRequest("body is longer than Content-Length")
+		return badRequest("more bytes than the length tells")
 	}
 	if !r.clients.setPhase(c, phaseBusy) {
 		return answer{}
@@ -540,13 +540,13 @@
 	case m.Class < 0:
 		return nil, 0, fmt.Errorf("unknown class %q", class)
 	case req.Header.Get("X-Qos") != class:
-		return nil, 0, errors.New("the path and X-Qos differ")
+		return nil, 0, errors.New("path and X-Qos differ")
 	case m.Trace == "" || max(len(m.Trace), len(m.Key), len(m.Order)) > maxIDBytes:
-		return nil, 0, errors.New("X-Trace-Id is missing, or an id or key is too long")
+		return nil, 0, errors.New("no X-Trace-Id, or an id or key too long")
 	case len(req.Header["X-Trace-Id"]) > 1 || len(req.Header["Idempotency-Key"]) > 1:
-		return nil, 0, errors.New("more than one X-Trace-Id or Idempotency-Key")
+		return nil, 0, errors.New("more than one id or key")
 	case m.Key == "" && r.cfg.Settings.Classes[m.Class].Effect == policy.Keyed:
-		return nil, 0, errors.New("Idempotency-Key is missing")
+		return nil, 0, errors.New("no Idempotency-Key")
 	}
 	if len(r.cfg.Customers) > 0 {
 		if m.Customer = slices.Index(r.cfg.Customers, req.Header.Get("X-Customer")); m.Customer < 0 {
@@ -574,5 +574,5 @@
 			return n, nil
 		}
 	}
-	return 0, errors.New("Envelope has no dest")
+	return 0, errors.New("no dest in the Envelope")
 }
--- a/internal/relay/exclusions.go
+++ b/internal/relay/exclusions.go
@@ -134,13 +134,13 @@
 	case !x.owned:
 		return answer{status: http.StatusServiceUnavailable, text: "not serving"}
 	case !x.excluded[id] && !x.seen[id]:
-		return answer{status: http.StatusNotFound, text: "this endpoint was never listed"}
+		return answer{status: http.StatusNotFound, text: "no such endpoint was ever listed"}
 	}
 	if err := x.checkFence(change); errors.Is(err, duty.ErrFenced) {
 		return answer{status: http.StatusConflict, text: err.Error()}
 	} else if err != nil {
 		x.log.Error("cannot check the epoch of a duty's request", "duty", change.Duty, "epoch", change.Epoch, "err", err)
-		return answer{status: http.StatusServiceUnavailable, text: "not saved: " + err.Error()}
+		return answer{status: http.StatusServiceUnavailable, text: "not kept: " + err.Error()}
 	}
 	if x.excluded[id] != out {
 		next, err := x.withChange(id, out)
@@ -154,7 +154,7 @@
 	}
 	if err := x.save(); err != nil {
 		x.log.Error("endpoint exclusion not saved", "id", id, "out", out, "err", err)
-		return answer{status: http.StatusServiceUnavailable, text: "in force, but not saved yet: " + err.Error()}
+		return answer{status: http.StatusServiceUnavailable, text: "in force, and not kept yet: " + err.Error()}
 	}
 	if out {
 		return answer{status: http.StatusOK, text: "out"}
