--- a/internal/relay/backlog_test.go
+++ b/internal/relay/backlog_test.go
@@ -230,7 +230,7 @@
 	for len(seen) < 1010 {
 		before := len(seen)
 		for id, m := range b.msgs {
-			if m.move == notMoving && !m.ended && m.cell != nil {
+			if m.move == notMoving && !m.ended && m.destWindow != nil {
 				if seen[id] {
 					t.Fatalf("message %d was passed to the module twice", id)
 				}
@@ -256,7 +256,7 @@
 		b.step([]any{withdrawal{m.ID}})
 	}
 	b.runJobs()
-	if m := b.byTrace["m2000"]; m == nil || m.cell == nil {
+	if m := b.byTrace["m2000"]; m == nil || m.destWindow == nil {
 		t.Error("the most urgent message was not loaded first")
 	}
 }
@@ -416,7 +416,7 @@
 	for state := 0; state < *crashStates; {
 		s, d := &memoryStore{entries: map[uint32]owed.Entry{}}, crashdisk.New()
 		b := newBacklogRelay(t, s, d, 64)
-		owes, sent, next := map[string]bool{}, map[string]bool{}, 0
+		pending, sent, next := map[string]bool{}, map[string]bool{}, 0
 		var snapshots []struct {
 			logs       *crashdisk.Disk
 			store      map[uint32]owed.Entry
@@ -430,7 +430,7 @@
 				logs       *crashdisk.Disk
 				store      map[uint32]owed.Entry
 				owes, sent map[string]bool
-			}{d.Crash(func() bool { return true }), maps.Clone(s.entries), maps.Clone(owes), maps.Clone(sent)})
+			}{d.Crash(func() bool { return true }), maps.Clone(s.entries), maps.Clone(pending), maps.Clone(sent)})
 		}
 		sometimes := func() bool { return rng.IntN(4) == 0 }
 		for range 60 {
@@ -441,20 +441,20 @@
 					next++
 					b.step([]any{in})
 					if a, ok := answered(in); ok && a.status == http.StatusAccepted {
-						owes[in.m.Trace] = true
+						pending[in.m.Trace] = true
 					}
 				}
 			case 2:
 				for _, id := range slices.Sorted(maps.Keys(b.msgs)) {
 					m := b.msgs[id]
-					if m.move == notMoving && !m.ended && m.cell != nil && rng.IntN(3) == 0 {
+					if m.move == notMoving && !m.ended && m.destWindow != nil && rng.IntN(3) == 0 {
 						if rng.IntN(2) == 0 {
 							if m.sends == 0 { // a send without an outcome
 								b.execute([]policy.Action{{Kind: policy.Send, ID: id, Route: "s-1", TimeoutAt: b.now() + time.Hour}}, nil)
 								sent[m.Trace] = true
 							}
 						} else if m.sends == 0 {
-							delete(owes, m.Trace)
+							delete(pending, m.Trace)
 							b.step([]any{withdrawal{id}})
 						}
 					}
--- a/internal/relay/carry.go
+++ b/internal/relay/carry.go
@@ -72,11 +72,11 @@
 func (r *Relay) answerAccepted(p pendingStep) (waiting []*submission) {
 	durable := r.wal.Durable()
 	return slices.DeleteFunc(p.waiting, func(in *submission) bool {
-		taken := p.answers[in.msg.ID]
-		if taken.status != http.StatusAccepted || in.msg.seq > durable {
+		a := p.answers[in.msg.ID]
+		if a.status != http.StatusAccepted || in.msg.seq > durable {
 			return false
 		}
-		in.reply <- taken
+		in.reply <- a
 		return true
 	})
 }
--- a/internal/relay/clients.go
+++ b/internal/relay/clients.go
@@ -554,7 +554,7 @@
 		}
 	}
 	ms, err := strconv.ParseInt(req.Header.Get("X-Expires-In-Ms"), 10, 64)
-	if most := r.cfg.maxLifetime(m.Class); err != nil || ms < 0 || ms > most.Milliseconds() {
+	if limit := r.cfg.maxLifetime(m.Class); err != nil || ms < 0 || ms > limit.Milliseconds() {
 		return nil, 0, errors.New("bad X-Expires-In-Ms")
 	}
 	if m.Dest, err = parseDestination(req.Header.Get("Envelope")); err != nil {
--- a/internal/relay/conn.go
+++ b/internal/relay/conn.go
@@ -64,15 +64,15 @@
 }
 
 // watch detects a peer that sends or disconnects while nothing is expected from it, and calls noticed, if not nil.
-func (c *conn) watch(noticed func()) {
+func (c *conn) watch(onActivity func()) {
 	c.allow(readBufferSize)
 	watched := make(chan error, 1)
 	c.watchResult = watched
 	go func() {
 		_, err := c.r.Peek(1)
 		watched <- err
-		if noticed != nil && !errors.Is(err, os.ErrDeadlineExceeded) {
-			noticed()
+		if onActivity != nil && !errors.Is(err, os.ErrDeadlineExceeded) {
+			onActivity()
 		}
 	}()
 }
--- a/internal/relay/discovery.go
+++ b/internal/relay/discovery.go
@@ -154,11 +154,11 @@
 }
 
 // spread returns a random delay of at most most, which spreads the requests of a large fleet; 0 in a small one.
-func (w *watcher) spread(most time.Duration) time.Duration {
+func (w *watcher) spread(limit time.Duration) time.Duration {
 	if w.fleetSize < minSpreadFleet {
 		return 0
 	}
-	return time.Duration(w.random() * float64(min(most, time.Duration(w.fleetSize)*spreadPerRelay)))
+	return time.Duration(w.random() * float64(min(limit, time.Duration(w.fleetSize)*spreadPerRelay)))
 }
 
 // capDelay limits a delay so that the next request is answered within the list's deadline. A delay that exceeds the limit is
@@ -168,8 +168,8 @@
 	if w.moved {
 		within = movedListDeadline
 	}
-	if most := max(minRetryDelay, within-replyReserve-w.now().Sub(w.missedSince)); d > most {
-		return time.Duration((1 + w.random()) / 2 * float64(most))
+	if limit := max(minRetryDelay, within-replyReserve-w.now().Sub(w.missedSince)); d > limit {
+		return time.Duration((1 + w.random()) / 2 * float64(limit))
 	}
 	return d
 }
@@ -321,8 +321,8 @@
 	AgainMS int64  `json:"again_ms,omitempty"`
 }
 
-func newNoticeSender(log *slog.Logger, agent *agent, taken func([]uint32)) *noticeSender {
-	return &noticeSender{log: log, agent: agent, onConfirmed: taken, signal: make(chan struct{}, 1)}
+func newNoticeSender(log *slog.Logger, agent *agent, onConfirmed func([]uint32)) *noticeSender {
+	return &noticeSender{log: log, agent: agent, onConfirmed: onConfirmed, signal: make(chan struct{}, 1)}
 }
 
 // add queues notices. It never blocks the loop.
--- a/internal/relay/durable.go
+++ b/internal/relay/durable.go
@@ -43,13 +43,13 @@
 	if p.unwritten {
 		p.seq++ // the write that starts the next file of the log
 	}
-	if len(r.promises) == 0 && p.seq <= r.wal.Durable() {
+	if len(r.pendingSteps) == 0 && p.seq <= r.wal.Durable() {
 		r.finishStep(p)
 		return
 	}
 	p.ended = r.notifyOverdue(p.ended)
 	if len(p.waiting)+len(p.ended)+len(p.calls) > 0 {
-		r.promises = append(r.promises, p)
+		r.pendingSteps = append(r.pendingSteps, p)
 	}
 }
 
@@ -77,20 +77,20 @@
 // markWritten updates unwritten steps once the log has written all of its records, which may happen in a compaction, and that
 // has no sequence number of its own. With Config.Power only a sync counts, and the next write brings one.
 func (r *Relay) markWritten() {
-	waits := slices.ContainsFunc(r.promises, func(p pendingStep) bool { return p.unwritten })
+	waits := slices.ContainsFunc(r.pendingSteps, func(p pendingStep) bool { return p.unwritten })
 	if !waits || r.cfg.Power || r.wal.Failure() != nil || r.record(nil) != nil {
 		return
 	}
-	for i := range r.promises {
-		r.promises[i].seq = min(r.promises[i].seq, r.wal.Written())
+	for i := range r.pendingSteps {
+		r.pendingSteps[i].seq = min(r.pendingSteps[i].seq, r.wal.Written())
 	}
 }
 
 // finishDurableSteps finishes the steps whose writes have become durable.
 func (r *Relay) finishDurableSteps() {
-	for durable := r.wal.Durable(); len(r.promises) > 0 && r.promises[0].seq <= durable; {
-		p := r.promises[0]
-		r.promises = slices.Delete(r.promises, 0, 1)
+	for durable := r.wal.Durable(); len(r.pendingSteps) > 0 && r.pendingSteps[0].seq <= durable; {
+		p := r.pendingSteps[0]
+		r.pendingSteps = slices.Delete(r.pendingSteps, 0, 1)
 		r.finishStep(p)
 	}
 }
@@ -161,8 +161,8 @@
 	r.finishDurableSteps()
 	r.releaseWithheld()
 	now := clock.Now()
-	for i := range r.promises {
-		p := &r.promises[i]
+	for i := range r.pendingSteps {
+		p := &r.pendingSteps[i]
 		p.ended = r.notifyOverdue(p.ended)
 		if now.Sub(p.since) < maxAnswerWait {
 			continue
@@ -205,8 +205,8 @@
 	}
 	if m.Final != nil {
 		// It has ended meanwhile, and its notice waits as well: this answer takes the notice's place.
-		for i := range r.promises {
-			p := &r.promises[i]
+		for i := range r.pendingSteps {
+			p := &r.pendingSteps[i]
 			p.ended = slices.DeleteFunc(p.ended, func(x *message) bool { return x == m })
 		}
 		r.release(m)
@@ -239,7 +239,7 @@
 
 // waitDurable waits until no step waits for the disk. It returns false on a time-out.
 func (r *Relay) waitDurable(timeout time.Duration) bool {
-	for end := clock.Now().Add(timeout); len(r.promises) > 0; time.Sleep(time.Millisecond) {
+	for end := clock.Now().Add(timeout); len(r.pendingSteps) > 0; time.Sleep(time.Millisecond) {
 		if r.maintainLog(); clock.Now().After(end) {
 			return false
 		}
@@ -312,8 +312,8 @@
 		if m.Class < 0 || m.Class >= len(r.cfg.Settings.Classes) {
 			continue
 		}
-		if most := now.Add(r.cfg.maxLifetime(m.Class)); m.Deadline.After(most) {
-			m.Deadline = most
+		if latest := now.Add(r.cfg.maxLifetime(m.Class)); m.Deadline.After(latest) {
+			m.Deadline = latest
 		}
 	}
 }
@@ -327,7 +327,7 @@
 		if err != nil && !errors.Is(err, errNoMemories) {
 			r.log.Warn("cannot read the saved state of partners", "err", err)
 		}
-		r.recalled = m
+		r.loadedMemories = m
 		if saved := r.wal.Local(m.Saved); saved.After(latest) {
 			latest = saved
 		}
--- a/internal/relay/durable_test.go
+++ b/internal/relay/durable_test.go
@@ -56,7 +56,7 @@
 // waitOnDisk waits until everything is on disk and all pending steps are finished.
 func waitOnDisk(t *testing.T, r *Relay) {
 	t.Helper()
-	eventually(t, "everything is on disk", func() bool { r.maintainLog(); return len(r.promises) == 0 })
+	eventually(t, "everything is on disk", func() bool { r.maintainLog(); return len(r.pendingSteps) == 0 })
 }
 
 func TestAnswersAndCallsWaitForSync(t *testing.T) {
@@ -96,7 +96,7 @@
 	gate.Lock()
 	in, twin := newSubmission("a", 7, time.Minute), newSubmission("a", 7, time.Minute)
 	r.step([]any{in, twin})
-	r.promises[0].since = time.Now().Add(-time.Second)
+	r.pendingSteps[0].since = time.Now().Add(-time.Second)
 	r.maintainLog()
 	for _, in := range []*submission{in, twin} {
 		if a, ok := answered(in); !ok || a.status != http.StatusServiceUnavailable || a.retryAfter <= 0 {
--- a/internal/relay/job.go
+++ b/internal/relay/job.go
@@ -227,7 +227,7 @@
 	if m.ID <= o.maxRecoveredID {
 		return o.relay.resumedEvent(m, nil)
 	}
-	return o.relay.takenEvent(m)
+	return o.relay.acceptedEvent(m)
 }
 
 // endExpired reports the ends of messages that expired on disk. They are removed once the platform accepts the notice.
--- a/internal/relay/lifecycle_test.go
+++ b/internal/relay/lifecycle_test.go
@@ -70,11 +70,11 @@
 		return r
 	}
 	r := traced(newTestRelay(t))
-	handIn := func(left time.Duration) { stepSubmissions(r, newSubmission("m1", unlistedDest, left)) }
-	handIn(-time.Second) // refused
-	handIn(time.Second)
+	submit := func(left time.Duration) { stepSubmissions(r, newSubmission("m1", unlistedDest, left)) }
+	submit(-time.Second) // refused
+	submit(time.Second)
 	r = traced(restartRelay(t, r))
-	handIn(time.Second)
+	submit(time.Second)
 	var again []string
 	for line := range strings.Lines(out.text.String()) {
 		var change struct {
--- a/internal/relay/memories.go
+++ b/internal/relay/memories.go
@@ -106,12 +106,12 @@
 
 // restoreMemories passes the state of an earlier process to the module, which must have the list by then.
 func (r *Relay) restoreMemories() {
-	m := r.recalled
+	m := r.loadedMemories
 	if len(m.Memories) == 0 {
 		return
 	}
 	age := clock.Since(r.wal.Local(m.Saved))
 	r.sender.RestoreRouteStates(m.Memories, m.Clock, age)
 	r.log.Info("restored the state of partners", "routes", len(m.Memories), "age", age)
-	r.recalled = memories{}
+	r.loadedMemories = memories{}
 }
--- a/internal/relay/pool.go
+++ b/internal/relay/pool.go
@@ -212,10 +212,10 @@
 }
 
 // setMaxConns changes the limit on connections, without closing any.
-func (p *pool) setMaxConns(most int) {
+func (p *pool) setMaxConns(limit int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.maxConns = most
+	p.maxConns = limit
 }
 
 // close closes all idle connections, and from now on every connection that is released.
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -89,7 +89,7 @@
 	continuation *message // the message that replaced it when it was submitted again after its withdrawal
 
 	// Only used with a backlog; see overflow and window.
-	cell        *destWindow // nil: the module does not have it
+	destWindow  *destWindow // nil: the module does not have it
 	unsentIndex int         // index among the cell's messages that were never sent; -1: sent
 	move        transfer
 	dropped     bool // in transit to or from the disk, and no longer owed
@@ -157,12 +157,12 @@
 	backlog             *backlogQueue           // nil: no backlog is kept
 	postponed           []any                   // events received while the loop waited for a job, for the next step
 
-	promises        []pendingStep // waiting for the disk, oldest first
+	pendingSteps    []pendingStep // waiting for the disk, oldest first
 	withheld        []withheldAnswer
 	syncDone        chan struct{} // capacity 1: more data has become durable
 	logFailed       bool          // the disk has failed the log
 	clockBehind     time.Duration // how far the wall clock is behind the log's latest time; 0 unless it was set back
-	recalled        memories      // memories of an earlier process, until they are applied
+	loadedMemories  memories      // memories of an earlier process, until they are applied
 	memoriesSavedAt time.Time
 	nextCountAt     time.Time   // the routes that are avoided are not counted before this
 	savingMemories  atomic.Bool // memories are being written
@@ -355,7 +355,7 @@
 		r.execute(r.sender.Step(r.now(), evs), nil)
 		r.sender.LoadRouteStates(r.inheritedState.Memories)
 		evs = nil
-	} else if len(r.recalled.Memories) > 0 && len(r.routes) > 0 {
+	} else if len(r.loadedMemories.Memories) > 0 && len(r.routes) > 0 {
 		r.execute(r.sender.Step(r.now(), evs), nil)
 		r.restoreMemories()
 		evs = nil
@@ -417,7 +417,7 @@
 // resumedEvent tells the module about an earlier process's message, with times on the module's clock. out is the attempt
 // that is still in progress, if any; whether it runs is not known yet.
 func (r *Relay) resumedEvent(m *message, out *policy.OutstandingAttempt) policy.Event {
-	e := r.takenEvent(m)
+	e := r.acceptedEvent(m)
 	e.Resumed = &policy.ResumedMessage{Attempts: m.Attempts, Outstanding: out}
 	ran := slices.DeleteFunc(slices.Clone(m.MayRun), func(a wal.Attempt) bool { return out != nil && a.N == out.Attempt })
 	if len(ran) > 0 {
@@ -431,7 +431,7 @@
 	return e
 }
 
-func (r *Relay) takenEvent(m *message) policy.Event {
+func (r *Relay) acceptedEvent(m *message) policy.Event {
 	return policy.Event{
 		Kind: policy.Accepted, ID: m.ID, Key: m.Order, Class: m.Class, Customer: m.Customer, Destination: m.Dest,
 		TimeLeft: clock.Until(m.Deadline),
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -263,18 +263,18 @@
 		<-req.Context().Done()
 	}))
 	defer s.Close()
-	told := make(chan List, 10)
+	lists := make(chan List, 10)
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
 	w := watcher{
 		log: discardLogger(), agent: newAgent(addrOf(s)), timeout: 50 * time.Millisecond, version: 4,
-		onList: func(l List) { told <- l }, sleep: sleep, now: time.Now,
+		onList: func(l List) { lists <- l }, sleep: sleep, now: time.Now,
 	}
 	go w.run(ctx)
 	for _, want := range []string{"4", "9"} {
 		select {
 		case got := <-indexes:
-			if l := <-told; got != want || l.Version != 9 || !l.Full {
+			if l := <-lists; got != want || l.Version != 9 || !l.Full {
 				t.Errorf("watch from %s, want %s; got %+v", got, want, l)
 			}
 		case <-time.After(testTimeout):
@@ -421,10 +421,10 @@
 	}))
 	defer s.Close()
 	ctx, cancel := context.WithCancel(t.Context())
-	told, ended := make(chan List, 100), make(chan struct{})
+	lists, ended := make(chan List, 100), make(chan struct{})
 	agent := newAgent(addrOf(away))
 	w := watcher{
-		log: discardLogger(), agent: agent, timeout: testTimeout, version: 4, onList: func(l List) { told <- l; cancel() },
+		log: discardLogger(), agent: agent, timeout: testTimeout, version: 4, onList: func(l List) { lists <- l; cancel() },
 		random: func() float64 { return 0.5 }, now: time.Now,
 		sleep: func(here context.Context, _ time.Duration) {
 			agent.move(addrOf(s))
@@ -433,7 +433,7 @@
 	}
 	go func() { w.run(ctx); close(ended) }()
 	<-ended
-	if l := <-told; l.Version != 9 || !l.Full {
+	if l := <-lists; l.Version != 9 || !l.Full {
 		t.Errorf("got %+v", l)
 	}
 }
@@ -455,15 +455,15 @@
 		<-req.Context().Done()
 	}))
 	defer s.Close()
-	told := make(chan List, 10)
+	lists := make(chan List, 10)
 	ctx, cancel := context.WithCancel(t.Context())
 	ended := make(chan struct{})
 	defer func() { cancel(); <-ended }()
-	w := watcher{log: discardLogger(), agent: newAgent(addrOf(s)), timeout: testTimeout, version: 4, onList: func(l List) { told <- l }, sleep: sleep, now: time.Now}
+	w := watcher{log: discardLogger(), agent: newAgent(addrOf(s)), timeout: testTimeout, version: 4, onList: func(l List) { lists <- l }, sleep: sleep, now: time.Now}
 	go func() { w.run(ctx); close(ended) }()
 	for _, want := range []int64{7, 8} {
 		select {
-		case l := <-told:
+		case l := <-lists:
 			if l.Version != want || l.Full != (want == 7) {
 				t.Errorf("got %+v, want version %d", l, want)
 			}
@@ -497,14 +497,14 @@
 		w.WriteHeader(http.StatusNoContent)
 	}))
 	defer s.Close()
-	taken := make(chan []uint32, 10)
-	f := newNoticeSender(discardLogger(), newAgent(addrOf(s)), func(ids []uint32) { taken <- ids })
+	confirmed := make(chan []uint32, 10)
+	f := newNoticeSender(discardLogger(), newAgent(addrOf(s)), func(ids []uint32) { confirmed <- ids })
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
 	f.add(notice{id: 1, ID: "a", Status: "undeliverable"}, notice{id: 2, ID: "b", Status: "deferred", AgainMS: 500})
 	go f.run(ctx)
 	select {
-	case ids := <-taken:
+	case ids := <-confirmed:
 		if len(ids) != 2 || lines != 2 || posts != 3 {
 			t.Errorf("accepted %v after %d requests, %d lines", ids, posts, lines)
 		}
@@ -527,15 +527,15 @@
 	}))
 	defer s.Close()
 	defer close(silent)
-	taken := make(chan []uint32, 1)
-	f := newNoticeSender(discardLogger(), newAgent(addrOf(s)), func(ids []uint32) { taken <- ids })
+	confirmed := make(chan []uint32, 1)
+	f := newNoticeSender(discardLogger(), newAgent(addrOf(s)), func(ids []uint32) { confirmed <- ids })
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
 	f.add(notice{id: 1, ID: "a", Status: "undeliverable"})
 	began := time.Now()
 	go f.run(ctx)
 	select {
-	case <-taken:
+	case <-confirmed:
 		if took := time.Since(began); took > maxNoticeTimeout*3/4 {
 			t.Errorf("the notice was accepted after %v", took)
 		}
--- a/internal/relay/step.go
+++ b/internal/relay/step.go
@@ -25,7 +25,7 @@
 		return
 	}
 	var checks []sendCheck
-	var takeovers []handoverRequest
+	var handoverRequests []handoverRequest
 	var submissions []*submission
 	for _, e := range batch {
 		switch e := e.(type) {
@@ -57,7 +57,7 @@
 		case predecessorGone:
 			evs = r.endPredecessorAttempts(evs)
 		case handoverRequest:
-			takeovers = append(takeovers, e)
+			handoverRequests = append(handoverRequests, e)
 		case *storeJob:
 			evs = r.backlog.jobFinished(evs, e)
 		case stopIntake:
@@ -79,7 +79,7 @@
 				evs = append(evs, r.resumedEvent(m, nil))
 			default:
 				r.backlog.add(m)
-				evs = append(evs, r.takenEvent(m))
+				evs = append(evs, r.acceptedEvent(m))
 			}
 		}
 		r.execute(r.sender.Step(now, evs), waiting)
@@ -89,7 +89,7 @@
 	for _, c := range checks {
 		c.reply <- !r.noSends && r.sender.StillAllowed(c.route, r.now(), c.ids...)
 	}
-	if r.stopping && !r.drainSignalled && len(r.promises) == 0 && (r.allFinished() || r.noSends && r.callsOut == 0) {
+	if r.stopping && !r.drainSignalled && len(r.pendingSteps) == 0 && (r.allFinished() || r.noSends && r.callsOut == 0) {
 		r.drainSignalled = true
 		close(r.drained)
 	}
@@ -100,7 +100,7 @@
 	r.answerRejected()
 	r.releaseWithheld()
 	r.updateGauges()
-	for _, h := range takeovers {
+	for _, h := range handoverRequests {
 		r.handOver(h.link)
 	}
 }
--- a/internal/relay/transient_test.go
+++ b/internal/relay/transient_test.go
@@ -249,14 +249,14 @@
 	defer s.Close()
 	failed := make(chan time.Time, tries)
 	defer sockets.SetFaults(reportingFaults{newCallFaults(syscall.ENETUNREACH, tries, sockets.Connect), failed})()
-	taken := make(chan []uint32, 1)
-	f := newNoticeSender(discardLogger(), newAgent(addrOf(s)), func(ids []uint32) { taken <- ids })
+	confirmed := make(chan []uint32, 1)
+	f := newNoticeSender(discardLogger(), newAgent(addrOf(s)), func(ids []uint32) { confirmed <- ids })
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
 	f.add(notice{id: 1, ID: "a", Status: "undeliverable"})
 	go f.run(ctx)
 	select {
-	case <-taken:
+	case <-confirmed:
 	case <-time.After(2 * testTimeout):
 		t.Fatal("never accepted")
 	}
--- a/internal/relay/window.go
+++ b/internal/relay/window.go
@@ -29,11 +29,11 @@
 	queued  bool       // in window.loadQueue
 }
 
-func newWindow(size int, share float64, most int) *window {
+func newWindow(size int, share float64, maxHeld int) *window {
 	w := &window{maxUnsent: size, maxPerDest: max(1, int(share*float64(size))), maxHeld: 4 * size, dests: map[int]*destWindow{}}
-	if most > 0 {
+	if maxHeld > 0 {
 		// Stay below the module's own limit, so that it never refuses a message for lack of space.
-		w.maxHeld = min(w.maxHeld, most*4/5)
+		w.maxHeld = min(w.maxHeld, maxHeld*4/5)
 		w.maxUnsent = max(1, min(w.maxUnsent, w.maxHeld/2))
 		w.maxPerDest = min(w.maxPerDest, w.maxUnsent)
 	}
@@ -68,7 +68,7 @@
 	c := w.dest(m.Dest)
 	c.held++
 	w.held++
-	m.cell = c
+	m.destWindow = c
 	if m.sends == 0 {
 		m.unsentIndex = len(c.unsent)
 		c.unsent = append(c.unsent, m)
@@ -80,14 +80,14 @@
 
 // markSent counts a message's first send.
 func (w *window) markSent(m *message) {
-	if m.cell != nil && m.unsentIndex >= 0 {
+	if m.destWindow != nil && m.unsentIndex >= 0 {
 		w.removeUnsent(m)
 		w.sent++
 	}
 }
 
 func (w *window) removeUnsent(m *message) {
-	c := m.cell
+	c := m.destWindow
 	last := c.unsent[len(c.unsent)-1]
 	c.unsent[m.unsentIndex], last.unsentIndex = last, m.unsentIndex
 	c.unsent[len(c.unsent)-1] = nil
@@ -96,7 +96,7 @@
 
 // remove counts out a message that has left the module.
 func (w *window) remove(m *message) {
-	c := m.cell
+	c := m.destWindow
 	if c == nil {
 		return
 	}
@@ -105,7 +105,7 @@
 	} else {
 		w.sent--
 	}
-	m.cell = nil
+	m.destWindow = nil
 	c.held--
 	w.held--
 	w.queueLoad(c)
@@ -187,15 +187,15 @@
 	need := over
 	over += w.maxUnsent / 16
 	share := w.fairShare()
-	cells := make([]*destWindow, 0, len(w.dests))
+	dests := make([]*destWindow, 0, len(w.dests))
 	for _, c := range w.dests {
 		if len(c.unsent) > 0 {
-			cells = append(cells, c)
+			dests = append(dests, c)
 		}
 	}
-	slices.SortFunc(cells, func(a, b *destWindow) int { return cmp.Or(b.held-a.held, a.dest-b.dest) })
+	slices.SortFunc(dests, func(a, b *destWindow) int { return cmp.Or(b.held-a.held, a.dest-b.dest) })
 	for _, keep := range []int{share, 0} {
-		for _, c := range cells {
+		for _, c := range dests {
 			if n := min(over-len(all), c.held-keep, len(c.unsent)); n > 0 {
 				all = append(all, c.leastUrgent(n, evictable)...)
 			}
--- a/policy/fleet_test.go
+++ b/policy/fleet_test.go
@@ -240,9 +240,9 @@
 	for _, senders := range []int{5, 20, 30} {
 		for _, limit := range []float64{3, 10, 30} {
 			for _, demand := range []float64{0.9, 2} {
-				for _, know := range []fleetCase{{listed: true}, {reported: true}, {}} {
+				for _, limitKnown := range []fleetCase{{listed: true}, {reported: true}, {}} {
 					for _, fails := range []float64{1, 0.8} {
-						c := fleetCase{senders, limit, demand, fails, know.listed, know.reported, 10}
+						c := fleetCase{senders, limit, demand, fails, limitKnown.listed, limitKnown.reported, 10}
 						for seed := range uint64(10) {
 							w := runFleet(t, c, seed)
 							if all, informed := w.budgetExcess(); all > 0 {
--- a/policy/handover.go
+++ b/policy/handover.go
@@ -63,11 +63,11 @@
 }
 
 // RouteStates returns what this Sender knows of each route.
-func (s *Sender) RouteStates() (ms []RouteState) {
+func (s *Sender) RouteStates() (states []RouteState) {
 	for _, d := range s.order {
 		for _, g := range d.groups {
 			for _, r := range g.routes {
-				ms = append(ms, RouteState{
+				states = append(states, RouteState{
 					r.Route, g.waitUntil, g.halvedAt, g.grownAt, g.tokensAt, g.creditAt, g.suspectRemovedAt, g.ownRateAt, g.pace,
 					g.ceiling, g.ceilingLimit, g.tokens, g.credit, g.limit, g.ownRate, g.guessed, g.failStreak, g.tableFullCount,
 					g.recentSends, r.skipUntil, r.skipLen, r.recoveringSince, r.refusedAt, r.okAt, r.okSent, r.mean, r.dev, r.down,
@@ -76,13 +76,13 @@
 			}
 		}
 	}
-	return ms
+	return states
 }
 
 // LoadRouteStates adopts what another Sender knew of the routes that are listed here. It must precede any message.
-func (s *Sender) LoadRouteStates(ms []RouteState) {
+func (s *Sender) LoadRouteStates(states []RouteState) {
 	s.inherited = true
-	for _, m := range ms {
+	for _, m := range states {
 		r := s.routes[m.Route]
 		if r == nil {
 			continue
@@ -106,13 +106,13 @@
 // RestoreRouteStates adopts the state that a Sender of an ended process exported age ago, when its clock read exportedAt.
 // A restart ends Retry-After waits, and state older than the longest skip is dropped. Younger state decays by the same
 // rules as it would have in that process. It must precede any message.
-func (s *Sender) RestoreRouteStates(ms []RouteState, exportedAt, age time.Duration) {
+func (s *Sender) RestoreRouteStates(states []RouteState, exportedAt, age time.Duration) {
 	if age < 0 || age > maxSkip {
 		return
 	}
 	shift := s.now - age - exportedAt
-	for i := range ms {
-		m := &ms[i]
+	for i := range states {
+		m := &states[i]
 		m.WaitUntil, m.RecentSends = 0, slices.Clone(m.RecentSends)
 		for k := range m.RecentSends {
 			m.RecentSends[k] += shift
@@ -124,7 +124,7 @@
 			}
 		}
 	}
-	s.LoadRouteStates(ms)
+	s.LoadRouteStates(states)
 }
 
 // adoptAttempt records an attempt that is out at the previous process. It uses a slot, and its outcome is still to come.
--- a/policy/handover_test.go
+++ b/policy/handover_test.go
@@ -15,8 +15,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	var ms []RouteState
-	if err := json.Unmarshal(text, &ms); err != nil {
+	var states []RouteState
+	if err := json.Unmarshal(text, &states); err != nil {
 		t.Fatal(err)
 	}
 	next, err := New(set, 2)
@@ -24,7 +24,7 @@
 		t.Fatal(err)
 	}
 	next.Step(at, []Event{twoZones()})
-	next.LoadRouteStates(ms)
+	next.LoadRouteStates(states)
 	return next
 }
 
@@ -43,15 +43,15 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	taken := func(id uint32) Event { return Event{Kind: Accepted, ID: id, Destination: 5, TimeLeft: 8 * time.Second} }
-	if got := sentRoutes(s.Step(time.Second, []Event{twoZones(), taken(1)})); len(got) != 1 || got[0] != "best" {
+	accepted := func(id uint32) Event { return Event{Kind: Accepted, ID: id, Destination: 5, TimeLeft: 8 * time.Second} }
+	if got := sentRoutes(s.Step(time.Second, []Event{twoZones(), accepted(1)})); len(got) != 1 || got[0] != "best" {
 		t.Fatalf("sent to %v", got)
 	}
 	s.Step(1100*time.Millisecond, []Event{{
 		Kind: Finished, ID: 1, Route: "best", Outcome: Full, RetryAfter: 2 * time.Second, Report: Report{Present: true, Limit: 40},
 	}})
 	next := newSuccessor(t, s, set, 1200*time.Millisecond)
-	if got := sentRoutes(next.Step(1200*time.Millisecond, []Event{taken(2)})); len(got) != 1 || got[0] != "other" {
+	if got := sentRoutes(next.Step(1200*time.Millisecond, []Event{accepted(2)})); len(got) != 1 || got[0] != "other" {
 		t.Errorf("during a Retry-After wait: sent to %v", got)
 	}
 	if next.StillAllowed("best", 2*time.Second) || !next.StillAllowed("best", 3200*time.Millisecond) {
@@ -125,13 +125,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	taken := func(id uint32) Event { return Event{Kind: Accepted, ID: id, Destination: 5, TimeLeft: 8 * time.Second} }
-	s.Step(time.Minute, []Event{twoZones(), taken(1)})
+	accepted := func(id uint32) Event { return Event{Kind: Accepted, ID: id, Destination: 5, TimeLeft: 8 * time.Second} }
+	s.Step(time.Minute, []Event{twoZones(), accepted(1)})
 	s.Step(time.Minute+100*time.Millisecond, []Event{{
 		Kind: Finished, ID: 1, Route: "best", Outcome: Full, RetryAfter: 5 * time.Second, Report: Report{Present: true, Limit: 40},
 	}})
 	before := s.RouteStates()
-	recall := func(age time.Duration) *Sender {
+	restoreAt := func(age time.Duration) *Sender {
 		next, err := New(set, 2)
 		if err != nil {
 			t.Fatal(err)
@@ -140,7 +140,7 @@
 		next.RestoreRouteStates(slices.Clone(before), time.Minute+200*time.Millisecond, age)
 		return next
 	}
-	young := recall(time.Second)
+	young := restoreAt(time.Second)
 	if !young.StillAllowed("best", time.Second) {
 		t.Error("the Retry-After wait outlasts the restart")
 	}
@@ -156,7 +156,7 @@
 		t.Fatalf("nothing restored: %+v", young.RouteStates())
 	}
 	for _, age := range []time.Duration{-time.Second, time.Hour} {
-		if m := recall(age).RouteStates()[0]; m.Limit != 0 || m.Pace != 0 {
+		if m := restoreAt(age).RouteStates()[0]; m.Limit != 0 || m.Pace != 0 {
 			t.Errorf("restored state that is %v old: %+v", age, m)
 		}
 	}
--- a/policy/lost_test.go
+++ b/policy/lost_test.go
@@ -63,7 +63,7 @@
 		set.Slots = 4
 		set.Classes[class].Aim = 10 * time.Second
 		d := newHarness(t, set, Listing{Route: "a", Destination: 1}, Listing{Route: "b", Destination: 2})
-		cut := func(id uint32) (at time.Duration) {
+		timeout := func(id uint32) (at time.Duration) {
 			for _, a := range d.step(Event{Kind: Accepted, ID: id, Class: class, Destination: int(1 + id%2), TimeLeft: 60 * time.Second}) {
 				if a.Kind == Send {
 					at = a.TimeoutAt - d.now
@@ -75,20 +75,20 @@
 			d.step(Event{Kind: Accepted, ID: id, Destination: int(1 + id%2), TimeLeft: 60 * time.Second})
 			d.finish(id, []string{"a", "b"}[id%2], OK, 50*ms, 0)
 		}
-		free := cut(2)
+		withFreeSlots := timeout(2)
 		d.sender.routes["a"].recentLosses = 1 // without losses the timeout is not shortened
 		for id := uint32(3); id < 12; id++ {
-			cut(id)
+			timeout(id)
 		}
 		d.attempts[2] = 0
-		var pressed time.Duration
+		var withLastSlot time.Duration
 		for _, a := range d.finish(2, "a", OK, 50*ms, 0) {
 			if a.Kind == Send {
-				pressed = a.TimeoutAt - d.now
+				withLastSlot = a.TimeoutAt - d.now
 			}
 		}
-		if want := d.sender.maxAnswerTime(d.sender.routes["a"], timeoutDevs); pressed != want || free <= 2*want {
-			t.Errorf("class %d: waits %v with the last slot, %v with slots free; want %v and well more", class, pressed, free, want)
+		if want := d.sender.maxAnswerTime(d.sender.routes["a"], timeoutDevs); withLastSlot != want || withFreeSlots <= 2*want {
+			t.Errorf("class %d: waits %v with the last slot, %v with slots free; want %v and well more", class, withLastSlot, withFreeSlots, want)
 		}
 	}
 }
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -684,12 +684,12 @@
 	}
 	// Rule 6: the order of the key and its pause.
 	at := time.Duration(0)
-	if t := m.keyQueue; t != nil {
-		if t.messages[0] != m {
+	if q := m.keyQueue; q != nil {
+		if q.messages[0] != m {
 			return never
 		}
 		if m.sends == 0 {
-			at = t.restUntil
+			at = q.restUntil
 		}
 	}
 	// Rule 4: the recovery budget. Rule 5: Retry-After waits.
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -441,7 +441,7 @@
 func TestSparseSenderSuspectsOnOneFailure(t *testing.T) {
 	for _, c := range []struct {
 		senders int
-		cold    bool
+		suspect bool
 	}{{1, false}, {3, false}, {100, true}, {400, true}} {
 		set := settings()
 		set.Senders = c.senders
@@ -449,7 +449,7 @@
 		r := d.sender.routes["a"]
 		d.sender.now = d.now
 		d.sender.recordOutcome(r, sample{outcome: Timeout, sent: d.now}, time.Second)
-		if r.suspect != c.cold {
+		if r.suspect != c.suspect {
 			t.Errorf("%d senders: suspect %v after one failure", c.senders, r.suspect)
 		}
 		d.sender.recordOutcome(r, sample{outcome: OK, sent: d.now}, ms)
@@ -464,7 +464,7 @@
 	for _, c := range []struct {
 		senders   int
 		gap, wait time.Duration
-		cold      bool
+		suspect   bool
 	}{
 		{20, outageRefusalSpan, 0, true},
 		{20, outageRefusalSpan - ms, 0, false},  // refusals of one burst
@@ -480,7 +480,7 @@
 		d.sender.recordOutcome(r, sample{outcome: Full, sent: d.now, retryAfter: c.wait}, ms)
 		d.sender.now += c.gap
 		d.sender.recordOutcome(r, sample{outcome: Full, sent: d.sender.now, retryAfter: c.wait}, ms)
-		if r.suspect != c.cold {
+		if r.suspect != c.suspect {
 			t.Errorf("%+v: suspect %v", c, r.suspect)
 		}
 	}
@@ -622,7 +622,7 @@
 	for _, c := range []struct {
 		senders, fails int
 		took           time.Duration
-		cold           bool
+		suspect        bool
 	}{
 		{20, 2, 10 * ms, false},                // a full table
 		{100, maxTableFull + 3, 10 * ms, true}, // an outage after all
@@ -637,7 +637,7 @@
 		for range c.fails {
 			d.sender.recordOutcome(d.sender.routes["a"], sample{outcome: ConnectFailed, sent: d.now - c.took}, c.took)
 		}
-		if got := d.sender.routes["a"].suspect; got != c.cold {
+		if got := d.sender.routes["a"].suspect; got != c.suspect {
 			t.Errorf("%+v: suspect %v", c, got)
 		}
 	}
@@ -725,14 +725,14 @@
 	d.sender.now = d.now
 	d.sender.markSuspect(r)
 	d.sender.recordOutcome(r, sample{outcome: OK, sent: d.now}, ms)
-	back := r.recoveringSince
+	since := r.recoveringSince
 	for range 6 {
 		d.sender.now += time.Second
 		d.sender.recordOutcome(r, sample{outcome: Timeout, sent: d.sender.now - ms}, time.Second)
 		d.sender.recordOutcome(r, sample{outcome: OK, sent: d.sender.now}, ms)
 	}
-	if back == 0 || r.recoveringSince != back || r.down {
-		t.Errorf("back at %v, then %v, down %v", back, r.recoveringSince, r.down)
+	if since == 0 || r.recoveringSince != since || r.down {
+		t.Errorf("back at %v, then %v, down %v", since, r.recoveringSince, r.down)
 	}
 	d.sender.now += time.Second
 	for range 2 {
@@ -759,7 +759,7 @@
 // A call to a route whose last call failed carries one message. Otherwise up to ten messages share each failed trial.
 func TestBatches(t *testing.T) {
 	d := newHarness(t, settings(), Listing{Route: "a", Kind: 2})
-	three := func(first uint32) int {
+	callsForThree := func(first uint32) int {
 		var evs []Event
 		for i := range uint32(3) {
 			evs = append(evs, Event{Kind: Accepted, ID: first + i, TimeLeft: 9 * time.Second})
@@ -768,11 +768,11 @@
 		d.step(evs...)
 		return len(d.sender.routes["a"].calls) - before
 	}
-	if n := three(1); n != 1 {
+	if n := callsForThree(1); n != 1 {
 		t.Errorf("three messages in %d calls, want 1", n)
 	}
 	d.sender.routes["a"].failStreak = 1
-	if n := three(4); n != 3 {
+	if n := callsForThree(4); n != 3 {
 		t.Errorf("three messages in %d calls after a failure, want 3", n)
 	}
 }
@@ -853,7 +853,7 @@
 }
 
 func TestNewRejectsInvalidSettings(t *testing.T) {
-	for name, spoil := range map[string]func(*Settings){
+	for name, change := range map[string]func(*Settings){
 		"no class":       func(s *Settings) { s.Classes = nil },
 		"negative slots": func(s *Settings) { s.Slots = -1 },
 		"negative aim":   func(s *Settings) { s.Classes[0].Aim = -1 },
@@ -862,7 +862,7 @@
 		"endless value":  func(s *Settings) { s.Classes[0].Value = math.Inf(1) },
 	} {
 		set := settings()
-		spoil(&set)
+		change(&set)
 		if _, err := New(set, 1); err == nil {
 			t.Errorf("%s: accepted", name)
 		}
--- a/policy/state.go
+++ b/policy/state.go
@@ -376,15 +376,15 @@
 	}
 	delete(s.msgs, m.id)
 	m.dest.held--
-	if t := m.keyQueue; t != nil {
+	if q := m.keyQueue; q != nil {
 		m.keyQueue = nil
-		t.messages = slices.DeleteFunc(t.messages, func(x *message) bool { return x == m })
+		q.messages = slices.DeleteFunc(q.messages, func(x *message) bool { return x == m })
 		switch {
-		case len(t.messages) > 0:
-			s.markReady(t.messages[0].dest)
-		case !t.idle:
-			t.idle = true
-			s.idleKeyQueues = append(s.idleKeyQueues, t)
+		case len(q.messages) > 0:
+			s.markReady(q.messages[0].dest)
+		case !q.idle:
+			q.idle = true
+			s.idleKeyQueues = append(s.idleKeyQueues, q)
 		}
 	}
 }
@@ -392,10 +392,10 @@
 // removeIdleKeyQueues forgets key queues that have no messages and whose rest is over.
 func (s *Sender) removeIdleKeyQueues() {
 	for len(s.idleKeyQueues) > 0 && s.idleKeyQueues[0].restUntil <= s.now {
-		t := s.idleKeyQueues[0]
+		q := s.idleKeyQueues[0]
 		s.idleKeyQueues = s.idleKeyQueues[1:]
-		if t.idle = false; len(t.messages) == 0 {
-			delete(s.keyQueues, t.key)
+		if q.idle = false; len(q.messages) == 0 {
+			delete(s.keyQueues, q.key)
 		}
 	}
 }
@@ -535,13 +535,13 @@
 
 // joinKeyQueue appends a message to the queue of its key.
 func (s *Sender) joinKeyQueue(m *message, key string) {
-	t := s.keyQueues[key]
-	if t == nil {
-		t = &keyQueue{key: key}
-		s.keyQueues[key] = t
+	q := s.keyQueues[key]
+	if q == nil {
+		q = &keyQueue{key: key}
+		s.keyQueues[key] = q
 	}
-	t.messages = append(t.messages, m)
-	m.keyQueue = t
+	q.messages = append(q.messages, m)
+	m.keyQueue = q
 }
 
 // beginCall records a call that goes out, and what it uses of its group's slots, pace and recovery budget.
