--- a/internal/relay/accept.go
+++ b/internal/relay/accept.go
@@ -137,7 +137,8 @@
 	return answer{}, ""
 }
 
-// newMessage creates a message. It continues old, a withdrawn message under the same id that may have run, if there is one.
+// newMessage creates a message. It continues old, a withdrawn message under the same id that may have run, if there is
+// one.
 func (r *Relay) newMessage(w *wal.Message, old *message) *message {
 	r.lastID++
 	w.ID = r.lastID
--- a/internal/relay/admin.go
+++ b/internal/relay/admin.go
@@ -19,14 +19,14 @@
 const maxAdminConns = 24
 
 const (
-	// maxCountTime is the longest count of avoided routes that may run in every step. After a slower count, the next one is
-	// delayed by countBackoff times its duration, so that the gauge is late and not the loop.
+	// maxCountTime is the longest count of avoided routes that may run in every step. After a slower count, the next
+	// one is delayed by countBackoff times its duration, so that the gauge is late and not the loop.
 	maxCountTime = 100 * time.Microsecond
 	countBackoff = 100
 )
 
-// metrics are shown to operators. The loop and the calls write them and the admin API reads them; readers wait for
-// neither.
+// metrics are shown to operators. The loop and the goroutines of calls write them, and the admin API reads them without
+// waiting for either.
 type metrics struct {
 	names                    []string
 	classes                  []classMetrics
--- a/internal/relay/admin_test.go
+++ b/internal/relay/admin_test.go
@@ -178,8 +178,8 @@
 	}
 }
 
-// An exclusion that cannot be saved is answered with an error. It is in force nevertheless, because an exclusion must hold
-// from 1 s after the request. It is saved as soon as the disk allows, so that it also survives a restart.
+// An exclusion that cannot be saved is answered with an error. It is in force nevertheless, because an exclusion must
+// hold from 1 s after the request. It is saved as soon as the disk allows, so that it also survives a restart.
 func TestUnsavedExclusionIsInForce(t *testing.T) {
 	r := newTestRelay(t)
 	dir := r.exclusions.dir
--- a/internal/relay/backlog.go
+++ b/internal/relay/backlog.go
@@ -17,8 +17,8 @@
 	"onyxroad.dev/onyxroad/policy"
 )
 
-// The backlog stores on disk the messages that exceed the window in memory and were never tried. A message is always in the
-// log, in the store ("on disk"), or briefly in both, and then the log takes precedence:
+// The backlog stores on disk the messages that exceed the window in memory and were never tried. A message is always in
+// the log, in the store ("on disk"), or briefly in both, and then the log takes precedence:
 //
 //	accepted            in the log; its client has its answer
 //	moving to disk      in the log and, once written, in the store; then it ends in the log, without a notice
@@ -26,9 +26,9 @@
 //	moving to memory    read, and accepted into the log again under its id; then removed from the store, and only then
 //	                    passed to the module
 //
-// So a message that the module may have sent is never on disk, and a restart that finds a message in both places uses the
-// log's. The loop decides what moves (see window). One goroutine at a time reads and writes the store (see job), so that
-// no step waits for the disk.
+// So a message that the module may have sent is never on disk, and a restart that finds a message in both places uses
+// the log's. The loop decides what moves (see window). One goroutine at a time reads and writes the store (see
+// storeJob), so that no step waits for the disk.
 
 const (
 	jobBatch               = 512                    // messages that one job writes, and that it reads
@@ -36,9 +36,10 @@
 	expiryBatch            = 2048                   // expired messages that one job reads
 	maxUnconfirmedExpiries = 16 * expiryBatch       // unconfirmed notices from which on no more expired messages are read
 	storeRetryInterval     = 250 * time.Millisecond // after a failed or full disk
-	sharedIDLifetime       = 2 * time.Second        // within which a client that disconnects has done so
+	sharedIDLifetime       = 2 * time.Second        // by then a client that gives up on its request has disconnected
 
-	// Fractions of the log's space for live records. Above evictFill messages move to disk; above loadFill none come back.
+	// Fractions of the log's space for live records. Above evictFill messages move to disk; above loadFill none come
+	// back.
 	evictFill = 0.6
 	loadFill  = 0.5
 )
@@ -62,7 +63,8 @@
 	movingToMemory
 )
 
-// backlogQueue is the loop's side of the backlog. Its methods accept a nil receiver where a relay without a backlog calls them.
+// backlogQueue is the loop's side of the backlog. Its methods accept a nil receiver where a relay without a backlog
+// calls them.
 type backlogQueue struct {
 	*window
 	Backlog
@@ -146,8 +148,8 @@
 // clockOffsetFile holds, in nanoseconds, by how much in all the clock was set back since the backlog was first used.
 const clockOffsetFile = "backlog.clock"
 
-// loadClockOffset reads that offset and adds r.behind to it, so that a clock that is set back over a restart gives no message
-// more time.
+// loadClockOffset reads that offset and adds r.clockBehind to it, so that a clock that is set back over a restart gives
+// no message more time.
 func (r *Relay) loadClockOffset() (time.Duration, error) {
 	fs := r.cfg.Disk
 	if fs == nil {
@@ -170,8 +172,8 @@
 	return time.Duration(ns), nil
 }
 
-// rankOf returns the sort key of a message among those of its destination: its deadline, or, if its class is ordered, a key
-// that grows with the time of arrival.
+// rankOf returns the sort key of a message among those of its destination: its deadline, or, if its class is ordered, a
+// key that grows with the time of arrival.
 func (r *Relay) rankOf(m *wal.Message) int64 {
 	if m.Order == "" || !r.cfg.Settings.Classes[m.Class].Ordered {
 		return r.wal.Stamp(m.Deadline).UnixNano()
@@ -185,8 +187,8 @@
 	return r.wal.Stamp(clock.Now().Add(longest)).UnixNano()
 }
 
-// storedTime converts a time to its form on disk: on the log's timeline, plus the offset by which the clock was set back over
-// restarts. restoredTime is the inverse.
+// storedTime converts a time to its form on disk: on the log's timeline, plus the offset by which the clock was set
+// back over restarts. restoredTime is the inverse.
 func (o *backlogQueue) storedTime(at time.Time) int64 {
 	return o.relay.wal.Stamp(at).Add(o.clockOffset).UnixNano()
 }
@@ -200,8 +202,8 @@
 	return owed.Ref{ID: m.ID, Trace: m.Trace, Dest: m.Dest, Rank: m.rank(), Deadline: o.storedTime(m.Deadline)}
 }
 
-// lookup answers a request for a message that is already on disk; false if it is not. Since the message then has more than
-// one client, withdraw ignores it for sharedIDLifetime.
+// lookup answers a request for a message that is already on disk; false if it is not. Since the message then has more
+// than one client, withdraw ignores it for sharedIDLifetime.
 func (o *backlogQueue) lookup(trace string) (answer, bool) {
 	if o == nil || o.onDisk == 0 {
 		return answer{}, false
@@ -292,8 +294,8 @@
 	}
 }
 
-// cancelTransfer ends a message that is withdrawn while it moves. If it may be on disk, it is removed there before it ends in the
-// log: a restart would otherwise send it.
+// cancelTransfer ends a message that is withdrawn while it moves. If it may be on disk, it is removed there before it
+// ends in the log: a restart would otherwise send it.
 func (o *backlogQueue) cancelTransfer(m *message) {
 	for i, x := range o.outgoing {
 		if x == m && m.move == movingToDisk {
@@ -336,8 +338,8 @@
 	return ok
 }
 
-// admitRecovered reports whether a message that was recovered from the log goes to the module. Otherwise it queues the message
-// for the disk: one that was never tried waits behind those already there.
+// admitRecovered reports whether a message that was recovered from the log goes to the module. Otherwise it queues the
+// message for the disk: one that was never tried waits behind those already there.
 func (o *backlogQueue) admitRecovered(m *message) bool {
 	if o == nil || m.Attempts > 0 || len(m.MayRun) > 0 || m.Doubt || !storable(m.Dest) || o.admits(m.Dest) && o.held-o.sent < o.maxUnsent {
 		return true
@@ -408,7 +410,7 @@
 	o.relay.metrics.backlog.Store(&text)
 }
 
-// String returns the backlog's metrics as lines of the admin address.
+// String formats the backlog's metrics for /api/telemetry.
 func (o *backlogQueue) String() string {
 	gauge := func(b bool) int {
 		if b {
--- a/internal/relay/backlog_test.go
+++ b/internal/relay/backlog_test.go
@@ -286,7 +286,7 @@
 func TestFullOrFailingDiskRejectsNewMessages(t *testing.T) {
 	for name, breakStore := range map[string]func(*memoryStore){
 		"full":    func(s *memoryStore) { s.capacity = 1 },
-		"failing": func(s *memoryStore) { s.err = errors.New("sick") },
+		"failing": func(s *memoryStore) { s.err = errors.New("input/output error") },
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := &memoryStore{entries: map[uint32]owed.Entry{}}
@@ -312,7 +312,8 @@
 	}
 }
 
-// A message whose client disconnects while it is moving to disk, or on disk, must end, and must not reappear at a restart.
+// A message whose client disconnects while it is moving to disk, or on disk, must end, and must not reappear at a
+// restart.
 func TestWithdrawnMessageIsRemovedFromDiskBeforeLog(t *testing.T) {
 	for _, when := range []string{"before its job", "under its job", "on disk"} {
 		t.Run(when, func(t *testing.T) {
@@ -409,8 +410,8 @@
 
 var crashStates = flag.Int("crash-states", 1000, "number of random states of log and backlog to check")
 
-// Whenever the process ends between writes to the log and to the backlog, each accepted message must be recovered exactly once,
-// and a message that was sent must not be recovered as untried.
+// Whenever the process ends between writes to the log and to the backlog, each accepted message must be recovered
+// exactly once, and a message that was sent must not be recovered as untried.
 func TestCrashBetweenLogAndBacklogLosesNoMessage(t *testing.T) {
 	rng := rand.New(rand.NewPCG(7, 11))
 	for state := 0; state < *crashStates; {
@@ -418,18 +419,18 @@
 		b := newBacklogRelay(t, s, d, 64)
 		pending, sent, next := map[string]bool{}, map[string]bool{}, 0
 		var snapshots []struct {
-			logs       *crashdisk.Disk
-			store      map[uint32]owed.Entry
-			owes, sent map[string]bool
+			logs          *crashdisk.Disk
+			store         map[uint32]owed.Entry
+			pending, sent map[string]bool
 		}
 		takeSnapshot := func(when func() bool) {
 			if !when() {
 				return
 			}
 			snapshots = append(snapshots, struct {
-				logs       *crashdisk.Disk
-				store      map[uint32]owed.Entry
-				owes, sent map[string]bool
+				logs          *crashdisk.Disk
+				store         map[uint32]owed.Entry
+				pending, sent map[string]bool
 			}{d.Crash(func() bool { return true }), maps.Clone(s.entries), maps.Clone(pending), maps.Clone(sent)})
 		}
 		sometimes := func() bool { return rng.IntN(4) == 0 }
@@ -497,13 +498,13 @@
 					t.Fatalf("state %d: %s was sent, but is on disk as untried", state, e.Trace)
 				}
 			}
-			for trace := range x.owes {
+			for trace := range x.pending {
 				if has[trace] != 1 {
 					t.Fatalf("state %d: %s was recovered %d times", state, trace, has[trace])
 				}
 			}
 			for trace := range has {
-				if !x.owes[trace] {
+				if !x.pending[trace] {
 					t.Fatalf("state %d: %s has ended, but was recovered", state, trace)
 				}
 			}
--- a/internal/relay/carry.go
+++ b/internal/relay/carry.go
@@ -51,8 +51,8 @@
 		}
 	}
 	p := pendingStep{waiting: waiting, answers: answers, ended: ended, calls: calls}
-	// A send must not leave before the log has it: a restart would repeat it. An end must not be reported before the log has
-	// it: a restart would send the message.
+	// A send must not leave before the log has it: a restart would repeat it. An end must not be reported before the
+	// log has it: a restart would send the message.
 	err := r.record(calls)
 	if err != nil && !errors.Is(err, wal.ErrNeedsNewFile) {
 		r.log.Warn("log not written", "calls", len(calls), "err", err)
--- a/internal/relay/clients.go
+++ b/internal/relay/clients.go
@@ -48,11 +48,11 @@
 
 	acceptRetryDelay = 10 * time.Millisecond // after a failed accept
 
-	silentGrace = 100 * time.Millisecond // connections that stay silent longer are closed first
+	silentGrace = 100 * time.Millisecond // connections that stay silent for longer are closed first
 	idleGrace   = 2 * time.Second        // connections idle for longer may be closed without need
 )
 
-// answer is the response to a submission.
+// answer is the response to a request of a client or of an operator.
 type answer struct {
 	status     int
 	retryAfter time.Duration // Retry-After of a refusal; 0: none
@@ -87,7 +87,7 @@
 	unanswered atomic.Bool // a request was read, its client has not disconnected, and its answer is not being written yet
 }
 
-// clients serves client connections. When it runs short of them, it closes silent ones first.
+// clients serves the connections of clients. At its limit, it closes silent ones to make room for new ones.
 type clients struct {
 	log            *slog.Logger
 	handler        func(c *client, req *http.Request) answer
@@ -122,8 +122,8 @@
 		case errors.Is(err, net.ErrClosed):
 			return nil
 		case err != nil:
-			// The client disconnected at once, or the machine lacks a resource that this process cannot free. Neither is a
-			// reason to close a connection whose request may be in transit.
+			// The client disconnected at once, or the machine lacks a resource that this process cannot free. Neither
+			// is a reason to close a connection whose request may be in transit.
 			s.noteAccept(true)
 			s.acceptErrors.Do(func() { s.log.Warn("accept", "err", err) })
 			if errors.Is(err, syscall.EMFILE) {
@@ -183,7 +183,8 @@
 	return b
 }
 
-// makeRoom waits until another connection fits, asking one to close if necessary. If forced, it asks one in any case.
+// makeRoom waits until the limit allows another connection, and asks one to close if necessary. If forced, it asks one in
+// any case.
 func (s *clients) makeRoom(forced bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/relay/clients_test.go
+++ b/internal/relay/clients_test.go
@@ -370,8 +370,8 @@
 	return n, err
 }
 
-// A connection counts as idle until its reader reports otherwise, even if the request has been read by then. Asking such a
-// connection to close used to close it under a request that nobody else would answer.
+// A connection counts as idle until its reader reports otherwise, even if the request has been read by then. Asking
+// such a connection to close used to close it under a request that nobody else would answer.
 func TestReadRequestIsAnsweredWhenConnectionCloses(t *testing.T) {
 	for name, end := range map[string]func(s *clients){
 		"shutting down": func(s *clients) { s.drain() },
@@ -424,8 +424,8 @@
 	}
 }
 
-// A client that sends its next request before it has the answer has both read together. Whatever ends the connection then,
-// both must be answered.
+// A client that sends its next request before it has the answer has both read together. Whatever ends the connection
+// then, both must be answered.
 func TestPipelinedRequestIsAnswered(t *testing.T) {
 	for name, end := range map[string]func(s *clients, c *client){
 		"the relay ends":  func(s *clients, _ *client) { s.disableKeepAlive() },
--- a/internal/relay/config.go
+++ b/internal/relay/config.go
@@ -63,8 +63,8 @@
 	DiskMB   float64 `json:"disk_mb"`
 }
 
-// ReloadConfig reads the file that ROUTER_CONFIG names. The file overrides the other ROUTER_ variables, which are as old as
-// the process.
+// ReloadConfig reads the file that ROUTER_CONFIG names. The file overrides the other ROUTER_ variables, which are as
+// old as the process.
 func ReloadConfig(getenv func(string) string) (Config, error) {
 	c, err := readConfig(getenv)
 	if err != nil {
--- a/internal/relay/conn.go
+++ b/internal/relay/conn.go
@@ -63,7 +63,8 @@
 	}
 }
 
-// watch detects a peer that sends or disconnects while nothing is expected from it, and calls noticed, if not nil.
+// watch detects a peer that sends or disconnects while nothing is expected from it, and then calls onActivity, if
+// not nil.
 func (c *conn) watch(onActivity func()) {
 	c.allow(readBufferSize)
 	watched := make(chan error, 1)
--- a/internal/relay/discovery.go
+++ b/internal/relay/discovery.go
@@ -22,8 +22,9 @@
 	maxWatchLine  = 1 << 20
 	minRetryDelay = 50 * time.Millisecond
 	maxRetryDelay = time.Second
-	// The platform answers a notice at once, and a notice is late 300 ms after its message's deadline: a dead connection must not
-	// use up that time for the notices that wait behind it. Each time-out doubles the next one, for when answers are slow.
+	// The platform answers a notice at once, and a notice is late 300 ms after its message's deadline: a dead
+	// connection must not use up that time for the notices that wait behind it. Each time-out doubles the next one, for
+	// when answers are slow.
 	minNoticeTimeout    = 100 * time.Millisecond
 	maxNoticeTimeout    = time.Second
 	maxNoticeRetryDelay = 100 * time.Millisecond // after a request that failed without a time-out
@@ -35,13 +36,13 @@
 	maxRejectedDelay = 8 * time.Second
 	spreadPerRelay   = 150 * time.Millisecond // in fleets of minSpreadFleet relays or more
 	minSpreadFleet   = 7
-	// A relay counts as informed of a change listDeadline after discovery has it and is reachable, or after a watch falls silent.
-	// No delay may exceed that. After discovery has moved, movedListDeadline applies.
+	// A relay counts as informed of a change listDeadline after discovery has it and is reachable, or after a watch
+	// falls silent. No delay may exceed that. After discovery has moved, movedListDeadline applies.
 	listDeadline      = 6 * time.Second
 	movedListDeadline = 4 * time.Second
 	replyReserve      = 500 * time.Millisecond // part of the deadline that is kept for the request itself
-	// A relay counts as informed at once of what the agent already has: half of the time in which it has to stop sending to a
-	// draining host may pass before it asks.
+	// A relay counts as informed at once of what the agent already has: half of the time in which it has to stop
+	// sending to a draining host may pass before it asks.
 	reconnectSpread  = 250 * time.Millisecond
 	servedHeartbeats = 2   // empty lines, sent every 2 s, after which a watch counts as served rather than turned away
 	noticeBatch      = 256 // notices in a request
@@ -87,8 +88,8 @@
 	a.client.CloseIdleConnections()
 }
 
-// session returns the agent's address and a context for requests there, which ends with ctx, when the agent moves, or when
-// done is called.
+// session returns the agent's address and a context for requests there, which ends with ctx, when the agent moves, or
+// when done is called.
 func (a *agent) session(ctx context.Context) (addr string, work context.Context, done func()) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -161,8 +162,8 @@
 	return time.Duration(w.random() * float64(min(limit, time.Duration(w.fleetSize)*spreadPerRelay)))
 }
 
-// capDelay limits a delay so that the next request is answered within the list's deadline. A delay that exceeds the limit is
-// drawn again below it, so that a fleet that was turned away does not retry all at once.
+// capDelay limits a delay so that the next request is answered within the list's deadline. A delay that exceeds the
+// limit is drawn again below it, so that a fleet that was turned away does not retry all at once.
 func (w *watcher) capDelay(d time.Duration) time.Duration {
 	within := listDeadline
 	if w.moved {
@@ -336,8 +337,8 @@
 	}
 }
 
-// run sends queued notices until ctx ends. It repeats a notice that was not confirmed: a duplicate does no harm, whereas a
-// missing one loses a message.
+// run sends queued notices until ctx ends. It repeats a notice that was not confirmed: a duplicate does no harm,
+// whereas a missing one loses a message.
 func (f *noticeSender) run(ctx context.Context) {
 	delay, timeout := minRetryDelay, minNoticeTimeout
 	for {
--- a/internal/relay/durable.go
+++ b/internal/relay/durable.go
@@ -11,16 +11,17 @@
 	"onyxroad.dev/onyxroad/policy"
 )
 
-// A step's decisions are carried out once they are durable in the log. If the log only has to survive the process, that is
-// at once; if it has to survive a loss of power (Config.Power), it is after a sync. One sync covers every step written before
-// it, and the loop goes on with further steps meanwhile.
+// A step's decisions are carried out once they are durable in the log. If the log only has to survive the process, that
+// is at once; if it has to survive a loss of power (Config.Power), it is after a sync. One sync covers every step
+// written before it, and the loop goes on with further steps meanwhile.
 
 const (
-	// maxAnswerWait is how long a client's answer waits for the disk. The platform's clients wait 400 ms for an answer, and
-	// the loop may check this 200 ms late.
+	// maxAnswerWait is how long a client's answer waits for the disk. The platform's clients wait 400 ms for an answer,
+	// and the loop may check this 200 ms late.
 	maxAnswerWait = 150 * time.Millisecond
-	// maxNoticeWait is how long a final notice waits for the disk. If a notice is sent before its record is on disk, a loss of
-	// power may cause a second one, perhaps with another result; a notice that is held back longer is certainly late.
+	// maxNoticeWait is how long a final notice waits for the disk. If a notice is sent before its record is on disk, a
+	// loss of power may cause a second one, perhaps with another result; a notice that is held back longer is certainly
+	// late.
 	maxNoticeWait = time.Second
 	// maxCallWait is how long a call may wait for the disk before the module has to confirm it.
 	maxCallWait = 50 * time.Millisecond
@@ -74,7 +75,7 @@
 	})
 }
 
-// markWritten updates unwritten steps once the log has written all of its records, which may happen in a compaction, and that
+// markWritten updates unwritten steps once the log has written all records. That may happen in a compaction, which
 // has no sequence number of its own. With Config.Power only a sync counts, and the next write brings one.
 func (r *Relay) markWritten() {
 	waits := slices.ContainsFunc(r.pendingSteps, func(p pendingStep) bool { return p.unwritten })
@@ -247,8 +248,8 @@
 	return true
 }
 
-// scheduleStep triggers a step after one tick, for events that are kept for the next step. It leaves wakeAt, the module's own
-// wake-up, alone.
+// scheduleStep triggers a step after one tick, for events that are kept for the next step. It leaves wakeAt, the
+// module's own wake-up, alone.
 func (r *Relay) scheduleStep() { time.AfterFunc(r.cfg.Tick, func() { r.post(wakeLoop{}) }) }
 
 // logOptions returns the options of the write-ahead log.
@@ -286,8 +287,9 @@
 	return errors.Join(err, r.wal.Close())
 }
 
-// adjustForClockSetBack moves the deadlines of recovered messages if the wall clock is behind the latest time in the log. How
-// much time has passed is then unknown, so messages lose the difference rather than get time that may have passed.
+// adjustForClockSetBack moves the deadlines of recovered messages if the wall clock is behind the latest time in the
+// log. How much time has passed is then unknown, so messages lose the difference rather than get time that may have
+// passed.
 func (r *Relay) adjustForClockSetBack(found wal.Recovery, latest time.Time) {
 	r.clockBehind = max(0, latest.Sub(clock.Now()))
 	if r.clockBehind == 0 {
@@ -299,8 +301,8 @@
 	}
 }
 
-// checkClock logs steps of the wall clock since the log's timeline began, and limits the remaining time of each message to
-// the maximum of its class.
+// checkClock logs steps of the wall clock since the log's timeline began, and limits the remaining time of each message
+// to the maximum of its class.
 func (r *Relay) checkClock(found wal.Recovery) {
 	if resumed, stepped := r.wal.Timeline(); resumed && stepped != 0 {
 		r.log.Warn("the wall clock has been stepped", "by", stepped)
--- a/internal/relay/durable_test.go
+++ b/internal/relay/durable_test.go
@@ -14,8 +14,8 @@
 	"onyxroad.dev/onyxroad/internal/wal"
 )
 
-// newDurableRelay returns a relay with Config.Power on an in-memory disk. Its loop is not running, and its syncs block while
-// the gate is locked.
+// newDurableRelay returns a relay with Config.Power on an in-memory disk. Its loop is not running, and its syncs block
+// while the gate is locked.
 func newDurableRelay(t *testing.T, d *crashdisk.Disk, gate *sync.RWMutex) *Relay {
 	t.Helper()
 	d.Fail = func(op, _ string) error {
@@ -187,8 +187,8 @@
 	}
 }
 
-// A client that disconnects while its message's call waits for the disk submits the message again. The first call must then
-// not be made as well.
+// A client that disconnects while its message's call waits for the disk submits the message again. The first call must
+// then not be made as well.
 func TestDelayedCallIsDroppedWhenClientDisconnects(t *testing.T) {
 	var gate sync.RWMutex
 	r := newDurableRelay(t, crashdisk.New(), &gate)
--- a/internal/relay/exclusions.go
+++ b/internal/relay/exclusions.go
@@ -147,7 +147,8 @@
 		if err != nil {
 			return answer{status: http.StatusServiceUnavailable, text: err.Error()}
 		}
-		// In force at once, even if saving fails: an exclusion must hold from 1 s after the request, whatever the disk does.
+		// In force at once, even if saving fails: an exclusion must hold from 1 s after the request, whatever the disk
+		// does.
 		x.excluded, x.unsaved = next, true
 		x.log.Info("endpoint exclusion changed", "id", id, "out", out)
 		x.notify()
--- a/internal/relay/fleet.go
+++ b/internal/relay/fleet.go
@@ -12,7 +12,8 @@
 	"onyxroad.dev/onyxroad/internal/membership"
 )
 
-// joinRetryDelay is the pause between attempts to join. Joining fails while a process that hands over still has the address.
+// joinRetryDelay is the pause between attempts to join. Joining fails while a process that hands over still has the
+// address.
 const joinRetryDelay = 250 * time.Millisecond
 
 // fleet is the relay's membership in its fleet. Message delivery never waits for it.
--- a/internal/relay/handover.go
+++ b/internal/relay/handover.go
@@ -168,8 +168,8 @@
 
 // The old process's side.
 
-// serveHandovers accepts hand-over requests of a new process until the returned function is called. If the socket cannot be
-// opened, a new process waits for the log's lock until this one exits.
+// serveHandovers accepts hand-over requests of a new process until the returned function is called. If the socket
+// cannot be opened, a new process waits for the log's lock until this one exits.
 func (r *Relay) serveHandovers() (end func()) {
 	path := filepath.Join(r.cfg.StateDir, handoverSocket)
 	ctx, stop := context.WithCancel(context.Background())
@@ -254,8 +254,8 @@
 	r.log.Info("handed over", "calls", r.callsOut, "took", clock.Since(began))
 }
 
-// transfer sends the listener, releases the log's lock, sends the state, and waits until the other process confirms that it
-// owns the log.
+// transfer sends the listener, releases the log's lock, sends the state, and waits until the other process confirms
+// that it owns the log.
 func (r *Relay) transfer(l *handoverLink) error {
 	l.SetDeadline(clock.Now().Add(handoverTimeout))
 	raw, err := r.listener.SyscallConn()
@@ -388,8 +388,8 @@
 	}
 }
 
-// readReplies delivers the new process's answers until the link closes. Requests that are then still unanswered are refused
-// as unavailable.
+// readReplies delivers the new process's answers until the link closes. Requests that are then still unanswered are
+// refused as unavailable.
 func (r *Relay) readReplies(l *handoverLink) {
 	for {
 		var f frame
@@ -410,9 +410,9 @@
 	}
 }
 
-// drainAfterHandover runs in a process that has handed over, until SIGTERM or for maxPredecessorDrain, whichever is shorter.
-// Requests of its clients are forwarded, each answer closes its connection, and calls in flight run to completion. Closing
-// the listener resets no connection: the new process holds the same socket.
+// drainAfterHandover runs in a process that has handed over, until SIGTERM or for maxPredecessorDrain, whichever is
+// shorter. Requests of its clients are forwarded, each answer closes its connection, and calls in flight run to
+// completion. Closing the listener resets no connection: the new process holds the same socket.
 func (r *Relay) drainAfterHandover(ctx context.Context, listener net.Listener) {
 	r.serving.Store(false)
 	listener.Close()
@@ -435,8 +435,8 @@
 
 // The new process's side.
 
-// takeOver locks and opens the log, the backlog and the exclusions, either by a hand-over from a process that is serving or
-// from what an earlier process left.
+// takeOver locks and opens the log, the backlog and the exclusions, either by a hand-over from a process that is
+// serving or from what an earlier process left.
 func (r *Relay) takeOver() error {
 	l, state, listener, err := requestHandover(r.cfg)
 	if err != nil {
--- a/internal/relay/handover_test.go
+++ b/internal/relay/handover_test.go
@@ -36,8 +36,8 @@
 	}
 }
 
-// A step of the wall clock during a hand-over must change neither the module's clock nor the time that a forwarded message
-// has left.
+// A step of the wall clock during a hand-over must change neither the module's clock nor the time that a forwarded
+// message has left.
 func TestHandoverSurvivesWallClockStep(t *testing.T) {
 	for _, seconds := range []int64{-3600, -5, 5, 3600} {
 		var wall wallstep.Clock
@@ -61,8 +61,8 @@
 	}
 }
 
-// startHandover returns a serving relay and a second one that has taken over from it. before is called before the old relay's
-// loop starts.
+// startHandover returns a serving relay and a second one that has taken over from it. before is called before the old
+// relay's loop starts.
 func startHandover(t *testing.T, before func(old *Relay)) (old, successor *Relay) {
 	t.Helper()
 	old = newTestRelay(t)
--- a/internal/relay/hosts_test.go
+++ b/internal/relay/hosts_test.go
@@ -60,8 +60,8 @@
 
 func addrOf(s *httptest.Server) string { return s.Listener.Addr().String() }
 
-// rawHost serves on plain sockets. It reads complete requests and passes each to serve with its number, counted from 1 over
-// all connections. serve returns false to close the connection.
+// rawHost serves on plain sockets. It reads complete requests and passes each to serve with its number, counted from 1
+// over all connections. serve returns false to close the connection.
 func rawHost(t *testing.T, serve func(n int, conn net.Conn, req *http.Request) bool) (addr string, requests *atomic.Int32) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -121,8 +121,8 @@
 	}
 }
 
-// http.Transport would resend this request by itself: it has an Idempotency-Key, its connection was reused, and no byte of an
-// answer was received.
+// http.Transport would resend this request by itself: it has an Idempotency-Key, its connection was reused, and no byte
+// of an answer was received.
 func TestClientNeverResendsByItself(t *testing.T) {
 	for _, body := range []string{"some", ""} {
 		addr, requests := rawHost(t, func(n int, conn net.Conn, _ *http.Request) bool {
@@ -506,8 +506,8 @@
 	}
 }
 
-// A call with a malformed answer may have run, and a single message counts as delivered if the status line says 200. Reading
-// the answer must end before the call times out, and the connection must not be reused.
+// A call with a malformed answer may have run, and a single message counts as delivered if the status line says 200.
+// Reading the answer must end before the call times out, and the connection must not be reused.
 func TestMalformedAnswers(t *testing.T) {
 	const bundleHead = "HTTP/1.1 200 OK\r\nContent-Length: "
 	for _, c := range []struct {
--- a/internal/relay/lifecycle.go
+++ b/internal/relay/lifecycle.go
@@ -8,8 +8,8 @@
 	"onyxroad.dev/onyxroad/policy"
 )
 
-// Every change of a message's state is logged as one line at level debug, so a search for its trace id shows the message's
-// whole life, across processes. With the level off, a line costs one comparison.
+// Every change of a message's state is logged as one line at level debug, so a search for its trace id shows the
+// message's whole life, across processes. With the level off, a line costs one comparison.
 
 // messageState is the state of a message.
 type messageState string
--- a/internal/relay/memories.go
+++ b/internal/relay/memories.go
@@ -15,8 +15,8 @@
 	"onyxroad.dev/onyxroad/policy"
 )
 
-// The module's learned state about partners is saved to a file at intervals and at an orderly shutdown, and restored by the
-// next process. It only saves learning time: a missing, torn or outdated file does no harm.
+// The module's learned state about partners is saved to a file at intervals and at an orderly shutdown, and restored by
+// the next process. It only saves learning time: a missing, torn or outdated file does no harm.
 
 const memoriesFile = "partners.json"
 
@@ -32,7 +32,8 @@
 // maxMemoriesSize is the largest size of the file in bytes.
 func maxMemoriesSize(cfg Config) int64 { return min(128<<10, int64(cfg.Limits.DiskMB*1e6/16)) }
 
-// saveMemories saves the state if the interval has passed. The loop calls it; a goroutine does the writing, one at a time.
+// saveMemories saves the state if the interval has passed. The loop calls it; a goroutine does the writing, one at a
+// time.
 func (r *Relay) saveMemories() {
 	if r.cfg.MemoriesEvery <= 0 || clock.Since(r.memoriesSavedAt) < r.cfg.MemoriesEvery || !r.savingMemories.CompareAndSwap(false, true) {
 		return
--- a/internal/relay/pool.go
+++ b/internal/relay/pool.go
@@ -25,9 +25,9 @@
 // peer is a host at an address. Connections are not shared with another host that later comes up at the same address.
 type peer struct{ route, addr string }
 
-// pool manages the connections to hosts and keeps idle ones for the next call. It replaces http.Transport, which resends some
-// requests by itself although a message may not be allowed to run twice, offers no hook between dialling and writing a
-// request, and does not show bytes that follow an answer.
+// pool manages the connections to hosts and keeps idle ones for the next call. It replaces http.Transport, which
+// resends some requests by itself although a message may not be allowed to run twice, offers no hook between dialling
+// and writing a request, and does not show bytes that follow an answer.
 type pool struct {
 	dial           func(ctx context.Context, network, addr string) (net.Conn, error)
 	connectTimeout time.Duration
@@ -130,7 +130,8 @@
 	return c
 }
 
-// release returns a connection to the pool for the next call, and closes it there if the host closes it or sends anything.
+// release returns a connection to the pool for the next call, and closes it there if the host closes it or sends
+// anything.
 func (c *hostConn) release() {
 	p := c.pool
 	p.mu.Lock()
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -54,7 +54,7 @@
 	submission struct {
 		m               *wal.Message
 		msg             *message    // what the loop has made of m, or the known message with the same id
-		exclusionChange             // set in place of a message; only between processes during a handover
+		exclusionChange             // set in place of a message; only between processes during a hand-over
 		reply           chan answer // buffered: sending never blocks
 	}
 	withdrawal   struct{ id uint32 }
@@ -88,9 +88,9 @@
 	shared       bool     // another client was also told that it is accepted, so it cannot be withdrawn
 	continuation *message // the message that replaced it when it was submitted again after its withdrawal
 
-	// Only used with a backlog; see overflow and window.
-	destWindow  *destWindow // nil: the module does not have it
-	unsentIndex int         // index among the cell's messages that were never sent; -1: sent
+	// Only used with a backlog; see backlogQueue and window.
+	destWindow  *destWindow // of its destination; nil: the module does not have the message
+	unsentIndex int         // index among the unsent messages of destWindow; -1: sent
 	move        transfer
 	dropped     bool // in transit to or from the disk, and no longer owed
 	refused     bool // its client was told of the refusal, so no notice is due
@@ -127,7 +127,7 @@
 	listener       *net.TCPListener // nil until Run listens, unless a predecessor passed it on
 	predecessor    *handoverLink    // link to the process that handed over to this one; nil if there was none
 	inheritedState handoverState    // state that the predecessor passed on
-	memoryLimit    int64            // memory limit, shared by both processes during a handover
+	memoryLimit    int64            // memory limit, shared by both processes during a hand-over
 	stopAdmin      func()
 
 	// Owned by the loop.
@@ -162,9 +162,9 @@
 	syncDone        chan struct{} // capacity 1: more data has become durable
 	logFailed       bool          // the disk has failed the log
 	clockBehind     time.Duration // how far the wall clock is behind the log's latest time; 0 unless it was set back
-	loadedMemories  memories      // memories of an earlier process, until they are applied
+	loadedMemories  memories      // saved by an earlier process, until they are applied
 	memoriesSavedAt time.Time
-	nextCountAt     time.Time   // the routes that are avoided are not counted before this
+	nextCountAt     time.Time   // avoided routes are not counted before this
 	savingMemories  atomic.Bool // memories are being written
 
 	saveFailed atomic.Bool // a failure to write memories has been logged
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -290,7 +290,7 @@
 		held  bool
 		want  string
 	}{
-		{3, true, "[0s 1s 2s 4s 4.125s 4.125s 50ms 1s 100ms]"}, // within the 6 s for news, less the time of a call
+		{3, true, "[0s 1s 2s 4s 4.125s 4.125s 50ms 1s 100ms]"}, // within listDeadline, less the time of a request
 		{40, true, "[125ms 4s 5s 4.125s 4.125s 4.125s 3.05s 4s 3.1s]"},
 		{300, true, "[125ms 4s 5s 4.125s 4.125s 4.125s 3.05s 4s 3.1s]"},
 		{40, false, "[4s 5s 4.125s 4.125s 4.125s 3.05s 4s 3.1s]"}, // no list yet: no wait at first
--- a/internal/relay/revoked_test.go
+++ b/internal/relay/revoked_test.go
@@ -41,8 +41,8 @@
 	}
 }
 
-// newConnectingRelay returns a relay with one endpoint that takes several messages per call. Its connections are established
-// only once up is closed.
+// newConnectingRelay returns a relay with one endpoint that takes several messages per call. Its connections are
+// established only once up is closed.
 func newConnectingRelay(t *testing.T) (r *Relay, up chan struct{}, sent func(id string) bool) {
 	var mu sync.Mutex
 	bodies := ""
--- a/internal/relay/step.go
+++ b/internal/relay/step.go
@@ -72,7 +72,7 @@
 	if !r.noSends {
 		for _, in := range waiting {
 			switch m := in.msg; {
-			case m.Message != in.m: // a duplicate of one before it, or of one that is not on disk yet
+			case m.Message != in.m: // a duplicate of one in this step, or of one that is not durable yet
 			case r.backlog.divert(m):
 			case m.Attempts > 0:
 				r.backlog.add(m)
--- a/internal/relay/transient.go
+++ b/internal/relay/transient.go
@@ -112,8 +112,8 @@
 	return l, nil
 }
 
-// acquireLog takes over the log from a running process or from one that has ended. If a process holds the log and does not
-// hand it over, acquireLog waits until ctx ends.
+// acquireLog takes over the log from a running process or from one that has ended. If a process holds the log and does
+// not hand it over, acquireLog waits until ctx ends.
 func (r *Relay) acquireLog(ctx context.Context) error {
 	for {
 		err := retryTransient(ctx, r.log, "take over the log", startRetryLimit, r.takeOver)
--- a/internal/relay/transient_test.go
+++ b/internal/relay/transient_test.go
@@ -161,7 +161,8 @@
 }
 
 // An end that is reported without a record is lost in a restart, which would send the message after all. So the report
-// waits while the disk fails. Once the message's deadline has passed, nothing can be sent for it, and its end is reported.
+// waits while the disk fails. Once the message's deadline has passed, nothing can be sent for it, and its end is
+// reported.
 func TestEndIsReportedOnceLoggedOrOverdue(t *testing.T) {
 	for _, recovers := range []bool{true, false} {
 		t.Run(fmt.Sprintf("the disk heals %v", recovers), func(t *testing.T) {
@@ -203,8 +204,8 @@
 	}
 }
 
-// While the disk fails, no call is made, no endpoint is blamed for it, and no call is lost: it is made once the disk works
-// again.
+// While the disk fails, no call is made, no endpoint is blamed for it, and no call is lost: it is made once the disk
+// works again.
 func TestCallWaitsForFailingDisk(t *testing.T) {
 	var writes atomic.Int64 // number of writes that succeed
 	writes.Store(1)
--- a/internal/relay/window.go
+++ b/internal/relay/window.go
@@ -6,8 +6,9 @@
 	"slices"
 )
 
-// window limits which messages are at the module when there is a backlog. It limits the messages of each destination, and the
-// messages of all destinations that were never sent; it knows nothing of routes. It does no I/O and is owned by the loop.
+// window limits which messages are at the module when there is a backlog. It limits the messages of each destination,
+// and the messages of all destinations that were never sent; it knows nothing of routes. It does no I/O and is owned by
+// the loop.
 type window struct {
 	maxUnsent  int // limit on messages at the module that were never sent
 	maxPerDest int // limit for each destination, sent or not
@@ -23,7 +24,7 @@
 type destWindow struct {
 	dest    int
 	held    int        // messages at the module
-	unsent  []*message // of these, never sent, in no order
+	unsent  []*message // of these, never sent; unordered
 	onDisk  int        // messages on disk or moving there
 	loading bool       // a job is loading messages from disk
 	queued  bool       // in window.loadQueue
@@ -53,8 +54,8 @@
 // fairShare is the number of messages per destination if all destinations with messages share the window equally.
 func (w *window) fairShare() int { return min(w.maxPerDest, max(1, w.maxUnsent/max(1, len(w.dests)))) }
 
-// admits reports whether a new message may go to the module directly. It may not overtake messages of its destination that
-// are on disk.
+// admits reports whether a new message may go to the module directly. It may not overtake messages of its destination
+// that are on disk.
 func (w *window) admits(dest int) bool {
 	c := w.dests[dest]
 	return w.held < w.maxHeld && (c == nil || c.onDisk == 0 && c.held < w.maxPerDest || !storable(dest))
@@ -138,8 +139,8 @@
 // loadRequest asks for n messages of a destination to be loaded from disk.
 type loadRequest struct{ dest, n int }
 
-// nextLoads returns what to load from disk now, at most limit messages in all. Destinations come in the order in which they
-// were queued. One is loaded only once half of its share is free, so that few reads bring many messages.
+// nextLoads returns what to load from disk now, at most limit messages in all. Destinations come in the order in which
+// they were queued. One is loaded only once half of its share is free, so that few reads bring many messages.
 func (w *window) nextLoads(limit int) (all []loadRequest) {
 	share := w.fairShare()
 	room := w.maxUnsent - (w.held - w.sent)
@@ -176,9 +177,9 @@
 	}
 }
 
-// excess picks the messages to evict to disk so that at most maxUnsent unsent ones remain, and atLeast in any case: the least
-// urgent ones of the destinations with the most messages, and only evictable ones. If it evicts at all, it frees another
-// sixteenth of the window.
+// excess picks the messages to evict to disk so that at most maxUnsent unsent ones remain, and atLeast in any case: the
+// least urgent ones of the destinations with the most messages, and only evictable ones. If it evicts at all, it frees
+// another sixteenth of the window.
 func (w *window) excess(atLeast int, evictable func(*message) bool) (all []*message) {
 	over := max(atLeast, w.held-w.sent-w.maxUnsent)
 	if over <= 0 {
@@ -207,8 +208,9 @@
 	return all
 }
 
-// leastUrgent returns up to n of the least urgent messages that were never sent, and stops at the first that is not evictable:
-// an evicted message takes all that rank after it along, which keeps messages of the same order key in order.
+// leastUrgent returns up to n of the least urgent messages that were never sent, and stops at the first that is not
+// evictable: an evicted message takes all that rank after it along, which keeps messages of the same order key in
+// order.
 func (c *destWindow) leastUrgent(n int, evictable func(*message) bool) []*message {
 	all := slices.Clone(c.unsent)
 	slices.SortFunc(all, func(a, b *message) int { return cmp.Or(cmp.Compare(b.rank(), a.rank()), cmp.Compare(b.ID, a.ID)) })
--- a/internal/relay/withheld.go
+++ b/internal/relay/withheld.go
@@ -11,7 +11,8 @@
 // would send it. The answer is given once the log has recorded the end or can no longer hold the message. A client that
 // has disconnected by then submits its message again, and sends under the old id do not count.
 
-// withholdLimit is the longest time that an answer is withheld. By the platform's protocol clients disconnect after 400 ms.
+// withholdLimit is the longest time that an answer is withheld. By the platform's protocol clients disconnect after 400
+// ms.
 const withholdLimit = 420 * time.Millisecond
 
 // withheldAnswer is an answer that waits for the log.
@@ -46,7 +47,8 @@
 	return i >= 0
 }
 
-// releaseWithheld gives the answers that no longer need to be withheld, and abandons those whose clients have disconnected.
+// releaseWithheld gives the answers that no longer need to be withheld, and abandons those whose clients have
+// disconnected.
 func (r *Relay) releaseWithheld() {
 	if len(r.withheld) == 0 {
 		return
--- a/policy/api.go
+++ b/policy/api.go
@@ -17,14 +17,14 @@
 
 // The outcomes of an attempt. Full, ConnectFailed and Moot prove that the message did not run.
 const (
-	OK Outcome = iota
-	Error
-	Full
-	Timeout
-	ConnectFailed
-	Reset
-	Cancelled
-	Moot
+	OK            Outcome = iota // delivered
+	Error                        // answered with an error
+	Full                         // refused: the route is at its limit or unavailable
+	Timeout                      // no answer in time
+	ConnectFailed                // no connection, or the request was not written completely
+	Reset                        // the connection ended before the answer
+	Cancelled                    // the sender ended the call
+	Moot                         // did not run, for a reason that says nothing about the health of the route
 )
 
 // Class is one class of message.
--- a/policy/fleet_test.go
+++ b/policy/fleet_test.go
@@ -9,8 +9,8 @@
 )
 
 // The fleet tests simulate several senders with one route that fails or refuses calls for a while and then returns with
-// reduced capacity. They count the calls in each window since its return and check them against the budget, and single out
-// calls from senders that saw a failure or a refusal in the outage. The senders share nothing but the route.
+// reduced capacity. They count the calls in each window since its return and check them against the budget, and single
+// out calls from senders that saw a failure or a refusal in the outage. The senders share nothing but the route.
 
 // fleetCase describes one such run.
 type fleetCase struct {
--- a/policy/handover.go
+++ b/policy/handover.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// State that one process passes to the next in a handover. Both use the same clock, so that times need no conversion.
+// State that one process passes to the next in a hand-over. Both use the same clock, so that times need no conversion.
 
 // RouteState is what a Sender knows of a route and of the route's group. Without it, a successor would not know of a
 // Retry-After wait, an outage or a pace, although destinations see the two processes as one sender.
--- a/policy/lost_test.go
+++ b/policy/lost_test.go
@@ -44,14 +44,14 @@
 	d, r := newLossyHarness(t, true)
 	for i := range 8 {
 		if got := d.sender.callCapacity(r); got != 1 {
-			t.Fatalf("room for %d after %d deliveries", got, i)
+			t.Fatalf("a call carries %d messages after %d deliveries", got, i)
 		}
 		id := uint32(10 + i)
 		d.accept(id, 0)
 		d.finish(id, "a", OK, 50*ms, 0)
 	}
 	if got := d.sender.callCapacity(r); got != 3 {
-		t.Errorf("room for %d once eight were delivered in a row", got)
+		t.Errorf("a call carries %d messages once eight were delivered in a row", got)
 	}
 }
 
--- a/policy/pace.go
+++ b/policy/pace.go
@@ -63,8 +63,9 @@
 	g.pace, g.grownAt = g.pace*math.Pow(growth, steps), s.now
 }
 
-// replaceGuessedPace replaces a guessed pace after the first delivery: by this sender's share of the limit, or by the rate
-// that resumed messages need if that is higher; by no pace if no limit is known. Until then one call at a time goes out.
+// replaceGuessedPace replaces a guessed pace after the first delivery: by this sender's share of the limit, or by the
+// rate that resumed messages need if that is higher; by no pace if no limit is known. Until then one call at a time
+// goes out.
 func (s *Sender) replaceGuessedPace(g *routeGroup) {
 	if !g.guessed {
 		return
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -68,7 +68,7 @@
 	connScarceSpan        = 30 * time.Second        // how long a kind lacks connections after a full table
 )
 
-// sample is one outcome at a route, as the failure rules see it.
+// sample is one outcome at a route, as input of the failure rules.
 type sample struct {
 	outcome    Outcome
 	retryAfter time.Duration
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -535,7 +535,7 @@
 	} {
 		acts := d.step(Event{Kind: Accepted, ID: uint32(c.left), TimeLeft: c.left})
 		if len(acts) != 1 || acts[0].Kind != Send || acts[0].TimeoutAt-d.now != c.want {
-			t.Errorf("%v left: %+v, want one try cut after %v", c.left, acts, c.want)
+			t.Errorf("%v left: %+v, want one attempt with a timeout of %v", c.left, acts, c.want)
 		}
 	}
 }
@@ -694,7 +694,7 @@
 		d.sender.recordOutcome(r, sample{outcome: Timeout, sent: d.now - time.Second}, time.Second)
 	}
 	if r.down || r.suspect || r.failStreak != 0 {
-		t.Errorf("down %v, cold %v, streak %d after lost calls", r.down, r.suspect, r.failStreak)
+		t.Errorf("down %v, suspect %v, %d failures in a row after lost calls", r.down, r.suspect, r.failStreak)
 	}
 }
 
@@ -732,7 +732,7 @@
 		d.sender.recordOutcome(r, sample{outcome: OK, sent: d.sender.now}, ms)
 	}
 	if since == 0 || r.recoveringSince != since || r.down {
-		t.Errorf("back at %v, then %v, down %v", since, r.recoveringSince, r.down)
+		t.Errorf("recovering since %v, then %v, down %v", since, r.recoveringSince, r.down)
 	}
 	d.sender.now += time.Second
 	for range 2 {
@@ -752,7 +752,7 @@
 		d.sender.recordOutcome(r, sample{outcome: Timeout, sent: d.now, cutShort: true}, ms)
 	}
 	if r.down || !r.suspect {
-		t.Errorf("down %v, cold %v after short calls", r.down, r.suspect)
+		t.Errorf("down %v, suspect %v after short calls", r.down, r.suspect)
 	}
 }
 
@@ -884,11 +884,12 @@
 
 func TestIntervalIsBounded(t *testing.T) {
 	if interval(0) != time.Hour || interval(1e-9) != time.Hour || interval(math.Inf(1)) != 0 || interval(4) != 250*ms {
-		t.Errorf("spans %v %v %v", interval(0), interval(1e-9), interval(4))
+		t.Errorf("intervals %v %v %v", interval(0), interval(1e-9), interval(4))
 	}
 }
 
-// Guards against key queues whose rest outlasts their last message, and destinations without routes, that are kept forever.
+// Guards against key queues whose rest outlasts their last message, and destinations without routes, that are kept
+// forever.
 func TestStateOfRemovedRoutesIsReleased(t *testing.T) {
 	set := settings()
 	set.Slots, set.MaxHeld = 50, 100
@@ -905,7 +906,7 @@
 	s := d.sender
 	if n := len(s.keyQueues) + len(s.dests) + len(s.order) + len(s.routes) + len(s.msgs) + len(s.active) +
 		len(s.routeless); n != 0 {
-		t.Errorf("held: %d turns, %d destinations (%d in order), %d routes, %d messages, %d active, %d bare",
+		t.Errorf("kept: %d key queues, %d destinations (%d in order), %d routes, %d messages, %d active, %d without routes",
 			len(s.keyQueues), len(s.dests), len(s.order), len(s.routes), len(s.msgs), len(s.active), len(s.routeless))
 	}
 }
--- a/policy/property_test.go
+++ b/policy/property_test.go
@@ -444,7 +444,7 @@
 		}},
 		{name: "recovery", rule: 4, settings: func(s *Settings) { s.OverloadFactor = 1000 }},
 		{name: "wait", rule: 5, event: func(e *Event) { e.RetryAfter = 0 }},
-		{name: "turn", rule: 6, settings: func(s *Settings) { s.Classes[3].Ordered, s.Classes[4].Ordered = false, false }},
+		{name: "key order", rule: 6, settings: func(s *Settings) { s.Classes[3].Ordered, s.Classes[4].Ordered = false, false }},
 		{name: "rest", rule: 6, settings: func(s *Settings) { s.OrderPause = 0 }},
 	} {
 		t.Run(b.name, func(t *testing.T) {
--- a/policy/resume.go
+++ b/policy/resume.go
@@ -58,9 +58,9 @@
 	return rate
 }
 
-// StillAllowed reports whether a call to a route that was decided earlier may leave at now with these messages. A call may
-// have been delayed, for example by a slow connection, while a drain or a Retry-After was reported, while a message ended,
-// or until the window passed in which a repeat of it is dropped.
+// StillAllowed reports whether a call to a route that was decided earlier may leave at now with these messages. A call
+// may have been delayed, for example by a slow connection, while a drain or a Retry-After was reported, while a message
+// ended, or until the window passed in which a repeat of it is dropped.
 func (s *Sender) StillAllowed(route string, now time.Duration, ids ...uint32) bool {
 	r := s.routes[route]
 	return r != nil && r.usable() && now >= r.group.waitUntil && !slices.ContainsFunc(ids, func(id uint32) bool {
--- a/policy/resume_test.go
+++ b/policy/resume_test.go
@@ -191,8 +191,8 @@
 	}
 }
 
-// newBacklogHarness returns a harness of one of several senders that has resumed n messages of an earlier process, none of
-// which has been tried. Answers of their destination report a limit.
+// newBacklogHarness returns a harness of one of several senders that has resumed n messages of an earlier process, none
+// of which has been tried. Answers of their destination report a limit.
 func newBacklogHarness(t *testing.T, senders, n int, left time.Duration) *harness {
 	set := settings()
 	set.Senders, set.NoWeights, set.MaxRetryAfter = senders, true, 3*time.Second
--- a/policy/slots.go
+++ b/policy/slots.go
@@ -55,8 +55,8 @@
 	return min(c.endsAt, m.deadline) >= c.sent+cmp.Or(c.route.mean, minAnswerTime)
 }
 
-// mustWaitForNextCall reports whether a call with capacity left has started to a route in this step but has too little time
-// for a message, which then takes the next call.
+// mustWaitForNextCall reports whether a call with capacity left has started to a route in this step but has too little
+// time for a message, which then takes the next call.
 func (s *Sender) mustWaitForNextCall(m *message, r *route) bool {
 	n := len(r.calls) - 1
 	return n >= 0 && r.calls[n].sent == s.now && r.calls[n].pending < s.callCapacity(r) && !r.calls[n].hasTimeFor(m)
--- a/policy/slots_test.go
+++ b/policy/slots_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// newOneSlotHarness returns a harness with a single slot. Destination 1 takes 1 s for a call; destination 2 takes 0.1 s and
-// is of the given kind.
+// newOneSlotHarness returns a harness with a single slot. Destination 1 takes 1 s for a call; destination 2 takes 0.1 s
+// and is of the given kind.
 func newOneSlotHarness(t *testing.T, kind int) *harness {
 	set := settings()
 	set.Slots, set.Classes[0].Aim = 1, 20*time.Second // so that no message is past its aim
--- a/policy/state.go
+++ b/policy/state.go
@@ -12,8 +12,8 @@
 
 // The state on which policy.go and the other files decide, and its maintenance. No decisions are made here.
 
-// routeGroup is a set of routes that share a limit, a pace, Retry-After waits and outages: the routes of a destination, or
-// a single route where the kind has separate routes.
+// routeGroup is a set of routes that share a limit, a pace, Retry-After waits and outages: the routes of a destination,
+// or a single route where the kind has separate routes.
 type routeGroup struct {
 	dest             *dest
 	routes           []*route // sorted by rank
