--- a/internal/relay/backlog_test.go
+++ b/internal/relay/backlog_test.go
@@ -267,10 +267,10 @@
 	b.submit(100, 1000, 7, expiryLead/2)
 	b.submit(5, 2000, 7, time.Hour)
 	b.runJobs()
-	if n := len(b.finals.queue); n != 100 {
+	if n := len(b.notices.queue); n != 100 {
 		t.Fatalf("%d notices, want 100", n)
 	}
-	for _, n := range b.finals.queue {
+	for _, n := range b.notices.queue {
 		if n.Status != "deferred" {
 			t.Errorf("%+v", n)
 		}
--- a/internal/relay/carry.go
+++ b/internal/relay/carry.go
@@ -178,7 +178,7 @@
 	r.guard.CheckEnd(m.Trace, m.notified, recorded, clock.Until(m.Deadline))
 	m.notified = true
 	r.logTransition(m, stateEnded, stateTold, reasonNotice, slog.Bool("recorded", recorded))
-	r.finals.add(newNotice(m.ID, m.Trace, *m.Final))
+	r.notices.add(newNotice(m.ID, m.Trace, *m.Final))
 }
 
 func newNotice(id uint32, trace string, f wal.Final) notice {
--- a/internal/relay/clients_test.go
+++ b/internal/relay/clients_test.go
@@ -382,9 +382,9 @@
 			done := make(chan struct{})
 			go func() { defer close(done); s.close(time.Now().Add(testTimeout)) }()
 			t.Cleanup(func() { <-done })
-			for asked := 0; asked == 0; runtime.Gosched() {
+			for closing := 0; closing == 0; runtime.Gosched() {
 				s.mu.Lock()
-				asked = s.closing
+				closing = s.closing
 				s.mu.Unlock()
 			}
 		},
--- a/internal/relay/durable_test.go
+++ b/internal/relay/durable_test.go
@@ -64,18 +64,18 @@
 	d := crashdisk.New()
 	r := newDurableRelay(t, d, &gate)
 	gate.Lock()
-	in, twin := newSubmission("a", 7, time.Minute), newSubmission("a", 7, time.Minute)
+	in, duplicate := newSubmission("a", 7, time.Minute), newSubmission("a", 7, time.Minute)
 	r.step([]any{in})
-	r.step([]any{twin})
+	r.step([]any{duplicate})
 	r.maintainLog()
 	_, one := answered(in)
-	_, two := answered(twin)
+	_, two := answered(duplicate)
 	if one || two || r.callsOut > 0 {
 		t.Errorf("before it is on disk: answers %v and %v, %d calls", one, two, r.callsOut)
 	}
 	gate.Unlock()
 	waitOnDisk(t, r)
-	for _, in := range []*submission{in, twin} {
+	for _, in := range []*submission{in, duplicate} {
 		if a, ok := answered(in); !ok || a.status != http.StatusAccepted {
 			t.Errorf("once it is on disk: %+v, %v", a, ok)
 		}
@@ -94,11 +94,11 @@
 	var gate sync.RWMutex
 	r := newDurableRelay(t, crashdisk.New(), &gate)
 	gate.Lock()
-	in, twin := newSubmission("a", 7, time.Minute), newSubmission("a", 7, time.Minute)
-	r.step([]any{in, twin})
+	in, duplicate := newSubmission("a", 7, time.Minute), newSubmission("a", 7, time.Minute)
+	r.step([]any{in, duplicate})
 	r.pendingSteps[0].since = time.Now().Add(-time.Second)
 	r.maintainLog()
-	for _, in := range []*submission{in, twin} {
+	for _, in := range []*submission{in, duplicate} {
 		if a, ok := answered(in); !ok || a.status != http.StatusServiceUnavailable || a.retryAfter <= 0 {
 			t.Errorf("while the disk is slow: %+v, %v", a, ok)
 		}
--- a/internal/relay/hosts_test.go
+++ b/internal/relay/hosts_test.go
@@ -212,11 +212,11 @@
 }
 
 func TestNoAnswerInTimeClosesTheConnection(t *testing.T) {
-	left := make(chan struct{})
+	disconnected := make(chan struct{})
 	s := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
 		io.Copy(io.Discard, r.Body)
 		<-r.Context().Done()
-		close(left)
+		close(disconnected)
 	}))
 	defer s.Close()
 	h := newTestHostClient(t, testConfig())
@@ -226,7 +226,7 @@
 		t.Errorf("outcome %v", r[0].outcome)
 	}
 	select {
-	case <-left:
+	case <-disconnected:
 	case <-time.After(testTimeout):
 		t.Error("the host still has the connection")
 	}
@@ -478,7 +478,7 @@
 
 // Bytes that follow an answer must not be read as the answer to the next call.
 func TestBytesAfterAnAnswerAreNotTheNextAnswer(t *testing.T) {
-	for _, behind := range []string{okAnswer, "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n", "noise", "\r\n"} {
+	for _, trailing := range []string{okAnswer, "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n", "noise", "\r\n"} {
 		for _, late := range []bool{false, true} {
 			var conns sync.Map
 			addr, _ := rawHost(t, func(n int, conn net.Conn, _ *http.Request) bool {
@@ -488,19 +488,19 @@
 					fmt.Fprint(conn, "HTTP/1.1 500 Error\r\nContent-Length: 0\r\n\r\n")
 				case late:
 					fmt.Fprint(conn, okAnswer)
-					fmt.Fprint(conn, behind)
+					fmt.Fprint(conn, trailing)
 				default:
-					fmt.Fprint(conn, okAnswer+behind)
+					fmt.Fprint(conn, okAnswer+trailing)
 				}
 				return true
 			})
 			h := newTestHostClient(t, testConfig())
 			if r := h.do(t.Context(), newCall(addr, "a"), alwaysAllowed); r[0].outcome != policy.OK {
-				t.Fatalf("%q: outcome %v", behind, r[0].outcome)
+				t.Fatalf("%q: outcome %v", trailing, r[0].outcome)
 			}
 			eventually(t, "the connection is closed", func() bool { h.mu.Lock(); defer h.mu.Unlock(); return h.open == 0 })
 			if r := h.do(t.Context(), newCall(addr, "b"), alwaysAllowed); r[0].outcome != policy.Error {
-				t.Errorf("%q: the second call got what followed the first answer: %v", behind, r[0].outcome)
+				t.Errorf("%q: the second call got what followed the first answer: %v", trailing, r[0].outcome)
 			}
 		}
 	}
@@ -611,9 +611,9 @@
 	h.do(t.Context(), newCall(addr, "a"), alwaysAllowed)
 	other := newCall(addr, "b")
 	other.route = "s-2"
-	asked := false
-	h.do(t.Context(), other, func() bool { asked = true; return true })
-	if !asked || h.open != 2 {
+	confirmed := false
+	h.do(t.Context(), other, func() bool { confirmed = true; return true })
+	if !confirmed || h.open != 2 {
 		t.Errorf("the connection was reused for another host: %d open", h.open)
 	}
 	h.closeIdle("s-1")
--- a/internal/relay/job.go
+++ b/internal/relay/job.go
@@ -245,7 +245,7 @@
 		}
 		notices = append(notices, newNotice(e.ID, e.Trace, expiredFinal))
 	}
-	r.finals.add(notices...)
+	r.notices.add(notices...)
 }
 
 // acceptLoaded writes messages read from disk to the log again. If the log has no room, they stay on disk.
@@ -261,7 +261,7 @@
 		if err != nil {
 			r.log.Error("cannot read a message of the backlog", "id", e.Trace, "err", err)
 			o.unconfirmed[e.ID] = e.Ref
-			r.finals.add(newNotice(e.ID, e.Trace, wal.Final{}))
+			r.notices.add(newNotice(e.ID, e.Trace, wal.Final{}))
 			continue
 		}
 		m.Deadline = o.restoredTime(e.Deadline)
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -103,7 +103,7 @@
 	log          *slog.Logger
 	hosts        *hostClient
 	clients      *clients
-	finals       *noticeSender
+	notices      *noticeSender
 	agent        *agent
 	events       chan any
 	loopDone     chan struct{} // closed when the loop has ended
@@ -204,7 +204,7 @@
 	// Clients with requests need a third of the file descriptors. The rest of this limit is for slow disconnects.
 	r.clients = newClients(log, cfg.Limits.Sockets*9/20, r.handleClient)
 	r.clients.guard, r.hosts.guard = r.guard, r.guard
-	r.finals = newNoticeSender(log, r.agent, func(ids []uint32) { r.post(noticesConfirmed{ids}) })
+	r.notices = newNoticeSender(log, r.agent, func(ids []uint32) { r.post(noticesConfirmed{ids}) })
 	// Listen before the old process gives anything up, so that a failure leaves it in place.
 	if cfg.Admin != "" {
 		l, err := listen(ctx, log, "operators", cfg.Admin)
@@ -242,7 +242,7 @@
 	}
 	peerCtx, stopPeers := context.WithCancel(loopCtx)
 	defer stopPeers()
-	go r.finals.run(peerCtx)
+	go r.notices.run(peerCtx)
 	list := watcher{
 		log: r.log, agent: r.agent, timeout: watchTimeout, version: r.cfg.Known.Version,
 		fleetSize: r.cfg.Settings.Senders, random: rand.Float64, sleep: sleep, now: clock.Now,
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -603,8 +603,8 @@
 	}
 	again.callCtx = t.Context()
 	again.restore()
-	if again.callsOut != 0 || again.held != 0 || len(again.finals.queue) != 2 || again.finals.queue[0].Status != "undeliverable" {
-		t.Errorf("%d calls out, %d held, notices %+v", again.callsOut, again.held, again.finals.queue)
+	if again.callsOut != 0 || again.held != 0 || len(again.notices.queue) != 2 || again.notices.queue[0].Status != "undeliverable" {
+		t.Errorf("%d calls out, %d held, notices %+v", again.callsOut, again.held, again.notices.queue)
 	}
 }
 
--- a/internal/relay/transient_test.go
+++ b/internal/relay/transient_test.go
@@ -181,7 +181,7 @@
 			m := r.byTrace["m1"]
 			failing.Store(true)
 			r.execute([]policy.Action{{Kind: policy.Fail, ID: m.ID}}, nil)
-			if len(r.finals.queue) > 0 {
+			if len(r.notices.queue) > 0 {
 				t.Error("reported before it is in the log")
 			}
 			if recovers {
@@ -191,7 +191,7 @@
 			eventually(t, "the end is reported", func() bool {
 				r.maintainLog()
 				reportedAt = time.Now()
-				return len(r.finals.queue) > 0
+				return len(r.notices.queue) > 0
 			})
 			late := reportedAt.Sub(m.Deadline)
 			if recovers && late > 0 {
--- a/internal/relay/unwritten_test.go
+++ b/internal/relay/unwritten_test.go
@@ -61,12 +61,12 @@
 					r.wal.Limit = r.wal.Size() + 2*disk.Sector
 				}
 				r.execute([]policy.Action{{Kind: policy.Refuse, ID: r.byTrace["m1"].ID}}, nil)
-				if len(r.finals.queue) > 0 {
+				if len(r.notices.queue) > 0 {
 					t.Error("reported, but the next process would send it")
 				}
 				d.failing.Store(false)
 				r.wal.Limit = limit
-				eventually(t, "its end is reported once it is in the log", func() bool { r.maintainLog(); return len(r.finals.queue) > 0 })
+				eventually(t, "its end is reported once it is in the log", func() bool { r.maintainLog(); return len(r.notices.queue) > 0 })
 				next := restartRelay(t, r)
 				if m := next.byTrace["m1"]; m == nil || m.Final == nil || !m.Final.Deferred || next.held != 0 {
 					t.Errorf("the next process has %+v, %d held", m, next.held)
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -652,8 +652,8 @@
 // mayRefuse reports whether a message may be refused, so that its client may submit it again, under the rules
 // of its effect.
 func (s *Sender) mayRefuse(m *message) bool {
-	free := m.class.Effect == Safe || m.class.Effect == Keyed && m.class.GroupAll
-	return !m.ended && (free || !m.mayHaveRun && len(m.outstanding) == 0)
+	repeatable := m.class.Effect == Safe || m.class.Effect == Keyed && m.class.GroupAll
+	return !m.ended && (repeatable || !m.mayHaveRun && len(m.outstanding) == 0)
 }
 
 // mayAttempt is the single guard of all sends. It returns when a send of m to r keeps the rules;
--- a/policy/property_test.go
+++ b/policy/property_test.go
@@ -236,9 +236,9 @@
 			w.startAttempt(m, a, calls)
 		case Refuse:
 			w.actionCounts[1]++
-			free := m.class.Effect == Safe || m.class.Effect == Keyed && m.class.GroupAll
+			repeatable := m.class.Effect == Safe || m.class.Effect == Keyed && m.class.GroupAll
 			for _, t := range m.attempts {
-				if (t.mayHaveRun || t.out) && !free {
+				if (t.mayHaveRun || t.out) && !repeatable {
 					w.violate(2, "message %d refused though it may have run", m.id)
 				}
 			}
@@ -296,7 +296,7 @@
 
 // checkRecovery checks the recovery budget of a destination: the calls in any window since the end of its outage, for a
 // Sender that saw its failures.
-func (w *simulation) checkRecovery(d string, back time.Duration) {
+func (w *simulation) checkRecovery(d string, recovered time.Duration) {
 	w.sends[d] = append(w.sends[d], w.now)
 	n := 0
 	for _, at := range w.sends[d] {
@@ -304,13 +304,13 @@
 			n++
 		}
 	}
-	share := w.set.ColdShare + (1-w.set.ColdShare)*float64(w.now-back)/float64(w.set.WarmWithin)
+	share := w.set.ColdShare + (1-w.set.ColdShare)*float64(w.now-recovered)/float64(w.set.WarmWithin)
 	if share >= 1 {
 		return
 	}
-	most := w.set.OverloadFactor*share*6*w.set.OverloadWindow.Seconds() + 1.5 // 6: the listed weight
-	if float64(n) > most {
-		w.violate(4, "%d calls to %s in %v, %.1f at most", n, d, w.set.OverloadWindow, most)
+	limit := w.set.OverloadFactor*share*6*w.set.OverloadWindow.Seconds() + 1.5 // 6: the listed weight
+	if float64(n) > limit {
+		w.violate(4, "%d calls to %s in %v, %.1f at most", n, d, w.set.OverloadWindow, limit)
 	}
 }
 
@@ -356,22 +356,22 @@
 		took = min(took, 300*time.Millisecond)
 	}
 	at := w.now + took
-	if cut := min(a.TimeoutAt, m.deadline); at > cut {
-		at, e.Outcome, e.RetryAfter = max(cut, w.now+time.Millisecond), Timeout, 0
+	if timeoutAt := min(a.TimeoutAt, m.deadline); at > timeoutAt {
+		at, e.Outcome, e.RetryAfter = max(timeoutAt, w.now+time.Millisecond), Timeout, 0
 	}
 	e.Took = at - w.now
 	w.pending = append(w.pending, scheduledEvent{at: at, event: e, call: c})
 }
 
 // runSimulation runs one simulation and returns it with the rules that were violated.
-func runSimulation(t *testing.T, seed uint64, b mutation) *simulation {
+func runSimulation(t *testing.T, seed uint64, mut mutation) *simulation {
 	t.Helper()
 	w := newSimulation(seed)
 	start := func() (*Sender, []Event) {
 		set := w.set
 		set.Classes = slices.Clone(set.Classes)
-		if b.settings != nil {
-			b.settings(&set)
+		if mut.settings != nil {
+			mut.settings(&set)
 		}
 		s, err := New(set, seed)
 		if err != nil {
@@ -394,9 +394,9 @@
 		}
 		evs := append(first, w.events(w.now > end-15*time.Second)...)
 		first = nil
-		if b.event != nil {
+		if mut.event != nil {
 			for i := range evs {
-				b.event(&evs[i])
+				mut.event(&evs[i])
 			}
 		}
 		if len(evs) > 0 {
@@ -432,7 +432,7 @@
 }
 
 func TestCheckerDetectsMissingGuards(t *testing.T) {
-	for _, b := range []mutation{
+	for _, mut := range []mutation{
 		{name: "deadline", rule: 1, event: func(e *Event) { e.TimeLeft += time.Second }},
 		{name: "unsafe", rule: 2, settings: func(s *Settings) { s.Classes[3].Effect = Safe }},
 		{name: "group", rule: 2, settings: func(s *Settings) { s.Classes[1].GroupAll = true }},
@@ -447,13 +447,13 @@
 		{name: "key order", rule: 6, settings: func(s *Settings) { s.Classes[3].Ordered, s.Classes[4].Ordered = false, false }},
 		{name: "rest", rule: 6, settings: func(s *Settings) { s.OrderPause = 0 }},
 	} {
-		t.Run(b.name, func(t *testing.T) {
+		t.Run(mut.name, func(t *testing.T) {
 			for seed := range uint64(12) {
-				if runSimulation(t, seed, b).violations[b.rule] != "" {
+				if runSimulation(t, seed, mut).violations[mut.rule] != "" {
 					return
 				}
 			}
-			t.Errorf("no run without the guard violated rule %d", b.rule)
+			t.Errorf("no run without the guard violated rule %d", mut.rule)
 		})
 	}
 }
--- a/policy/resume_test.go
+++ b/policy/resume_test.go
@@ -97,9 +97,9 @@
 // Guards against a guessed pace that outlasts the first answers, although they report the limit.
 func TestFirstDeliveryReplacesGuessedPace(t *testing.T) {
 	for _, c := range []struct {
-		name string
-		told Report
-		want float64
+		name   string
+		report Report
+		want   float64
 	}{
 		{"a limit is reported", Report{Present: true, Limit: 20}, 20 * (1 - ownTrafficShare)},
 		{"there is none", Report{}, 0},
@@ -114,7 +114,7 @@
 			t.Errorf("%s: pace %v before the first answer, want %v", c.name, g.pace, d.sender.senderShare(g))
 		}
 		d.now += 10 * ms
-		d.step(Event{Kind: Finished, ID: 1, Route: "a", Outcome: OK, Took: 10 * ms, MessageEnded: true, Report: c.told})
+		d.step(Event{Kind: Finished, ID: 1, Route: "a", Outcome: OK, Took: 10 * ms, MessageEnded: true, Report: c.report})
 		if math.Abs(g.pace-c.want) > 1e-9 {
 			t.Errorf("%s: pace %v after the first delivery, want %v", c.name, g.pace, c.want)
 		}
@@ -215,8 +215,8 @@
 	const left = 12 * time.Second
 	d := newBacklogHarness(t, 300, 6, left)
 	tried, out := 1, uint32(1)
-	begun := d.now
-	for d.now < begun+left/2 {
+	began := d.now
+	for d.now < began+left/2 {
 		var acts []Action
 		if out > 0 {
 			d.now += 150 * ms
@@ -231,7 +231,7 @@
 			case Send:
 				out, tried = a.ID, tried+1
 			case Refuse, Fail:
-				t.Fatalf("message %d ended without an attempt, with %v left", a.ID, left-(d.now-begun))
+				t.Fatalf("message %d ended without an attempt, with %v left", a.ID, left-(d.now-began))
 			}
 		}
 	}
