--- a/internal/relay/backlog_test.go
+++ b/internal/relay/backlog_test.go
@@ -230,7 +230,7 @@
 	for len(seen) < 1010 {
 		before := len(seen)
 		for id, m := range b.msgs {
-			if m.move == notMoving && !m.ended && m.cell != nil {
+			if m.move == notMoving && !m.ended && m.destWindow != nil {
 				if seen[id] {
 					t.Fatalf("message %d was passed to the module twice", id)
 				}
@@ -256,7 +256,7 @@
 		b.step([]any{withdrawal{m.ID}})
 	}
 	b.runJobs()
-	if m := b.byTrace["m2000"]; m == nil || m.cell == nil {
+	if m := b.byTrace["m2000"]; m == nil || m.destWindow == nil {
 		t.Error("the most urgent message was not loaded first")
 	}
 }
@@ -267,10 +267,10 @@
 	b.submit(100, 1000, 7, expiryLead/2)
 	b.submit(5, 2000, 7, time.Hour)
 	b.runJobs()
-	if n := len(b.finals.queue); n != 100 {
+	if n := len(b.notices.queue); n != 100 {
 		t.Fatalf("%d notices, want 100", n)
 	}
-	for _, n := range b.finals.queue {
+	for _, n := range b.notices.queue {
 		if n.Status != "deferred" {
 			t.Errorf("%+v", n)
 		}
@@ -286,7 +286,7 @@
 func TestFullOrFailingDiskRejectsNewMessages(t *testing.T) {
 	for name, breakStore := range map[string]func(*memoryStore){
 		"full":    func(s *memoryStore) { s.capacity = 1 },
-		"failing": func(s *memoryStore) { s.err = errors.New("sick") },
+		"failing": func(s *memoryStore) { s.err = errors.New("input/output error") },
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := &memoryStore{entries: map[uint32]owed.Entry{}}
@@ -312,7 +312,8 @@
 	}
 }
 
-// A message whose client disconnects while it is moving to disk, or on disk, must end, and must not reappear at a restart.
+// A message whose client disconnects while it is moving to disk, or on disk, must end, and must not reappear at a
+// restart.
 func TestWithdrawnMessageIsRemovedFromDiskBeforeLog(t *testing.T) {
 	for _, when := range []string{"before its job", "under its job", "on disk"} {
 		t.Run(when, func(t *testing.T) {
@@ -409,28 +410,28 @@
 
 var crashStates = flag.Int("crash-states", 1000, "number of random states of log and backlog to check")
 
-// Whenever the process ends between writes to the log and to the backlog, each accepted message must be recovered exactly once,
-// and a message that was sent must not be recovered as untried.
+// Whenever the process ends between writes to the log and to the backlog, each accepted message must be recovered
+// exactly once, and a message that was sent must not be recovered as untried.
 func TestCrashBetweenLogAndBacklogLosesNoMessage(t *testing.T) {
 	rng := rand.New(rand.NewPCG(7, 11))
 	for state := 0; state < *crashStates; {
 		s, d := &memoryStore{entries: map[uint32]owed.Entry{}}, crashdisk.New()
 		b := newBacklogRelay(t, s, d, 64)
-		owes, sent, next := map[string]bool{}, map[string]bool{}, 0
+		pending, sent, next := map[string]bool{}, map[string]bool{}, 0
 		var snapshots []struct {
-			logs       *crashdisk.Disk
-			store      map[uint32]owed.Entry
-			owes, sent map[string]bool
+			logs          *crashdisk.Disk
+			store         map[uint32]owed.Entry
+			pending, sent map[string]bool
 		}
 		takeSnapshot := func(when func() bool) {
 			if !when() {
 				return
 			}
 			snapshots = append(snapshots, struct {
-				logs       *crashdisk.Disk
-				store      map[uint32]owed.Entry
-				owes, sent map[string]bool
-			}{d.Crash(func() bool { return true }), maps.Clone(s.entries), maps.Clone(owes), maps.Clone(sent)})
+				logs          *crashdisk.Disk
+				store         map[uint32]owed.Entry
+				pending, sent map[string]bool
+			}{d.Crash(func() bool { return true }), maps.Clone(s.entries), maps.Clone(pending), maps.Clone(sent)})
 		}
 		sometimes := func() bool { return rng.IntN(4) == 0 }
 		for range 60 {
@@ -441,20 +442,20 @@
 					next++
 					b.step([]any{in})
 					if a, ok := answered(in); ok && a.status == http.StatusAccepted {
-						owes[in.m.Trace] = true
+						pending[in.m.Trace] = true
 					}
 				}
 			case 2:
 				for _, id := range slices.Sorted(maps.Keys(b.msgs)) {
 					m := b.msgs[id]
-					if m.move == notMoving && !m.ended && m.cell != nil && rng.IntN(3) == 0 {
+					if m.move == notMoving && !m.ended && m.destWindow != nil && rng.IntN(3) == 0 {
 						if rng.IntN(2) == 0 {
 							if m.sends == 0 { // a send without an outcome
 								b.execute([]policy.Action{{Kind: policy.Send, ID: id, Route: "s-1", TimeoutAt: b.now() + time.Hour}}, nil)
 								sent[m.Trace] = true
 							}
 						} else if m.sends == 0 {
-							delete(owes, m.Trace)
+							delete(pending, m.Trace)
 							b.step([]any{withdrawal{id}})
 						}
 					}
@@ -497,13 +498,13 @@
 					t.Fatalf("state %d: %s was sent, but is on disk as untried", state, e.Trace)
 				}
 			}
-			for trace := range x.owes {
+			for trace := range x.pending {
 				if has[trace] != 1 {
 					t.Fatalf("state %d: %s was recovered %d times", state, trace, has[trace])
 				}
 			}
 			for trace := range has {
-				if !x.owes[trace] {
+				if !x.pending[trace] {
 					t.Fatalf("state %d: %s has ended, but was recovered", state, trace)
 				}
 			}
--- a/internal/relay/carry.go
+++ b/internal/relay/carry.go
@@ -51,8 +51,8 @@
 		}
 	}
 	p := pendingStep{waiting: waiting, answers: answers, ended: ended, calls: calls}
-	// A send must not leave before the log has it: a restart would repeat it. An end must not be reported before the log has
-	// it: a restart would send the message.
+	// A send must not leave before the log has it: a restart would repeat it. An end must not be reported before the
+	// log has it: a restart would send the message.
 	err := r.record(calls)
 	if err != nil && !errors.Is(err, wal.ErrNeedsNewFile) {
 		r.log.Warn("log not written", "calls", len(calls), "err", err)
@@ -72,11 +72,11 @@
 func (r *Relay) answerAccepted(p pendingStep) (waiting []*submission) {
 	durable := r.wal.Durable()
 	return slices.DeleteFunc(p.waiting, func(in *submission) bool {
-		taken := p.answers[in.msg.ID]
-		if taken.status != http.StatusAccepted || in.msg.seq > durable {
+		a := p.answers[in.msg.ID]
+		if a.status != http.StatusAccepted || in.msg.seq > durable {
 			return false
 		}
-		in.reply <- taken
+		in.reply <- a
 		return true
 	})
 }
@@ -178,7 +178,7 @@
 	r.guard.CheckEnd(m.Trace, m.notified, recorded, clock.Until(m.Deadline))
 	m.notified = true
 	r.logTransition(m, stateEnded, stateTold, reasonNotice, slog.Bool("recorded", recorded))
-	r.finals.add(newNotice(m.ID, m.Trace, *m.Final))
+	r.notices.add(newNotice(m.ID, m.Trace, *m.Final))
 }
 
 func newNotice(id uint32, trace string, f wal.Final) notice {
--- a/internal/relay/durable.go
+++ b/internal/relay/durable.go
@@ -11,16 +11,17 @@
 	"onyxroad.dev/onyxroad/policy"
 )
 
-// A step's decisions are carried out once they are durable in the log. If the log only has to survive the process, that is
-// at once; if it has to survive a loss of power (Config.Power), it is after a sync. One sync covers every step written before
-// it, and the loop goes on with further steps meanwhile.
+// A step's decisions are carried out once they are durable in the log. If the log only has to survive the process, that
+// is at once; if it has to survive a loss of power (Config.Power), it is after a sync. One sync covers every step
+// written before it, and the loop goes on with further steps meanwhile.
 
 const (
-	// maxAnswerWait is how long a client's answer waits for the disk. The platform's clients wait 400 ms for an answer, and
-	// the loop may check this 200 ms late.
+	// maxAnswerWait is how long a client's answer waits for the disk. The platform's clients wait 400 ms for an answer,
+	// and the loop may check this 200 ms late.
 	maxAnswerWait = 150 * time.Millisecond
-	// maxNoticeWait is how long a final notice waits for the disk. If a notice is sent before its record is on disk, a loss of
-	// power may cause a second one, perhaps with another result; a notice that is held back longer is certainly late.
+	// maxNoticeWait is how long a final notice waits for the disk. If a notice is sent before its record is on disk, a
+	// loss of power may cause a second one, perhaps with another result; a notice that is held back longer is certainly
+	// late.
 	maxNoticeWait = time.Second
 	// maxCallWait is how long a call may wait for the disk before the module has to confirm it.
 	maxCallWait = 50 * time.Millisecond
@@ -43,13 +44,13 @@
 	if p.unwritten {
 		p.seq++ // the write that starts the next file of the log
 	}
-	if len(r.promises) == 0 && p.seq <= r.wal.Durable() {
+	if len(r.pendingSteps) == 0 && p.seq <= r.wal.Durable() {
 		r.finishStep(p)
 		return
 	}
 	p.ended = r.notifyOverdue(p.ended)
 	if len(p.waiting)+len(p.ended)+len(p.calls) > 0 {
-		r.promises = append(r.promises, p)
+		r.pendingSteps = append(r.pendingSteps, p)
 	}
 }
 
@@ -74,23 +75,23 @@
 	})
 }
 
-// markWritten updates unwritten steps once the log has written all of its records, which may happen in a compaction, and that
+// markWritten updates unwritten steps once the log has written all records. That may happen in a compaction, which
 // has no sequence number of its own. With Config.Power only a sync counts, and the next write brings one.
 func (r *Relay) markWritten() {
-	waits := slices.ContainsFunc(r.promises, func(p pendingStep) bool { return p.unwritten })
+	waits := slices.ContainsFunc(r.pendingSteps, func(p pendingStep) bool { return p.unwritten })
 	if !waits || r.cfg.Power || r.wal.Failure() != nil || r.record(nil) != nil {
 		return
 	}
-	for i := range r.promises {
-		r.promises[i].seq = min(r.promises[i].seq, r.wal.Written())
+	for i := range r.pendingSteps {
+		r.pendingSteps[i].seq = min(r.pendingSteps[i].seq, r.wal.Written())
 	}
 }
 
 // finishDurableSteps finishes the steps whose writes have become durable.
 func (r *Relay) finishDurableSteps() {
-	for durable := r.wal.Durable(); len(r.promises) > 0 && r.promises[0].seq <= durable; {
-		p := r.promises[0]
-		r.promises = slices.Delete(r.promises, 0, 1)
+	for durable := r.wal.Durable(); len(r.pendingSteps) > 0 && r.pendingSteps[0].seq <= durable; {
+		p := r.pendingSteps[0]
+		r.pendingSteps = slices.Delete(r.pendingSteps, 0, 1)
 		r.finishStep(p)
 	}
 }
@@ -161,8 +162,8 @@
 	r.finishDurableSteps()
 	r.releaseWithheld()
 	now := clock.Now()
-	for i := range r.promises {
-		p := &r.promises[i]
+	for i := range r.pendingSteps {
+		p := &r.pendingSteps[i]
 		p.ended = r.notifyOverdue(p.ended)
 		if now.Sub(p.since) < maxAnswerWait {
 			continue
@@ -205,8 +206,8 @@
 	}
 	if m.Final != nil {
 		// It has ended meanwhile, and its notice waits as well: this answer takes the notice's place.
-		for i := range r.promises {
-			p := &r.promises[i]
+		for i := range r.pendingSteps {
+			p := &r.pendingSteps[i]
 			p.ended = slices.DeleteFunc(p.ended, func(x *message) bool { return x == m })
 		}
 		r.release(m)
@@ -239,7 +240,7 @@
 
 // waitDurable waits until no step waits for the disk. It returns false on a time-out.
 func (r *Relay) waitDurable(timeout time.Duration) bool {
-	for end := clock.Now().Add(timeout); len(r.promises) > 0; time.Sleep(time.Millisecond) {
+	for end := clock.Now().Add(timeout); len(r.pendingSteps) > 0; time.Sleep(time.Millisecond) {
 		if r.maintainLog(); clock.Now().After(end) {
 			return false
 		}
@@ -247,8 +248,8 @@
 	return true
 }
 
-// scheduleStep triggers a step after one tick, for events that are kept for the next step. It leaves wakeAt, the module's own
-// wake-up, alone.
+// scheduleStep triggers a step after one tick, for events that are kept for the next step. It leaves wakeAt, the
+// module's own wake-up, alone.
 func (r *Relay) scheduleStep() { time.AfterFunc(r.cfg.Tick, func() { r.post(wakeLoop{}) }) }
 
 // logOptions returns the options of the write-ahead log.
@@ -286,8 +287,9 @@
 	return errors.Join(err, r.wal.Close())
 }
 
-// adjustForClockSetBack moves the deadlines of recovered messages if the wall clock is behind the latest time in the log. How
-// much time has passed is then unknown, so messages lose the difference rather than get time that may have passed.
+// adjustForClockSetBack moves the deadlines of recovered messages if the wall clock is behind the latest time in the
+// log. How much time has passed is then unknown, so messages lose the difference rather than get time that may have
+// passed.
 func (r *Relay) adjustForClockSetBack(found wal.Recovery, latest time.Time) {
 	r.clockBehind = max(0, latest.Sub(clock.Now()))
 	if r.clockBehind == 0 {
@@ -299,8 +301,8 @@
 	}
 }
 
-// checkClock logs steps of the wall clock since the log's timeline began, and limits the remaining time of each message to
-// the maximum of its class.
+// checkClock logs steps of the wall clock since the log's timeline began, and limits the remaining time of each message
+// to the maximum of its class.
 func (r *Relay) checkClock(found wal.Recovery) {
 	if resumed, stepped := r.wal.Timeline(); resumed && stepped != 0 {
 		r.log.Warn("the wall clock has been stepped", "by", stepped)
@@ -312,8 +314,8 @@
 		if m.Class < 0 || m.Class >= len(r.cfg.Settings.Classes) {
 			continue
 		}
-		if most := now.Add(r.cfg.maxLifetime(m.Class)); m.Deadline.After(most) {
-			m.Deadline = most
+		if latest := now.Add(r.cfg.maxLifetime(m.Class)); m.Deadline.After(latest) {
+			m.Deadline = latest
 		}
 	}
 }
@@ -327,7 +329,7 @@
 		if err != nil && !errors.Is(err, errNoMemories) {
 			r.log.Warn("cannot read the saved state of partners", "err", err)
 		}
-		r.recalled = m
+		r.loadedMemories = m
 		if saved := r.wal.Local(m.Saved); saved.After(latest) {
 			latest = saved
 		}
--- a/internal/relay/durable_test.go
+++ b/internal/relay/durable_test.go
@@ -14,8 +14,8 @@
 	"onyxroad.dev/onyxroad/internal/wal"
 )
 
-// newDurableRelay returns a relay with Config.Power on an in-memory disk. Its loop is not running, and its syncs block while
-// the gate is locked.
+// newDurableRelay returns a relay with Config.Power on an in-memory disk. Its loop is not running, and its syncs block
+// while the gate is locked.
 func newDurableRelay(t *testing.T, d *crashdisk.Disk, gate *sync.RWMutex) *Relay {
 	t.Helper()
 	d.Fail = func(op, _ string) error {
@@ -56,7 +56,7 @@
 // waitOnDisk waits until everything is on disk and all pending steps are finished.
 func waitOnDisk(t *testing.T, r *Relay) {
 	t.Helper()
-	eventually(t, "everything is on disk", func() bool { r.maintainLog(); return len(r.promises) == 0 })
+	eventually(t, "everything is on disk", func() bool { r.maintainLog(); return len(r.pendingSteps) == 0 })
 }
 
 func TestAnswersAndCallsWaitForSync(t *testing.T) {
@@ -64,18 +64,18 @@
 	d := crashdisk.New()
 	r := newDurableRelay(t, d, &gate)
 	gate.Lock()
-	in, twin := newSubmission("a", 7, time.Minute), newSubmission("a", 7, time.Minute)
+	in, duplicate := newSubmission("a", 7, time.Minute), newSubmission("a", 7, time.Minute)
 	r.step([]any{in})
-	r.step([]any{twin})
+	r.step([]any{duplicate})
 	r.maintainLog()
 	_, one := answered(in)
-	_, two := answered(twin)
+	_, two := answered(duplicate)
 	if one || two || r.callsOut > 0 {
 		t.Errorf("before it is on disk: answers %v and %v, %d calls", one, two, r.callsOut)
 	}
 	gate.Unlock()
 	waitOnDisk(t, r)
-	for _, in := range []*submission{in, twin} {
+	for _, in := range []*submission{in, duplicate} {
 		if a, ok := answered(in); !ok || a.status != http.StatusAccepted {
 			t.Errorf("once it is on disk: %+v, %v", a, ok)
 		}
@@ -94,11 +94,11 @@
 	var gate sync.RWMutex
 	r := newDurableRelay(t, crashdisk.New(), &gate)
 	gate.Lock()
-	in, twin := newSubmission("a", 7, time.Minute), newSubmission("a", 7, time.Minute)
-	r.step([]any{in, twin})
-	r.promises[0].since = time.Now().Add(-time.Second)
+	in, duplicate := newSubmission("a", 7, time.Minute), newSubmission("a", 7, time.Minute)
+	r.step([]any{in, duplicate})
+	r.pendingSteps[0].since = time.Now().Add(-time.Second)
 	r.maintainLog()
-	for _, in := range []*submission{in, twin} {
+	for _, in := range []*submission{in, duplicate} {
 		if a, ok := answered(in); !ok || a.status != http.StatusServiceUnavailable || a.retryAfter <= 0 {
 			t.Errorf("while the disk is slow: %+v, %v", a, ok)
 		}
@@ -187,8 +187,8 @@
 	}
 }
 
-// A client that disconnects while its message's call waits for the disk submits the message again. The first call must then
-// not be made as well.
+// A client that disconnects while its message's call waits for the disk submits the message again. The first call must
+// then not be made as well.
 func TestDelayedCallIsDroppedWhenClientDisconnects(t *testing.T) {
 	var gate sync.RWMutex
 	r := newDurableRelay(t, crashdisk.New(), &gate)
--- a/internal/relay/pool.go
+++ b/internal/relay/pool.go
@@ -25,9 +25,9 @@
 // peer is a host at an address. Connections are not shared with another host that later comes up at the same address.
 type peer struct{ route, addr string }
 
-// pool manages the connections to hosts and keeps idle ones for the next call. It replaces http.Transport, which resends some
-// requests by itself although a message may not be allowed to run twice, offers no hook between dialling and writing a
-// request, and does not show bytes that follow an answer.
+// pool manages the connections to hosts and keeps idle ones for the next call. It replaces http.Transport, which
+// resends some requests by itself although a message may not be allowed to run twice, offers no hook between dialling
+// and writing a request, and does not show bytes that follow an answer.
 type pool struct {
 	dial           func(ctx context.Context, network, addr string) (net.Conn, error)
 	connectTimeout time.Duration
@@ -130,7 +130,8 @@
 	return c
 }
 
-// release returns a connection to the pool for the next call, and closes it there if the host closes it or sends anything.
+// release returns a connection to the pool for the next call, and closes it there if the host closes it or sends
+// anything.
 func (c *hostConn) release() {
 	p := c.pool
 	p.mu.Lock()
@@ -212,10 +213,10 @@
 }
 
 // setMaxConns changes the limit on connections, without closing any.
-func (p *pool) setMaxConns(most int) {
+func (p *pool) setMaxConns(limit int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.maxConns = most
+	p.maxConns = limit
 }
 
 // close closes all idle connections, and from now on every connection that is released.
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -54,7 +54,7 @@
 	submission struct {
 		m               *wal.Message
 		msg             *message    // what the loop has made of m, or the known message with the same id
-		exclusionChange             // set in place of a message; only between processes during a handover
+		exclusionChange             // set in place of a message; only between processes during a hand-over
 		reply           chan answer // buffered: sending never blocks
 	}
 	withdrawal   struct{ id uint32 }
@@ -88,9 +88,9 @@
 	shared       bool     // another client was also told that it is accepted, so it cannot be withdrawn
 	continuation *message // the message that replaced it when it was submitted again after its withdrawal
 
-	// Only used with a backlog; see overflow and window.
-	cell        *destWindow // nil: the module does not have it
-	unsentIndex int         // index among the cell's messages that were never sent; -1: sent
+	// Only used with a backlog; see backlogQueue and window.
+	destWindow  *destWindow // of its destination; nil: the module does not have the message
+	unsentIndex int         // index among the unsent messages of destWindow; -1: sent
 	move        transfer
 	dropped     bool // in transit to or from the disk, and no longer owed
 	refused     bool // its client was told of the refusal, so no notice is due
@@ -103,7 +103,7 @@
 	log          *slog.Logger
 	hosts        *hostClient
 	clients      *clients
-	finals       *noticeSender
+	notices      *noticeSender
 	agent        *agent
 	events       chan any
 	loopDone     chan struct{} // closed when the loop has ended
@@ -127,7 +127,7 @@
 	listener       *net.TCPListener // nil until Run listens, unless a predecessor passed it on
 	predecessor    *handoverLink    // link to the process that handed over to this one; nil if there was none
 	inheritedState handoverState    // state that the predecessor passed on
-	memoryLimit    int64            // memory limit, shared by both processes during a handover
+	memoryLimit    int64            // memory limit, shared by both processes during a hand-over
 	stopAdmin      func()
 
 	// Owned by the loop.
@@ -157,14 +157,14 @@
 	backlog             *backlogQueue           // nil: no backlog is kept
 	postponed           []any                   // events received while the loop waited for a job, for the next step
 
-	promises        []pendingStep // waiting for the disk, oldest first
+	pendingSteps    []pendingStep // waiting for the disk, oldest first
 	withheld        []withheldAnswer
 	syncDone        chan struct{} // capacity 1: more data has become durable
 	logFailed       bool          // the disk has failed the log
 	clockBehind     time.Duration // how far the wall clock is behind the log's latest time; 0 unless it was set back
-	recalled        memories      // memories of an earlier process, until they are applied
+	loadedMemories  memories      // saved by an earlier process, until they are applied
 	memoriesSavedAt time.Time
-	nextCountAt     time.Time   // the routes that are avoided are not counted before this
+	nextCountAt     time.Time   // avoided routes are not counted before this
 	savingMemories  atomic.Bool // memories are being written
 
 	saveFailed atomic.Bool // a failure to write memories has been logged
@@ -204,7 +204,7 @@
 	// Clients with requests need a third of the file descriptors. The rest of this limit is for slow disconnects.
 	r.clients = newClients(log, cfg.Limits.Sockets*9/20, r.handleClient)
 	r.clients.guard, r.hosts.guard = r.guard, r.guard
-	r.finals = newNoticeSender(log, r.agent, func(ids []uint32) { r.post(noticesConfirmed{ids}) })
+	r.notices = newNoticeSender(log, r.agent, func(ids []uint32) { r.post(noticesConfirmed{ids}) })
 	// Listen before the old process gives anything up, so that a failure leaves it in place.
 	if cfg.Admin != "" {
 		l, err := listen(ctx, log, "operators", cfg.Admin)
@@ -242,7 +242,7 @@
 	}
 	peerCtx, stopPeers := context.WithCancel(loopCtx)
 	defer stopPeers()
-	go r.finals.run(peerCtx)
+	go r.notices.run(peerCtx)
 	list := watcher{
 		log: r.log, agent: r.agent, timeout: watchTimeout, version: r.cfg.Known.Version,
 		fleetSize: r.cfg.Settings.Senders, random: rand.Float64, sleep: sleep, now: clock.Now,
@@ -355,7 +355,7 @@
 		r.execute(r.sender.Step(r.now(), evs), nil)
 		r.sender.LoadRouteStates(r.inheritedState.Memories)
 		evs = nil
-	} else if len(r.recalled.Memories) > 0 && len(r.routes) > 0 {
+	} else if len(r.loadedMemories.Memories) > 0 && len(r.routes) > 0 {
 		r.execute(r.sender.Step(r.now(), evs), nil)
 		r.restoreMemories()
 		evs = nil
@@ -417,7 +417,7 @@
 // resumedEvent tells the module about an earlier process's message, with times on the module's clock. out is the attempt
 // that is still in progress, if any; whether it runs is not known yet.
 func (r *Relay) resumedEvent(m *message, out *policy.OutstandingAttempt) policy.Event {
-	e := r.takenEvent(m)
+	e := r.acceptedEvent(m)
 	e.Resumed = &policy.ResumedMessage{Attempts: m.Attempts, Outstanding: out}
 	ran := slices.DeleteFunc(slices.Clone(m.MayRun), func(a wal.Attempt) bool { return out != nil && a.N == out.Attempt })
 	if len(ran) > 0 {
@@ -431,7 +431,7 @@
 	return e
 }
 
-func (r *Relay) takenEvent(m *message) policy.Event {
+func (r *Relay) acceptedEvent(m *message) policy.Event {
 	return policy.Event{
 		Kind: policy.Accepted, ID: m.ID, Key: m.Order, Class: m.Class, Customer: m.Customer, Destination: m.Dest,
 		TimeLeft: clock.Until(m.Deadline),
--- a/internal/relay/step.go
+++ b/internal/relay/step.go
@@ -25,7 +25,7 @@
 		return
 	}
 	var checks []sendCheck
-	var takeovers []handoverRequest
+	var handoverRequests []handoverRequest
 	var submissions []*submission
 	for _, e := range batch {
 		switch e := e.(type) {
@@ -57,7 +57,7 @@
 		case predecessorGone:
 			evs = r.endPredecessorAttempts(evs)
 		case handoverRequest:
-			takeovers = append(takeovers, e)
+			handoverRequests = append(handoverRequests, e)
 		case *storeJob:
 			evs = r.backlog.jobFinished(evs, e)
 		case stopIntake:
@@ -72,14 +72,14 @@
 	if !r.noSends {
 		for _, in := range waiting {
 			switch m := in.msg; {
-			case m.Message != in.m: // a duplicate of one before it, or of one that is not on disk yet
+			case m.Message != in.m: // a duplicate of one in this step, or of one that is not durable yet
 			case r.backlog.divert(m):
 			case m.Attempts > 0:
 				r.backlog.add(m)
 				evs = append(evs, r.resumedEvent(m, nil))
 			default:
 				r.backlog.add(m)
-				evs = append(evs, r.takenEvent(m))
+				evs = append(evs, r.acceptedEvent(m))
 			}
 		}
 		r.execute(r.sender.Step(now, evs), waiting)
@@ -89,7 +89,7 @@
 	for _, c := range checks {
 		c.reply <- !r.noSends && r.sender.StillAllowed(c.route, r.now(), c.ids...)
 	}
-	if r.stopping && !r.drainSignalled && len(r.promises) == 0 && (r.allFinished() || r.noSends && r.callsOut == 0) {
+	if r.stopping && !r.drainSignalled && len(r.pendingSteps) == 0 && (r.allFinished() || r.noSends && r.callsOut == 0) {
 		r.drainSignalled = true
 		close(r.drained)
 	}
@@ -100,7 +100,7 @@
 	r.answerRejected()
 	r.releaseWithheld()
 	r.updateGauges()
-	for _, h := range takeovers {
+	for _, h := range handoverRequests {
 		r.handOver(h.link)
 	}
 }
--- a/internal/relay/transient_test.go
+++ b/internal/relay/transient_test.go
@@ -161,7 +161,8 @@
 }
 
 // An end that is reported without a record is lost in a restart, which would send the message after all. So the report
-// waits while the disk fails. Once the message's deadline has passed, nothing can be sent for it, and its end is reported.
+// waits while the disk fails. Once the message's deadline has passed, nothing can be sent for it, and its end is
+// reported.
 func TestEndIsReportedOnceLoggedOrOverdue(t *testing.T) {
 	for _, recovers := range []bool{true, false} {
 		t.Run(fmt.Sprintf("the disk heals %v", recovers), func(t *testing.T) {
@@ -180,7 +181,7 @@
 			m := r.byTrace["m1"]
 			failing.Store(true)
 			r.execute([]policy.Action{{Kind: policy.Fail, ID: m.ID}}, nil)
-			if len(r.finals.queue) > 0 {
+			if len(r.notices.queue) > 0 {
 				t.Error("reported before it is in the log")
 			}
 			if recovers {
@@ -190,7 +191,7 @@
 			eventually(t, "the end is reported", func() bool {
 				r.maintainLog()
 				reportedAt = time.Now()
-				return len(r.finals.queue) > 0
+				return len(r.notices.queue) > 0
 			})
 			late := reportedAt.Sub(m.Deadline)
 			if recovers && late > 0 {
@@ -203,8 +204,8 @@
 	}
 }
 
-// While the disk fails, no call is made, no endpoint is blamed for it, and no call is lost: it is made once the disk works
-// again.
+// While the disk fails, no call is made, no endpoint is blamed for it, and no call is lost: it is made once the disk
+// works again.
 func TestCallWaitsForFailingDisk(t *testing.T) {
 	var writes atomic.Int64 // number of writes that succeed
 	writes.Store(1)
@@ -249,14 +250,14 @@
 	defer s.Close()
 	failed := make(chan time.Time, tries)
 	defer sockets.SetFaults(reportingFaults{newCallFaults(syscall.ENETUNREACH, tries, sockets.Connect), failed})()
-	taken := make(chan []uint32, 1)
-	f := newNoticeSender(discardLogger(), newAgent(addrOf(s)), func(ids []uint32) { taken <- ids })
+	confirmed := make(chan []uint32, 1)
+	f := newNoticeSender(discardLogger(), newAgent(addrOf(s)), func(ids []uint32) { confirmed <- ids })
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
 	f.add(notice{id: 1, ID: "a", Status: "undeliverable"})
 	go f.run(ctx)
 	select {
-	case <-taken:
+	case <-confirmed:
 	case <-time.After(2 * testTimeout):
 		t.Fatal("never accepted")
 	}
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -68,7 +68,7 @@
 	connScarceSpan        = 30 * time.Second        // how long a kind lacks connections after a full table
 )
 
-// sample is one outcome at a route, as the failure rules see it.
+// sample is one outcome at a route, as input of the failure rules.
 type sample struct {
 	outcome    Outcome
 	retryAfter time.Duration
@@ -652,8 +652,8 @@
 // mayRefuse reports whether a message may be refused, so that its client may submit it again, under the rules
 // of its effect.
 func (s *Sender) mayRefuse(m *message) bool {
-	free := m.class.Effect == Safe || m.class.Effect == Keyed && m.class.GroupAll
-	return !m.ended && (free || !m.mayHaveRun && len(m.outstanding) == 0)
+	repeatable := m.class.Effect == Safe || m.class.Effect == Keyed && m.class.GroupAll
+	return !m.ended && (repeatable || !m.mayHaveRun && len(m.outstanding) == 0)
 }
 
 // mayAttempt is the single guard of all sends. It returns when a send of m to r keeps the rules;
@@ -684,12 +684,12 @@
 	}
 	// Rule 6: the order of the key and its pause.
 	at := time.Duration(0)
-	if t := m.keyQueue; t != nil {
-		if t.messages[0] != m {
+	if q := m.keyQueue; q != nil {
+		if q.messages[0] != m {
 			return never
 		}
 		if m.sends == 0 {
-			at = t.restUntil
+			at = q.restUntil
 		}
 	}
 	// Rule 4: the recovery budget. Rule 5: Retry-After waits.
