--- a/cmd/testbed/breaks.go
+++ b/cmd/testbed/breaks.go
@@ -38,7 +38,7 @@
 		if len(c.Names) > 0 && !slices.Contains(c.Names, name) {
 			continue
 		}
-		caught, text, err := c.play(ctx, root, path, name)
+		caught, text, err := c.runBreak(ctx, root, path, name)
 		if err != nil {
 			return fmt.Errorf("%s: %w", name, err)
 		}
@@ -54,7 +54,7 @@
 	return nil
 }
 
-func (c *breaksCmd) play(ctx context.Context, root, path, name string) (caught bool, text string, err error) {
+func (c *breaksCmd) runBreak(ctx context.Context, root, path, name string) (caught bool, text string, err error) {
 	path, err = filepath.Abs(path)
 	if err != nil {
 		return false, "", err
@@ -88,7 +88,7 @@
 		return false, "", err
 	}
 	// A rule by its name, or a bound by its figure's.
-	n := r.Broken[head["rule"]]
+	n := r.RuleCounts[head["rule"]]
 	for _, b := range r.Bounds {
 		if b.Name == head["rule"] && !b.OK {
 			n++
@@ -99,7 +99,7 @@
 		verdict = "NOT CAUGHT"
 	}
 	others := []string{}
-	for rule, k := range r.Broken {
+	for rule, k := range r.RuleCounts {
 		if k > 0 && rule != head["rule"] {
 			others = append(others, fmt.Sprintf("%s %.0f", rule, k))
 		}
--- a/cmd/testbed/duties.go
+++ b/cmd/testbed/duties.go
@@ -50,7 +50,7 @@
 		return nil, err
 	}
 	r := &run.Result{Experiment: x.Name, Seed: seed, Quick: quick, Revision: revision, Figures: got.Figures}
-	return r, r.Conclude(x.Bounds, out)
+	return r, r.Finish(x.Bounds, out)
 }
 
 // stewardProgram is the steward to play: one that is built, or the work as it stands.
@@ -70,8 +70,8 @@
 	return filepath.Join(filepath.Dir(relay), build.Steward), revision, err
 }
 
-// tellDuties prints a result of stewards and holders.
-func tellDuties(w io.Writer, r *run.Result) {
+// printDuties prints a result of stewards and holders.
+func printDuties(w io.Writer, r *run.Result) {
 	f := r.Figures
 	fmt.Fprintf(w, "%s seed %d, %.0f s of faults over all fleets, revision %s\n", r.Experiment, r.Seed, f["fault_seconds"], r.Revision)
 	fmt.Fprintf(w, "  %.0f terms, %.0f effects, %.0f of them refused for a newer epoch; a leader takes %.3f of a core\n", f["claims"], f["effects"],
@@ -79,5 +79,5 @@
 	fmt.Fprintf(w, "  median and p99 in s: taken over %.2f, %.2f (%.0f times); handed on %.3f, %.3f (%.0f); claims around a leader's end %.2f, %.2f (%.0f)\n",
 		f["takeover_p50_s"], f["takeover_p99_s"], f["takeovers"], f["hand_on_p50_s"], f["hand_on_p99_s"], f["hand_ons"], f["claim_p50_s"],
 		f["claim_p99_s"], f["leaders_ended"])
-	tellBounds(w, r)
+	printBounds(w, r)
 }
--- a/cmd/testbed/main.go
+++ b/cmd/testbed/main.go
@@ -84,7 +84,7 @@
 type faultsCmd struct{}
 
 func (*faultsCmd) Run() error {
-	for _, k := range experiment.FaultNames() {
+	for _, k := range experiment.FaultKindNames() {
 		fmt.Printf("%-10s %s\n", k, experiment.FaultKinds[k])
 	}
 	return nil
--- a/cmd/testbed/recovery.go
+++ b/cmd/testbed/recovery.go
@@ -63,7 +63,7 @@
 	}
 	ratio := rates["power"][c.Plays/2] / rates["process"][c.Plays/2]
 	broken := ratio < c.Least
-	fmt.Printf("%s power/process %.2f >= %g (medians)\n", mark(!broken), ratio, c.Least)
+	fmt.Printf("%s power/process %.2f >= %g (medians)\n", boundLabel(!broken), ratio, c.Least)
 	for _, size := range []struct {
 		name    string
 		diskMB  float64
@@ -77,7 +77,7 @@
 			if err != nil {
 				return err
 			}
-			ready, first, held = append(ready, one.ready), append(first, one.first), one.held
+			ready, first, held = append(ready, one.ready), append(first, one.firstDelivery), one.held
 		}
 		slices.Sort(ready)
 		slices.Sort(first)
@@ -85,7 +85,7 @@
 		text := fmt.Sprintf("start with a log of %s, %d messages: ready in %.1f ms, first delivery in %.1f ms", size.name, held,
 			r.Seconds()*1000, f.Seconds()*1000)
 		if size.bounded {
-			text = fmt.Sprintf("%s %s, ready <= %v", mark(r <= c.Ready), text, c.Ready)
+			text = fmt.Sprintf("%s %s, ready <= %v", boundLabel(r <= c.Ready), text, c.Ready)
 			broken = broken || r > c.Ready
 		}
 		fmt.Println(text)
@@ -96,30 +96,30 @@
 	return nil
 }
 
-func mark(ok bool) string {
+func boundLabel(ok bool) string {
 	if ok {
 		return "ok    "
 	}
 	return "BROKEN"
 }
 
-// lone is one relay with an endpoint that answers at once.
-type lone struct {
+// singleRelay is one relay with an endpoint that answers at once.
+type singleRelay struct {
 	dir, addr string
-	first     chan time.Time // the first call at the endpoint
+	firstCall chan time.Time // the first call at the endpoint
 	server    *httptest.Server
 	cmd       *exec.Cmd
 }
 
-func newLone(diskMB float64) (*lone, error) {
+func newSingleRelay(diskMB float64) (*singleRelay, error) {
 	dir, err := os.MkdirTemp("", "testbed-")
 	if err != nil {
 		return nil, err
 	}
-	x := &lone{dir: dir, first: make(chan time.Time, 1)}
+	x := &singleRelay{dir: dir, firstCall: make(chan time.Time, 1)}
 	x.server = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		select {
-		case x.first <- time.Now():
+		case x.firstCall <- time.Now():
 		default:
 		}
 		io.Copy(io.Discard, r.Body)
@@ -152,7 +152,7 @@
 	return x, err
 }
 
-func (x *lone) close() {
+func (x *singleRelay) close() {
 	if x.cmd != nil {
 		x.cmd.Process.Kill()
 		x.cmd.Wait()
@@ -163,7 +163,7 @@
 }
 
 // start starts the relay and returns when it was started and when it said that it is ready.
-func (x *lone) start(ctx context.Context, program, durability string, sync time.Duration) (began, ready time.Time, err error) {
+func (x *singleRelay) start(ctx context.Context, program, durability string, sync time.Duration) (began, ready time.Time, err error) {
 	own := filepath.Join(x.dir, "settings.toml")
 	if err := os.WriteFile(own, fmt.Appendf(nil, "[state]\ndurability = %q\n", durability), 0o600); err != nil {
 		return began, ready, err
@@ -191,7 +191,7 @@
 
 // throughput has clients hand in one message after another.
 func (c *recoveryCmd) throughput(ctx context.Context, program, durability string) (rate float64, times *hdrhistogram.Histogram, err error) {
-	x, err := newLone(16)
+	x, err := newSingleRelay(16)
 	if err != nil {
 		return 0, nil, err
 	}
@@ -240,20 +240,20 @@
 	return float64(done) / time.Since(began).Seconds(), times, ctx.Err()
 }
 
-// started is one start.
-type started struct {
-	ready, first time.Duration
-	held         int
+// startResult is one start.
+type startResult struct {
+	ready, firstDelivery time.Duration
+	held                 int
 }
 
 // startup has a relay start on a log, full or empty.
-func (c *recoveryCmd) startup(ctx context.Context, program string, diskMB float64, full bool) (s started, err error) {
-	x, err := newLone(diskMB)
+func (c *recoveryCmd) startup(ctx context.Context, program string, diskMB float64, full bool) (s startResult, err error) {
+	x, err := newSingleRelay(diskMB)
 	if err != nil {
 		return s, err
 	}
 	defer x.close()
-	if s.held, err = fill(filepath.Join(x.dir, "state"), int64(diskMB*1e6), full); err != nil {
+	if s.held, err = fillLog(filepath.Join(x.dir, "state"), int64(diskMB*1e6), full); err != nil {
 		return s, err
 	}
 	began, ready, err := x.start(ctx, program, "power", c.Sync)
@@ -262,8 +262,8 @@
 	}
 	s.ready = ready.Sub(began)
 	select {
-	case at := <-x.first:
-		s.first = at.Sub(began)
+	case at := <-x.firstCall:
+		s.firstDelivery = at.Sub(began)
 	case <-time.After(10 * time.Second):
 		return s, errors.New("nothing was ever delivered")
 	case <-ctx.Done():
@@ -272,8 +272,8 @@
 	return s, nil
 }
 
-// fill leaves a log behind: with one message, or as large as the limit allows, with what held messages leave on the way.
-func fill(dir string, limit int64, full bool) (held int, err error) {
+// fillLog leaves a log behind: with one message, or as large as the limit allows, with what held messages leave on the way.
+func fillLog(dir string, limit int64, full bool) (held int, err error) {
 	l, _, err := wal.OpenWith(wal.Options{Dir: dir, Limit: limit * 9 / 10, Format: wal.SegmentFormat, Name: "n0"})
 	if err != nil {
 		return 0, err
--- a/cmd/testbed/run.go
+++ b/cmd/testbed/run.go
@@ -38,17 +38,17 @@
 				if err != nil {
 					return err
 				}
-				tellDuties(os.Stdout, r)
+				printDuties(os.Stdout, r)
 				broken = broken || !r.OK()
 			}
 			continue
 		}
-		program, revision, err := relayProgram(ctx, c.Build, c.Out, x.NeedsDisk() || x.NeedsFaults())
+		program, revision, err := relayProgram(ctx, c.Build, c.Out, x.NeedsDisk() || x.NeedsFaultInjection())
 		if err != nil {
 			return err
 		}
 		if c.Relays > 0 {
-			x.Fleet.Relays = experiment.Of(c.Relays, c.Relays)
+			x.Fleet.Relays = experiment.NewRange(c.Relays, c.Relays)
 			x.Fleet.QuickRelays = x.Fleet.Relays
 		}
 		for _, seed := range c.Seed {
@@ -58,7 +58,7 @@
 			if err != nil {
 				return err
 			}
-			tell(os.Stdout, r)
+			printResult(os.Stdout, r)
 			if c.Report {
 				if err := report.Write(out); err != nil {
 					return err
@@ -104,8 +104,8 @@
 	return nil
 }
 
-// tell prints a result.
-func tell(w io.Writer, r *run.Result) {
+// printResult prints a result.
+func printResult(w io.Writer, r *run.Result) {
 	f := r.Figures
 	fmt.Fprintf(w, "%s seed %d, %d relays, %.0f messages, revision %s\n", r.Experiment, r.Seed, r.Relays, f["messages"], r.Revision)
 	fmt.Fprintf(w, "  served worth %.3f (worst 10 s %.3f, worst class %.3f, worst customer %.3f), goal %.3f\n", f["served"],
@@ -114,19 +114,19 @@
 		100*f["late"], 100*f["refused"], 100*f["failed"], 100*f["unanswered"], f["p50_ms"], f["p99_ms"])
 	fmt.Fprintf(w, "  a message: %.2f calls, %.2f refused, %.3f handshakes; memory %.1f MB, clients late %.1f ms at p99\n", f["calls"],
 		f["calls_refused"], f["handshakes"], f["memory_mb"], f["lateness_p99_ms"])
-	tellBounds(w, r)
-	for i, b := range r.Breaches {
+	printBounds(w, r)
+	for i, b := range r.Violations {
 		if i == 10 {
 			fmt.Fprintf(w, "  ... %.0f in all\n", f["broken_rules"])
 			break
 		}
-		fmt.Fprintf(w, "  rule %s at %.2f s by %s: %s\n", b.Rule, b.At.Seconds(), b.Relay, b.What)
+		fmt.Fprintf(w, "  rule %s at %.2f s by %s: %s\n", b.Rule, b.At.Seconds(), b.Relay, b.Detail)
 	}
 }
 
-func tellBounds(w io.Writer, r *run.Result) {
+func printBounds(w io.Writer, r *run.Result) {
 	for _, b := range r.Bounds {
-		fmt.Fprintf(w, "  %s %s %.4g %s %g\n", mark(b.OK), b.Name, b.Value, b.Op, b.Limit)
+		fmt.Fprintf(w, "  %s %s %.4g %s %g\n", boundLabel(b.OK), b.Name, b.Value, b.Op, b.Limit)
 	}
 }
 
--- a/cmd/testbed/soak.go
+++ b/cmd/testbed/soak.go
@@ -31,7 +31,7 @@
 
 // Run plays the seeds: exit 0 if no rule was broken and no invariant violated.
 func (c *soakCmd) Run(ctx context.Context) error {
-	seeds, err := c.seeds()
+	seeds, err := c.parseSeeds()
 	if err != nil {
 		return err
 	}
@@ -40,7 +40,7 @@
 		o.Relays = 24
 	}
 	if c.Patch != "" {
-		return c.check(ctx, o)
+		return c.checkPatch(ctx, o)
 	}
 	if c.Build != "" {
 		o.Program, err = filepath.Abs(filepath.Join(c.Build, build.Relay))
@@ -55,7 +55,7 @@
 		return err
 	}
 	if len(c.Without) > 0 {
-		r, err := soak.One(ctx, o, seeds[0], c.Without)
+		r, err := soak.RunOne(ctx, o, seeds[0], c.Without)
 		if err == nil && r.Figures["broken_rules"] > 0 {
 			return errBroken
 		}
@@ -66,9 +66,9 @@
 		ctx, cancel = context.WithTimeout(ctx, c.Minutes)
 		defer cancel()
 	}
-	s, err := soak.Play(ctx, o)
+	s, err := soak.Run(ctx, o)
 	if s != nil {
-		tellSoak(s)
+		printSoak(s)
 	}
 	if err == nil && s.Broken > 0 {
 		return errBroken
@@ -76,8 +76,8 @@
 	return err
 }
 
-// check plays a build that is broken on purpose until a seed catches it: exit 0 if one does.
-func (c *soakCmd) check(ctx context.Context, o soak.Options) error {
+// checkPatch plays a build that is broken on purpose until a seed catches it: exit 0 if one does.
+func (c *soakCmd) checkPatch(ctx context.Context, o soak.Options) error {
 	root, err := build.Root(".")
 	if err != nil {
 		return err
@@ -91,20 +91,20 @@
 	if o.Program, o.Revision, err = build.Revision(ctx, root, "HEAD", patch, o.Out, "testbed"); err != nil {
 		return err
 	}
-	o.First = true
-	s, err := soak.Play(ctx, o)
+	o.StopOnFirst = true
+	s, err := soak.Run(ctx, o)
 	if err != nil {
 		return err
 	}
 	if s.Broken == 0 {
-		fmt.Printf("%-24s NOT CAUGHT in %d plays\n", name, s.Plays)
+		fmt.Printf("%-24s NOT CAUGHT in %d plays\n", name, s.Runs)
 		return errBroken
 	}
-	fmt.Printf("%-24s caught by seed %d, play %d: %v\n", name, s.Failed[0], s.Plays, s.RulesBroken())
+	fmt.Printf("%-24s caught by seed %d, play %d: %v\n", name, s.FailedSeeds[0], s.Runs, s.BrokenRules())
 	return nil
 }
 
-func (c *soakCmd) seeds() (all []uint64, err error) {
+func (c *soakCmd) parseSeeds() (all []uint64, err error) {
 	if c.Seeds == "" {
 		return []uint64{c.Seed}, nil
 	}
@@ -120,16 +120,16 @@
 	return all, nil
 }
 
-// tellSoak prints what was played and what came of it.
-func tellSoak(s *soak.Summary) {
-	fmt.Printf("%d plays, %.0f relays, %.0f messages; %d on a machine too loaded; %d broke a rule: %v\n", s.Plays, s.Processes, s.Messages,
-		s.Invalid, s.Broken, s.Failed)
-	for _, rule := range s.RulesBroken() {
+// printSoak prints what was played and what came of it.
+func printSoak(s *soak.Summary) {
+	fmt.Printf("%d plays, %.0f relays, %.0f messages; %d on a machine too loaded; %d broke a rule: %v\n", s.Runs, s.Processes, s.Messages,
+		s.Invalid, s.Broken, s.FailedSeeds)
+	for _, rule := range s.BrokenRules() {
 		fmt.Printf("  rule %s\n", rule)
 	}
 	var kinds []string
-	for _, kind := range slices.Sorted(maps.Keys(s.Troubles)) {
-		kinds = append(kinds, fmt.Sprintf("%s %d", kind, s.Troubles[kind]))
+	for _, kind := range slices.Sorted(maps.Keys(s.Faults)) {
+		kinds = append(kinds, fmt.Sprintf("%s %d", kind, s.Faults[kind]))
 	}
 	pairs := 0
 	for _, n := range s.Overlaps {
--- a/internal/testbed/audit/audit_test.go
+++ b/internal/testbed/audit/audit_test.go
@@ -15,18 +15,18 @@
 	unsafe
 )
 
-const sec = time.Second
+const second = time.Second
 
-// world is a run that kept every rule: two relays, one partner with three endpoints of which two stand in one building,
+// fixture is a run that kept every rule: two relays, one partner with three endpoints of which two stand in one building,
 // and a message of each class.
-type world struct {
+type fixture struct {
 	p *plan.Plan
 	l *ledger.Ledger
 }
 
-func newWorld() *world {
+func newFixture() *fixture {
 	x := experiment.Default()
-	p := &plan.Plan{Experiment: x, Length: 60 * sec, FullRate: 10, Buildings: x.Fleet.Buildings,
+	p := &plan.Plan{Experiment: x, Length: 60 * second, FullRate: 10, Buildings: x.Fleet.Buildings,
 		Relays:    []plan.Relay{{Name: "r1"}, {Name: "r2", Building: 1}},
 		Partners:  []plan.Partner{{ID: 4, Endpoints: []int{0, 1, 2}}, {ID: 9}},
 		Endpoints: []plan.Endpoint{{ID: "a"}, {ID: "b", Building: 1}, {ID: "c", Building: 1}},
@@ -34,12 +34,12 @@
 	for _, c := range x.Load.Classes {
 		p.Classes = append(p.Classes, plan.Class{Class: c})
 	}
-	w := &world{p, ledger.New()}
+	w := &fixture{p, ledger.New()}
 	for class := range p.Classes {
-		p.Arrivals = append(p.Arrivals, plan.Arrival{At: sec, Class: class})
-		w.l.HandIn(&ledger.HandIn{Message: class, Trace: trace(class), Due: sec, Sent: sec, Deadline: sec + p.Classes[class].Deadline.D(),
-			Answered: sec + 1e6, Status: 202})
-		w.l.Add(&ledger.Call{Endpoint: 1, Traces: []string{trace(class)}, FirstByte: 2 * sec, LastByte: 2 * sec, Written: 2*sec + 2e8,
+		p.Arrivals = append(p.Arrivals, plan.Arrival{At: second, Class: class})
+		w.l.HandIn(&ledger.HandIn{Message: class, Trace: trace(class), Due: second, Sent: second, Deadline: second + p.Classes[class].Deadline.D(),
+			Answered: second + 1e6, Status: 202})
+		w.l.Add(&ledger.Call{Endpoint: 1, Traces: []string{trace(class)}, FirstByte: 2 * second, LastByte: 2 * second, Written: 2*second + 2e8,
 			Status: 200, MayRun: true, Ran: true})
 	}
 	for r := range 2 {
@@ -50,229 +50,232 @@
 
 func trace(class int) string { return []string{"status", "order", "payment"}[class] }
 
-func (w *world) call(class int) *ledger.Call { return w.l.Calls[class] }
+func (w *fixture) call(class int) *ledger.Call { return w.l.Calls[class] }
 
-// again adds a further call of a message.
-func (w *world) again(class, endpoint int, at time.Duration) *ledger.Call {
+// repeatCall adds a further call of a message.
+func (w *fixture) repeatCall(class, endpoint int, at time.Duration) *ledger.Call {
 	c := &ledger.Call{Endpoint: endpoint, Traces: []string{trace(class)}, FirstByte: at, LastByte: at, Written: at + 1e8, Status: 200, MayRun: true}
 	w.l.Add(c)
 	return c
 }
 
-// killed has the first relay be killed, and start again.
-func (w *world) killed(at time.Duration) {
+// killRelay has the first relay be killRelay, and start again.
+func (w *fixture) killRelay(at time.Duration) {
 	w.l.Lives[0].Asked, w.l.Lives[0].End = at, at
-	w.l.Add(&ledger.Life{Relay: 0, Start: 8 * sec, Ready: 8 * sec, Asked: ledger.Never, End: ledger.Never})
+	w.l.Add(&ledger.Life{Relay: 0, Start: 8 * second, Ready: 8 * second, Asked: ledger.Never, End: ledger.Never})
 }
 
-// refusedOnAFailingDisk has the first relay refuse a message while its files fail for a time, be killed 2 s later, and send the
+// refuseOnFailingDisk has the first relay refuse a message while its files fail for a time, be killed 2 s later, and send the
 // message when its id comes again.
-func (w *world) refusedOnAFailingDisk(failing time.Duration) {
-	w.unanswered(safe)
+func (w *fixture) refuseOnFailingDisk(failing time.Duration) {
+	w.dropAnswer(safe)
 	w.l.HandIns[safe].Status, w.l.HandIns[safe].Answered = 500, 2500*time.Millisecond
-	w.p.Faults = []plan.Fault{{Kind: "files", At: 2 * sec, For: failing, Relays: []int{0}}}
-	w.killed(4500 * time.Millisecond)
-	w.l.Add(&ledger.Resubmission{Trace: "status", Sent: 8900 * time.Millisecond, Deadline: 20 * sec, Answered: 8900 * time.Millisecond, Status: 202})
-	w.again(safe, 1, 9*sec)
+	w.p.Faults = []plan.Fault{{Kind: "files", At: 2 * second, For: failing, Relays: []int{0}}}
+	w.killRelay(4500 * time.Millisecond)
+	w.l.Add(&ledger.Resubmission{Trace: "status", Sent: 8900 * time.Millisecond, Deadline: 20 * second, Answered: 8900 * time.Millisecond, Status: 202})
+	w.repeatCall(safe, 1, 9*second)
 }
 
-// unanswered has a call end with nothing that tells whether it ran.
-func (w *world) unanswered(class int) {
+// dropAnswer has a call end with nothing that tells whether it ran.
+func (w *fixture) dropAnswer(class int) {
 	c := w.call(class)
 	c.Status, c.Written = 0, ledger.Never
 }
 
 func TestRules(t *testing.T) {
 	for name, c := range map[string]struct {
-		change func(w *world)
+		change func(w *fixture)
 		rule   string // "": none is broken
 	}{
-		"all kept":    {func(*world) {}, ""},
-		"never ended": {func(w *world) { w.unanswered(unsafe) }, Lost},
-		"ended by a notice": {func(w *world) {
-			w.unanswered(unsafe)
-			w.l.Add(ledger.Notice{Trace: "payment", Status: "undeliverable", At: 5 * sec})
+		"all kept":    {func(*fixture) {}, ""},
+		"never ended": {func(w *fixture) { w.dropAnswer(unsafe) }, RuleLost},
+		"ended by a notice": {func(w *fixture) {
+			w.dropAnswer(unsafe)
+			w.l.Add(ledger.Notice{Trace: "payment", Status: "undeliverable", At: 5 * second})
 		}, ""},
-		"late notice": {func(w *world) {
-			w.unanswered(safe)
-			w.l.Add(ledger.Notice{Trace: "status", Status: "deferred", At: 6*sec + 400e6})
-		}, Late},
-		"notice within the slack": {func(w *world) {
-			w.unanswered(safe)
-			w.l.Add(ledger.Notice{Trace: "status", Status: "deferred", At: 6*sec + 340e6})
+		"late notice": {func(w *fixture) {
+			w.dropAnswer(safe)
+			w.l.Add(ledger.Notice{Trace: "status", Status: "deferred", At: 6*second + 400e6})
+		}, RuleLateFinal},
+		"notice within the slack": {func(w *fixture) {
+			w.dropAnswer(safe)
+			w.l.Add(ledger.Notice{Trace: "status", Status: "deferred", At: 6*second + 340e6})
 		}, ""},
-		"late, but its relay was away": {func(w *world) {
-			w.unanswered(safe)
-			w.l.Lives[0].Asked, w.l.Lives[0].End = 5*sec, 5*sec
-			w.l.Add(&ledger.Life{Relay: 0, Start: 8 * sec, Ready: 8 * sec, Asked: ledger.Never, End: ledger.Never})
-			w.l.Add(ledger.Notice{Trace: "status", Status: "deferred", At: 9 * sec})
+		"late, but its relay was away": {func(w *fixture) {
+			w.dropAnswer(safe)
+			w.l.Lives[0].Asked, w.l.Lives[0].End = 5*second, 5*second
+			w.l.Add(&ledger.Life{Relay: 0, Start: 8 * second, Ready: 8 * second, Asked: ledger.Never, End: ledger.Never})
+			w.l.Add(ledger.Notice{Trace: "status", Status: "deferred", At: 9 * second})
 		}, ""},
-		"still late after that": {func(w *world) {
-			w.unanswered(safe)
-			w.l.Lives[0].Asked, w.l.Lives[0].End = 5*sec, 5*sec
-			w.l.Add(&ledger.Life{Relay: 0, Start: 8 * sec, Ready: 8 * sec, Asked: ledger.Never, End: ledger.Never})
-			w.l.Add(ledger.Notice{Trace: "status", Status: "deferred", At: 9*sec + 600e6})
-		}, Late},
-		"lost with its machine": {func(w *world) {
-			w.unanswered(unsafe)
-			w.l.Lives[0].Asked, w.l.Lives[0].End = 5*sec, 5*sec
-			w.l.Add(&ledger.Life{Relay: 0, Start: 8 * sec, Ready: 8 * sec, Emptied: true, Asked: ledger.Never, End: ledger.Never})
+		"still late after that": {func(w *fixture) {
+			w.dropAnswer(safe)
+			w.l.Lives[0].Asked, w.l.Lives[0].End = 5*second, 5*second
+			w.l.Add(&ledger.Life{Relay: 0, Start: 8 * second, Ready: 8 * second, Asked: ledger.Never, End: ledger.Never})
+			w.l.Add(ledger.Notice{Trace: "status", Status: "deferred", At: 9*second + 600e6})
+		}, RuleLateFinal},
+		"lost with its machine": {func(w *fixture) {
+			w.dropAnswer(unsafe)
+			w.l.Lives[0].Asked, w.l.Lives[0].End = 5*second, 5*second
+			w.l.Add(&ledger.Life{Relay: 0, Start: 8 * second, Ready: 8 * second, Emptied: true, Asked: ledger.Never, End: ledger.Never})
 		}, ""},
-		"lost by a restart": {func(w *world) {
-			w.unanswered(unsafe)
-			w.l.Lives[0].Asked, w.l.Lives[0].End = 5*sec, 5*sec
-			w.l.Add(&ledger.Life{Relay: 0, Start: 8 * sec, Ready: 8 * sec, Asked: ledger.Never, End: ledger.Never})
-		}, Lost},
-		"a connection without an answer": {func(w *world) {
+		"lost by a restart": {func(w *fixture) {
+			w.dropAnswer(unsafe)
+			w.l.Lives[0].Asked, w.l.Lives[0].End = 5*second, 5*second
+			w.l.Add(&ledger.Life{Relay: 0, Start: 8 * second, Ready: 8 * second, Asked: ledger.Never, End: ledger.Never})
+		}, RuleLost},
+		"a connection without an answer": {func(w *fixture) {
 			h := w.l.HandIns[safe]
 			h.Broken, h.Answered, h.Status = true, ledger.Never, 0
-		}, Lost},
-		"that one by SIGKILL": {func(w *world) {
+		}, RuleLost},
+		"that one by SIGKILL": {func(w *fixture) {
 			h := w.l.HandIns[safe]
 			h.Broken, h.Answered, h.Status = true, ledger.Never, 0
-			w.l.Lives[0].Asked, w.l.Lives[0].End = sec+1e6, sec+2e6
+			w.l.Lives[0].Asked, w.l.Lives[0].End = second+1e6, second+2e6
 		}, ""},
-		"two ends": {func(w *world) {
-			w.unanswered(safe)
-			w.l.Add(ledger.Notice{Trace: "status", Status: "deferred", At: 3 * sec})
-			w.l.Add(ledger.Notice{Trace: "status", Status: "undeliverable", At: 4 * sec})
-		}, Second},
-		"one end told twice": {func(w *world) {
-			w.unanswered(safe)
-			w.l.Add(ledger.Notice{Trace: "status", Status: "deferred", At: 3 * sec})
-			w.l.Add(ledger.Notice{Trace: "status", Status: "deferred", At: 4 * sec})
+		"two ends": {func(w *fixture) {
+			w.dropAnswer(safe)
+			w.l.Add(ledger.Notice{Trace: "status", Status: "deferred", At: 3 * second})
+			w.l.Add(ledger.Notice{Trace: "status", Status: "undeliverable", At: 4 * second})
+		}, RuleSecondFinal},
+		"one end told twice": {func(w *fixture) {
+			w.dropAnswer(safe)
+			w.l.Add(ledger.Notice{Trace: "status", Status: "deferred", At: 3 * second})
+			w.l.Add(ledger.Notice{Trace: "status", Status: "deferred", At: 4 * second})
 		}, ""},
-		"sent after its end": {func(w *world) {
-			w.unanswered(safe)
-			w.l.Add(ledger.Notice{Trace: "status", Status: "deferred", At: 3 * sec})
-			w.again(safe, 1, 3*sec+200e6)
-		}, Second},
-		"sent after a 500": {func(w *world) {
-			w.unanswered(safe)
+		"sent after its end": {func(w *fixture) {
+			w.dropAnswer(safe)
+			w.l.Add(ledger.Notice{Trace: "status", Status: "deferred", At: 3 * second})
+			w.repeatCall(safe, 1, 3*second+200e6)
+		}, RuleSecondFinal},
+		"sent after a 500": {func(w *fixture) {
+			w.dropAnswer(safe)
 			w.l.HandIns[safe].Status, w.l.HandIns[safe].Answered = 500, 2500*time.Millisecond
-			w.again(safe, 1, 3*sec)
-		}, SentEnded},
-		"sent after its id was denied": {func(w *world) {
-			w.l.Add(&ledger.Resubmission{Trace: "status", Answered: 3 * sec, Status: 400})
-			w.again(safe, 1, 4*sec)
-		}, SentEnded},
-		"sent after its id was taken": {func(w *world) {
-			w.l.Add(&ledger.Resubmission{Trace: "status", Answered: 3 * sec, Status: 202})
-			w.again(safe, 1, 4*sec)
+			w.repeatCall(safe, 1, 3*second)
+		}, RuleEndedSent},
+		"sent after its id was denied": {func(w *fixture) {
+			w.l.Add(&ledger.Resubmission{Trace: "status", Answered: 3 * second, Status: 400})
+			w.repeatCall(safe, 1, 4*second)
+		}, RuleEndedSent},
+		"sent after its id was taken": {func(w *fixture) {
+			w.l.Add(&ledger.Resubmission{Trace: "status", Answered: 3 * second, Status: 202})
+			w.repeatCall(safe, 1, 4*second)
 		}, ""},
-		"sent after it was delivered": {func(w *world) {
+		"sent after it was delivered": {func(w *fixture) {
 			w.l.Add(ledger.Learned{Trace: "status", At: 2300 * time.Millisecond})
-			w.again(safe, 1, 4*sec)
-		}, SentEnded},
-		"sent by the next process after it was delivered": {func(w *world) {
+			w.repeatCall(safe, 1, 4*second)
+		}, RuleEndedSent},
+		"sent by the next process after it was delivered": {func(w *fixture) {
 			w.l.Add(ledger.Learned{Trace: "status", At: 2300 * time.Millisecond})
-			w.killed(sec * 3)
-			w.again(safe, 1, 9*sec)
-		}, SentEnded},
-		"delivered right before a kill": {func(w *world) {
+			w.killRelay(second * 3)
+			w.repeatCall(safe, 1, 9*second)
+		}, RuleEndedSent},
+		"delivered right before a kill": {func(w *fixture) {
 			w.l.Add(ledger.Learned{Trace: "status", At: 2300 * time.Millisecond})
-			w.killed(2310 * time.Millisecond)
-			w.again(safe, 1, 9*sec)
+			w.killRelay(2310 * time.Millisecond)
+			w.repeatCall(safe, 1, 9*second)
 		}, ""},
-		"delivered while the disk failed": {func(w *world) {
+		"delivered while the disk failed": {func(w *fixture) {
 			w.l.Add(ledger.Learned{Trace: "status", At: 2300 * time.Millisecond})
-			w.p.Faults = []plan.Fault{{Kind: "files", At: 2 * sec, For: 2 * sec, Relays: []int{0}}}
-			w.killed(3 * sec)
-			w.again(safe, 1, 9*sec)
+			w.p.Faults = []plan.Fault{{Kind: "files", At: 2 * second, For: 2 * second, Relays: []int{0}}}
+			w.killRelay(3 * second)
+			w.repeatCall(safe, 1, 9*second)
 		}, ""},
-		"refused, and sent by the next process": {func(w *world) {
-			w.unanswered(safe)
+		"refused, and sent by the next process": {func(w *fixture) {
+			w.dropAnswer(safe)
 			w.l.HandIns[safe].Status, w.l.HandIns[safe].Answered = 500, 2500*time.Millisecond
-			w.killed(2501 * time.Millisecond)
-			w.again(safe, 1, 9*sec)
-		}, SentEnded},
-		"refused while the disk failed to the end, and taken on anew": {func(w *world) { w.refusedOnAFailingDisk(3 * sec) }, ""},
-		"the same, but the disk was well before the end":              {func(w *world) { w.refusedOnAFailingDisk(sec) }, SentEnded},
-		"the same, but the next process found it": {func(w *world) {
-			w.refusedOnAFailingDisk(3 * sec)
+			w.killRelay(2501 * time.Millisecond)
+			w.repeatCall(safe, 1, 9*second)
+		}, RuleEndedSent},
+		"refused while the disk failed to the end, and taken on anew": {func(w *fixture) { w.refuseOnFailingDisk(3 * second) }, ""},
+		"the same, but the disk was well before the end":              {func(w *fixture) { w.refuseOnFailingDisk(second) }, RuleEndedSent},
+		"the same, but the next process found it": {func(w *fixture) {
+			w.refuseOnFailingDisk(3 * second)
 			w.l.Add(ledger.Recovered{Trace: "status", At: 8500 * time.Millisecond, Left: w.l.HandIns[safe].Deadline - 8500*time.Millisecond})
-		}, SentEnded},
-		"the same, and a third process found what the second took on": {func(w *world) {
-			w.refusedOnAFailingDisk(3 * sec)
-			w.l.Add(ledger.Recovered{Trace: "status", At: 8950 * time.Millisecond, Left: 20*sec - 8950*time.Millisecond})
+		}, RuleEndedSent},
+		"the same, and a third process found what the second took on": {func(w *fixture) {
+			w.refuseOnFailingDisk(3 * second)
+			w.l.Add(ledger.Recovered{Trace: "status", At: 8950 * time.Millisecond, Left: 20*second - 8950*time.Millisecond})
 		}, ""},
-		"the same, but nobody handed it in again": {func(w *world) {
-			w.refusedOnAFailingDisk(3 * sec)
+		"the same, but nobody handed it in again": {func(w *fixture) {
+			w.refuseOnFailingDisk(3 * second)
 			w.l.Resubmissions = nil
-		}, SentEnded},
-		"refused, and sent by an emptied machine": {func(w *world) {
-			w.unanswered(safe)
+		}, RuleEndedSent},
+		"refused, and sent by an emptied machine": {func(w *fixture) {
+			w.dropAnswer(safe)
 			w.l.HandIns[safe].Status, w.l.HandIns[safe].Answered = 503, 2500*time.Millisecond
-			w.killed(3 * sec)
+			w.killRelay(3 * second)
 			w.l.Lives[len(w.l.Lives)-1].Emptied = true
-			w.again(safe, 1, 9*sec)
+			w.repeatCall(safe, 1, 9*second)
 		}, ""},
-		"a restart that takes a message to have more time": {func(w *world) {
-			w.l.Add(ledger.Recovered{Trace: "status", At: 3 * sec, Left: 5 * sec}) // of 3 s
-		}, Moved},
-		"a restart that goes by an id's second time": {func(w *world) {
-			w.l.Add(&ledger.Resubmission{Trace: "status", Sent: 2 * sec, Deadline: 8 * sec, Answered: 2 * sec, Status: 202})
-			w.l.Add(ledger.Recovered{Trace: "status", At: 3 * sec, Left: 5 * sec})
+		"a restart that takes a message to have more time": {func(w *fixture) {
+			w.l.Add(ledger.Recovered{Trace: "status", At: 3 * second, Left: 5 * second}) // of 3 s
+		}, RuleDeadlineMoved},
+		"a restart that goes by an id's second time": {func(w *fixture) {
+			w.l.Add(&ledger.Resubmission{Trace: "status", Sent: 2 * second, Deadline: 8 * second, Answered: 2 * second, Status: 202})
+			w.l.Add(ledger.Recovered{Trace: "status", At: 3 * second, Left: 5 * second})
 		}, ""},
-		"a restart that goes by neither time": {func(w *world) {
-			w.l.Add(&ledger.Resubmission{Trace: "status", Sent: 2 * sec, Deadline: 20 * sec, Answered: 2 * sec, Status: 202})
-			w.l.Add(ledger.Recovered{Trace: "status", At: 3 * sec, Left: 5 * sec})
-		}, Moved},
-		"a payment twice": {func(w *world) { w.unanswered(unsafe); w.again(unsafe, 1, 4*sec) }, Duplicate},
-		"a payment twice, by the next process": {func(w *world) {
-			w.unanswered(unsafe)
-			w.killed(3 * sec)
-			w.again(unsafe, 1, 9*sec)
-		}, Duplicate},
-		"a payment whose id came to an emptied machine": {func(w *world) {
-			w.unanswered(unsafe)
-			w.killed(3 * sec)
+		"a restart that goes by neither time": {func(w *fixture) {
+			w.l.Add(&ledger.Resubmission{Trace: "status", Sent: 2 * second, Deadline: 20 * second, Answered: 2 * second, Status: 202})
+			w.l.Add(ledger.Recovered{Trace: "status", At: 3 * second, Left: 5 * second})
+		}, RuleDeadlineMoved},
+		"a payment twice": {func(w *fixture) { w.dropAnswer(unsafe); w.repeatCall(unsafe, 1, 4*second) }, RuleDuplicate},
+		"a payment twice, by the next process": {func(w *fixture) {
+			w.dropAnswer(unsafe)
+			w.killRelay(3 * second)
+			w.repeatCall(unsafe, 1, 9*second)
+		}, RuleDuplicate},
+		"a payment whose id came to an emptied machine": {func(w *fixture) {
+			w.dropAnswer(unsafe)
+			w.killRelay(3 * second)
 			w.l.Lives[len(w.l.Lives)-1].Emptied = true
-			w.again(unsafe, 1, 9*sec)
+			w.repeatCall(unsafe, 1, 9*second)
 		}, ""},
-		"a payment after a refusal": {func(w *world) {
+		"a payment after a refusal": {func(w *fixture) {
 			c := w.call(unsafe)
 			c.Status, c.MayRun = 503, false
-			w.again(unsafe, 1, 4*sec)
+			w.repeatCall(unsafe, 1, 4*second)
 		}, ""},
-		"a payment before the refusal came": {func(w *world) {
+		"a payment before the refusal came": {func(w *fixture) {
 			c := w.call(unsafe)
-			c.Status, c.MayRun, c.Written = 503, false, 5*sec
-			w.again(unsafe, 1, 4*sec)
-		}, Duplicate},
-		"a status twice":                   {func(w *world) { w.unanswered(safe); w.again(safe, 0, 4*sec) }, ""},
-		"an order twice in its building":   {func(w *world) { w.unanswered(keyed); w.again(keyed, 2, 9*sec) }, ""},
-		"an order twice after its window":  {func(w *world) { w.unanswered(keyed); w.again(keyed, 2, 9*sec+600e6) }, Duplicate},
-		"an order in another building":     {func(w *world) { w.unanswered(keyed); w.again(keyed, 0, 4*sec) }, Duplicate},
-		"a call 600 ms after a drain":      {func(w *world) { w.drain(2*sec - 600e6) }, Drain},
-		"a call 540 ms after a drain":      {func(w *world) { w.drain(2*sec - 540e6) }, ""},
-		"a drain told to one that slept":   {func(w *world) { w.drain(sec); w.l.Lives[0].Paused = []ledger.Pause{{From: sec / 2, To: 1800e6}} }, ""},
-		"a call in a told wait":            {func(w *world) { w.wait(sec+850e6, 500*time.Millisecond) }, Wait},
-		"a call as the wait is told":       {func(w *world) { w.wait(sec+950e6, 500*time.Millisecond) }, ""},
-		"a call once the wait is over":     {func(w *world) { w.wait(sec, sec) }, ""},
-		"a wait that a restart ended":      {func(w *world) { w.wait(sec, 5*sec); w.l.Lives[0].Start = sec + 500e6 }, ""},
-		"pushed over by those who saw it":  {func(w *world) { w.fell(20, 30) }, Cold},
-		"pushed over by those who did not": {func(w *world) { w.fell(19, 30) }, ""},
-		"an unknown message":               {func(w *world) { w.l.Add(ledger.Unknown{What: "x"}) }, Wrong},
-		"a peer kept":                      {func(w *world) { w.l.Add(ledger.Peer{At: sec, Ended: 4*sec + 100e6}) }, Hostile},
-		"a peer never ended":               {func(w *world) { w.l.Add(ledger.Peer{At: sec, Ended: ledger.Never, Status: 202}) }, Hostile},
-		"a peer closed in time":            {func(w *world) { w.l.Add(ledger.Peer{At: sec, Ended: 3 * sec}) }, ""},
-		"a crash":                          {func(w *world) { w.l.Lives[1].End = 9 * sec }, Crash},
-		"an end that was asked for":        {func(w *world) { w.l.Lives[1].Asked, w.l.Lives[1].End = 8*sec, 9*sec }, ""},
-		"an old process after a hand-over": {func(w *world) {
-			w.l.Lives[1].End = 9 * sec
-			w.l.Add(&ledger.Life{Relay: 1, Replaces: true, Start: 8 * sec, Ready: 8 * sec, Asked: ledger.Never, End: ledger.Never})
+			c.Status, c.MayRun, c.Written = 503, false, 5*second
+			w.repeatCall(unsafe, 1, 4*second)
+		}, RuleDuplicate},
+		"a status twice":                  {func(w *fixture) { w.dropAnswer(safe); w.repeatCall(safe, 0, 4*second) }, ""},
+		"an order twice in its building":  {func(w *fixture) { w.dropAnswer(keyed); w.repeatCall(keyed, 2, 9*second) }, ""},
+		"an order twice after its window": {func(w *fixture) { w.dropAnswer(keyed); w.repeatCall(keyed, 2, 9*second+600e6) }, RuleDuplicate},
+		"an order in another building":    {func(w *fixture) { w.dropAnswer(keyed); w.repeatCall(keyed, 0, 4*second) }, RuleDuplicate},
+		"a call 600 ms after a drain":     {func(w *fixture) { w.tellDrain(2*second - 600e6) }, RuleDrain},
+		"a call 540 ms after a drain":     {func(w *fixture) { w.tellDrain(2*second - 540e6) }, ""},
+		"a drain told to one that slept": {func(w *fixture) {
+			w.tellDrain(second)
+			w.l.Lives[0].Paused = []ledger.Pause{{From: second / 2, To: 1800e6}}
 		}, ""},
-		"too much memory": {func(w *world) { w.l.Add(ledger.Sample{At: sec, MemoryMB: 95, DiskMB: 2}) }, Limit},
-		"too much of two": {func(w *world) {
-			w.l.Add(ledger.Sample{At: sec, PID: 1, Sockets: 300})
-			w.l.Add(ledger.Sample{At: sec + 1e6, PID: 2, Sockets: 300})
-		}, Limit},
-		"too much on disk": {func(w *world) { w.l.Add(ledger.Sample{At: sec, DiskMB: 3.1}) }, Limit},
+		"a call in a told wait":            {func(w *fixture) { w.tellWait(second+850e6, 500*time.Millisecond) }, RuleWait},
+		"a call as the wait is told":       {func(w *fixture) { w.tellWait(second+950e6, 500*time.Millisecond) }, ""},
+		"a call once the wait is over":     {func(w *fixture) { w.tellWait(second, second) }, ""},
+		"a wait that a restart ended":      {func(w *fixture) { w.tellWait(second, 5*second); w.l.Lives[0].Start = second + 500e6 }, ""},
+		"pushed over by those who saw it":  {func(w *fixture) { w.overload(20, 30) }, RuleCold},
+		"pushed over by those who did not": {func(w *fixture) { w.overload(19, 30) }, ""},
+		"an unknown message":               {func(w *fixture) { w.l.Add(ledger.Unknown{What: "x"}) }, RuleWrong},
+		"a peer kept":                      {func(w *fixture) { w.l.Add(ledger.Peer{At: second, Ended: 4*second + 100e6}) }, RuleHostile},
+		"a peer never ended":               {func(w *fixture) { w.l.Add(ledger.Peer{At: second, Ended: ledger.Never, Status: 202}) }, RuleHostile},
+		"a peer closed in time":            {func(w *fixture) { w.l.Add(ledger.Peer{At: second, Ended: 3 * second}) }, ""},
+		"a crash":                          {func(w *fixture) { w.l.Lives[1].End = 9 * second }, RuleCrash},
+		"an end that was asked for":        {func(w *fixture) { w.l.Lives[1].Asked, w.l.Lives[1].End = 8*second, 9*second }, ""},
+		"an old process after a hand-over": {func(w *fixture) {
+			w.l.Lives[1].End = 9 * second
+			w.l.Add(&ledger.Life{Relay: 1, Replaces: true, Start: 8 * second, Ready: 8 * second, Asked: ledger.Never, End: ledger.Never})
+		}, ""},
+		"too much memory": {func(w *fixture) { w.l.Add(ledger.Sample{At: second, MemoryMB: 95, DiskMB: 2}) }, RuleOverLimit},
+		"too much of two": {func(w *fixture) {
+			w.l.Add(ledger.Sample{At: second, PID: 1, Sockets: 300})
+			w.l.Add(ledger.Sample{At: second + 1e6, PID: 2, Sockets: 300})
+		}, RuleOverLimit},
+		"too much on disk": {func(w *fixture) { w.l.Add(ledger.Sample{At: second, DiskMB: 3.1}) }, RuleOverLimit},
 	} {
-		w := newWorld()
+		w := newFixture()
 		c.change(w)
-		found := Judge(w.p, w.l, 0, 100*sec)
+		found := Check(w.p, w.l, 0, 100*second)
 		switch {
 		case c.rule == "" && len(found) > 0:
 			t.Errorf("%s: %+v", name, found)
@@ -282,33 +285,33 @@
 	}
 }
 
-func (w *world) drain(at time.Duration) {
+func (w *fixture) tellDrain(at time.Duration) {
 	w.l.Add(ledger.Told{Relay: 0, Endpoint: 1, State: "draining", At: at})
 }
 
-// wait has the partner tell a wait before the calls that come at 2 s.
-func (w *world) wait(at, d time.Duration) {
+// tellWait has the partner tell a tellWait before the calls that come at 2 s.
+func (w *fixture) tellWait(at, d time.Duration) {
 	w.l.Add(&ledger.Call{Endpoint: 0, Traces: []string{"status"}, FirstByte: at, LastByte: at, Written: at, Status: 429, Wait: d})
 }
 
-func (w *world) fell(byThose, pushed int) {
-	w.l.Add(&ledger.Outage{From: sec, To: 4 * sec, Fell: 5 * sec, Pushed: pushed, ByThose: byThose, Witness: map[int]bool{0: true}})
+func (w *fixture) overload(byThose, pushed int) {
+	w.l.Add(&ledger.Outage{From: second, To: 4 * second, Fell: 5 * second, Pushed: pushed, ByThose: byThose, Witness: map[int]bool{0: true}})
 }
 
 func TestWorth(t *testing.T) {
-	w := newWorld()
+	w := newFixture()
 	// The status is in time, the order 15 s late of the 26 s that it has, the payment never delivered.
-	w.call(keyed).Written = sec + 15*sec
-	w.unanswered(unsafe)
-	w.l.Add(ledger.Notice{Trace: "payment", Status: "undeliverable", At: 5 * sec})
-	fates := Fates(w.p, w.l, 0)
+	w.call(keyed).Written = second + 15*second
+	w.dropAnswer(unsafe)
+	w.l.Add(ledger.Notice{Trace: "payment", Status: "undeliverable", At: 5 * second})
+	fates := MessageResults(w.p, w.l, 0)
 	for i, want := range []Outcome{InTime, TooLate, Failed} {
 		if fates[i].Outcome != want {
-			t.Errorf("message %d %s, want %s", i, Outcomes[fates[i].Outcome], Outcomes[want])
+			t.Errorf("message %d %s, want %s", i, OutcomeNames[fates[i].Outcome], OutcomeNames[want])
 		}
 	}
 	// 2 of worth fall by half over the 26 s from aim to deadline, of which 13 have passed.
-	if got := fates[1].Got; got < 1.499 || got > 1.501 {
+	if got := fates[1].Earned; got < 1.499 || got > 1.501 {
 		t.Errorf("the order earned %v, want 1.5", got)
 	}
 	fig := Figures(w.p, w.l, fates, 0)
--- a/internal/testbed/audit/givenup_test.go
+++ b/internal/testbed/audit/givenup_test.go
@@ -7,17 +7,17 @@
 	"onyxroad.dev/onyxroad/internal/testbed/ledger"
 )
 
-func TestAMessageThatWasTriedIsNotGivenUpUntried(t *testing.T) {
+func TestGivenUpIgnoresAttemptedMessages(t *testing.T) {
 	for _, attempts := range []int{0, 1} {
-		w := newWorld()
-		w.killed(8 * sec / 2)
-		for i := range fewUntried {
+		w := newFixture()
+		w.killRelay(8 * second / 2)
+		for i := range minUntried {
 			id := fmt.Sprint("m", i)
-			w.l.HandIn(&ledger.HandIn{Message: safe, Trace: id, Sent: 3 * sec, Deadline: 30 * sec, Answered: 3 * sec, Status: 202})
-			w.l.Add(ledger.Recovered{Trace: id, At: 8 * sec, Left: 22 * sec, Attempts: attempts})
-			w.l.Add(ledger.Notice{Trace: id, Status: "deferred", At: 9 * sec})
+			w.l.HandIn(&ledger.HandIn{Message: safe, Trace: id, Sent: 3 * second, Deadline: 30 * second, Answered: 3 * second, Status: 202})
+			w.l.Add(ledger.Recovered{Trace: id, At: 8 * second, Left: 22 * second, Attempts: attempts})
+			w.l.Add(ledger.Notice{Trace: id, Status: "deferred", At: 9 * second})
 		}
-		if found := Count(Judge(w.p, w.l, 0, 60*sec))[GivenUp]; (found > 0) != (attempts == 0) {
+		if found := CountByRule(Check(w.p, w.l, 0, 60*second))[RuleGivenUp]; (found > 0) != (attempts == 0) {
 			t.Errorf("%d attempts on record: broken %v times", attempts, found)
 		}
 	}
--- a/internal/testbed/audit/views.go
+++ b/internal/testbed/audit/views.go
@@ -10,21 +10,21 @@
 )
 
 const (
-	// viewMost is how long a change of the fleet is looked for in the others' views.
-	viewMost = 20 * time.Second
-	// excuse is how long after a pause or a restart of a member its removal is no false one.
-	excuse = 8 * time.Second
+	// viewTimeout is how long a change of the fleet is looked for in the others' views.
+	viewTimeout = 20 * time.Second
+	// removalGrace is how long after a pause or a restart of a member its removal is no false one.
+	removalGrace = 8 * time.Second
 	// shortPause is a pause that excuses nothing.
 	shortPause = 1300 * time.Millisecond
 )
 
-// Views adds what the relays saw of their fleet: how long a member that was killed, or left in order, stayed in the views of
+// ViewFigures adds what the relays saw of their fleet: how long a member that was killed, or left in order, stayed in the views of
 // those that lived on, in seconds; how long the start took until every view held all; how often a member was removed that
 // was there; and how many changes the busiest view had in 30 s.
-func Views(p *plan.Plan, l *ledger.Ledger, offset time.Duration, fig map[string]float64) {
-	by := map[int][]ledger.ViewChange{}
+func ViewFigures(p *plan.Plan, l *ledger.Ledger, offset time.Duration, fig map[string]float64) {
+	changesByRelay := map[int][]ledger.ViewChange{}
 	for _, v := range l.Views {
-		by[v.Relay] = append(by[v.Relay], v)
+		changesByRelay[v.Relay] = append(changesByRelay[v.Relay], v)
 	}
 	lives := map[int][]*ledger.Life{}
 	for _, x := range l.Lives {
@@ -34,7 +34,7 @@
 	for r := range p.Relays {
 		index[p.Relays[r].Name] = r
 	}
-	whole := func(r int, from, to time.Duration) bool { // one process of the relay lived through it, and never stood still
+	undisturbed := func(r int, from, to time.Duration) bool { // one process of the relay lived through it, and never stood still
 		return slices.ContainsFunc(lives[r], func(x *ledger.Life) bool {
 			return x.Ready != ledger.Never && x.Ready <= from && (x.End == ledger.Never || x.End >= to) &&
 				(x.Asked == ledger.Never || x.Asked >= to) &&
@@ -48,11 +48,11 @@
 		}
 		name := p.Relays[x.Relay].Name
 		for r := range p.Members() {
-			if r == x.Relay || !whole(r, x.Asked-2*time.Second, x.End+viewMost) {
+			if r == x.Relay || !undisturbed(r, x.Asked-2*time.Second, x.End+viewTimeout) {
 				continue
 			}
-			took := viewMost
-			for _, v := range by[r] {
+			took := viewTimeout
+			for _, v := range changesByRelay[r] {
 				if v.At >= x.Asked && (slices.Contains(v.Gone, name) || slices.Contains(v.Came, name)) {
 					took = max(0, v.At-x.End)
 					break
@@ -78,30 +78,30 @@
 	ready, last, missing := time.Duration(0), time.Duration(0), 0.0
 	for r := range p.Members() {
 		ready = max(ready, lives[r][0].Ready)
-		i := slices.IndexFunc(by[r], func(v ledger.ViewChange) bool { return v.Present == p.Members() })
+		i := slices.IndexFunc(changesByRelay[r], func(v ledger.ViewChange) bool { return v.Present == p.Members() })
 		if i < 0 {
 			missing++
 			continue
 		}
-		last = max(last, by[r][i].At)
+		last = max(last, changesByRelay[r][i].At)
 	}
 	fig["view_joined_s"], fig["views_never_whole"] = (last - ready).Seconds(), missing
-	split(p, by, offset, fig)
+	splitFigures(p, changesByRelay, offset, fig)
 	healing := func(at time.Duration) bool { // what comes back then has every reason to
 		return slices.ContainsFunc(p.Faults, func(f plan.Fault) bool {
-			return (f.Kind == "cut" || f.Kind == "one-way") && offset+f.At+f.For <= at && at <= offset+f.At+f.For+excuse
+			return (f.Kind == "cut" || f.Kind == "one-way") && offset+f.At+f.For <= at && at <= offset+f.At+f.For+removalGrace
 		})
 	}
-	fig["view_flaps_30s"] = flaps(by, lives, index, healing)
-	false_, busiest := 0.0, 0
-	for r, vs := range by {
+	fig["view_flaps_30s"] = maxFlaps(changesByRelay, lives, index, healing)
+	falseRemovals, busiest := 0.0, 0
+	for r, vs := range changesByRelay {
 		for i, v := range vs {
 			for _, name := range v.Gone {
-				if cutOff(p, offset, v.At) {
+				if partitioned(p, offset, v.At) {
 					continue
 				}
-				if m := index[name]; whole(m, v.At-excuse, v.At) && whole(r, v.At-excuse, v.At) {
-					false_++
+				if m := index[name]; undisturbed(m, v.At-removalGrace, v.At) && undisturbed(r, v.At-removalGrace, v.At) {
+					falseRemovals++
 				}
 			}
 			n := 0
@@ -113,29 +113,29 @@
 			busiest = max(busiest, n)
 		}
 	}
-	fig["false_removals"], fig["view_changes_30s"] = false_, float64(busiest)
+	fig["false_removals"], fig["view_changes_30s"] = falseRemovals, float64(busiest)
 }
 
-// cutOff tells whether a fault between relays ran at a moment, or had just ended: who is gone then is gone for a reason.
-func cutOff(p *plan.Plan, offset, at time.Duration) bool {
+// partitioned tells whether a fault between relays ran at a moment, or had just ended: who is gone then is gone for a reason.
+func partitioned(p *plan.Plan, offset, at time.Duration) bool {
 	return slices.ContainsFunc(p.Faults, func(f plan.Fault) bool {
-		return (f.Kind == "cut" || f.Kind == "one-way") && offset+f.At <= at && at <= offset+f.At+f.For+excuse
+		return (f.Kind == "cut" || f.Kind == "one-way") && offset+f.At <= at && at <= offset+f.At+f.For+removalGrace
 	})
 }
 
-// split adds, for the last cut between relays, the share of the relays that said in its time that they are split or alone,
+// splitFigures adds, for the last cut between relays, the share of the relays that said in its time that they are splitFigures or alone,
 // and the seconds from its end until every view held all again; as long as the run where one never did.
-func split(p *plan.Plan, by map[int][]ledger.ViewChange, offset time.Duration, fig map[string]float64) {
+func splitFigures(p *plan.Plan, changesByRelay map[int][]ledger.ViewChange, offset time.Duration, fig map[string]float64) {
 	for _, f := range p.Faults {
 		if f.Kind != "cut" {
 			continue
 		}
 		from, to := offset+f.At, offset+f.At+f.For
-		said, healed := 0.0, time.Duration(0)
+		aware, healed := 0.0, time.Duration(0)
 		for r := range p.Members() {
 			whole, known := true, false
 			at := p.Length
-			for _, v := range by[r] {
+			for _, v := range changesByRelay[r] {
 				if v.At > from && v.At <= to {
 					known = known || v.Agreement == "split" || v.Agreement == "alone"
 				}
@@ -148,7 +148,7 @@
 				}
 			}
 			if known {
-				said++
+				aware++
 			}
 			if !whole {
 				at = p.Length
@@ -157,14 +157,14 @@
 			}
 			healed = max(healed, at)
 		}
-		fig["split_known"], fig["view_healed_s"] = said/float64(p.Members()), healed.Seconds()
+		fig["split_known"], fig["view_healed_s"] = aware/float64(p.Members()), healed.Seconds()
 	}
 }
 
-// flaps is how often, in any 30 s, a member came back into one view that had gone from it, without a new start of its own.
-func flaps(by map[int][]ledger.ViewChange, lives map[int][]*ledger.Life, index map[string]int, healing func(time.Duration) bool) float64 {
+// maxFlaps is how often, in any 30 s, a member came back into one view that had gone from it, without a new start of its own.
+func maxFlaps(changesByRelay map[int][]ledger.ViewChange, lives map[int][]*ledger.Life, index map[string]int, healing func(time.Duration) bool) float64 {
 	most := 0
-	for _, vs := range by {
+	for _, vs := range changesByRelay {
 		gone, back := map[string]bool{}, map[string][]time.Duration{}
 		for _, v := range vs {
 			for _, name := range v.Gone {
@@ -172,7 +172,7 @@
 			}
 			for _, name := range v.Came {
 				began := slices.ContainsFunc(lives[index[name]], func(x *ledger.Life) bool {
-					return x.Start <= v.At && v.At <= x.Start+excuse
+					return x.Start <= v.At && v.At <= x.Start+removalGrace
 				})
 				if gone[name] && !began && !healing(v.At) {
 					back[name] = append(back[name], v.At)
@@ -195,9 +195,9 @@
 	return float64(most)
 }
 
-// Rest adds what a member costs at rest over a relay that is none, in the run's second half: share of a core, MB of memory, and
+// IdleFigures adds what a member costs at rest over a relay that is none, in the run's second half: share of a core, MB of memory, and
 // bytes a second.
-func Rest(p *plan.Plan, l *ledger.Ledger, offset time.Duration, fig map[string]float64) {
+func IdleFigures(p *plan.Plan, l *ledger.Ledger, offset time.Duration, fig map[string]float64) {
 	type span struct{ first, last ledger.Sample }
 	spans := map[int]*span{}
 	memory := map[bool][]float64{}
--- a/internal/testbed/audit/views_test.go
+++ b/internal/testbed/audit/views_test.go
@@ -9,7 +9,7 @@
 	"onyxroad.dev/onyxroad/internal/testbed/plan"
 )
 
-func TestViews(t *testing.T) {
+func TestViewFigures(t *testing.T) {
 	const s = time.Second
 	p := &plan.Plan{Experiment: &experiment.Experiment{}, Length: 60 * s, Relays: []plan.Relay{{Name: "a"}, {Name: "b"}, {Name: "c"}},
 		Faults: []plan.Fault{{Kind: "cut", At: 30 * s, For: 10 * s}}}
@@ -31,7 +31,7 @@
 	see(0, 33*s, 1, "alone", nil, []string{"b"}) // cut off
 	see(0, 45*s, 3, "settling", []string{"b", "c"}, nil)
 	fig := map[string]float64{}
-	Views(p, l, 0, fig)
+	ViewFigures(p, l, 0, fig)
 	for name, want := range map[string]float64{"view_killed_p99_s": 4, "view_left_p99_s": 0, "view_joined_s": 1, "views_never_whole": 0,
 		"false_removals": 1, "split_known": 1.0 / 3, "view_healed_s": 60, "view_flaps_30s": 1} {
 		if got := fig[name]; got < want-0.05 || got > want+0.05 {
@@ -40,10 +40,10 @@
 	}
 }
 
-func TestRestComparesMembersWithTheOthers(t *testing.T) {
+func TestIdleFigures(t *testing.T) {
 	const s = time.Second
 	x := &experiment.Experiment{}
-	x.Fleet.Loners = 1
+	x.Fleet.NonMembers = 1
 	p := &plan.Plan{Experiment: x, Length: 20 * s, Relays: make([]plan.Relay, 3)}
 	l := &ledger.Ledger{Traffic: []ledger.Traffic{{Relay: 0, From: 10 * s, To: 20 * s, Bytes: 1000}, {Relay: 1, From: 10 * s, To: 15 * s, Bytes: 1500}}}
 	for r, used := range []time.Duration{s / 10, s / 5, s / 20} { // members take 0.01 and 0.02 of a core, the other one 0.005
@@ -52,7 +52,7 @@
 		}
 	}
 	fig := map[string]float64{}
-	Rest(p, l, 0, fig)
+	IdleFigures(p, l, 0, fig)
 	for name, want := range map[string]float64{"member_cpu": 0.01, "member_memory_mb": 5, "member_bytes_s": 200} {
 		if got := fig[name]; got < want-1e-9 || got > want+1e-9 {
 			t.Errorf("%s: %v, want %v", name, got, want)
--- a/internal/testbed/audit/worth.go
+++ b/internal/testbed/audit/worth.go
@@ -11,13 +11,13 @@
 
 // The weights of service, and points of it that are taken off.
 const (
-	weightWhole, weightWindow, weightClass, weightCustomer = 0.4, 0.3, 0.2, 0.1
-	priceHandshake, priceWaste, priceLate, priceProbe      = 0.06, 0.05, 0.02, 0.01
-	priceCross                                             = 0.01
-	window                                                 = 10 * time.Second
-	overShare                                              = 0.1  // worth of traffic beyond a customer's share
-	quotaShare                                             = 0.85 // of the full load, that the shares divide
-	rareClass                                              = 0.05 // a class with less of the messages is not judged by itself
+	weightTotal, weightWindow, weightClass, weightCustomer    = 0.4, 0.3, 0.2, 0.1
+	penaltyHandshake, penaltyWaste, penaltyLate, penaltyProbe = 0.06, 0.05, 0.02, 0.01
+	penaltyCross                                              = 0.01
+	worstWindow                                               = 10 * time.Second
+	overShareWorth                                            = 0.1  // worth of traffic beyond a customer's share
+	quotaShare                                                = 0.85 // of the full load, that the shares divide
+	minClassShare                                             = 0.05 // a class with less of the messages is not judged by itself
 )
 
 // Outcome is how a message ended for its client.
@@ -32,22 +32,22 @@
 	Unanswered
 )
 
-// Outcomes are their names.
-var Outcomes = []string{"in time", "late", "refused", "failed", "no answer"}
+// OutcomeNames are their names.
+var OutcomeNames = []string{"in time", "late", "refused", "failed", "no answer"}
 
-// Fate is what became of a message.
-type Fate struct {
+// MessageResult is what became of a message.
+type MessageResult struct {
 	At      time.Duration // when it was first due, from the first arrival
 	Class   int
 	Partner int
 	Outcome Outcome
-	Took    time.Duration // to the delivery
-	Asked   float64       // worth
-	Got     float64
+	Latency time.Duration // to the delivery
+	Worth   float64       // worth
+	Earned  float64
 }
 
-// Fates are those of the plan's messages, in their order.
-func Fates(p *plan.Plan, l *ledger.Ledger, offset time.Duration) []Fate {
+// MessageResults are those of the plan's messages, in their order.
+func MessageResults(p *plan.Plan, l *ledger.Ledger, offset time.Duration) []MessageResult {
 	tries := make([][]*ledger.HandIn, len(p.Arrivals))
 	for _, h := range l.HandIns {
 		tries[h.Message] = append(tries[h.Message], h)
@@ -64,18 +64,18 @@
 			notices[n.Trace] = n.Status
 		}
 	}
-	level := make([]float64, len(p.Experiment.Load.Customers))
-	at := make([]time.Duration, len(level))
-	fates := make([]Fate, len(p.Arrivals))
+	queued := make([]float64, len(p.Experiment.Load.Customers))
+	at := make([]time.Duration, len(queued))
+	results := make([]MessageResult, len(p.Arrivals))
 	for i, a := range p.Arrivals {
 		c := &p.Classes[a.Class]
-		f := Fate{At: a.At, Class: a.Class, Partner: a.Partner, Outcome: Unanswered, Asked: c.Worth}
+		f := MessageResult{At: a.At, Class: a.Class, Partner: a.Partner, Outcome: Unanswered, Worth: c.Worth}
 		// A bucket of two seconds of its share tells what lies beyond.
 		quota := p.Experiment.Load.Customers[a.Customer].Share * p.FullRate * quotaShare
-		level[a.Customer] = math.Max(0, level[a.Customer]-quota*(a.At-at[a.Customer]).Seconds()) + 1
-		if at[a.Customer] = a.At; level[a.Customer] > 1+2*quota {
-			level[a.Customer]--
-			f.Asked *= overShare
+		queued[a.Customer] = math.Max(0, queued[a.Customer]-quota*(a.At-at[a.Customer]).Seconds()) + 1
+		if at[a.Customer] = a.At; queued[a.Customer] > 1+2*quota {
+			queued[a.Customer]--
+			f.Worth *= overShareWorth
 		}
 		first := ledger.Never
 		for _, h := range tries[i] {
@@ -84,7 +84,7 @@
 			}
 			switch {
 			case h.Status < 300:
-				if t := delivered(calls[h.Trace], h.Trace); t != ledger.Never {
+				if t := deliveredAt(calls[h.Trace], h.Trace); t != ledger.Never {
 					if t = max(t, h.Answered); first == ledger.Never || t < first {
 						first = t
 					}
@@ -98,117 +98,119 @@
 			}
 		}
 		if first != ledger.Never {
-			f.Took = first - offset - a.At
+			f.Latency = first - offset - a.At
 			switch aim, end := c.Aim.D(), c.Deadline.D(); {
-			case f.Took <= aim:
-				f.Outcome, f.Got = InTime, f.Asked
-			case f.Took <= end+slack:
-				late := math.Min(1, float64(f.Took-aim)/float64(max(1, end-aim)))
-				f.Outcome, f.Got = TooLate, f.Asked*(1-(1-c.Late)*late)
+			case f.Latency <= aim:
+				f.Outcome, f.Earned = InTime, f.Worth
+			case f.Latency <= end+limitTolerance:
+				late := math.Min(1, float64(f.Latency-aim)/float64(max(1, end-aim)))
+				f.Outcome, f.Earned = TooLate, f.Worth*(1-(1-c.LateWorth)*late)
 			default:
 				f.Outcome = TooLate
 			}
 		}
-		fates[i] = f
+		results[i] = f
 	}
-	return fates
+	return results
 }
 
-// share is what was served of what was asked for; 1 where nothing was.
-type share struct{ asked, got float64 }
+// worthShare is what was served of what was asked for; 1 where nothing was.
+type worthShare struct{ possible, earned float64 }
 
-func (s *share) add(f Fate) { s.asked, s.got = s.asked+f.Asked, s.got+f.Got }
+func (s *worthShare) add(f MessageResult) {
+	s.possible, s.earned = s.possible+f.Worth, s.earned+f.Earned
+}
 
-func (s share) value() float64 {
-	if s.asked == 0 {
+func (s worthShare) ratio() float64 {
+	if s.possible == 0 {
 		return 1
 	}
-	return s.got / s.asked
+	return s.earned / s.possible
 }
 
 // Figures are the run's figures besides the broken rules, by the names that bounds use.
-func Figures(p *plan.Plan, l *ledger.Ledger, fates []Fate, offset time.Duration) map[string]float64 {
-	var whole, late share
-	classes, customers := make([]share, len(p.Classes)), make([]share, len(p.Experiment.Load.Customers))
-	seconds := make([]share, int(p.Length/time.Second)+1)
-	outcomes := make([]float64, len(Outcomes))
-	var took []float64
+func Figures(p *plan.Plan, l *ledger.Ledger, results []MessageResult, offset time.Duration) map[string]float64 {
+	var total, late worthShare
+	classes, customers := make([]worthShare, len(p.Classes)), make([]worthShare, len(p.Experiment.Load.Customers))
+	seconds := make([]worthShare, int(p.Length/time.Second)+1)
+	outcomes := make([]float64, len(OutcomeNames))
+	var latencies []float64
 	counts := make([]int, len(p.Classes))
-	for i, f := range fates {
-		whole.add(f)
+	for i, f := range results {
+		total.add(f)
 		classes[f.Class].add(f)
 		counts[f.Class]++
 		seconds[min(len(seconds)-1, int(f.At/time.Second))].add(f)
 		customer := f
-		if customer.Asked < p.Classes[f.Class].Worth {
-			customer = Fate{} // beyond its share
+		if customer.Worth < p.Classes[f.Class].Worth {
+			customer = MessageResult{} // beyond its share
 		}
 		customers[p.Arrivals[i].Customer].add(customer)
 		outcomes[f.Outcome]++
 		if f.Outcome <= TooLate {
-			took = append(took, f.Took.Seconds()*1000)
+			latencies = append(latencies, f.Latency.Seconds()*1000)
 		}
-		if f.Outcome != InTime && f.Got < f.Asked {
-			late.asked += f.Asked
+		if f.Outcome != InTime && f.Earned < f.Worth {
+			late.possible += f.Worth
 		}
 	}
-	slices.Sort(took)
-	n := math.Max(1, float64(len(fates)))
-	fig := map[string]float64{"served": whole.value(), "messages": float64(len(fates)), "p50_ms": quantile(took, 0.5),
-		"p99_ms": quantile(took, 0.99)}
+	slices.Sort(latencies)
+	n := math.Max(1, float64(len(results)))
+	fig := map[string]float64{"served": total.ratio(), "messages": float64(len(results)), "p50_ms": quantile(latencies, 0.5),
+		"p99_ms": quantile(latencies, 0.99)}
 	for i, name := range []string{"in_time", "late", "refused", "failed", "unanswered"} {
 		fig[name] = outcomes[i] / n
 	}
-	fig["served_worst_10s"] = worst(seconds)
+	fig["served_worst_10s"] = worstShare(seconds)
 	fig["served_worst_class"], fig["served_worst_customer"] = 1, 1
 	for i, c := range classes {
-		fig["served_"+p.Classes[i].Name] = c.value()
-		if float64(counts[i]) >= rareClass*n {
-			fig["served_worst_class"] = math.Min(fig["served_worst_class"], c.value())
+		fig["served_"+p.Classes[i].Name] = c.ratio()
+		if float64(counts[i]) >= minClassShare*n {
+			fig["served_worst_class"] = math.Min(fig["served_worst_class"], c.ratio())
 		}
 	}
 	for _, c := range customers {
-		fig["served_worst_customer"] = math.Min(fig["served_worst_customer"], c.value())
+		fig["served_worst_customer"] = math.Min(fig["served_worst_customer"], c.ratio())
 	}
-	fig["back_s"] = back(p, seconds)
+	fig["back_s"] = recoverySeconds(p, seconds)
 	fig["starts"] = float64(len(l.Lives))
-	work(p, l, n, fig)
-	fig["goal"] = weightWhole*fig["served"] + weightWindow*fig["served_worst_10s"] + weightClass*fig["served_worst_class"] +
-		weightCustomer*fig["served_worst_customer"] - priceHandshake*fig["handshakes"] - priceWaste*fig["wasted"] -
-		priceLate*late.asked/math.Max(1, whole.asked) - priceProbe*fig["probes"] - priceCross*fig["crossed"]
-	held(p, l, offset, fig)
+	addCallFigures(p, l, n, fig)
+	fig["goal"] = weightTotal*fig["served"] + weightWindow*fig["served_worst_10s"] + weightClass*fig["served_worst_class"] +
+		weightCustomer*fig["served_worst_customer"] - penaltyHandshake*fig["handshakes"] - penaltyWaste*fig["wasted"] -
+		penaltyLate*late.possible/math.Max(1, total.possible) - penaltyProbe*fig["probes"] - penaltyCross*fig["crossed"]
+	addResourceFigures(p, l, offset, fig)
 	return fig
 }
 
-// worst is the least share served in any ten seconds in a row.
-func worst(seconds []share) float64 {
-	span := int(window / time.Second)
-	least := 1.0
+// worstShare is the least share served in any ten seconds in a row.
+func worstShare(seconds []worthShare) float64 {
+	span := int(worstWindow / time.Second)
+	lowest := 1.0
 	for i := 0; i+min(span, len(seconds)) <= len(seconds); i++ {
-		var s share
+		var s worthShare
 		for _, x := range seconds[i:min(len(seconds), i+span)] {
-			s.asked, s.got = s.asked+x.asked, s.got+x.got
+			s.possible, s.earned = s.possible+x.possible, s.earned+x.earned
 		}
-		least = math.Min(least, s.value())
+		lowest = math.Min(lowest, s.ratio())
 	}
-	return least
+	return lowest
 }
 
-// back is how long after the first relays are killed service is back: seconds until two in a row serve 95% of what the
+// recoverySeconds is how long after the first relays are killed service is recoverySeconds: seconds until two in a row serve 95% of what the
 // eight before the kill did. -1 if none are killed, the rest of the run if it never is.
-func back(p *plan.Plan, seconds []share) float64 {
+func recoverySeconds(p *plan.Plan, seconds []worthShare) float64 {
 	for _, f := range p.Faults {
 		if f.Kind != "kill" {
 			continue
 		}
 		at := int(f.At / time.Second)
-		var before share
+		var before worthShare
 		for _, s := range seconds[max(0, at-8):at] {
-			before.asked, before.got = before.asked+s.asked, before.got+s.got
+			before.possible, before.earned = before.possible+s.possible, before.earned+s.earned
 		}
 		for i := at + 1; i+1 < len(seconds); i++ {
-			two := share{seconds[i].asked + seconds[i+1].asked, seconds[i].got + seconds[i+1].got}
-			if two.value() >= 0.95*before.value() {
+			two := worthShare{seconds[i].possible + seconds[i+1].possible, seconds[i].earned + seconds[i+1].earned}
+			if two.ratio() >= 0.95*before.ratio() {
 				return float64(i) - f.At.Seconds()
 			}
 		}
@@ -217,8 +219,8 @@
 	return -1
 }
 
-// work adds what the fleet's calls cost, each by message.
-func work(p *plan.Plan, l *ledger.Ledger, n float64, fig map[string]float64) {
+// addCallFigures adds what the fleet's calls cost, each by message.
+func addCallFigures(p *plan.Plan, l *ledger.Ledger, n float64, fig map[string]float64) {
 	var calls, fresh, probes, crossed, refused, lost, all, down float64
 	for _, c := range l.Calls {
 		if c.Fresh {
@@ -248,8 +250,8 @@
 	fig["wasted"] = lost / math.Max(all, 1e-9)
 }
 
-// held adds what the processes held, and how long their starts took.
-func held(p *plan.Plan, l *ledger.Ledger, offset time.Duration, fig map[string]float64) {
+// addResourceFigures adds what the processes addResourceFigures, and how long their starts took.
+func addResourceFigures(p *plan.Plan, l *ledger.Ledger, offset time.Duration, fig map[string]float64) {
 	half := map[int][2][]float64{}
 	cpu := map[int]time.Duration{}
 	for _, s := range l.Samples {
--- a/internal/testbed/duties/run.go
+++ b/internal/testbed/duties/run.go
@@ -74,7 +74,7 @@
 		own := rand.New(rand.NewPCG(seed, uint64(i)+1))
 		all.Go(func() {
 			defer f.down()
-			if errs[i] = f.up(ctx, stewards, workers, max(1, s.Holders), s.NoFence); errs[i] != nil {
+			if errs[i] = f.up(ctx, stewards, workers, max(1, s.Holders), s.Unfenced); errs[i] != nil {
 				return
 			}
 			c.play(ctx, f, own)
--- a/internal/testbed/experiment/experiment_test.go
+++ b/internal/testbed/experiment/experiment_test.go
@@ -7,13 +7,13 @@
 	"time"
 )
 
-const small = `about = "x"
+const minimal = `about = "x"
 length = "40s"
 quick = "16s"
 `
 
 func TestParse(t *testing.T) {
-	x, err := Parse("experiments/base-x.toml", []byte(small+`
+	x, err := Parse("experiments/base-x.toml", []byte(minimal+`
 [fleet]
 relays = "3..5"
 [load]
@@ -31,20 +31,20 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if x.Name != "base-x" || x.Fleet.Relays != Of(3, 5) || x.Load.Level != Of(0.5, 0.5) {
+	if x.Name != "base-x" || x.Fleet.Relays != NewRange(3, 5) || x.Load.Level != NewRange(0.5, 0.5) {
 		t.Errorf("got %q, relays %v, level %v", x.Name, x.Fleet.Relays, x.Load.Level)
 	}
-	if f := x.Faults[0]; f.For != (Spans{1300 * time.Millisecond, 5 * time.Second}) || f.At != Of(0.2, 0.3) {
+	if f := x.Faults[0]; f.For != (DurationRange{1300 * time.Millisecond, 5 * time.Second}) || f.At != NewRange(0.2, 0.3) {
 		t.Errorf("fault %+v", f)
 	}
-	if len(x.Partners.Kinds) != 3 || x.Load.AnswerIn.D() != 400*time.Millisecond {
+	if len(x.Partners.Kinds) != 3 || x.Load.AnswerTimeout.D() != 400*time.Millisecond {
 		t.Error("what the file does not name is not as it is by default")
 	}
 }
 
-// TestLists gives a list of which there is a default one.
-func TestLists(t *testing.T) {
-	x, err := Parse("x.toml", []byte(small+`
+// TestListReplacesDefault gives a list of which there is a default one.
+func TestListReplacesDefault(t *testing.T) {
+	x, err := Parse("x.toml", []byte(minimal+`
 [[load.class]]
 name = "car-status"
 share = 1
@@ -61,24 +61,24 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if n := len(x.Load.Classes); n != 1 || x.Load.Classes[0].Spread.Hi != 0 {
-		t.Errorf("%d classes, the first with a spread of %v", n, x.Load.Classes[0].Spread)
+	if n := len(x.Load.Classes); n != 1 || x.Load.Classes[0].WorkVariation.Hi != 0 {
+		t.Errorf("%d classes, the first with a spread of %v", n, x.Load.Classes[0].WorkVariation)
 	}
 }
 
 func TestParseErrors(t *testing.T) {
 	bound := "[[bound]]\nname = \"served\"\nop = \">=\"\nlimit = 0.5\n"
 	for name, c := range map[string]struct{ text, want string }{
-		"unknown key":  {small + "[fleet]\nrelais = 3\n" + bound, ":5: unknown key fleet.relais"},
+		"unknown key":  {minimal + "[fleet]\nrelais = 3\n" + bound, ":5: unknown key fleet.relais"},
 		"bad time":     {"about = \"x\"\nlength = \"40\"\nquick = \"16s\"\n" + bound, ":2: "},
-		"bad range":    {small + "[fleet]\nrelays = \"5..3\"\n" + bound, ":5: "},
-		"no bound":     {small, "without a bound"},
-		"bad fault":    {small + "[[fault]]\nkind = \"flood\"\n" + bound, `unknown kind "flood"`},
-		"no share":     {small + "[[fault]]\nkind = \"shut\"\nat = 0.2\n" + bound, "shut needs a share"},
-		"late fault":   {small + "[[fault]]\nkind = \"cut\"\nat = 1.2\n" + bound, "share of the length"},
-		"bad operator": {small + strings.Replace(bound, ">=", ">", 1), `op ">"`},
-		"too long":     {strings.Replace(small, "16s", "60s", 1) + bound, "quick"},
-		"many relays":  {small + "[fleet]\nrelays = 800\n" + bound, "fleet.relays"},
+		"bad range":    {minimal + "[fleet]\nrelays = \"5..3\"\n" + bound, ":5: "},
+		"no bound":     {minimal, "without a bound"},
+		"bad fault":    {minimal + "[[fault]]\nkind = \"flood\"\n" + bound, `unknown kind "flood"`},
+		"no share":     {minimal + "[[fault]]\nkind = \"shut\"\nat = 0.2\n" + bound, "shut needs a share"},
+		"late fault":   {minimal + "[[fault]]\nkind = \"cut\"\nat = 1.2\n" + bound, "share of the length"},
+		"bad operator": {minimal + strings.Replace(bound, ">=", ">", 1), `op ">"`},
+		"too long":     {strings.Replace(minimal, "16s", "60s", 1) + bound, "quick"},
+		"many relays":  {minimal + "[fleet]\nrelays = 800\n" + bound, "fleet.relays"},
 	} {
 		_, err := Parse("experiments/x.toml", []byte(c.text))
 		if err == nil || !strings.Contains(err.Error(), c.want) || !strings.HasPrefix(err.Error(), "experiments/x.toml") {
@@ -87,8 +87,8 @@
 	}
 }
 
-// TestCommitted reads every experiment in the repository.
-func TestCommitted(t *testing.T) {
+// TestRepositoryExperiments reads every experiment in the repository.
+func TestRepositoryExperiments(t *testing.T) {
 	files, _ := filepath.Glob("../../../experiments/*.toml")
 	if len(files) < 8 {
 		t.Fatalf("%d experiments", len(files))
--- a/internal/testbed/experiment/values.go
+++ b/internal/testbed/experiment/values.go
@@ -32,12 +32,12 @@
 // Range is a figure, or two between which a seed draws one.
 type Range struct{ Lo, Hi float64 }
 
-// Of is the range from lo to hi.
-func Of(lo, hi float64) Range { return Range{lo, hi} }
+// NewRange is the range from lo to hi.
+func NewRange(lo, hi float64) Range { return Range{lo, hi} }
 
 // UnmarshalText reads 3 or "3..5".
 func (r *Range) UnmarshalText(text []byte) error {
-	lo, hi := ends(text)
+	lo, hi := splitRange(text)
 	var err error
 	if r.Lo, err = strconv.ParseFloat(lo, 64); err == nil {
 		r.Hi, err = strconv.ParseFloat(hi, 64)
@@ -51,8 +51,8 @@
 	return nil
 }
 
-// ends are both ends of a range, which are the same where it has one.
-func ends(text []byte) (lo, hi string) {
+// splitRange are both splitRange of a range, which are the same where it has one.
+func splitRange(text []byte) (lo, hi string) {
 	lo, hi, found := strings.Cut(string(text), "..")
 	if !found {
 		hi = lo
@@ -71,12 +71,12 @@
 
 func (r Range) String() string { return fmt.Sprintf("[%g, %g]", r.Lo, r.Hi) }
 
-// Spans is a time, or two between which a seed draws one: "5s" or "5s..7s".
-type Spans struct{ Lo, Hi time.Duration }
+// DurationRange is a time, or two between which a seed draws one: "5s" or "5s..7s".
+type DurationRange struct{ Lo, Hi time.Duration }
 
 // UnmarshalText reads it.
-func (s *Spans) UnmarshalText(text []byte) error {
-	a, b := ends(text)
+func (s *DurationRange) UnmarshalText(text []byte) error {
+	a, b := splitRange(text)
 	var lo, hi Duration
 	if err := errors.Join(lo.UnmarshalText([]byte(a)), hi.UnmarshalText([]byte(b))); err != nil {
 		return err
@@ -88,6 +88,6 @@
 }
 
 // Draw is one time, evenly.
-func (s Spans) Draw(rng *rand.Rand) time.Duration {
+func (s DurationRange) Draw(rng *rand.Rand) time.Duration {
 	return s.Lo + time.Duration(rng.Float64()*float64(s.Hi-s.Lo))
 }
--- a/internal/testbed/load/crowd.go
+++ b/internal/testbed/load/crowd.go
@@ -18,7 +18,7 @@
 // RunCrowd has idle clients hold connections at some of the relays until ctx ends. One that its relay closes comes again.
 func (l *Load) RunCrowd(ctx context.Context, offset time.Duration) {
 	rng := rand.New(rand.NewPCG(l.plan.Seed, crowdSalt))
-	connections := int(l.plan.Experiment.Load.Crowd.Draw(rng))
+	connections := int(l.plan.Experiment.Load.IdleConnections.Draw(rng))
 	if connections == 0 || network.Sleep(ctx, offset-l.book.Now()) != nil {
 		return
 	}
--- a/internal/testbed/load/hostile.go
+++ b/internal/testbed/load/hostile.go
@@ -19,16 +19,16 @@
 
 // RunHostile has the hostile peers come, each when it is planned.
 func (l *Load) RunHostile(ctx context.Context, offset time.Duration) {
-	for i := range l.plan.Peers {
-		if network.Sleep(ctx, offset+l.plan.Peers[i].At-l.book.Now()) != nil {
+	for i := range l.plan.HostilePeers {
+		if network.Sleep(ctx, offset+l.plan.HostilePeers[i].At-l.book.Now()) != nil {
 			return
 		}
-		l.work.Go(func() { l.hostile(ctx, &l.plan.Peers[i]) })
+		l.work.Go(func() { l.hostile(ctx, &l.plan.HostilePeers[i]) })
 	}
 }
 
 // hostile is one peer that makes no proper request. It is owed an error or a close.
-func (l *Load) hostile(ctx context.Context, h *plan.Hostile) {
+func (l *Load) hostile(ctx context.Context, h *plan.HostilePeer) {
 	rec := ledger.Peer{Relay: h.Relay, Way: h.Way, At: l.book.Now(), Ended: ledger.Never}
 	c, err := (&net.Dialer{Timeout: time.Second}).DialContext(ctx, "tcp4", l.addr(h.Relay))
 	if err != nil {
@@ -57,7 +57,7 @@
 }
 
 // misbehave says what the peer says. Nothing of it is a request that may be taken on.
-func (l *Load) misbehave(ctx context.Context, c net.Conn, h *plan.Hostile) {
+func (l *Load) misbehave(ctx context.Context, c net.Conn, h *plan.HostilePeer) {
 	rng := rand.New(rand.NewPCG(h.Draw, 0x686f7374))
 	class := l.plan.Classes[rng.IntN(len(l.plan.Classes))].Name
 	head := fmt.Sprintf("POST /%s HTTP/1.1\r\nHost: x\r\nX-Trace-Id: %016x\r\nX-Qos: %s\r\nX-Customer: %s\r\nX-Expires-In-Ms: 900\r\nIdempotency-Key: k\r\n",
--- a/internal/testbed/load/load.go
+++ b/internal/testbed/load/load.go
@@ -134,7 +134,7 @@
 	l.mu.Lock()
 	l.wants[h.Trace] = w
 	l.mu.Unlock()
-	wait := l.plan.AnswerIn
+	wait := l.plan.AnswerTimeout
 	leaves := a.Leaves > 0 && !w.left
 	if leaves {
 		wait, w.left = a.Leaves, true
--- a/internal/testbed/plan/arrivals.go
+++ b/internal/testbed/plan/arrivals.go
@@ -9,11 +9,11 @@
 	"time"
 )
 
-// wheel draws an index by weight.
-type wheel []float64
+// weightedChoice draws an index by weight.
+type weightedChoice []float64
 
-func newWheel(weights []float64) wheel {
-	w, sum := make(wheel, len(weights)), 0.0
+func newWeightedChoice(weights []float64) weightedChoice {
+	w, sum := make(weightedChoice, len(weights)), 0.0
 	for i, x := range weights {
 		sum += x
 		w[i] = sum
@@ -21,61 +21,61 @@
 	return w
 }
 
-func (w wheel) draw(rng *rand.Rand) int {
+func (w weightedChoice) draw(rng *rand.Rand) int {
 	x := rng.Float64() * w[len(w)-1]
 	return min(sort.SearchFloat64s(w, x), len(w)-1)
 }
 
-// arrivals draws the messages: a Poisson process over the length, whose rate bursts raise, and clumps for single
+// drawArrivals draws the messages: a Poisson process over the length, whose rate bursts raise, and clumps for single
 // partners, each at one relay.
-func (p *Plan) arrivals(rng *rand.Rand) {
+func (p *Plan) drawArrivals(rng *rand.Rand) {
 	x := p.Experiment.Load
 	level, clumps := x.Level.Draw(rng), x.Clumps.Draw(rng)
 	usage := make([]float64, len(x.Customers))
 	for i, c := range x.Customers {
 		usage[i] = c.Usage.Draw(rng)
 	}
-	weights, sum, plain := make([]float64, len(p.Partners)), 0.0, 0.0
+	weights, sum, nominal := make([]float64, len(p.Partners)), 0.0, 0.0
 	for i := range p.Partners {
 		d := &p.Partners[i]
 		weights[i] = d.Share * usage[d.Customer]
-		sum, plain = sum+weights[i], plain+d.Share
+		sum, nominal = sum+weights[i], nominal+d.Share
 	}
 	for i := range weights {
-		weights[i] *= plain / sum // the level holds, whatever each customer uses of its share
+		weights[i] *= nominal / sum // the level holds, whatever each customer uses of its share
 	}
 	relays := make([]float64, len(p.Relays))
 	for i, r := range p.Relays {
 		relays[i] = r.Share
 	}
-	pick := picker{p, newWheel(relays), make([]wheel, len(p.Partners)), x.Retries.Draw(rng), x.Heeds.Draw(rng), x.Leaves.Draw(rng),
+	gen := messageGenerator{p, newWeightedChoice(relays), make([]weightedChoice, len(p.Partners)), x.Retries.Draw(rng), x.HeedShare.Draw(rng), x.LeaveShare.Draw(rng),
 		x.HeavyBody.Draw(rng)}
 	for i := range p.Partners {
 		kind := p.Experiment.Partners.Kinds[p.Partners[i].Kind].Name
 		shares := make([]float64, len(p.Classes))
 		for c := range p.Classes {
-			if p.Classes[c].goes(kind) {
+			if p.Classes[c].servesKind(kind) {
 				// Of a destination's traffic, as much is of this class as its share of all that such destinations get.
-				shares[c] = p.Classes[c].Share.Lo / p.reach(c)
+				shares[c] = p.Classes[c].Share.Lo / p.reachableShare(c)
 			}
 		}
-		pick.classes[i] = newWheel(shares)
+		gen.classes[i] = newWeightedChoice(shares)
 	}
 	rate := level * p.FullRate
-	most := 1.0
+	maxFactor := 1.0
 	for _, f := range p.Faults {
 		if f.Kind == "burst" {
-			most = math.Max(most, f.Size)
+			maxFactor = math.Max(maxFactor, f.Size)
 		}
 	}
-	partners := newWheel(weights)
+	partners := newWeightedChoice(weights)
 	for at := time.Duration(0); ; {
-		at += seconds(rng.ExpFloat64() / (rate * (1 - clumps) * most))
+		at += seconds(rng.ExpFloat64() / (rate * (1 - clumps) * maxFactor))
 		if at >= p.Length {
 			break
 		}
-		if rng.Float64()*most < p.factor(at) {
-			p.Arrivals = append(p.Arrivals, pick.message(rng, at, partners.draw(rng), -1))
+		if rng.Float64()*maxFactor < p.burstFactor(at) {
+			p.Arrivals = append(p.Arrivals, gen.message(rng, at, partners.draw(rng), -1))
 		}
 	}
 	for i := range p.Partners {
@@ -85,10 +85,10 @@
 			continue
 		}
 		for at := seconds(rng.ExpFloat64() * every); at < p.Length; at += seconds(rng.ExpFloat64() * every) {
-			relay, gap := pick.relays.draw(rng), seconds((0.05+0.15*rng.Float64())/size)
+			relay, gap := gen.relays.draw(rng), seconds((0.05+0.15*rng.Float64())/size)
 			for k := range max(2, int(size*(0.5+rng.Float64()))) {
 				if t := at + time.Duration(k)*gap; t < p.Length {
-					p.Arrivals = append(p.Arrivals, pick.message(rng, t, i, relay))
+					p.Arrivals = append(p.Arrivals, gen.message(rng, t, i, relay))
 				}
 			}
 		}
@@ -96,19 +96,19 @@
 	slices.SortStableFunc(p.Arrivals, func(a, b Arrival) int { return cmp.Compare(a.At, b.At) })
 }
 
-// reach is the share of the traffic that destinations get to which a class goes.
-func (p *Plan) reach(c int) float64 {
+// reachableShare is the share of the traffic that destinations get to which a class goes.
+func (p *Plan) reachableShare(c int) float64 {
 	sum := 0.0
 	for i := range p.Partners {
-		if p.Classes[c].goes(p.Experiment.Partners.Kinds[p.Partners[i].Kind].Name) {
+		if p.Classes[c].servesKind(p.Experiment.Partners.Kinds[p.Partners[i].Kind].Name) {
 			sum += p.Partners[i].Share
 		}
 	}
 	return math.Max(sum, 1e-9)
 }
 
-// factor is by how much bursts raise the traffic at a moment.
-func (p *Plan) factor(at time.Duration) float64 {
+// burstFactor is by how much bursts raise the traffic at a moment.
+func (p *Plan) burstFactor(at time.Duration) float64 {
 	f := 1.0
 	for _, x := range p.Faults {
 		if x.Kind == "burst" && at >= x.At && at < x.At+x.For {
@@ -118,15 +118,15 @@
 	return f
 }
 
-// picker draws what a message is.
-type picker struct {
-	p                             *Plan
-	relays                        wheel
-	classes                       []wheel // for each destination
-	retries, heeds, leaves, heavy float64
+// messageGenerator draws what a message is.
+type messageGenerator struct {
+	p                                          *Plan
+	relays                                     weightedChoice
+	classes                                    []weightedChoice // for each destination
+	retries, heedShare, leaveShare, heavyShare float64
 }
 
-func (k *picker) message(rng *rand.Rand, at time.Duration, partner, relay int) Arrival {
+func (k *messageGenerator) message(rng *rand.Rand, at time.Duration, partner, relay int) Arrival {
 	x := k.p.Experiment.Load
 	a := Arrival{At: at, Relay: relay, Partner: partner, Customer: k.p.Partners[partner].Customer, Draw: rng.Uint64()}
 	if relay < 0 {
@@ -138,16 +138,16 @@
 	v := math.Log(1 + c.CV*c.CV)
 	a.Work = millis(c.WorkMS * math.Exp(math.Sqrt(v)*rng.NormFloat64()-v/2))
 	a.Body = 64 + rng.IntN(448)
-	if rng.Float64() < k.heavy {
+	if rng.Float64() < k.heavyShare {
 		a.Body = 8<<10 + rng.IntN(56<<10)
 	}
 	a.Retries = int(k.retries)
 	if rng.Float64() < k.retries-math.Floor(k.retries) {
 		a.Retries++
 	}
-	a.Backoff, a.Heeds, a.Again = millis(x.Backoff.Draw(rng)), rng.Float64() < k.heeds, millis(x.Again.Draw(rng))
+	a.Backoff, a.Heeds, a.Again = millis(x.Backoff.Draw(rng)), rng.Float64() < k.heedShare, millis(x.ResendDelay.Draw(rng))
 	leaves, when := rng.Float64(), millis(1+60*rng.Float64())
-	share := k.leaves
+	share := k.leaveShare
 	for _, f := range k.p.Faults {
 		if f.Kind == "leave" && at >= f.At && at < f.At+f.For {
 			share = f.Size
@@ -159,26 +159,26 @@
 	return a
 }
 
-// hostile draws the peers that speak no proper request.
-func (p *Plan) hostile(rng *rand.Rand) {
+// drawHostilePeers draws the peers that speak no proper request.
+func (p *Plan) drawHostilePeers(rng *rand.Rand) {
 	add := func(rate float64, from, to time.Duration, relays []int) {
 		for at := from; rate > 0; {
 			at += seconds(rng.ExpFloat64() / rate)
 			if at >= to {
 				return
 			}
-			p.Peers = append(p.Peers, Hostile{At: at, Relay: relays[rng.IntN(len(relays))], Way: rng.IntN(Ways), Draw: rng.Uint64()})
+			p.HostilePeers = append(p.HostilePeers, HostilePeer{At: at, Relay: relays[rng.IntN(len(relays))], Way: rng.IntN(HostileBehaviors), Draw: rng.Uint64()})
 		}
 	}
 	all := make([]int, len(p.Relays))
 	for i := range all {
 		all[i] = i
 	}
-	add(p.Experiment.Load.Hostile.Draw(rng), 0, p.Length, all)
+	add(p.Experiment.Load.HostileRate.Draw(rng), 0, p.Length, all)
 	for _, f := range p.Faults {
 		if f.Kind == "hostile" {
 			add(f.Size, f.At, f.At+f.For, f.Relays)
 		}
 	}
-	slices.SortStableFunc(p.Peers, func(a, b Hostile) int { return cmp.Compare(a.At, b.At) })
+	slices.SortStableFunc(p.HostilePeers, func(a, b HostilePeer) int { return cmp.Compare(a.At, b.At) })
 }
--- a/internal/testbed/plan/faults.go
+++ b/internal/testbed/plan/faults.go
@@ -12,26 +12,26 @@
 
 const (
 	// A replaced endpoint's successor is listed this long before the old one drains, and the old one ends this long after.
-	successorBefore = 1500 * time.Millisecond
-	goneAfter       = 3500 * time.Millisecond
-	// lastFault is the share of the length by which every fault has begun and, if it lasts, is over: what comes back is
+	successorLead = 1500 * time.Millisecond
+	drainTime     = 3500 * time.Millisecond
+	// faultsEnd is the share of the length by which every fault has begun and, if it lasts, is over: what comes back is
 	// seen to come back.
-	lastFault = 0.9
+	faultsEnd = 0.9
 )
 
-// TornTail is for how long the files of a torn write go on failing after the kill.
-const TornTail = 300 * time.Millisecond
+// TornWriteTail is for how long the files of a torn write go on failing after the kill.
+const TornWriteTail = 300 * time.Millisecond
 
-// faults draws each fault's moment, targets and size.
-func (p *Plan) faults(rng *rand.Rand) {
-	for i, x := range p.Experiment.Faults {
+// drawFaults draws each fault's moment, targets and size.
+func (p *Plan) drawFaults(rng *rand.Rand) {
+	for i, spec := range p.Experiment.Faults {
 		from := len(p.Faults)
 		times := 1
-		if n := x.Times.Draw(rng); n > 0 {
+		if n := spec.Times.Draw(rng); n > 0 {
 			times = max(1, int(n*float64(p.Length)/float64(p.Experiment.Length.D())+0.5))
 		}
 		for range times {
-			p.fault(rng, x)
+			p.drawFault(rng, spec)
 		}
 		for k := range p.Faults[from:] {
 			p.Faults[from+k].Origin = i
@@ -40,24 +40,24 @@
 	slices.SortStableFunc(p.Faults, func(a, b Fault) int { return cmp.Compare(a.At, b.At) })
 }
 
-// fault draws one fault.
-func (p *Plan) fault(rng *rand.Rand, x experiment.Fault) {
-	f := Fault{Kind: x.Kind, At: time.Duration((x.At.Draw(rng) + rng.Float64()*x.Over.Draw(rng)) * float64(p.Length)), For: x.For.Draw(rng), Size: x.Size.Draw(rng),
+// drawFault draws one drawFault.
+func (p *Plan) drawFault(rng *rand.Rand, spec experiment.Fault) {
+	f := Fault{Kind: spec.Kind, At: time.Duration((spec.At.Draw(rng) + rng.Float64()*spec.Over.Draw(rng)) * float64(p.Length)), For: spec.For.Draw(rng), Size: spec.Size.Draw(rng),
 		Building: -1}
-	end := time.Duration(lastFault * float64(p.Length))
+	end := time.Duration(faultsEnd * float64(p.Length))
 	f.For = max(0, min(f.For, end-f.At))
-	share := x.Share.Draw(rng)
-	if x.In == "building" {
+	share := spec.Share.Draw(rng)
+	if spec.In == "building" {
 		f.Building = rng.IntN(len(p.Buildings))
 	}
-	switch x.Kind {
+	switch spec.Kind {
 	case "power", "disk-full", "disk-sick", "disk-slow", "kill", "term", "pause", "replace", "starve", "hostile", "move", "series", "wall-step", "calls", "files", "short", "torn-write":
 		if share == 0 {
 			share = 1
 		}
-		f.Relays = p.strikeRelays(rng, share, f.Building)
-		f.Rules = injectedRules(rng, x.Kind)
-		if x.Kind == "kill" {
+		f.Relays = p.pickRelays(rng, share, f.Building)
+		f.Rules = drawInjectionRules(rng, spec.Kind)
+		if spec.Kind == "kill" {
 			for _, r := range f.Relays {
 				if rng.Float64() < f.Size {
 					f.Emptied = append(f.Emptied, r)
@@ -65,7 +65,7 @@
 			}
 		}
 	case "roll", "upgrade":
-		p.spread(rng, f)
+		p.drawRollingRestart(rng, f)
 		return
 	case "cut", "one-way":
 		if f.Building < 0 {
@@ -77,11 +77,11 @@
 			}
 		}
 	case "release":
-		p.release(rng, &f, share)
+		p.drawRelease(rng, &f, share)
 	case "loss", "delay", "reset", "answers", "silent":
-		f.Relays = p.strikeRelays(rng, cmp.Or(share, 1), f.Building)
+		f.Relays = p.pickRelays(rng, cmp.Or(share, 1), f.Building)
 	case "slow", "errors", "shut", "down", "hang", "limits":
-		f.Partners, f.Endpoints = p.strikePartners(rng, x, share, f.Building)
+		f.Partners, f.Endpoints = p.pickPartners(rng, spec, share, f.Building)
 	}
 	p.Faults = append(p.Faults, f)
 }
@@ -95,65 +95,65 @@
 		"listen":  {"EADDRNOTAVAIL", "ENOBUFS"}, "recv": {"ETIMEDOUT", "EHOSTUNREACH", "ECONNRESET"},
 		"send": {"ETIMEDOUT", "EHOSTUNREACH", "ECONNRESET"},
 	}
-	fileCalls = []string{"write", "write", "write", "open", "truncate", "rename", "remove", "read", "names"}
-	fileErrs  = []string{"EIO", "ENOSPC"}
-	reaches   = []string{"", "part", "all"}
-	wallSteps = []int{-3600, -5, 5, 3600}
-	shortMost = []int{1, 7, 64}
+	fileCalls      = []string{"write", "write", "write", "open", "truncate", "rename", "remove", "read", "names"}
+	fileErrs       = []string{"EIO", "ENOSPC"}
+	failureEffects = []string{"", "part", "all"}
+	wallSteps      = []int{-3600, -5, 5, 3600}
+	shortSizes     = []int{1, 7, 64}
 	// Writes that fail until a kill: with no effect, with some that can or can't be taken away, or now and then.
 	tornWrites = [][]string{{"write EIO 1 "}, {"write EIO 1 part"}, {"write EIO 1 all", "truncate EIO 1 "}, {"write ENOSPC 1 part", "truncate EIO 1 "},
 		{"write EIO 2 "}, {"write EIO 3 all"}}
 )
 
-// every is of how many calls one fails. A broken connection is rare, or nothing would get through.
-func every(rng *rand.Rand, call string) int {
+// failureInterval is of how many calls one fails. A broken connection is rare, or nothing would get through.
+func failureInterval(rng *rand.Rand, call string) int {
 	if call == "recv" || call == "send" {
-		return pick(rng, []int{20, 60})
+		return pickOne(rng, []int{20, 60})
 	}
-	return pick(rng, []int{1, 1, 3, 9})
+	return pickOne(rng, []int{1, 1, 3, 9})
 }
 
-func pick[T any](rng *rand.Rand, of []T) T { return of[rng.IntN(len(of))] }
+func pickOne[T any](rng *rand.Rand, values []T) T { return values[rng.IntN(len(values))] }
 
-// injectedRules draws what is injected into relays; nothing for other kinds of fault.
-func injectedRules(rng *rand.Rand, kind string) []string {
+// drawInjectionRules draws what is injected into relays; nothing for other kinds of fault.
+func drawInjectionRules(rng *rand.Rand, kind string) []string {
 	switch kind {
 	case "wall-step":
-		return []string{fmt.Sprintf("wall %d", pick(rng, wallSteps))}
+		return []string{fmt.Sprintf("wall %d", pickOne(rng, wallSteps))}
 	case "short":
-		return []string{fmt.Sprintf("short %d", pick(rng, shortMost))}
+		return []string{fmt.Sprintf("short %d", pickOne(rng, shortSizes))}
 	case "calls":
-		call := pick(rng, socketCalls)
-		return []string{fmt.Sprintf("%s %s %d", call, pick(rng, socketErrs[call]), every(rng, call))}
+		call := pickOne(rng, socketCalls)
+		return []string{fmt.Sprintf("%s %s %d", call, pickOne(rng, socketErrs[call]), failureInterval(rng, call))}
 	case "torn-write":
-		return pick(rng, tornWrites)
+		return pickOne(rng, tornWrites)
 	case "files":
 		var rules []string
 		for range 1 + rng.IntN(2) { // and what cleans up after it
-			rules = append(rules, fmt.Sprintf("%s %s %d %s", pick(rng, fileCalls), pick(rng, fileErrs), every(rng, ""), pick(rng, reaches)))
+			rules = append(rules, fmt.Sprintf("%s %s %d %s", pickOne(rng, fileCalls), pickOne(rng, fileErrs), failureInterval(rng, ""), pickOne(rng, failureEffects)))
 		}
 		return rules
 	}
 	return nil
 }
 
-// strikeRelays draws a share of the relays, one at least.
-func (p *Plan) strikeRelays(rng *rand.Rand, share float64, building int) []int {
-	var of []int
+// pickRelays draws a share of the relays, one at least.
+func (p *Plan) pickRelays(rng *rand.Rand, portion float64, building int) []int {
+	var candidates []int
 	for i := range p.Relays {
 		if building < 0 || p.Relays[i].Building == building {
-			of = append(of, i)
+			candidates = append(candidates, i)
 		}
 	}
-	rng.Shuffle(len(of), func(i, j int) { of[i], of[j] = of[j], of[i] })
-	of = of[:min(len(of), max(1, int(share*float64(len(of))+0.5)))]
-	slices.Sort(of)
-	return of
+	rng.Shuffle(len(candidates), func(i, j int) { candidates[i], candidates[j] = candidates[j], candidates[i] })
+	candidates = candidates[:min(len(candidates), max(1, int(portion*float64(len(candidates))+0.5)))]
+	slices.Sort(candidates)
+	return candidates
 }
 
-// strikePartners draws partners that get about a share of the traffic, one at least, and the endpoints struck: all of
+// pickPartners draws partners that get about a share of the traffic, one at least, and the endpoints struck: all of
 // theirs, or those in one building.
-func (p *Plan) strikePartners(rng *rand.Rand, x experiment.Fault, share float64, building int) (partners, endpoints []int) {
+func (p *Plan) pickPartners(rng *rand.Rand, x experiment.Fault, share float64, building int) (partners, endpoints []int) {
 	sum := 0.0
 	for _, i := range rng.Perm(len(p.Partners)) {
 		var in []int
@@ -176,35 +176,35 @@
 	return partners, endpoints
 }
 
-// spread makes a restart of each relay out of a rolling one, over its time, in an order that is drawn.
-func (p *Plan) spread(rng *rand.Rand, f Fault) {
+// drawRollingRestart makes a restart of each relay out of a rolling one, over its time, in an order that is drawn.
+func (p *Plan) drawRollingRestart(rng *rand.Rand, f Fault) {
 	order := rng.Perm(len(p.Relays))
 	for k, r := range order {
-		one := Fault{Kind: "term", At: f.At + time.Duration(float64(f.For)*float64(k)/float64(len(order))), Relays: []int{r}, Building: -1}
+		restart := Fault{Kind: "term", At: f.At + time.Duration(float64(f.For)*float64(k)/float64(len(order))), Relays: []int{r}, Building: -1}
 		switch {
 		case f.Kind == "upgrade":
-			one.Kind = "replace"
+			restart.Kind = "replace"
 		case k%2 == 1:
-			one.Kind, one.For = "kill", 600*time.Millisecond
+			restart.Kind, restart.For = "kill", 600*time.Millisecond
 		}
-		p.Faults = append(p.Faults, one)
+		p.Faults = append(p.Faults, restart)
 	}
 }
 
-// release replaces a share of the endpoints, in steps.
-func (p *Plan) release(rng *rand.Rand, f *Fault, share float64) {
-	var of []int
+// drawRelease replaces a share of the endpoints, in steps.
+func (p *Plan) drawRelease(rng *rand.Rand, f *Fault, share float64) {
+	var candidates []int
 	for i := range p.Endpoints {
 		if p.Endpoints[i].Drains == 0 {
-			of = append(of, i)
+			candidates = append(candidates, i)
 		}
 	}
-	rng.Shuffle(len(of), func(i, j int) { of[i], of[j] = of[j], of[i] })
-	of = of[:max(1, int(share*float64(len(of))+0.5))]
-	for k, i := range of {
-		at := f.At + time.Duration(float64(f.For)*float64(k)/float64(len(of)))
+	rng.Shuffle(len(candidates), func(i, j int) { candidates[i], candidates[j] = candidates[j], candidates[i] })
+	candidates = candidates[:max(1, int(share*float64(len(candidates))+0.5))]
+	for k, i := range candidates {
+		at := f.At + time.Duration(float64(f.For)*float64(k)/float64(len(candidates)))
 		old := &p.Endpoints[i]
-		old.Drains, old.Gone = at+successorBefore, at+successorBefore+goneAfter
+		old.Drains, old.Gone = at+successorLead, at+successorLead+drainTime
 		next := *old
 		next.ID, next.Added, next.Drains, next.Gone = fmt.Sprintf("s-%08x", rng.Uint32()), max(at, 1), 0, 0
 		f.Endpoints = append(f.Endpoints, i)
--- a/internal/testbed/plan/plan.go
+++ b/internal/testbed/plan/plan.go
@@ -19,22 +19,22 @@
 
 // Plan is one run, drawn.
 type Plan struct {
-	Experiment *experiment.Experiment
-	Seed       uint64
-	Length     time.Duration // messages arrive for so long
-	Buildings  []string
-	Relays     []Relay
-	Partners   []Partner
-	Endpoints  []Endpoint // those of the start first, then those that releases add, in their order
-	Classes    []Class
-	Arrivals   []Arrival // by time
-	Faults     []Fault   // by time
-	Peers      []Hostile // by time
-	FullRate   float64   // messages a second at full load
-	Delays     [][]time.Duration
-	Handshakes float64 // round trips of a new connection
-	Jitter     float64
-	AnswerIn   time.Duration // how long a client waits
+	Experiment    *experiment.Experiment
+	Seed          uint64
+	Length        time.Duration // messages arrive for so long
+	Buildings     []string
+	Relays        []Relay
+	Partners      []Partner
+	Endpoints     []Endpoint // those of the start first, then those that releases add, in their order
+	Classes       []Class
+	Arrivals      []Arrival     // by time
+	Faults        []Fault       // by time
+	HostilePeers  []HostilePeer // by time
+	FullRate      float64       // messages a second at full load
+	Delays        [][]time.Duration
+	Handshakes    float64 // round trips of a new connection
+	Jitter        float64
+	AnswerTimeout time.Duration // how long a client waits
 }
 
 // Relay is one relay's place and size.
@@ -117,22 +117,22 @@
 	Origin    int      // its place among the experiment's faults
 }
 
-// Hostile is one peer that speaks no proper request.
-type Hostile struct {
+// HostilePeer is one peer that speaks no proper request.
+type HostilePeer struct {
 	At    time.Duration
 	Relay int
 	Way   int // which of the ways to misbehave
 	Draw  uint64
 }
 
-// Ways is how many ways hostile peers have.
-const Ways = 8
+// HostileBehaviors is how many ways hostile peers have.
+const HostileBehaviors = 8
 
 // Members is how many relays, the first, are members of their fleet if any are.
-func (p *Plan) Members() int { return max(1, len(p.Relays)-p.Experiment.Fleet.Loners) }
+func (p *Plan) Members() int { return max(1, len(p.Relays)-p.Experiment.Fleet.NonMembers) }
 
-// stream is a source of random numbers of its own for each part of a plan: what one part draws does not move another.
-func stream(seed uint64, part string) *rand.Rand {
+// newRand is a source of random numbers of its own for each part of a plan: what one part draws does not move another.
+func newRand(seed uint64, part string) *rand.Rand {
 	h := fnv.New64a()
 	io.WriteString(h, part)
 	return rand.New(rand.NewPCG(seed, h.Sum64()))
@@ -140,40 +140,42 @@
 
 // Draw draws a plan.
 func Draw(x *experiment.Experiment, seed uint64, quick bool) *Plan {
-	p := &Plan{Experiment: x, Seed: seed, Length: x.Length.D(), Buildings: x.Fleet.Buildings, AnswerIn: x.Load.AnswerIn.D()}
+	p := &Plan{Experiment: x, Seed: seed, Length: x.Length.D(), Buildings: x.Fleet.Buildings, AnswerTimeout: x.Load.AnswerTimeout.D()}
 	relays := x.Fleet.Relays
 	if quick {
 		p.Length, relays = x.Quick.D(), x.Fleet.QuickRelays
 	}
-	p.classes(stream(seed, "classes"))
-	p.partners(stream(seed, "partners"))
-	p.network(stream(seed, "network"))
-	p.relays(stream(seed, "relays"), relays)
-	p.faults(stream(seed, "faults"))
-	p.arrivals(stream(seed, "arrivals"))
-	p.hostile(stream(seed, "hostile"))
+	p.drawClasses(newRand(seed, "classes"))
+	p.drawPartners(newRand(seed, "partners"))
+	p.drawNetwork(newRand(seed, "network"))
+	p.drawRelays(newRand(seed, "relays"), relays)
+	p.drawFaults(newRand(seed, "faults"))
+	p.drawArrivals(newRand(seed, "arrivals"))
+	p.drawHostilePeers(newRand(seed, "hostile"))
 	return p
 }
 
-func (p *Plan) classes(rng *rand.Rand) {
+func (p *Plan) drawClasses(rng *rand.Rand) {
 	sum := 0.0
 	for _, c := range p.Experiment.Load.Classes {
-		d := Class{Class: c, WorkMS: c.Work.Draw(rng), CV: c.Spread.Draw(rng)}
+		d := Class{Class: c, WorkMS: c.Work.Draw(rng), CV: c.WorkVariation.Draw(rng)}
 		share := c.Share.Draw(rng)
-		d.Share = experiment.Of(share, share)
+		d.Share = experiment.NewRange(share, share)
 		sum += share
 		p.Classes = append(p.Classes, d)
 	}
 	for i := range p.Classes {
 		s := p.Classes[i].Share.Lo / sum
-		p.Classes[i].Share = experiment.Of(s, s)
+		p.Classes[i].Share = experiment.NewRange(s, s)
 	}
 }
 
-// goes tells whether a class goes to a kind.
-func (c *Class) goes(kind string) bool { return len(c.Kinds) == 0 || slices.Contains(c.Kinds, kind) }
+// servesKind tells whether a class servesKind to a kind.
+func (c *Class) servesKind(kind string) bool {
+	return len(c.Kinds) == 0 || slices.Contains(c.Kinds, kind)
+}
 
-func (p *Plan) partners(rng *rand.Rand) {
+func (p *Plan) drawPartners(rng *rand.Rand) {
 	x := p.Experiment.Partners
 	n := x.Count.DrawInt(rng)
 	p.FullRate = x.Rate.Draw(rng) * float64(n)
@@ -182,7 +184,7 @@
 	for i := range weights {
 		weights[i] = 1 / math.Pow(float64(i+1), zipf)
 	}
-	kinds := p.kinds(rng, n)
+	kinds := p.drawKinds(rng, n)
 	p.Partners = make([]Partner, n)
 	ids := rng.Perm(n)
 	for i := range p.Partners {
@@ -192,27 +194,27 @@
 	for _, c := range p.Classes {
 		sum := 0.0
 		for i := range weights {
-			if c.goes(x.Kinds[kinds[i]].Name) {
+			if c.servesKind(x.Kinds[kinds[i]].Name) {
 				sum += weights[i]
 			}
 		}
 		for i := range weights {
-			if sum > 0 && c.goes(x.Kinds[kinds[i]].Name) {
+			if sum > 0 && c.servesKind(x.Kinds[kinds[i]].Name) {
 				p.Partners[i].Share += c.Share.Lo * weights[i] / sum
 			}
 		}
 	}
-	p.customers()
+	p.assignCustomers()
 	// Busier destinations have more endpoints.
 	for i := range p.Partners {
 		d := &p.Partners[i]
 		want := spread * math.Pow(d.Share*float64(n), 0.4)
-		p.endpoints(rng, i, min(4, max(1, int(want+rng.Float64()))))
+		p.drawEndpoints(rng, i, min(4, max(1, int(want+rng.Float64()))))
 	}
 }
 
-// kinds deals the kinds out to n destinations, of which the first has the most traffic.
-func (p *Plan) kinds(rng *rand.Rand, n int) []int {
+// drawKinds deals the drawKinds out to n destinations, of which the first has the most traffic.
+func (p *Plan) drawKinds(rng *rand.Rand, n int) []int {
 	x := p.Experiment.Partners.Kinds
 	sum := 0.0
 	for _, k := range x {
@@ -225,12 +227,12 @@
 	var tokens []token
 	for i, k := range x {
 		for range max(1, int(float64(n)*k.Share/sum+0.5)) {
-			tokens = append(tokens, token{i, -k.Lean + 1.5*rng.Float64()})
+			tokens = append(tokens, token{i, -k.TrafficBias + 1.5*rng.Float64()})
 		}
 	}
 	for len(tokens) < n {
 		i := len(x) - 1
-		tokens = append(tokens, token{i, -x[i].Lean + 1.5*rng.Float64()})
+		tokens = append(tokens, token{i, -x[i].TrafficBias + 1.5*rng.Float64()})
 	}
 	slices.SortStableFunc(tokens, func(a, b token) int { return cmp.Compare(a.key, b.key) })
 	kinds := make([]int, n)
@@ -240,8 +242,8 @@
 	return kinds
 }
 
-// customers gives each destination the customer that has most of its share left.
-func (p *Plan) customers() {
+// assignCustomers gives each destination the customer that has most of its share left.
+func (p *Plan) assignCustomers() {
 	left := make([]float64, len(p.Experiment.Load.Customers))
 	for i, c := range p.Experiment.Load.Customers {
 		left[i] = c.Share
@@ -258,7 +260,7 @@
 	}
 }
 
-func (p *Plan) endpoints(rng *rand.Rand, i, n int) {
+func (p *Plan) drawEndpoints(rng *rand.Rand, i, n int) {
 	x := p.Experiment.Partners
 	d := &p.Partners[i]
 	k := x.Kinds[d.Kind]
@@ -266,15 +268,15 @@
 	if k.Batch > 1 {
 		calls /= 2 // several travel in a call where several wait
 	}
-	d.Limit = math.Max(k.Least.Draw(rng), calls*k.Headroom.Draw(rng))
-	d.Capacity = d.Limit * k.Spare.Draw(rng)
+	d.Limit = math.Max(k.MinRate.Draw(rng), calls*k.Headroom.Draw(rng))
+	d.Capacity = d.Limit * k.CapacityHeadroom.Draw(rng)
 	if k.Limit == "none" {
 		d.Limit, d.Capacity = 0, d.Limit
 	}
-	d.Depth, d.Speed = k.Depth.Draw(rng), k.Speed.Draw(rng)
-	d.Warm, d.Cold = seconds(x.Warm.Draw(rng)), x.Cold.Draw(rng)
+	d.Depth, d.Speed = k.QueueSeconds.Draw(rng), k.Speed.Draw(rng)
+	d.Warm, d.Cold = seconds(x.WarmSeconds.Draw(rng)), x.ColdShare.Draw(rng)
 	wait := millis(x.Wait.Draw(rng))
-	if rng.Float64() < x.TellsWait {
+	if rng.Float64() < x.WaitShare {
 		d.TellsWait = wait
 	}
 	d.Report, d.Delay, d.Noise = millis(x.Report.Draw(rng)), millis(x.ReportDelay.Draw(rng)), x.ReportNoise.Draw(rng)
@@ -285,18 +287,18 @@
 		e := Endpoint{ID: fmt.Sprintf("s-%08x", rng.Uint32()), Partner: i, Building: (at + j) % len(p.Buildings),
 			Capacity: d.Capacity / float64(n)}
 		if conns > 0 {
-			e.Conns = max(6, int(conns*e.Capacity*p.work(d)))
+			e.Conns = max(6, int(conns*e.Capacity*p.meanWork(d)))
 		}
 		d.Endpoints = append(d.Endpoints, len(p.Endpoints))
 		p.Endpoints = append(p.Endpoints, e)
 	}
 }
 
-// work is the mean time in seconds that a call takes at a destination.
-func (p *Plan) work(d *Partner) float64 {
+// meanWork is the mean time in seconds that a call takes at a destination.
+func (p *Plan) meanWork(d *Partner) float64 {
 	sum, share := 0.0, 0.0
 	for _, c := range p.Classes {
-		if c.goes(p.Experiment.Partners.Kinds[d.Kind].Name) {
+		if c.servesKind(p.Experiment.Partners.Kinds[d.Kind].Name) {
 			sum, share = sum+c.Share.Lo*c.WorkMS/1000, share+c.Share.Lo
 		}
 	}
@@ -306,7 +308,7 @@
 	return sum / share / d.Speed
 }
 
-func (p *Plan) network(rng *rand.Rand) {
+func (p *Plan) drawNetwork(rng *rand.Rand) {
 	x := p.Experiment.Network
 	n := len(p.Buildings)
 	p.Delays = make([][]time.Duration, n)
@@ -323,10 +325,10 @@
 	p.Handshakes, p.Jitter = x.Handshakes.Draw(rng), x.Jitter.Draw(rng)
 }
 
-func (p *Plan) relays(rng *rand.Rand, count experiment.Range) {
+func (p *Plan) drawRelays(rng *rand.Rand, count experiment.Range) {
 	x := p.Experiment.Fleet
 	n := count.DrawInt(rng)
-	skew, room, hold := x.Skew.Draw(rng), x.SlotsRoom.Draw(rng), x.HoldSeconds.Draw(rng)
+	skew, room, hold := x.Skew.Draw(rng), x.SlotHeadroom.Draw(rng), x.HoldSeconds.Draw(rng)
 	order := rng.Perm(n)
 	sum := 0.0
 	for i := range n {
@@ -339,7 +341,7 @@
 		if b := p.Experiment.Partners.Kinds[d.Kind].Batch; b > 1 {
 			calls /= 2
 		}
-		busy += calls * (p.work(d) + 2*p.meanDelay().Seconds())
+		busy += calls * (p.meanWork(d) + 2*p.meanDelay().Seconds())
 	}
 	p.Relays = make([]Relay, n)
 	for i := range n {
@@ -388,7 +390,7 @@
 	for _, f := range p.Faults {
 		fmt.Fprintf(b, "fault %+v\n", f)
 	}
-	for _, h := range p.Peers {
+	for _, h := range p.HostilePeers {
 		fmt.Fprintf(b, "hostile %+v\n", h)
 	}
 	for _, a := range p.Arrivals {
--- a/internal/testbed/plan/plan_test.go
+++ b/internal/testbed/plan/plan_test.go
@@ -10,7 +10,7 @@
 	"onyxroad.dev/onyxroad/internal/testbed/experiment"
 )
 
-func text(t *testing.T, path string, seed uint64) string {
+func drawText(t *testing.T, path string, seed uint64) string {
 	t.Helper()
 	x, err := experiment.Read(path)
 	if err != nil {
@@ -23,11 +23,11 @@
 	return b.String()
 }
 
-// TestSeed plans every experiment twice from a seed, and once from another.
-func TestSeed(t *testing.T) {
+// TestPlanDependsOnlyOnSeed plans every experiment twice from a seed, and once from another.
+func TestPlanDependsOnlyOnSeed(t *testing.T) {
 	files, _ := filepath.Glob("../../../experiments/*.toml")
 	for _, f := range files {
-		one, again, other := text(t, f, 7), text(t, f, 7), text(t, f, 8)
+		one, again, other := drawText(t, f, 7), drawText(t, f, 7), drawText(t, f, 8)
 		if one != again {
 			t.Errorf("%s: one seed, two plans", f)
 		}
@@ -37,17 +37,17 @@
 	}
 }
 
-func TestLevel(t *testing.T) {
+func TestArrivalRateMatchesLevel(t *testing.T) {
 	x := experiment.Default()
 	x.Length = experiment.Duration(5 * time.Minute)
-	x.Load.Level = experiment.Of(0.5, 0.5)
+	x.Load.Level = experiment.NewRange(0.5, 0.5)
 	for seed := range uint64(5) {
 		p := Draw(x, seed, false)
 		got := float64(len(p.Arrivals)) / p.Length.Seconds() / p.FullRate
 		if math.Abs(got-0.5) > 0.06 {
 			t.Errorf("seed %d: %.3f of the full load, 0.5 asked for", seed, got)
 		}
-		railways := 0
+		payments := 0
 		for i, a := range p.Arrivals {
 			if i > 0 && a.At < p.Arrivals[i-1].At {
 				t.Fatalf("seed %d: message %d comes before the one ahead of it", seed, i)
@@ -56,10 +56,10 @@
 				if p.Partners[a.Partner].Kind != 0 {
 					t.Fatalf("seed %d: an unsafe message for a partner of another kind", seed)
 				}
-				railways++
+				payments++
 			}
 		}
-		if share := float64(railways) / float64(len(p.Arrivals)); share < 0.1 || share > 0.45 {
+		if share := float64(payments) / float64(len(p.Arrivals)); share < 0.1 || share > 0.45 {
 			t.Errorf("seed %d: %.2f of the messages are payments", seed, share)
 		}
 	}
@@ -68,13 +68,13 @@
 func TestFaults(t *testing.T) {
 	x := experiment.Default()
 	x.Length = experiment.Duration(100 * time.Second)
-	x.Fleet.Relays = experiment.Of(20, 20)
+	x.Fleet.Relays = experiment.NewRange(20, 20)
 	x.Faults = []experiment.Fault{
-		{Kind: "kill", At: experiment.Of(0.3, 0.3), Share: experiment.Of(0.7, 0.7)},
-		{Kind: "shut", At: experiment.Of(0.85, 0.85), For: experiment.Spans{Lo: time.Minute, Hi: time.Minute}, Share: experiment.Of(0.2, 0.2)},
-		{Kind: "roll", At: experiment.Of(0.5, 0.5), For: experiment.Spans{Lo: 20 * time.Second, Hi: 20 * time.Second}},
-		{Kind: "release", At: experiment.Of(0.1, 0.1), For: experiment.Spans{Lo: 20 * time.Second, Hi: 20 * time.Second},
-			Share: experiment.Of(0.5, 0.5)},
+		{Kind: "kill", At: experiment.NewRange(0.3, 0.3), Share: experiment.NewRange(0.7, 0.7)},
+		{Kind: "shut", At: experiment.NewRange(0.85, 0.85), For: experiment.DurationRange{Lo: time.Minute, Hi: time.Minute}, Share: experiment.NewRange(0.2, 0.2)},
+		{Kind: "roll", At: experiment.NewRange(0.5, 0.5), For: experiment.DurationRange{Lo: 20 * time.Second, Hi: 20 * time.Second}},
+		{Kind: "release", At: experiment.NewRange(0.1, 0.1), For: experiment.DurationRange{Lo: 20 * time.Second, Hi: 20 * time.Second},
+			Share: experiment.NewRange(0.5, 0.5)},
 	}
 	p := Draw(x, 3, false)
 	rolled := map[int]bool{}
--- a/internal/testbed/platform/partner.go
+++ b/internal/testbed/platform/partner.go
@@ -87,14 +87,14 @@
 		k := kinds[d.Kind]
 		add := func(members ...int) {
 			sc := &scope{number: len(s.scopes), partner: i, kind: d.Kind, full: d.Limit, size: 1, warmAt: ledger.Never, members: members}
-			sc.span = time.Duration(k.Span * float64(time.Second))
+			sc.span = time.Duration(k.WindowSeconds * float64(time.Second))
 			sc.tokens = math.Max(1, d.Limit*rateBurst)
 			s.scopes = append(s.scopes, sc)
 			for _, e := range members {
 				s.endpoints[e].scope = sc
 			}
 		}
-		if k.Apart {
+		if k.SeparateRoutes {
 			for _, e := range d.Endpoints {
 				add(e)
 			}
@@ -203,7 +203,7 @@
 	if limit <= 0 {
 		return true
 	}
-	counts := s.plan.Experiment.Partners.Kinds[sc.kind].Counts
+	counts := s.plan.Experiment.Partners.Kinds[sc.kind].ReportsRefused
 	if sc.span > 0 {
 		s.refill(sc, now)
 		room := math.Max(1, math.Floor(limit*sc.span.Seconds()))
@@ -256,7 +256,7 @@
 	if now > sc.warmAt+d.Warm {
 		return
 	}
-	span := time.Duration(x.FallSeconds * float64(time.Second))
+	span := time.Duration(x.CollapseSeconds * float64(time.Second))
 	sc.recent = append(sc.recent, arrival{now, relay})
 	sc.recent = slices.DeleteFunc(sc.recent, func(a arrival) bool { return a.at < now-span })
 	capacity := 0.0
@@ -265,7 +265,7 @@
 			capacity += s.capacity(e, now)
 		}
 	}
-	budget := x.FallFactor * capacity * x.FallSeconds
+	budget := x.CollapseFactor * capacity * x.CollapseSeconds
 	if float64(len(sc.recent)) <= withChance(budget) {
 		return
 	}
--- a/internal/testbed/process/config.go
+++ b/internal/testbed/process/config.go
@@ -49,7 +49,7 @@
 			group, window = "zone", ms(c.Window)
 		}
 		services = append(services, map[string]any{"name": c.Name, "goal_time_ms": ms(c.Aim), "give_up_ms": ms(c.Deadline),
-			"semantics": semantics, "group": group, "repeat_window_ms": window, "late_worth": c.Late, "value": c.Worth, "stream": false})
+			"semantics": semantics, "group": group, "repeat_window_ms": window, "late_worth": c.LateWorth, "value": c.Worth, "stream": false})
 	}
 	for _, c := range x.Load.Customers {
 		realms = append(realms, map[string]any{"name": c.Name, "share": c.Share, "quota_per_s": c.Share * p.FullRate * 0.85})
@@ -59,7 +59,7 @@
 	var apart []bool
 	warm, cold := 0.0, 1.0
 	for _, k := range x.Partners.Kinds {
-		kinds, per, apart = append(kinds, k.Name), append(per, max(1, k.Batch)), append(apart, k.Apart)
+		kinds, per, apart = append(kinds, k.Name), append(per, max(1, k.Batch)), append(apart, k.SeparateRoutes)
 	}
 	for _, d := range p.Partners {
 		warm, cold = max(warm, d.Warm.Seconds()*1000), min(cold, d.Cold)
@@ -78,7 +78,7 @@
 			"keepalive_ms": x.Partners.IdleSeconds * 1000, "max_retry_after_ms": 3000, "may_duplicate": true,
 			"open_cap": p.Relays[r].MaxHeld, "peers": false, "probes": true, "retry_after": false, "send_cap": 12, "streams_per_conn": 1},
 		"rules": map[string]any{"answer_slack_ms": 20, "ask_within_ms": 10000, "cold_from": cold, "warm_within_ms": warm,
-			"fall_ms": x.Partners.FallSeconds * 1000, "overload_factor": x.Partners.FallFactor, "stop_sending_within_ms": 500},
+			"fall_ms": x.Partners.CollapseSeconds * 1000, "overload_factor": x.Partners.CollapseFactor, "stop_sending_within_ms": 500},
 		"stats": map[string]any{"fields": []string{"x0", "x1"}, "how": "answers"},
 		"goal":  map[string]any{"whole": 0.4, "worst_window": 0.3, "worst_class": 0.2, "worst_tenant": 0.1},
 	}
--- a/internal/testbed/process/disk.go
+++ b/internal/testbed/process/disk.go
@@ -42,7 +42,7 @@
 	}
 	if member {
 		at, more := f.ports.Gossip, ""
-		if x.GossipSuffers() {
+		if x.DisruptsGossip() {
 			at, more = f.ports.Outside, fmt.Sprintf("advertise = %q\n", f.ports.Outside(r))
 		}
 		seeds := make([]string, 0, 3)
--- a/internal/testbed/process/fleet.go
+++ b/internal/testbed/process/fleet.go
@@ -171,7 +171,7 @@
 	p.cmd.Env = []string{"ROUTER_NAME=" + f.plan.Relays[r].Name, "ROUTER_LISTEN=" + f.ports.Relay(r), "ROUTER_DISCOVERY=" + f.platform.Agent(r),
 		"ROUTER_STATE=" + state, "ROUTER_CONFIG=" + f.configPath(r), "ROUTER_ADMIN_ADDR=" + p.admin, "TMPDIR=" + temp}
 	p.cmd.Env = append(p.cmd.Env, own...)
-	if f.plan.Experiment.NeedsFaults() {
+	if f.plan.Experiment.NeedsFaultInjection() {
 		p.cmd.Env = append(p.cmd.Env, faultfile.Env+"="+f.faultsPath(r))
 	}
 	p.life = &ledger.Life{Relay: r, Start: f.book.Now(), Ready: ledger.Never, Asked: ledger.Never, End: ledger.Never, Emptied: emptied,
@@ -411,7 +411,7 @@
 // tornWrite has a relay's writes fail, kills it while they do, and starts the next process on what that left.
 func (f *Fleet) tornWrite(r int, x *plan.Fault) error {
 	failing := *x
-	failing.For = x.For + plan.TornTail
+	failing.For = x.For + plan.TornWriteTail
 	f.work.Go(func() {
 		if err := f.inject(r, &failing); err != nil && f.ctx.Err() == nil {
 			fmt.Fprintf(os.Stderr, "testbed: %s of %s: %v\n", x.Kind, f.plan.Relays[r].Name, err)
--- a/internal/testbed/run/compare.go
+++ b/internal/testbed/run/compare.go
@@ -8,44 +8,44 @@
 
 // Comparison is a figure of two revisions, each played once on every seed.
 type Comparison struct {
-	Name       string
-	Base, With string // revisions
-	A, B       []float64
-	Better     int     // seeds on which With's figure is the greater one
-	P          float64 // chance of ranks at least as far apart if the two were alike; two-sided
+	Name                   string
+	Base, With             string // revisions
+	BaseValues, WithValues []float64
+	Higher                 int     // seeds on which With's figure is the greater one
+	P                      float64 // chance of ranks at least as far apart if the two were alike; two-sided
 }
 
 // Compare compares a figure's values, those of a seed at the same place. The seed decides on most of a figure, so that it is
 // the differences that are judged: by the signed-rank test of Wilcoxon, exactly, which asks nothing of how plays scatter.
 func Compare(name, base, with string, a, b []float64) Comparison {
-	c := Comparison{Name: name, Base: base, With: with, P: rankTest(a, b)}
+	c := Comparison{Name: name, Base: base, With: with, P: signedRankTest(a, b)}
 	for i := range a {
 		if b[i] > a[i] {
-			c.Better++
+			c.Higher++
 		}
 	}
-	c.A, c.B = slices.Sorted(slices.Values(a)), slices.Sorted(slices.Values(b))
+	c.BaseValues, c.WithValues = slices.Sorted(slices.Values(a)), slices.Sorted(slices.Values(b))
 	return c
 }
 
-// Clear tells whether the difference stands out of noise.
-func (c Comparison) Clear() bool { return c.P < 0.05 }
+// Significant tells whether the difference stands out of noise.
+func (c Comparison) Significant() bool { return c.P < 0.05 }
 
 func (c Comparison) String() string {
 	verdict := "within noise"
-	if c.Clear() {
+	if c.Significant() {
 		verdict = "stands out"
 	}
 	return fmt.Sprintf("%-18s %s %.3f (%.3f to %.3f)   %s %.3f (%.3f to %.3f)   higher on %d of %d seeds, p %.3f, %s", c.Name, c.Base,
-		median(c.A), c.A[0], c.A[len(c.A)-1], c.With, median(c.B), c.B[0], c.B[len(c.B)-1], c.Better, len(c.A), c.P, verdict)
+		median(c.BaseValues), c.BaseValues[0], c.BaseValues[len(c.BaseValues)-1], c.With, median(c.WithValues), c.WithValues[0], c.WithValues[len(c.WithValues)-1], c.Higher, len(c.BaseValues), c.P, verdict)
 }
 
 // median of sorted values.
 func median(v []float64) float64 { return (v[(len(v)-1)/2] + v[len(v)/2]) / 2 }
 
-// rankTest is the two-sided p of paired differences: of all ways to deal out their signs, the share in which the ranks of
+// signedRankTest is the two-sided p of paired differences: of all ways to deal out their signs, the share in which the ranks of
 // the positive ones add up to as little or as much. Pairs that are alike count for nothing, ties share their mean rank.
-func rankTest(a, b []float64) float64 {
+func signedRankTest(a, b []float64) float64 {
 	var diffs []float64
 	for i := range a {
 		if d := b[i] - a[i]; d != 0 {
@@ -77,12 +77,12 @@
 		ways = next
 	}
 	mean := float64(len(ways)-1) / 2
-	far, every := 0.0, 0.0
+	extreme, total := 0.0, 0.0
 	for s, n := range ways {
-		every += n
+		total += n
 		if math.Abs(float64(s)-mean) >= math.Abs(float64(sum)-mean) {
-			far += n
+			extreme += n
 		}
 	}
-	return far / every
+	return extreme / total
 }
--- a/internal/testbed/run/compare_test.go
+++ b/internal/testbed/run/compare_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-func TestRankTest(t *testing.T) {
+func TestSignedRankTest(t *testing.T) {
 	for _, c := range []struct {
 		a, b []float64
 		p    float64
@@ -16,7 +16,7 @@
 		{[]float64{5, 5, 5}, []float64{5, 5, 5}, 1},
 		{[]float64{1, 1, 2}, []float64{2, 3, 1}, 0.75}, // ties share ranks: 1.5, 3, 1.5
 	} {
-		if p := rankTest(c.a, c.b); math.Abs(p-c.p) > 1e-9 {
+		if p := signedRankTest(c.a, c.b); math.Abs(p-c.p) > 1e-9 {
 			t.Errorf("%v against %v: p %v, want %v", c.a, c.b, p, c.p)
 		}
 	}
--- a/internal/testbed/run/run.go
+++ b/internal/testbed/run/run.go
@@ -28,14 +28,14 @@
 )
 
 const (
-	settle = 300 * time.Millisecond // from ready to the first message
+	settleTime = 300 * time.Millisecond // from ready to the first message
 	// After the last message a run goes on until all is ended; no longer than this, under --quick than that, which is the time that
 	// the longest class has.
-	drainMost, drainQuick = 30 * time.Second, 28500 * time.Millisecond
-	// latenessMost is how late the testbed's own clients may be, at the 99th percentile. Later, the machine was too loaded
+	drainTimeout, quickDrainTimeout = 30 * time.Second, 28500 * time.Millisecond
+	// maxLateness is how late the testbed's own clients may be, at the 99th percentile. Later, the machine was too loaded
 	// for its figures to mean anything.
-	latenessMost = 20 * time.Millisecond
-	breachesKept = 200
+	maxLateness   = 20 * time.Millisecond
+	maxViolations = 200
 )
 
 // ErrInvalid tells that the machine was too loaded: the run's figures say nothing about the relays.
@@ -43,14 +43,14 @@
 
 // Options say what to play.
 type Options struct {
-	Experiment *experiment.Experiment
-	Seed       uint64
-	Quick      bool
-	Program    string // the relay's; the stewards' stands beside it
-	Revision   string
-	Out        string    // folder for the results; made if it is not there
-	Progress   io.Writer // a line a second; nil: none
-	Without    []int     // places of the experiment's faults that are left out
+	Experiment    *experiment.Experiment
+	Seed          uint64
+	Quick         bool
+	Program       string // the relay's; the stewards' stands beside it
+	Revision      string
+	Out           string    // folder for the results; made if it is not there
+	Progress      io.Writer // a line a second; nil: none
+	SkippedFaults []int     // places of the experiment's faults that are left out
 }
 
 // Bound is a bound with its value in a run.
@@ -71,8 +71,8 @@
 	Relays     int                `json:"relays"`
 	Bounds     []Bound            `json:"bounds"`
 	Figures    map[string]float64 `json:"figures"`
-	Broken     map[string]float64 `json:"broken"`
-	Breaches   []audit.Breach     `json:"breaches"`
+	RuleCounts map[string]float64 `json:"broken"`
+	Violations []audit.Violation  `json:"breaches"`
 	Invalid    string             `json:"invalid,omitempty"`
 }
 
@@ -89,29 +89,29 @@
 // Run plays an experiment. With ErrInvalid there is a result, too, whose figures are not to be used.
 func Run(ctx context.Context, o Options) (*Result, error) {
 	p := plan.Draw(o.Experiment, o.Seed, o.Quick)
-	p.Faults = slices.DeleteFunc(p.Faults, func(f plan.Fault) bool { return slices.Contains(o.Without, f.Origin) })
+	p.Faults = slices.DeleteFunc(p.Faults, func(f plan.Fault) bool { return slices.Contains(o.SkippedFaults, f.Origin) })
 	if err := os.MkdirAll(o.Out, 0o700); err != nil {
 		return nil, fmt.Errorf("run: %w", err)
 	}
 	if err := writePlan(p, filepath.Join(o.Out, "plan.txt")); err != nil {
 		return nil, err
 	}
-	home, err := os.MkdirTemp("", "testbed-")
+	tempDir, err := os.MkdirTemp("", "testbed-")
 	if err != nil {
 		return nil, fmt.Errorf("run: %w", err)
 	}
-	defer os.RemoveAll(home)
+	defer os.RemoveAll(tempDir)
 	ports, err := platform.TakePorts()
 	if err != nil {
 		return nil, err
 	}
 	defer ports.Release()
-	c := &conductor{o: o, plan: p, book: ledger.New()}
-	if c.platform, err = platform.New(p, c.book, ports); err != nil {
+	c := &runner{options: o, plan: p, ledger: ledger.New()}
+	if c.platform, err = platform.New(p, c.ledger, ports); err != nil {
 		return nil, err
 	}
 	defer c.platform.Close()
-	if o.Experiment.GossipSuffers() {
+	if o.Experiment.DisruptsGossip() {
 		if err := c.platform.OpenGossip(); err != nil {
 			return nil, err
 		}
@@ -119,27 +119,27 @@
 	if n := o.Experiment.Fleet.Stewards; n > 0 {
 		starter := process.NewStarter()
 		defer starter.End()
-		c.stewards, err = duties.StartBeside(ctx, n, filepath.Join(filepath.Dir(o.Program), build.Steward), home, ports.Base(), starter)
+		c.stewards, err = duties.StartBeside(ctx, n, filepath.Join(filepath.Dir(o.Program), build.Steward), tempDir, ports.Base(), starter)
 		if err != nil {
 			return nil, err
 		}
 		defer c.stewards.Close()
 	}
-	c.fleet = process.New(p, c.book, ports, c.platform, o.Program, home)
+	c.fleet = process.New(p, c.ledger, ports, c.platform, o.Program, tempDir)
 	defer c.fleet.Close()
 	if c.stewards != nil {
 		c.fleet.Stewards = c.stewards.APIs()
 	}
-	c.load = load.New(p, c.book, ports.Relay, c.fleet.Alive)
+	c.load = load.New(p, c.ledger, ports.Relay, c.fleet.Alive)
 	c.platform.Ended = c.load.Ended
 	if err := c.fleet.Start(ctx); err != nil {
 		return nil, err
 	}
-	c.play(ctx)
+	c.execute(ctx)
 	if err := ctx.Err(); err != nil {
 		return nil, err
 	}
-	return c.judge()
+	return c.evaluate()
 }
 
 func writePlan(p *plan.Plan, path string) error {
@@ -153,11 +153,11 @@
 	return nil
 }
 
-// conductor is one run.
-type conductor struct {
-	o           Options
+// runner is one run.
+type runner struct {
+	options     Options
 	plan        *plan.Plan
-	book        *ledger.Ledger
+	ledger      *ledger.Ledger
 	platform    *platform.Platform
 	fleet       *process.Fleet
 	stewards    *duties.Beside // nil: none
@@ -165,61 +165,61 @@
 	offset, end time.Duration
 }
 
-// play has messages, peers and faults come, and waits until all is ended.
-func (c *conductor) play(ctx context.Context) {
+// execute has messages, peers and faults come, and waits until all is ended.
+func (c *runner) execute(ctx context.Context) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	c.offset = c.book.Now() + max(settle, c.plan.Experiment.Fleet.Settle.D())
+	c.offset = c.ledger.Now() + max(settleTime, c.plan.Experiment.Fleet.Settle.D())
 	c.platform.Run(c.offset)
 	var all sync.WaitGroup
 	all.Go(func() { c.load.RunHostile(ctx, c.offset) })
 	all.Go(func() { c.load.RunCrowd(ctx, c.offset) })
 	for i := range c.plan.Faults {
-		all.Go(func() { c.fault(ctx, &c.plan.Faults[i]) })
+		all.Go(func() { c.injectFault(ctx, &c.plan.Faults[i]) })
 	}
-	if c.plan.Experiment.Fleet.Loners > 0 {
+	if c.plan.Experiment.Fleet.NonMembers > 0 {
 		all.Go(func() {
-			if network.Sleep(ctx, c.offset+c.plan.Length/2-c.book.Now()) == nil {
+			if network.Sleep(ctx, c.offset+c.plan.Length/2-c.ledger.Now()) == nil {
 				c.fleet.Traffic(ctx, c.plan.Length*2/5)
 			}
 		})
 	}
-	all.Go(func() { c.progress(ctx) })
+	all.Go(func() { c.printProgress(ctx) })
 	c.load.Run(ctx, c.offset)
-	most := drainMost
-	if c.o.Quick {
-		most = drainQuick
+	most := drainTimeout
+	if c.options.Quick {
+		most = quickDrainTimeout
 	}
-	for by := c.offset + c.plan.Length + most; c.book.Now() < by && !c.drained(); {
+	for by := c.offset + c.plan.Length + most; c.ledger.Now() < by && !c.drained(); {
 		if network.Sleep(ctx, 100*time.Millisecond) != nil {
 			break
 		}
 	}
-	c.end = c.book.Now()
+	c.end = c.ledger.Now()
 	cancel()
 	all.Wait()
 	c.load.Wait()
 }
 
 // drained tells whether every message that was taken on has its end, and none may still come again.
-func (c *conductor) drained() bool {
-	if c.book.Now() < c.offset+c.plan.Length+2*time.Second {
+func (c *runner) drained() bool {
+	if c.ledger.Now() < c.offset+c.plan.Length+2*time.Second {
 		return false
 	}
 	done := true
-	c.book.Do(func() {
+	c.ledger.Do(func() {
 		ended := map[string]bool{}
-		for _, x := range c.book.Calls {
+		for _, x := range c.ledger.Calls {
 			if x.Status == 200 {
 				for _, t := range x.Traces {
 					ended[t] = true
 				}
 			}
 		}
-		for _, n := range c.book.Notices {
+		for _, n := range c.ledger.Notices {
 			ended[n.Trace] = true
 		}
-		for _, h := range c.book.HandIns {
+		for _, h := range c.ledger.HandIns {
 			if h.Answered != ledger.Never && h.Status < 300 && !ended[h.Trace] {
 				done = false
 				return
@@ -229,9 +229,9 @@
 	return done
 }
 
-// fault has one fault begin and end.
-func (c *conductor) fault(ctx context.Context, f *plan.Fault) {
-	if network.Sleep(ctx, c.offset+f.At-c.book.Now()) != nil || c.fleet.Begin(f) {
+// injectFault has one injectFault begin and end.
+func (c *runner) injectFault(ctx context.Context, f *plan.Fault) {
+	if network.Sleep(ctx, c.offset+f.At-c.ledger.Now()) != nil || c.fleet.Begin(f) {
 		return
 	}
 	if f.Kind == "stewards" {
@@ -249,22 +249,22 @@
 	}
 }
 
-// progress says once a second how far the run is.
-func (c *conductor) progress(ctx context.Context) {
-	if c.o.Progress == nil {
+// printProgress says once a second how far the run is.
+func (c *runner) printProgress(ctx context.Context) {
+	if c.options.Progress == nil {
 		return
 	}
 	for network.Sleep(ctx, time.Second) == nil {
 		var handed, calls int
-		c.book.Do(func() { handed, calls = len(c.book.HandIns), len(c.book.Calls) })
-		fmt.Fprintf(c.o.Progress, "\r%s seed %d: %3.0f of %.0f s, %d of %d messages handed in, %d calls   ", c.o.Experiment.Name, c.o.Seed,
-			(c.book.Now() - c.offset).Seconds(), c.plan.Length.Seconds(), handed, len(c.plan.Arrivals), calls)
+		c.ledger.Do(func() { handed, calls = len(c.ledger.HandIns), len(c.ledger.Calls) })
+		fmt.Fprintf(c.options.Progress, "\r%s seed %d: %3.0f of %.0f s, %d of %d messages handed in, %d calls   ", c.options.Experiment.Name, c.options.Seed,
+			(c.ledger.Now() - c.offset).Seconds(), c.plan.Length.Seconds(), handed, len(c.plan.Arrivals), calls)
 	}
-	fmt.Fprintln(c.o.Progress)
+	fmt.Fprintln(c.options.Progress)
 }
 
-// judge has the ledger judged and writes the result.
-func (c *conductor) judge() (*Result, error) {
+// evaluate has the ledger judged and writes the result.
+func (c *runner) evaluate() (*Result, error) {
 	// What still runs must not write while the judge reads.
 	c.fleet.Close()
 	c.platform.Close()
@@ -276,20 +276,20 @@
 			return nil, err
 		}
 	}
-	fates := audit.Fates(c.plan, c.book, c.offset)
-	breaches := audit.Judge(c.plan, c.book, c.offset, c.end)
-	r := &Result{Experiment: c.o.Experiment.Name, Seed: c.o.Seed, Quick: c.o.Quick, Revision: c.o.Revision, Relays: len(c.plan.Relays),
-		Figures: audit.Figures(c.plan, c.book, fates, c.offset), Broken: audit.Count(breaches),
-		Breaches: breaches[:min(len(breaches), breachesKept)]}
+	results := audit.MessageResults(c.plan, c.ledger, c.offset)
+	violations := audit.Check(c.plan, c.ledger, c.offset, c.end)
+	r := &Result{Experiment: c.options.Experiment.Name, Seed: c.options.Seed, Quick: c.options.Quick, Revision: c.options.Revision, Relays: len(c.plan.Relays),
+		Figures: audit.Figures(c.plan, c.ledger, results, c.offset), RuleCounts: audit.CountByRule(violations),
+		Violations: violations[:min(len(violations), maxViolations)]}
 	if c.plan.Experiment.Fleet.Members {
-		audit.Views(c.plan, c.book, c.offset, r.Figures)
-		if c.plan.Experiment.Fleet.Loners > 0 {
-			audit.Rest(c.plan, c.book, c.offset, r.Figures)
+		audit.ViewFigures(c.plan, c.ledger, c.offset, r.Figures)
+		if c.plan.Experiment.Fleet.NonMembers > 0 {
+			audit.IdleFigures(c.plan, c.ledger, c.offset, r.Figures)
 		}
 	}
 	r.Figures["lateness_p99_ms"] = c.load.Lateness(99).Seconds() * 1000
-	r.Figures["broken_rules"] = float64(len(breaches))
-	for name, n := range r.Broken {
+	r.Figures["broken_rules"] = float64(len(violations))
+	for name, n := range r.RuleCounts {
 		r.Figures["broken_"+name] = n
 	}
 	for name, v := range r.Figures {
@@ -297,19 +297,19 @@
 			r.Figures[name] = -1 // there was nothing to measure
 		}
 	}
-	bounds := append([]experiment.Bound{{Name: "broken_rules", Op: "<=", Limit: 0}}, c.o.Experiment.Bounds...)
-	if late := c.load.Lateness(99); late > latenessMost {
-		r.Invalid = fmt.Sprintf("the testbed's own clients were %v late at the 99th percentile, over %v: the machine was too loaded", late, latenessMost)
+	bounds := append([]experiment.Bound{{Name: "broken_rules", Op: "<=", Limit: 0}}, c.options.Experiment.Bounds...)
+	if late := c.load.Lateness(99); late > maxLateness {
+		r.Invalid = fmt.Sprintf("the testbed's own clients were %v late at the 99th percentile, over %v: the machine was too loaded", late, maxLateness)
 	}
-	if len(breaches) > 0 && c.plan.Experiment.Fleet.Debug {
-		if err := c.fleet.KeepLogs(filepath.Join(c.o.Out, "logs")); err != nil {
+	if len(violations) > 0 && c.plan.Experiment.Fleet.Debug {
+		if err := c.fleet.KeepLogs(filepath.Join(c.options.Out, "logs")); err != nil {
 			return nil, err
 		}
 	}
-	if err := writeJSON(filepath.Join(c.o.Out, "series.json"), c.series(fates)); err != nil {
+	if err := writeJSON(filepath.Join(c.options.Out, "series.json"), c.series(results)); err != nil {
 		return nil, err
 	}
-	if err := r.Conclude(bounds, c.o.Out); err != nil {
+	if err := r.Finish(bounds, c.options.Out); err != nil {
 		return nil, err
 	}
 	if r.Invalid != "" {
@@ -318,8 +318,8 @@
 	return r, nil
 }
 
-// Conclude holds the figures against their bounds, and writes the result into a folder.
-func (r *Result) Conclude(bounds []experiment.Bound, dir string) error {
+// Finish holds the figures against their bounds, and writes the result into a folder.
+func (r *Result) Finish(bounds []experiment.Bound, dir string) error {
 	for _, b := range bounds {
 		v, ok := r.Figures[b.Name]
 		if !ok {
--- a/internal/testbed/run/series.go
+++ b/internal/testbed/run/series.go
@@ -16,7 +16,7 @@
 	P99      []float64        `json:"p99_ms"`
 	Partners []PartnerSeries  `json:"partners"`
 	Alive    []int            `json:"alive"` // relays with a ready process
-	Faults   []Mark           `json:"faults"`
+	Faults   []FaultSpan      `json:"faults"`
 }
 
 // PartnerSeries is one partner's calls beside its limit.
@@ -30,30 +30,30 @@
 	Capacity float64   `json:"capacity"`
 }
 
-// Mark is a fault on the time line, in seconds.
-type Mark struct {
+// FaultSpan is a fault on the time line, in seconds.
+type FaultSpan struct {
 	Kind string  `json:"kind"`
 	From float64 `json:"from"`
 	To   float64 `json:"to"`
 }
 
 // series sums the run up by the second.
-func (c *conductor) series(fates []audit.Fate) *Series {
+func (c *runner) series(results []audit.MessageResult) *Series {
 	n := int((c.end-c.offset)/time.Second) + 1
 	s := &Series{Seconds: n, Outcomes: map[string][]int{}, P50: make([]float64, n), P99: make([]float64, n), Alive: make([]int, n)}
-	for _, name := range audit.Outcomes {
+	for _, name := range audit.OutcomeNames {
 		s.Outcomes[name] = make([]int, n)
 	}
-	took := make([][]float64, n)
+	latencies := make([][]float64, n)
 	at := func(t time.Duration) int { return max(0, min(n-1, int(t/time.Second))) }
-	for _, f := range fates {
+	for _, f := range results {
 		i := at(f.At)
-		s.Outcomes[audit.Outcomes[f.Outcome]][i]++
+		s.Outcomes[audit.OutcomeNames[f.Outcome]][i]++
 		if f.Outcome <= audit.TooLate {
-			took[i] = append(took[i], f.Took.Seconds()*1000)
+			latencies[i] = append(latencies[i], f.Latency.Seconds()*1000)
 		}
 	}
-	for i, t := range took {
+	for i, t := range latencies {
 		if slices.Sort(t); len(t) > 0 {
 			s.P50[i], s.P99[i] = t[len(t)/2], t[len(t)*99/100]
 		}
@@ -63,7 +63,7 @@
 		p := PartnerSeries{ID: d.ID, Kind: c.plan.Experiment.Partners.Kinds[d.Kind].Name, Taken: make([]int, n), Refused: make([]int, n),
 			Failed: make([]int, n), Limit: make([]float64, n), Capacity: d.Capacity}
 		for k := range p.Limit {
-			for _, x := range c.book.Limits {
+			for _, x := range c.ledger.Limits {
 				if x.Partner == i && x.At <= c.offset+time.Duration(k)*time.Second {
 					p.Limit[k] = x.Limit
 				}
@@ -71,7 +71,7 @@
 		}
 		s.Partners = append(s.Partners, p)
 	}
-	for _, x := range c.book.Calls {
+	for _, x := range c.ledger.Calls {
 		p, i := &s.Partners[c.plan.Endpoints[x.Endpoint].Partner], at(x.FirstByte-c.offset)
 		switch x.Status {
 		case 200:
@@ -85,7 +85,7 @@
 	for k := range s.Alive {
 		t := c.offset + time.Duration(k)*time.Second
 		up := map[int]bool{}
-		for _, x := range c.book.Lives {
+		for _, x := range c.ledger.Lives {
 			if x.Ready != ledger.Never && x.Ready <= t && (x.End == ledger.Never || x.End > t) {
 				up[x.Relay] = true
 			}
@@ -93,7 +93,7 @@
 		s.Alive[k] = len(up)
 	}
 	for _, f := range c.plan.Faults {
-		s.Faults = append(s.Faults, Mark{f.Kind, f.At.Seconds(), (f.At + f.For).Seconds()})
+		s.Faults = append(s.Faults, FaultSpan{f.Kind, f.At.Seconds(), (f.At + f.For).Seconds()})
 	}
 	return s
 }
--- a/internal/testbed/soak/soak.go
+++ b/internal/testbed/soak/soak.go
@@ -19,50 +19,50 @@
 )
 
 const (
-	length   = 14 * time.Second
-	overlaps = 3    // in a play
-	together = 0.04 // of the length, within which the troubles of an overlap begin
-	firstAt  = 0.12
-	lastAt   = 0.62
+	runLength      = 14 * time.Second
+	overlapsPerRun = 3    // in a play
+	overlapSpan    = 0.04 // of the length, within which the troubles of an overlap begin
+	firstOverlapAt = 0.12
+	lastOverlapAt  = 0.62
 
-	resubmitted  = 0.25 // of the messages
-	crowdedShare = 0.2  // of the plays
+	resubmittedShare = 0.25 // of the messages
+	crowdedShare     = 0.2  // of the plays
 )
 
-// crowd is how many connections idle clients hold at a relay in a crowded play.
-var crowd = experiment.Of(100, 250)
+// crowdSize is how many connections idle clients hold at a relay in a crowded play.
+var crowdSize = experiment.NewRange(100, 250)
 
-// troubles are what is drawn from: each is a fault without its moment.
-var troubles = []experiment.Fault{
-	{Kind: "term", Share: experiment.Of(0.2, 0.7)},
-	{Kind: "kill", Share: experiment.Of(0.1, 0.6), For: spans(600, 900)},
-	{Kind: "kill", Share: experiment.Of(0.1, 0.3), For: spans(600, 900), Size: experiment.Of(0.5, 1)},
-	{Kind: "replace", Share: experiment.Of(0.1, 0.4)},
-	{Kind: "move", Share: experiment.Of(0.3, 1)},
-	{Kind: "pause", Share: experiment.Of(0.1, 0.5), For: spans(50, 150)},
-	{Kind: "starve", Share: experiment.Of(0.04, 0.08), For: spans(500, 1500)},
-	{Kind: "quiet", For: spans(500, 4000)},
-	{Kind: "late-news", For: spans(1000, 3000), Size: experiment.Of(0.5, 2)},
-	{Kind: "hang", Share: experiment.Of(0.2, 0.6), For: spans(1000, 4000)},
-	{Kind: "down", Share: experiment.Of(0.2, 0.5), For: spans(500, 4000)},
-	{Kind: "errors", Share: experiment.Of(0.2, 0.6), For: spans(1000, 4000), Size: experiment.Of(0.6, 1)},
-	{Kind: "slow", Share: experiment.Of(0.2, 0.6), For: spans(1000, 4000), Size: experiment.Of(3, 8)},
-	{Kind: "release", Share: experiment.Of(0.1, 0.4), For: spans(500, 4000)},
-	{Kind: "limits", Share: experiment.Of(0.3, 0.7), For: spans(2000, 4000), Size: experiment.Of(0.4, 0.7)},
-	{Kind: "cut", For: spans(500, 3000)},
-	{Kind: "one-way", For: spans(500, 3000)},
-	{Kind: "reset", Share: experiment.Of(0.5, 1), For: spans(1000, 4000), Size: experiment.Of(0.05, 0.3)},
-	{Kind: "answers", Share: experiment.Of(0.5, 1), For: spans(1000, 4000), Size: experiment.Of(0.05, 0.3)},
-	{Kind: "silent", Share: experiment.Of(0.5, 1), For: spans(1000, 3000), Size: experiment.Of(0.05, 0.2)},
-	{Kind: "delay", Share: experiment.Of(0.5, 1), For: spans(1000, 3000), Size: experiment.Of(3, 8)},
-	{Kind: "wall-step", Share: experiment.Of(0.3, 1)},
-	{Kind: "calls", Share: experiment.Of(0.3, 1), For: spans(500, 3000)},
-	{Kind: "files", Share: experiment.Of(0.3, 1), For: spans(500, 3000)},
-	{Kind: "short", Share: experiment.Of(0.3, 1), For: spans(1000, 4000)},
+// faultTemplates are what is drawn from: each is a fault without its moment.
+var faultTemplates = []experiment.Fault{
+	{Kind: "term", Share: experiment.NewRange(0.2, 0.7)},
+	{Kind: "kill", Share: experiment.NewRange(0.1, 0.6), For: milliRange(600, 900)},
+	{Kind: "kill", Share: experiment.NewRange(0.1, 0.3), For: milliRange(600, 900), Size: experiment.NewRange(0.5, 1)},
+	{Kind: "replace", Share: experiment.NewRange(0.1, 0.4)},
+	{Kind: "move", Share: experiment.NewRange(0.3, 1)},
+	{Kind: "pause", Share: experiment.NewRange(0.1, 0.5), For: milliRange(50, 150)},
+	{Kind: "starve", Share: experiment.NewRange(0.04, 0.08), For: milliRange(500, 1500)},
+	{Kind: "quiet", For: milliRange(500, 4000)},
+	{Kind: "late-news", For: milliRange(1000, 3000), Size: experiment.NewRange(0.5, 2)},
+	{Kind: "hang", Share: experiment.NewRange(0.2, 0.6), For: milliRange(1000, 4000)},
+	{Kind: "down", Share: experiment.NewRange(0.2, 0.5), For: milliRange(500, 4000)},
+	{Kind: "errors", Share: experiment.NewRange(0.2, 0.6), For: milliRange(1000, 4000), Size: experiment.NewRange(0.6, 1)},
+	{Kind: "slow", Share: experiment.NewRange(0.2, 0.6), For: milliRange(1000, 4000), Size: experiment.NewRange(3, 8)},
+	{Kind: "release", Share: experiment.NewRange(0.1, 0.4), For: milliRange(500, 4000)},
+	{Kind: "limits", Share: experiment.NewRange(0.3, 0.7), For: milliRange(2000, 4000), Size: experiment.NewRange(0.4, 0.7)},
+	{Kind: "cut", For: milliRange(500, 3000)},
+	{Kind: "one-way", For: milliRange(500, 3000)},
+	{Kind: "reset", Share: experiment.NewRange(0.5, 1), For: milliRange(1000, 4000), Size: experiment.NewRange(0.05, 0.3)},
+	{Kind: "answers", Share: experiment.NewRange(0.5, 1), For: milliRange(1000, 4000), Size: experiment.NewRange(0.05, 0.3)},
+	{Kind: "silent", Share: experiment.NewRange(0.5, 1), For: milliRange(1000, 3000), Size: experiment.NewRange(0.05, 0.2)},
+	{Kind: "delay", Share: experiment.NewRange(0.5, 1), For: milliRange(1000, 3000), Size: experiment.NewRange(3, 8)},
+	{Kind: "wall-step", Share: experiment.NewRange(0.3, 1)},
+	{Kind: "calls", Share: experiment.NewRange(0.3, 1), For: milliRange(500, 3000)},
+	{Kind: "files", Share: experiment.NewRange(0.3, 1), For: milliRange(500, 3000)},
+	{Kind: "short", Share: experiment.NewRange(0.3, 1), For: milliRange(1000, 4000)},
 }
 
-func spans(from, to int) experiment.Spans {
-	return experiment.Spans{Lo: time.Duration(from) * time.Millisecond, Hi: time.Duration(to) * time.Millisecond}
+func milliRange(from, to int) experiment.DurationRange {
+	return experiment.DurationRange{Lo: time.Duration(from) * time.Millisecond, Hi: time.Duration(to) * time.Millisecond}
 }
 
 // Draw draws the experiment of a seed, on so many relays.
@@ -70,76 +70,76 @@
 	rng := rand.New(rand.NewPCG(seed, 0x736f616b))
 	x := experiment.Default()
 	x.Name, x.About = "soak", "Troubles that overlap"
-	x.Length, x.Quick = experiment.Duration(length), experiment.Duration(length)
-	x.Fleet.Relays = experiment.Of(float64(relays), float64(relays))
+	x.Length, x.Quick = experiment.Duration(runLength), experiment.Duration(runLength)
+	x.Fleet.Relays = experiment.NewRange(float64(relays), float64(relays))
 	x.Fleet.QuickRelays = x.Fleet.Relays
 	x.Fleet.Debug = true
 	x.Fleet.State = []string{"", "", "", "process", "power"}[rng.IntN(5)]
-	x.Load.Hostile, x.Load.Leaves, x.Load.HeavyBody = experiment.Of(1, 6), experiment.Of(0, 0.03), experiment.Of(0, 0.03)
-	x.Partners.Garbled = experiment.Of(0, 0.01)
-	x.Load.Resubmitted = resubmitted
+	x.Load.HostileRate, x.Load.LeaveShare, x.Load.HeavyBody = experiment.NewRange(1, 6), experiment.NewRange(0, 0.03), experiment.NewRange(0, 0.03)
+	x.Partners.Garbled = experiment.NewRange(0, 0.01)
+	x.Load.Resubmitted = resubmittedShare
 	for i := range x.Load.Classes { // short, so that a play's end does not wait for them
 		c := &x.Load.Classes[i]
 		c.Deadline = experiment.Duration(min(c.Deadline.D(), 7*time.Second))
 		c.Window = experiment.Duration(min(c.Window.D(), 3*time.Second))
 	}
-	for k := range overlaps {
-		at := firstAt + (lastAt-firstAt)*(float64(k)+rng.Float64())/overlaps
+	for k := range overlapsPerRun {
+		at := firstOverlapAt + (lastOverlapAt-firstOverlapAt)*(float64(k)+rng.Float64())/overlapsPerRun
 		for range 2 + rng.IntN(2) {
-			f := troubles[rng.IntN(len(troubles))]
-			begin := at + rng.Float64()*together
-			f.At = experiment.Of(begin, begin)
+			f := faultTemplates[rng.IntN(len(faultTemplates))]
+			begin := at + rng.Float64()*overlapSpan
+			f.At = experiment.NewRange(begin, begin)
 			x.Faults = append(x.Faults, f)
 		}
 	}
-	drawMore(x, seed)
+	drawExtra(x, seed)
 	return x
 }
 
-// drawMore draws what came to the soak test later, by itself, so that the troubles of a seed stay what they were.
-func drawMore(x *experiment.Experiment, seed uint64) {
+// drawExtra draws what came to the soak test later, by itself, so that the troubles of a seed stay what they were.
+func drawExtra(x *experiment.Experiment, seed uint64) {
 	rng := rand.New(rand.NewPCG(seed, 0x6d6f7265))
 	if rng.Float64() < crowdedShare {
-		x.Load.Crowd = crowd
+		x.Load.IdleConnections = crowdSize
 	}
 	for _, f := range []experiment.Fault{
-		{Kind: "series", Share: experiment.Of(0.1, 0.4)},
-		{Kind: "torn-write", Share: experiment.Of(0.2, 0.5), For: spans(150, 600)},
+		{Kind: "series", Share: experiment.NewRange(0.1, 0.4)},
+		{Kind: "torn-write", Share: experiment.NewRange(0.2, 0.5), For: milliRange(150, 600)},
 	} {
-		at := firstAt + (lastAt-firstAt)*rng.Float64()
-		f.At = experiment.Of(at, at)
+		at := firstOverlapAt + (lastOverlapAt-firstOverlapAt)*rng.Float64()
+		f.At = experiment.NewRange(at, at)
 		x.Faults = append(x.Faults, f)
 	}
 }
 
 // Options say what to play.
 type Options struct {
-	Seeds    []uint64
-	Relays   int // in a play; 0: 24 to 48, by the seed
-	Parallel int // plays at once
-	Program  string
-	Revision string
-	Out      string
-	Log      io.Writer
-	Shrink   bool // play one that breaks a rule again with fewer troubles
-	First    bool // end with the first play that breaks a rule
+	Seeds       []uint64
+	Relays      int // in a play; 0: 24 to 48, by the seed
+	Parallel    int // plays at once
+	Program     string
+	Revision    string
+	Out         string
+	Log         io.Writer
+	Shrink      bool // play one that breaks a rule again with fewer troubles
+	StopOnFirst bool // end with the first play that breaks a rule
 }
 
 // Summary is what came of the plays.
 type Summary struct {
-	Plays, Invalid, Broken int
-	Messages, Processes    float64
-	Troubles               map[string]int // played, by kind
-	Overlaps               map[string]int // pairs of kinds that began together
-	Rules                  map[string]float64
-	Failed                 []uint64
+	Runs, Invalid, Broken int
+	Messages, Processes   float64
+	Faults                map[string]int // played, by kind
+	Overlaps              map[string]int // pairs of kinds that began together
+	Rules                 map[string]float64
+	FailedSeeds           []uint64
 }
 
-// Play plays seeds until all are played or ctx ends.
-func Play(ctx context.Context, o Options) (*Summary, error) {
+// Run plays seeds until all are played or ctx ends.
+func Run(ctx context.Context, o Options) (*Summary, error) {
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
-	s := &Summary{Troubles: map[string]int{}, Overlaps: map[string]int{}, Rules: map[string]float64{}}
+	s := &Summary{Faults: map[string]int{}, Overlaps: map[string]int{}, Rules: map[string]float64{}}
 	var mu sync.Mutex
 	var firstErr error
 	seeds := make(chan uint64)
@@ -148,15 +148,15 @@
 		workers.Go(func() {
 			for seed := range seeds {
 				x := Draw(seed, o.relays(seed))
-				r, err := o.play(ctx, x, seed, nil)
+				r, err := o.runSeed(ctx, x, seed, nil)
 				mu.Lock()
 				if err != nil && firstErr == nil && ctx.Err() == nil {
 					firstErr = fmt.Errorf("soak: seed %d: %w", seed, err)
 				}
 				if r != nil {
-					s.add(x, seed, r, o.Log)
+					s.record(x, seed, r, o.Log)
 				}
-				if o.First && s.Broken > 0 {
+				if o.StopOnFirst && s.Broken > 0 {
 					stop()
 				}
 				mu.Unlock()
@@ -179,8 +179,8 @@
 	return s, firstErr
 }
 
-// RulesBroken are the rules that were, with how often.
-func (s *Summary) RulesBroken() (names []string) {
+// BrokenRules are the rules that were, with how often.
+func (s *Summary) BrokenRules() (names []string) {
 	for rule, n := range s.Rules {
 		if n > 0 {
 			names = append(names, fmt.Sprintf("%s %.0f", rule, n))
@@ -198,25 +198,25 @@
 	return 24 + int(seed%25)
 }
 
-// play plays one seed without some of its troubles. A play on a loaded machine has a result, too.
-func (o *Options) play(ctx context.Context, x *experiment.Experiment, seed uint64, without []int) (*run.Result, error) {
+// runSeed plays one seed without some of its troubles. A runSeed on a loaded machine has a result, too.
+func (o *Options) runSeed(ctx context.Context, x *experiment.Experiment, seed uint64, without []int) (*run.Result, error) {
 	r, err := run.Run(ctx, run.Options{Experiment: x, Seed: seed, Quick: true, Program: o.Program, Revision: o.Revision,
-		Out: filepath.Join(o.Out, fmt.Sprintf("soak-%d", seed)), Without: without})
+		Out: filepath.Join(o.Out, fmt.Sprintf("soak-%d", seed)), SkippedFaults: without})
 	if errors.Is(err, run.ErrInvalid) {
 		err = nil
 	}
 	return r, err
 }
 
-// add takes a play into the summary, and tells of it.
-func (s *Summary) add(x *experiment.Experiment, seed uint64, r *run.Result, log io.Writer) {
-	s.Plays++
+// record takes a play into the summary, and tells of it.
+func (s *Summary) record(x *experiment.Experiment, seed uint64, r *run.Result, log io.Writer) {
+	s.Runs++
 	s.Messages += r.Figures["messages"]
 	s.Processes += float64(r.Relays)
 	for i, f := range x.Faults {
-		s.Troubles[f.Kind]++
+		s.Faults[f.Kind]++
 		for _, g := range x.Faults[:i] {
-			if f.At.Lo-g.At.Lo < together && g.At.Lo-f.At.Lo < together {
+			if f.At.Lo-g.At.Lo < overlapSpan && g.At.Lo-f.At.Lo < overlapSpan {
 				pair := []string{f.Kind, g.Kind}
 				slices.Sort(pair)
 				s.Overlaps[strings.Join(pair, "+")]++
@@ -229,27 +229,27 @@
 	broken := r.Figures["broken_rules"]
 	if broken > 0 {
 		s.Broken++
-		s.Failed = append(s.Failed, seed)
-		for rule, n := range r.Broken {
+		s.FailedSeeds = append(s.FailedSeeds, seed)
+		for rule, n := range r.RuleCounts {
 			s.Rules[rule] += n
 		}
 	}
 	fmt.Fprintf(log, "seed %d: %d relays, %.0f messages, served %.3f, %.0f rules broken%s: %s\n", seed, r.Relays, r.Figures["messages"],
-		r.Figures["served"], broken, map[bool]string{true: " (machine too loaded)"}[r.Invalid != ""], Names(x, nil))
-	for i, b := range r.Breaches {
+		r.Figures["served"], broken, map[bool]string{true: " (machine too loaded)"}[r.Invalid != ""], FaultList(x, nil))
+	for i, b := range r.Violations {
 		if i == 5 {
 			break
 		}
-		fmt.Fprintf(log, "  rule %s at %.2f s by %s: %s\n", b.Rule, b.At.Seconds(), b.Relay, b.What)
+		fmt.Fprintf(log, "  rule %s at %.2f s by %s: %s\n", b.Rule, b.At.Seconds(), b.Relay, b.Detail)
 	}
 }
 
-// Names are the troubles of an experiment but for those that are left out.
-func Names(x *experiment.Experiment, without []int) string {
+// FaultList are the troubles of an experiment but for those that are left out.
+func FaultList(x *experiment.Experiment, without []int) string {
 	var names []string
 	for i, f := range x.Faults {
 		if !slices.Contains(without, i) {
-			names = append(names, fmt.Sprintf("%s@%.1f", f.Kind, f.At.Lo*length.Seconds()))
+			names = append(names, fmt.Sprintf("%s@%.1f", f.Kind, f.At.Lo*runLength.Seconds()))
 		}
 	}
 	return strings.Join(names, " ")
@@ -263,22 +263,22 @@
 			return
 		}
 		fewer := append(slices.Clone(without), i)
-		r, err := o.play(ctx, x, seed, fewer)
+		r, err := o.runSeed(ctx, x, seed, fewer)
 		if err == nil && r != nil && r.Figures["broken_rules"] > 0 {
 			without = fewer
 		}
 	}
-	fmt.Fprintf(o.Log, "seed %d breaks with: %s\n  testbed soak --seed %d --processes %d --without %s\n", seed, Names(x, without), seed, first.Relays,
+	fmt.Fprintf(o.Log, "seed %d breaks with: %s\n  testbed soak --seed %d --processes %d --without %s\n", seed, FaultList(x, without), seed, first.Relays,
 		strings.Trim(strings.ReplaceAll(fmt.Sprint(without), " ", ","), "[]"))
 }
 
-// One plays a single seed without some of its troubles, and tells of it.
-func One(ctx context.Context, o Options, seed uint64, without []int) (*run.Result, error) {
+// RunOne plays a single seed without some of its troubles, and tells of it.
+func RunOne(ctx context.Context, o Options, seed uint64, without []int) (*run.Result, error) {
 	x := Draw(seed, o.relays(seed))
-	r, err := o.play(ctx, x, seed, without)
+	r, err := o.runSeed(ctx, x, seed, without)
 	if r != nil {
-		s := &Summary{Troubles: map[string]int{}, Overlaps: map[string]int{}, Rules: map[string]float64{}}
-		s.add(x, seed, r, o.Log)
+		s := &Summary{Faults: map[string]int{}, Overlaps: map[string]int{}, Rules: map[string]float64{}}
+		s.record(x, seed, r, o.Log)
 	}
 	return r, err
 }
