--- a/cmd/testbed/breaks.go
+++ b/cmd/testbed/breaks.go
@@ -15,14 +15,14 @@
 )
 
 type breaksCmd struct {
-	Names []string `arg:"" optional:"" help:"The breaks to play; none: all."`
+	Names []string `arg:"" optional:"" help:"The breaks to run; default: all."`
 	Dir   string   `default:"experiments/breaks" type:"existingdir" help:"Folder with a patch for each break."`
-	Seed  uint64   `default:"1" help:"What all is drawn from."`
+	Seed  uint64   `default:"1" help:"The seed."`
 	Out   string   `default:"results" help:"Folder for the results."`
 }
 
-// Run plays each break's build on the experiment that its patch names. A patch begins with lines of the form
-// "rule: NAME", "experiment: FILE" and "why: ..."; the build has to be caught by that rule.
+// Run runs each broken build on the experiment that its patch names. A patch begins with lines of the form "rule: NAME",
+// "experiment: FILE" and "why: ..."; the build must violate that rule.
 func (c *breaksCmd) Run(ctx context.Context) error {
 	root, err := build.Root(".")
 	if err != nil {
@@ -54,6 +54,7 @@
 	return nil
 }
 
+// runBreak builds HEAD with one patch, runs it and reports whether the patch's rule was violated.
 func (c *breaksCmd) runBreak(ctx context.Context, root, path, name string) (caught bool, text string, err error) {
 	path, err = filepath.Abs(path)
 	if err != nil {
@@ -87,7 +88,7 @@
 	if err != nil {
 		return false, "", err
 	}
-	// A rule by its name, or a bound by its figure's.
+	// head["rule"] names a rule, or the figure of a bound.
 	n := r.RuleCounts[head["rule"]]
 	for _, b := range r.Bounds {
 		if b.Name == head["rule"] && !b.OK {
--- a/cmd/testbed/capacity.go
+++ b/cmd/testbed/capacity.go
@@ -8,12 +8,12 @@
 )
 
 type capacityCmd struct {
-	Check string `type:"existingfile" xor:"page" help:"End with 1 where a table in this page says something else."`
-	Write string `type:"existingfile" xor:"page" help:"Put the tables in their places in this page; its words stay."`
+	Check string `type:"existingfile" xor:"page" help:"Exit with 1 if a table in this page differs."`
+	Write string `type:"existingfile" xor:"page" help:"Replace the tables in this page; its text is kept."`
 	From  string `default:"capacity" help:"Folder with the target and the slopes' results."`
 }
 
-// Run prints the page's tables, or checks or fills a page.
+// Run prints the tables, checks those in a page, or replaces them.
 func (c *capacityCmd) Run() error {
 	m, err := capacity.Read(c.From)
 	if err != nil {
--- a/cmd/testbed/duties.go
+++ b/cmd/testbed/duties.go
@@ -15,15 +15,15 @@
 )
 
 type workCmd struct {
-	Name      string        `required:"" help:"The process's name among holders."`
-	Count     int           `default:"1" help:"Holders in it."`
+	Name      string        `required:"" help:"The process's name as a holder."`
+	Count     int           `default:"1" help:"Holders in the process."`
 	Stewards  []string      `required:"" help:"Addresses of the stewards."`
-	Duties    int           `required:"" help:"How many duties it wants."`
-	Lease     time.Duration `required:"" help:"For how long a duty is held."`
-	Receivers []string      `help:"Where its effects go."`
-	Every     time.Duration `default:"50ms" help:"Between effects."`
-	Local     string        `help:"Address that its connections come from."`
-	Record    string        `help:"File that its terms are written to."`
+	Duties    int           `required:"" help:"Number of duties to claim."`
+	Lease     time.Duration `required:"" help:"Duration of a lease."`
+	Receivers []string      `help:"Addresses that effects are sent to."`
+	Every     time.Duration `default:"50ms" help:"Interval between effects."`
+	Local     string        `help:"Source address of connections."`
+	Record    string        `help:"File to which the terms are written."`
 }
 
 func (c *workCmd) Run(ctx context.Context) error {
@@ -31,7 +31,7 @@
 		Receivers: c.Receivers, Every: c.Every, Local: c.Local, Record: c.Record})
 }
 
-// runDuties plays an experiment of stewards and holders.
+// runDuties runs an experiment with stewards and holders.
 func runDuties(ctx context.Context, x *experiment.Experiment, seed uint64, quick bool, built, out string) (*run.Result, error) {
 	steward, revision, err := stewardProgram(ctx, built, filepath.Join(filepath.Dir(out), "bin"))
 	if err != nil {
@@ -53,7 +53,7 @@
 	return r, r.Finish(x.Bounds, out)
 }
 
-// stewardProgram is the steward to play: one that is built, or the work as it stands.
+// stewardProgram returns the steward to run: a built one, or one built from the working tree.
 func stewardProgram(ctx context.Context, built, into string) (program, revision string, err error) {
 	for _, dir := range []string{built, filepath.Join(built, "bin")} {
 		path := filepath.Join(dir, build.Steward)
@@ -70,7 +70,7 @@
 	return filepath.Join(filepath.Dir(relay), build.Steward), revision, err
 }
 
-// printDuties prints a result of stewards and holders.
+// printDuties prints the result of an experiment with stewards and holders.
 func printDuties(w io.Writer, r *run.Result) {
 	f := r.Figures
 	fmt.Fprintf(w, "%s seed %d, %.0f s of faults over all fleets, revision %s\n", r.Experiment, r.Seed, f["fault_seconds"], r.Revision)
--- a/cmd/testbed/load.go
+++ b/cmd/testbed/load.go
@@ -18,14 +18,14 @@
 )
 
 type loadCmd struct {
-	Rate   float64       `default:"5000" help:"Messages a second."`
+	Rate   float64       `default:"5000" help:"Messages per second."`
 	For    time.Duration `default:"10s" help:"How long."`
-	Relays int           `default:"12" help:"Stand-ins that the messages go to."`
-	Seed   uint64        `default:"1" help:"What all is drawn from."`
-	Most   time.Duration `default:"5ms" help:"How late the clients may be, at the 99th percentile."`
+	Relays int           `default:"12" help:"Number of stand-ins to send to."`
+	Seed   uint64        `default:"1" help:"The seed."`
+	Most   time.Duration `default:"5ms" help:"Maximum lateness of the clients at the 99th percentile."`
 }
 
-// Run hands planned messages to stand-ins in a process of their own.
+// Run sends planned messages to stand-ins in a separate process.
 func (c *loadCmd) Run(ctx context.Context) error {
 	x := experiment.Default()
 	x.Name, x.Length = "load", experiment.Duration(c.For)
@@ -67,7 +67,7 @@
 	}
 	rate := float64(len(p.Arrivals)) / took.Seconds()
 	p50, p99 := l.Lateness(50), l.Lateness(99)
-	fmt.Printf("%d messages in %.1f s, %.0f a second, %d answered; the clients were late by %v at p50, %v at p99\n", len(p.Arrivals),
+	fmt.Printf("%d messages in %.1f s, %.0f per second, %d answered; the clients were late by %v at p50, %v at p99\n", len(p.Arrivals),
 		took.Seconds(), rate, answered, p50, p99)
 	if p99 > c.Most || answered < len(p.Arrivals)*999/1000 {
 		return errBroken
@@ -77,7 +77,7 @@
 
 type standInCmd struct{}
 
-// Run answers on a port of its choice, whose address it prints.
+// Run answers on a free port and prints its address.
 func (*standInCmd) Run(ctx context.Context) error {
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
--- a/cmd/testbed/main.go
+++ b/cmd/testbed/main.go
@@ -1,5 +1,5 @@
-// Command testbed plays experiments with real relay processes on an emulated platform, with faults between them, and
-// judges them. docs/testbed.md says how.
+// Command testbed runs experiments with real relay processes on an emulated platform, injects faults and checks the results. See
+// docs/testbed.md.
 package main
 
 import (
@@ -17,36 +17,36 @@
 	"onyxroad.dev/onyxroad/internal/testbed/plan"
 )
 
-// The exit codes.
+// Exit codes.
 const (
-	exitBroken = 1 // a bound or a rule is broken
-	exitFailed = 2 // it could not be run, or was used wrongly
+	exitBroken = 1 // a bound or a rule is violated
+	exitFailed = 2 // the command failed or was used incorrectly
 )
 
-// errBroken ends the command with exitBroken; what is broken has been said.
+// errBroken makes the command exit with exitBroken. The violations have been printed by then.
 var errBroken = errors.New("broken")
 
 var cli struct {
-	Run      runCmd        `cmd:"" help:"Play an experiment: exit 0 if all its bounds hold, 1 if one does not or a rule is broken, 2 if it could not be run."`
-	Plan     planCmd       `cmd:"" help:"Print what a seed gives: sizes, faults with their moments and targets, and every message. Runs nothing."`
-	Compare  compareCmd    `cmd:"" help:"Play two revisions in turns on this machine and tell whether they differ beyond noise."`
+	Run      runCmd        `cmd:"" help:"Run an experiment: exit 0 if all its bounds hold, 1 if a bound or a rule is violated, 2 if it could not be run."`
+	Plan     planCmd       `cmd:"" help:"Print the plan of a seed: sizes, faults with their times and targets, and every message. Runs nothing."`
+	Compare  compareCmd    `cmd:"" help:"Run two revisions alternately on this machine and test whether they differ significantly."`
 	Report   reportCmd     `cmd:"" help:"Write a run's report, Markdown with plots, into its folder."`
-	Breaks   breaksCmd     `cmd:"" help:"Check the judge: play builds that are broken on purpose, and see that each is caught."`
-	Recovery recoveryCmd   `cmd:"" help:"Measure one relay: what durability costs, and how long a start takes with how much in its log."`
-	Slope    slopeCmd      `cmd:"" help:"Measure how figures grow with a size, and prove the growth laws by predicting the largest size."`
-	Soak     soakCmd       `cmd:"" help:"Play drawn troubles that overlap in time on many relays, seed after seed, and shrink what breaks a rule."`
-	Capacity capacityCmd   `cmd:"" help:"Print the tables of docs/CAPACITY.md, worked out from the target and the slopes, or check that a page has them."`
-	Load     loadCmd       `cmd:"" help:"Check the clients: hand messages to a stand-in that answers at once, and tell how late the clients were."`
+	Breaks   breaksCmd     `cmd:"" help:"Check the checker: run builds that are broken on purpose, and verify that each is detected."`
+	Recovery recoveryCmd   `cmd:"" help:"Measure one relay: the cost of durability, and the start time by the size of its log."`
+	Slope    slopeCmd      `cmd:"" help:"Measure how figures grow with a size, and verify the growth laws by predicting the largest size."`
+	Soak     soakCmd       `cmd:"" help:"Run drawn faults that overlap in time on many relays, seed after seed, and shrink those that violate a rule."`
+	Capacity capacityCmd   `cmd:"" help:"Print the tables of docs/CAPACITY.md, computed from the target and the slopes, or check that a page contains them."`
+	Load     loadCmd       `cmd:"" help:"Check the clients: send messages to a stand-in that answers immediately, and report how late the clients were."`
 	Faults   faultsCmd     `cmd:"" help:"List the kinds of fault that an experiment may name."`
-	Work     workCmd       `cmd:"" hidden:"" help:"Claim duties, and have effects while they are held."`
-	Burn     burnCmd       `cmd:"" hidden:"" help:"Take all of a core for a while."`
-	Child    relayChildCmd `cmd:"" hidden:"" name:"relay-child" help:"Be the relay, or open the log, that a slope measures."`
-	StandIn  standInCmd    `cmd:"" hidden:"" name:"stand-in" help:"Answer every request with 202 at once."`
+	Work     workCmd       `cmd:"" hidden:"" help:"Claim duties, and produce effects while holding them."`
+	Burn     burnCmd       `cmd:"" hidden:"" help:"Use all of a core for a while."`
+	Child    relayChildCmd `cmd:"" hidden:"" name:"relay-child" help:"Run the relay, or open the log, that a slope measures."`
+	StandIn  standInCmd    `cmd:"" hidden:"" name:"stand-in" help:"Answer every request with 202 immediately."`
 }
 
 func main() {
 	parser := kong.Must(&cli, kong.Name("testbed"), kong.UsageOnError(),
-		kong.Description("Real relay processes on an emulated platform, with faults between them, and a judge."),
+		kong.Description("Runs real relay processes on an emulated platform, injects faults and checks the results."),
 		kong.Exit(func(code int) {
 			if code != 0 {
 				code = exitFailed
@@ -69,8 +69,8 @@
 
 type planCmd struct {
 	Experiment string `arg:"" type:"existingfile" help:"The experiment's file."`
-	Seed       uint64 `default:"1" help:"What all is drawn from."`
-	Quick      bool   `help:"The shorter, smaller play."`
+	Seed       uint64 `default:"1" help:"The seed."`
+	Quick      bool   `help:"The shorter, smaller run."`
 }
 
 func (c *planCmd) Run() error {
--- a/cmd/testbed/recovery.go
+++ b/cmd/testbed/recovery.go
@@ -26,16 +26,16 @@
 )
 
 type recoveryCmd struct {
-	Clients int           `default:"64" help:"Clients at once, each with one message after another."`
-	Sync    time.Duration `default:"1ms" help:"What a sync takes."`
-	For     time.Duration `default:"3s" help:"How long a play is."`
-	Plays   int           `default:"3" help:"Plays of each, in turns."`
-	Least   float64       `default:"0.5" help:"The least ratio of messages a second, power to process."`
-	Ready   time.Duration `default:"150ms" help:"The longest start with a log as large as 3 MB allow."`
+	Clients int           `default:"64" help:"Concurrent clients, each sending one message after another."`
+	Sync    time.Duration `default:"1ms" help:"Duration of a sync."`
+	For     time.Duration `default:"3s" help:"Duration of a run."`
+	Plays   int           `default:"3" help:"Runs of each durability, alternately."`
+	Least   float64       `default:"0.5" help:"Minimum ratio of the throughput with power durability to that with process durability."`
+	Ready   time.Duration `default:"150ms" help:"Maximum start time with a log as large as 3 MB allow."`
 	Out     string        `default:"results" help:"Folder for the relay's build."`
 }
 
-// Run measures one relay: what durability costs, and how long a start takes with how much in the log.
+// Run measures one relay: the cost of durability, and the start time by the size of the log.
 func (c *recoveryCmd) Run(ctx context.Context) error {
 	root, err := build.Root(".")
 	if err != nil {
@@ -54,7 +54,7 @@
 				return err
 			}
 			rates[durability] = append(rates[durability], rate)
-			fmt.Printf("  %-8s %6.0f messages a second, answers p50 %.1f ms, p99 %.1f ms\n", durability, rate,
+			fmt.Printf("  %-8s %6.0f messages per second, answers p50 %.1f ms, p99 %.1f ms\n", durability, rate,
 				float64(times.ValueAtQuantile(50))/1000, float64(times.ValueAtQuantile(99))/1000)
 		}
 	}
@@ -103,14 +103,15 @@
 	return "BROKEN"
 }
 
-// singleRelay is one relay with an endpoint that answers at once.
+// singleRelay is one relay with an endpoint that answers immediately.
 type singleRelay struct {
 	dir, addr string
-	firstCall chan time.Time // the first call at the endpoint
+	firstCall chan time.Time // receives the time of the first call at the endpoint
 	server    *httptest.Server
 	cmd       *exec.Cmd
 }
 
+// newSingleRelay starts the endpoint and writes the relay's configuration.
 func newSingleRelay(diskMB float64) (*singleRelay, error) {
 	dir, err := os.MkdirTemp("", "testbed-")
 	if err != nil {
@@ -162,7 +163,7 @@
 	os.RemoveAll(x.dir)
 }
 
-// start starts the relay and returns when it was started and when it said that it is ready.
+// start starts the relay and returns when it was started and when it reported that it is ready.
 func (x *singleRelay) start(ctx context.Context, program, durability string, sync time.Duration) (began, ready time.Time, err error) {
 	own := filepath.Join(x.dir, "settings.toml")
 	if err := os.WriteFile(own, fmt.Appendf(nil, "[state]\ndurability = %q\n", durability), 0o600); err != nil {
@@ -186,10 +187,10 @@
 		}
 		time.Sleep(500 * time.Microsecond)
 	}
-	return began, ready, errors.New("the relay was never ready")
+	return began, ready, errors.New("the relay did not become ready in 30 s")
 }
 
-// throughput has clients hand in one message after another.
+// throughput measures a relay while clients send one message after another.
 func (c *recoveryCmd) throughput(ctx context.Context, program, durability string) (rate float64, times *hdrhistogram.Histogram, err error) {
 	x, err := newSingleRelay(16)
 	if err != nil {
@@ -240,13 +241,13 @@
 	return float64(done) / time.Since(began).Seconds(), times, ctx.Err()
 }
 
-// startResult is one start.
+// startResult is the result of one start.
 type startResult struct {
 	ready, firstDelivery time.Duration
 	held                 int
 }
 
-// startup has a relay start on a log, full or empty.
+// startup measures the start of a relay with a full or an empty log.
 func (c *recoveryCmd) startup(ctx context.Context, program string, diskMB float64, full bool) (s startResult, err error) {
 	x, err := newSingleRelay(diskMB)
 	if err != nil {
@@ -265,14 +266,15 @@
 	case at := <-x.firstCall:
 		s.firstDelivery = at.Sub(began)
 	case <-time.After(10 * time.Second):
-		return s, errors.New("nothing was ever delivered")
+		return s, errors.New("no message was delivered in 10 s")
 	case <-ctx.Done():
 		return s, ctx.Err()
 	}
 	return s, nil
 }
 
-// fillLog leaves a log behind: with one message, or as large as the limit allows, with what held messages leave on the way.
+// fillLog writes a log with a single message or, if full, as large as the limit allows, with the records that delivered messages
+// leave between held ones.
 func fillLog(dir string, limit int64, full bool) (held int, err error) {
 	l, _, err := wal.OpenWith(wal.Options{Dir: dir, Limit: limit * 9 / 10, Format: wal.SegmentFormat, Name: "n0"})
 	if err != nil {
@@ -288,7 +290,7 @@
 		}
 		held++
 		if id%3 == 0 {
-			// A delivered one for every two that are held.
+			// One delivered message for every two that stay in the log.
 			if err := l.RecordSends(wal.Send{Message: m, Attempt: wal.Attempt{Host: "s-1", At: time.Now()}}); err != nil {
 				return 0, err
 			}
--- a/cmd/testbed/run.go
+++ b/cmd/testbed/run.go
@@ -17,12 +17,12 @@
 
 type runCmd struct {
 	Experiments []string `arg:"" type:"existingfile" help:"The experiments' files."`
-	Seed        []uint64 `default:"1" help:"What all is drawn from; several are played one after another."`
-	Quick       bool     `help:"The shorter, smaller play: within 50 s."`
-	Relays      float64  `help:"So many relays, whatever the file says."`
-	Build       string   `type:"existingdir" help:"Folder with a built relay, instead of building the work as it stands."`
-	Out         string   `default:"results" help:"Folder for the results: each run gets one of its own in it."`
-	Report      bool     `help:"Write a report, too."`
+	Seed        []uint64 `default:"1" help:"The seeds, which are run one after another."`
+	Quick       bool     `help:"The shorter, smaller run, within 50 s."`
+	Relays      float64  `help:"Number of relays, instead of that in the file."`
+	Build       string   `type:"existingdir" help:"Folder with a built relay, instead of building the working tree."`
+	Out         string   `default:"results" help:"Folder for the results, in which each run gets its own folder."`
+	Report      bool     `help:"Also write a report."`
 }
 
 func (c *runCmd) Run(ctx context.Context) error {
@@ -74,8 +74,8 @@
 	return nil
 }
 
-// relayProgram is the relay to play: one that is built, or the work as it stands. Where its disk or its calls are to fail it has
-// to be built for that.
+// relayProgram returns the relay to run: a built one, or one built from the working tree. An experiment that injects failures
+// into its disk or its system calls needs a build with the tag testbed.
 func relayProgram(ctx context.Context, built, out string, injected bool) (program, revision string, err error) {
 	if built != "" && !injected {
 		for _, path := range []string{filepath.Join(built, build.Relay), filepath.Join(built, "bin", build.Relay)} {
@@ -96,7 +96,7 @@
 	return build.Work(ctx, root, filepath.Join(out, "bin"))
 }
 
-// progress is where progress lines go: nowhere if nobody watches.
+// progress returns the writer for progress lines: standard error if it is a terminal, otherwise nil.
 func progress() io.Writer {
 	if info, err := os.Stderr.Stat(); err == nil && info.Mode()&os.ModeCharDevice != 0 {
 		return os.Stderr
@@ -104,7 +104,7 @@
 	return nil
 }
 
-// printResult prints a result.
+// printResult prints the result of a run.
 func printResult(w io.Writer, r *run.Result) {
 	f := r.Figures
 	fmt.Fprintf(w, "%s seed %d, %d relays, %.0f messages, revision %s\n", r.Experiment, r.Seed, r.Relays, f["messages"], r.Revision)
@@ -112,7 +112,7 @@
 		f["served_worst_10s"], f["served_worst_class"], f["served_worst_customer"], f["goal"])
 	fmt.Fprintf(w, "  in time %.1f%%, late %.1f%%, refused %.1f%%, failed %.1f%%, no answer %.1f%%; p50 %.0f ms, p99 %.0f ms\n", 100*f["in_time"],
 		100*f["late"], 100*f["refused"], 100*f["failed"], 100*f["unanswered"], f["p50_ms"], f["p99_ms"])
-	fmt.Fprintf(w, "  a message: %.2f calls, %.2f refused, %.3f handshakes; memory %.1f MB, clients late %.1f ms at p99\n", f["calls"],
+	fmt.Fprintf(w, "  per message: %.2f calls, %.2f refused, %.3f handshakes; memory %.1f MB, clients late %.1f ms at p99\n", f["calls"],
 		f["calls_refused"], f["handshakes"], f["memory_mb"], f["lateness_p99_ms"])
 	printBounds(w, r)
 	for i, b := range r.Violations {
@@ -145,11 +145,11 @@
 type compareCmd struct {
 	Experiment string   `arg:"" type:"existingfile" help:"The experiment's file."`
 	Base       string   `xor:"base" required:"" help:"The revision to compare with."`
-	Against    string   `xor:"base" required:"" type:"existingfile" help:"Or another experiment's file, that the same program plays: one setting apart, say."`
-	With       string   `help:"The other revision; none: the work as it stands."`
-	Plays      int      `default:"6" help:"How often each is played, every time with another seed; with fewer than 6 nothing can stand out."`
+	Against    string   `xor:"base" required:"" type:"existingfile" help:"Or another experiment's file to run with the same program, for example with one setting changed."`
+	With       string   `help:"The other revision; default: the working tree."`
+	Plays      int      `default:"6" help:"Number of runs of each, every one with another seed; fewer than 6 cannot give a significant difference."`
 	Seed       uint64   `default:"1" help:"The first seed."`
-	Quick      bool     `help:"The shorter, smaller plays."`
+	Quick      bool     `help:"The shorter, smaller runs."`
 	Out        string   `default:"results" help:"Folder for the results."`
 	Figures    []string `default:"goal,served,served_worst_10s,p99_ms,calls,calls_refused" help:"The figures to compare."`
 }
@@ -191,7 +191,7 @@
 	for i := range c.Plays {
 		order := slices.Clone(sides)
 		if i%2 == 1 {
-			slices.Reverse(order) // whatever drifts strikes both alike
+			slices.Reverse(order) // so that drift of the machine affects both alike
 		}
 		for _, s := range order {
 			seed := c.Seed + uint64(i)
@@ -199,7 +199,7 @@
 			r, err := run.Run(ctx, run.Options{Experiment: s.x, Seed: seed, Quick: c.Quick, Program: s.program, Revision: s.revision, Out: out,
 				Progress: progress()})
 			if errors.Is(err, run.ErrInvalid) {
-				return fmt.Errorf("%s, play %d: %w", s.revision, i+1, err)
+				return fmt.Errorf("%s, run %d: %w", s.revision, i+1, err)
 			} else if err != nil {
 				return err
 			}
@@ -214,7 +214,7 @@
 			for _, r := range s.results {
 				v, ok := r.Figures[name]
 				if !ok {
-					return fmt.Errorf("no run measures %q", name)
+					return fmt.Errorf("there is no figure %q", name)
 				}
 				values[i] = append(values[i], v)
 			}
--- a/cmd/testbed/slope.go
+++ b/cmd/testbed/slope.go
@@ -13,12 +13,12 @@
 )
 
 type slopeCmd struct {
-	Name  string  `arg:"" optional:"" help:"The slope; none: list them."`
-	Sizes []int   `help:"Sizes, five or more, rising."`
-	Seed  *uint64 `help:"Play this seed instead of the slope's own."`
-	Small bool    `help:"The small sizes and one seed: a check of the rig, whose figures mean nothing."`
-	Join  bool    `help:"Add to the samples that the result's file has, of other seeds at the same revision and sizes."`
-	Build string  `type:"existingdir" help:"Take the programs from this folder instead of building the work."`
+	Name  string  `arg:"" optional:"" help:"The slope; default: list all."`
+	Sizes []int   `help:"Sizes, at least five, ascending."`
+	Seed  *uint64 `help:"Run this seed instead of the slope's own."`
+	Small bool    `help:"The small sizes and one seed: checks the rig only, its figures are meaningless."`
+	Join  bool    `help:"Add to the samples in the result's file, which must be of other seeds at the same revision and sizes."`
+	Build string  `type:"existingdir" help:"Take the programs from this folder instead of building the working tree."`
 	Out   string  `default:"capacity" help:"Folder for the result."`
 }
 
@@ -36,7 +36,7 @@
 	}
 	i := slices.IndexFunc(all, func(s scale.Slope) bool { return s.Name == c.Name })
 	if i < 0 {
-		return fmt.Errorf("slope: there is none named %s", c.Name)
+		return fmt.Errorf("slope: unknown slope %s", c.Name)
 	}
 	s := all[i]
 	sizes, seeds := s.Sizes, s.Seeds
@@ -90,8 +90,8 @@
 	return nil
 }
 
-// programs sees to it that env has the folder with the programs, and returns the revision. Nothing is built for a slope
-// that would be refused.
+// programs builds the programs unless env has a folder with them, and returns the revision. It checks the machine's limits
+// first, so that nothing is built for a slope that would be refused.
 func (c *slopeCmd) programs(ctx context.Context, s scale.Slope, sizes []int, seeds []uint64, env *scale.Env) (string, error) {
 	limits, err := scale.MachineLimits()
 	if err != nil {
--- a/cmd/testbed/slopes.go
+++ b/cmd/testbed/slopes.go
@@ -9,7 +9,7 @@
 	"onyxroad.dev/onyxroad/internal/testbed/scale/relayslope"
 )
 
-// slopes are where the slopes come from that the command knows.
+// slopes holds the functions that return the slopes known to the command.
 var slopes = []func() []scale.Slope{
 	func() []scale.Slope { return []scale.Slope{scale.Rig()} },
 	relayslope.Slopes,
@@ -17,7 +17,7 @@
 }
 
 type relayChildCmd struct {
-	Job string `arg:"" help:"The file that says what to be."`
+	Job string `arg:"" help:"The file that describes the job."`
 }
 
 func (c *relayChildCmd) Run(ctx context.Context) error {
--- a/cmd/testbed/soak.go
+++ b/cmd/testbed/soak.go
@@ -16,20 +16,20 @@
 )
 
 type soakCmd struct {
-	Seed      uint64        `default:"1" help:"The one seed to play, if no range is given."`
+	Seed      uint64        `default:"1" help:"The seed to run, if no range is given."`
 	Seeds     string        `help:"A range of seeds, A..B."`
-	Minutes   time.Duration `help:"No play begins after so long, 20m say."`
-	Processes int           `help:"Relays in a play; none: 24 to 48, by the seed."`
-	Parallel  int           `default:"1" help:"Plays at once."`
-	Quick     bool          `help:"One play on 24 relays, within 60 s."`
-	Without   []int         `help:"Places of troubles that are left out."`
-	Shrink    bool          `help:"Play a seed that breaks a rule again with fewer troubles, until none can go."`
-	Patch     string        `type:"existingfile" help:"Check the soak test: play HEAD with this patch, which breaks it on purpose, until a seed catches it."`
-	Build     string        `type:"existingdir" help:"Folder with a relay that was built with the tag testbed."`
+	Minutes   time.Duration `help:"Start no run after this time, for example 20m."`
+	Processes int           `help:"Relays in a run; default: 24 to 48, depending on the seed."`
+	Parallel  int           `default:"1" help:"Concurrent runs."`
+	Quick     bool          `help:"One run on 24 relays, within 60 s."`
+	Without   []int         `help:"Indices of faults to leave out."`
+	Shrink    bool          `help:"Run a seed that violates a rule again with fewer faults, until none can be left out."`
+	Patch     string        `type:"existingfile" help:"Check the soak test: run HEAD with this patch, which breaks it on purpose, until a seed detects it."`
+	Build     string        `type:"existingdir" help:"Folder with a relay built with the tag testbed."`
 	Out       string        `default:"results" help:"Folder for the results."`
 }
 
-// Run plays the seeds: exit 0 if no rule was broken and no invariant violated.
+// Run runs the seeds. The command exits with 0 if no rule and no invariant was violated.
 func (c *soakCmd) Run(ctx context.Context) error {
 	seeds, err := c.parseSeeds()
 	if err != nil {
@@ -76,7 +76,7 @@
 	return err
 }
 
-// checkPatch plays a build that is broken on purpose until a seed catches it: exit 0 if one does.
+// checkPatch runs a build that is broken on purpose until a seed detects it. The command exits with 0 if one does.
 func (c *soakCmd) checkPatch(ctx context.Context, o soak.Options) error {
 	root, err := build.Root(".")
 	if err != nil {
@@ -97,13 +97,14 @@
 		return err
 	}
 	if s.Broken == 0 {
-		fmt.Printf("%-24s NOT CAUGHT in %d plays\n", name, s.Runs)
+		fmt.Printf("%-24s NOT CAUGHT in %d runs\n", name, s.Runs)
 		return errBroken
 	}
-	fmt.Printf("%-24s caught by seed %d, play %d: %v\n", name, s.FailedSeeds[0], s.Runs, s.BrokenRules())
+	fmt.Printf("%-24s caught by seed %d, run %d: %v\n", name, s.FailedSeeds[0], s.Runs, s.BrokenRules())
 	return nil
 }
 
+// parseSeeds returns the seeds to run.
 func (c *soakCmd) parseSeeds() (all []uint64, err error) {
 	if c.Seeds == "" {
 		return []uint64{c.Seed}, nil
@@ -112,7 +113,7 @@
 	a, errA := strconv.ParseUint(from, 10, 64)
 	b, errB := strconv.ParseUint(to, 10, 64)
 	if !ok || errA != nil || errB != nil || a > b || b-a > 100_000 {
-		return nil, fmt.Errorf("soak: %q is no range of seeds like 1..200", c.Seeds)
+		return nil, fmt.Errorf("soak: %q is not a range of seeds such as 1..200", c.Seeds)
 	}
 	for seed := a; seed <= b; seed++ {
 		all = append(all, seed)
@@ -120,9 +121,9 @@
 	return all, nil
 }
 
-// printSoak prints what was played and what came of it.
+// printSoak prints a summary of the runs.
 func printSoak(s *soak.Summary) {
-	fmt.Printf("%d plays, %.0f relays, %.0f messages; %d on a machine too loaded; %d broke a rule: %v\n", s.Runs, s.Processes, s.Messages,
+	fmt.Printf("%d runs, %.0f relays, %.0f messages; %d on an overloaded machine; %d violated a rule: %v\n", s.Runs, s.Processes, s.Messages,
 		s.Invalid, s.Broken, s.FailedSeeds)
 	for _, rule := range s.BrokenRules() {
 		fmt.Printf("  rule %s\n", rule)
@@ -135,5 +136,5 @@
 	for _, n := range s.Overlaps {
 		pairs += n
 	}
-	fmt.Printf("  troubles: %s\n  overlaps: %d pairs, %d kinds of pair\n", strings.Join(kinds, ", "), pairs, len(s.Overlaps))
+	fmt.Printf("  faults: %s\n  overlaps: %d pairs, %d kinds of pair\n", strings.Join(kinds, ", "), pairs, len(s.Overlaps))
 }
--- a/internal/testbed/audit/audit.go
+++ b/internal/testbed/audit/audit.go
@@ -1,6 +1,6 @@
-// Package audit judges a run by its ledger: which of the platform's rules were broken, and what worth was served. It goes
-// by the protocol's pages and shares no code with the relay. Where a moment lies within the slack that the protocol
-// leaves, nothing is held against the relay.
+// Package audit evaluates a run from its ledger: which of the platform's rules were violated, and how much worth was
+// served. It implements the protocol's specification independently and shares no code with the relay. Anything within the
+// tolerance that the protocol allows is not counted as a violation.
 package audit
 
 import (
@@ -15,21 +15,21 @@
 	"onyxroad.dev/onyxroad/internal/testbed/plan"
 )
 
-// The protocol's figures on sockets.
+// Time limits and tolerances of the protocol, as seen at the sockets.
 const (
-	limitTolerance = 50 * time.Millisecond   // every time limit is so much longer
-	finalTolerance = 300 * time.Millisecond  // after a message's time
-	restartGrace   = 1500 * time.Millisecond // from a restart's ready on, during which no notice is overdue
+	limitTolerance = 50 * time.Millisecond   // added to every time limit
+	finalTolerance = 300 * time.Millisecond  // allowed for a final answer after a message's deadline
+	restartGrace   = 1500 * time.Millisecond // after a restarted relay is ready, during which no notice counts as late
 	drainGrace     = 500 * time.Millisecond
 	waitGrace      = 100 * time.Millisecond
 	hostileTimeout = 3 * time.Second
-	witnessShare   = 2.0 / 3 // of what pushed a partner over, from relays that had seen it fail
+	witnessShare   = 2.0 / 3 // of the calls that overloaded a recovered partner, from relays that had seen it fail
 )
 
-// The rules, each with its figure.
+// The names of the rules, as results and bounds use them.
 const (
-	RuleLost          = "lost"       // taken on and never ended, or its connection ended without an answer
-	RuleLateFinal     = "late_final" // ended too late
+	RuleLost          = "lost"       // accepted and never ended, or its connection closed without an answer
+	RuleLateFinal     = "late_final" // ended after its deadline
 	RuleSecondFinal   = "second_final"
 	RuleDuplicate     = "duplicate"
 	RuleDrain         = "drain"
@@ -39,16 +39,16 @@
 	RuleHostile       = "hostile"
 	RuleCrash         = "crash"
 	RuleOverLimit     = "over_limit"
-	RuleGivenUp       = "given_up"       // over half of what restarts found untried, with half of its time left, was given up with no call
-	RuleRefusedSent   = "refused_sent"   // refused with a promise of no effect, and sent
-	RuleEndedSent     = "ended_sent"     // ended by an answer, a notice or an endpoint's word, and sent
-	RuleDeadlineMoved = "deadline_moved" // a restart takes a message to have more or less time left than it has
+	RuleGivenUp       = "given_up"       // most unattempted messages that restarts recovered, with half of their time left, ended without a call
+	RuleRefusedSent   = "refused_sent"   // refused with a status that promises no effect, and sent
+	RuleEndedSent     = "ended_sent"     // ended by an answer, a notice or an endpoint's reply, and sent
+	RuleDeadlineMoved = "deadline_moved" // a restart computed a wrong remaining time for a message
 )
 
-// Rules are all of them.
+// Rules lists all rules.
 var Rules = []string{RuleLost, RuleLateFinal, RuleSecondFinal, RuleDuplicate, RuleDrain, RuleWait, RuleCold, RuleWrong, RuleHostile, RuleCrash, RuleOverLimit, RuleGivenUp, RuleRefusedSent, RuleEndedSent, RuleDeadlineMoved}
 
-// Violation is one broken rule.
+// Violation is one violation of a rule.
 type Violation struct {
 	Rule   string        `json:"rule"`
 	At     time.Duration `json:"at"`
@@ -56,8 +56,8 @@
 	Detail string        `json:"what"`
 }
 
-// Check finds the breaches of a run, in the order of their times. offset is when the first message was due; from end on
-// nothing is held against anybody: the testbed was ending.
+// Check returns the violations in a run, ordered by time. offset is when the first message was due. Nothing from end on
+// counts, because the testbed was shutting down.
 func Check(p *plan.Plan, l *ledger.Ledger, offset, end time.Duration) []Violation {
 	a := &auditor{plan: p, ledger: l, offset: offset, end: end, lives: map[int][]*ledger.Life{}, calls: map[string][]*ledger.Call{},
 		notices: map[string][]ledger.Notice{}}
@@ -87,6 +87,7 @@
 	return a.violations
 }
 
+// auditor checks one run and collects its violations.
 type auditor struct {
 	plan        *plan.Plan
 	ledger      *ledger.Ledger
@@ -97,11 +98,12 @@
 	violations  []Violation
 }
 
+// report adds a violation by a relay.
 func (a *auditor) report(rule string, at time.Duration, relay int, format string, args ...any) {
 	a.violations = append(a.violations, Violation{rule, at, a.plan.Relays[relay].Name, fmt.Sprintf(format, args...)})
 }
 
-// messageState is what a call's answer said of one of its messages.
+// messageState returns the state that a call's answer reported for one of its messages.
 func messageState(c *ledger.Call, trace string) string {
 	if c.Status == 200 && len(c.Traces) > 1 {
 		if i := slices.Index(c.Traces, trace); i >= 0 && i < len(c.States) {
@@ -115,7 +117,7 @@
 	return ""
 }
 
-// deliveredAt is when a message was deliveredAt: when a 200 for it was written; Never if none was.
+// deliveredAt returns when a 200 for a message was first written, or Never.
 func deliveredAt(calls []*ledger.Call, trace string) time.Duration {
 	at := ledger.Never
 	for _, c := range calls {
@@ -126,8 +128,8 @@
 	return at
 }
 
-// excusedUntil is until when a relay need not have told anything that was due at a moment: while it restarts or stands still,
-// and for a while after. gone is whether what it held is gone with its machine.
+// excusedUntil returns the extended time limit for a report that was due from a relay at the given time: restarts, pauses
+// and failing connections postpone it. gone tells whether the relay lost its state after since, so that nothing is due.
 func (a *auditor) excusedUntil(relay int, since, at time.Duration) (until time.Duration, gone bool) {
 	until = a.reachableFrom(relay, at)
 	lives := a.lives[relay]
@@ -140,7 +142,7 @@
 		if x.Asked == ledger.Never || x.Asked > until {
 			continue
 		}
-		// A process that was replaced leaves no gap.
+		// The next process that became ready ends the gap; a replacement was ready before the old process ended.
 		next, ready := i+1, ledger.Never
 		for _, y := range lives[next:] {
 			if y.Ready != ledger.Never {
@@ -161,7 +163,7 @@
 	return until, false
 }
 
-// goneAt is when an endpoint told that a message is goneAt, after which nothing more is owed; Never if none did.
+// goneAt returns when an endpoint reported a message as gone, after which no final answer is due, or Never.
 func goneAt(calls []*ledger.Call, trace string) time.Duration {
 	for _, c := range calls {
 		if c.Written != ledger.Never && (c.Status == 410 || messageState(c, trace) == "gone") {
@@ -171,7 +173,7 @@
 	return ledger.Never
 }
 
-// earlier is the earlier of two times, of which either may never have come.
+// earlier returns the earlier of two times, either of which may be Never.
 func earlier(a, b time.Duration) time.Duration {
 	if a == ledger.Never || b != ledger.Never && b < a {
 		return b
@@ -179,7 +181,8 @@
 	return a
 }
 
-// reachableFrom is when a relay can tell what was due at a moment: while each of its connections fails it can tell nobody.
+// reachableFrom returns the first time, from at on, at which a relay can open connections again: while an injected fault
+// fails all of them, it cannot report anything.
 func (a *auditor) reachableFrom(relay int, at time.Duration) time.Duration {
 	for _, f := range a.plan.Faults {
 		from, to := a.offset+f.At, a.offset+f.At+f.For+finalTolerance
@@ -190,7 +193,8 @@
 	return at
 }
 
-// clientsCutOff tells whether connections of a relay's clients were broken by the network about a moment: no relay can answer on one.
+// clientsCutOff reports whether injected faults broke client connections of a relay around a time, so that it could not
+// answer on them.
 func (a *auditor) clientsCutOff(relay int, at time.Duration) bool {
 	return slices.ContainsFunc(a.plan.Faults, func(f plan.Fault) bool {
 		from, to := a.offset+f.At-time.Second, a.offset+f.At+f.For+limitTolerance
@@ -201,18 +205,18 @@
 	})
 }
 
-// blocksConnections tells whether rules have every connection that a relay makes fail.
+// blocksConnections reports whether injection rules fail every connection that a relay opens.
 func blocksConnections(rules []string) bool {
 	return slices.ContainsFunc(rules, func(rule string) bool {
 		return strings.HasSuffix(rule, " 1") && (strings.HasPrefix(rule, "connect ") || strings.HasPrefix(rule, "socket "))
 	})
 }
 
-// checkFinals checks that each message that was taken on has one final answer, in time.
+// checkFinals checks that each accepted message has exactly one final answer, in time.
 func (a *auditor) checkFinals() {
 	for _, h := range a.ledger.HandIns {
 		if h.Broken && !a.unavailable(h.Relay, h.Sent) && !a.clientsCutOff(h.Relay, h.Sent) {
-			a.report(RuleLost, h.Sent, h.Relay, "%s: the connection ended with no answer once the request was written", h.Trace)
+			a.report(RuleLost, h.Sent, h.Relay, "%s: the connection closed without an answer after the request was written", h.Trace)
 		}
 		if h.Answered == ledger.Never || h.Status >= 300 {
 			continue
@@ -226,7 +230,7 @@
 		switch {
 		case gone || limit >= a.end:
 		case at == ledger.Never:
-			a.report(RuleLost, limit, h.Relay, "%s: taken on at %v, due by %v, never ended", h.Trace, h.Answered, h.Deadline)
+			a.report(RuleLost, limit, h.Relay, "%s: accepted at %v, due by %v, never ended", h.Trace, h.Answered, h.Deadline)
 		case at > limit:
 			a.report(RuleLateFinal, at, h.Relay, "%s: due by %v, ended at %v", h.Trace, h.Deadline, at)
 		}
@@ -234,7 +238,7 @@
 	for trace, ns := range a.notices {
 		h := a.ledger.Find(trace)
 		if h == nil {
-			a.report(RuleWrong, ns[0].At, ns[0].Relay, "notice for %s, which no client handed in", trace)
+			a.report(RuleWrong, ns[0].At, ns[0].Relay, "notice for %s, which no client submitted", trace)
 			continue
 		}
 		for _, n := range ns[1:] {
@@ -245,7 +249,7 @@
 	}
 }
 
-// unavailable tells whether a relay had no process that could have answered, or was ending, about a moment.
+// unavailable reports whether a relay had no process that could answer around a time, or was ending then.
 func (a *auditor) unavailable(relay int, at time.Duration) bool {
 	const about = time.Second
 	lives := a.lives[relay]
@@ -254,7 +258,7 @@
 		if i+1 < len(lives) && lives[i+1].Ready != ledger.Never {
 			to = lives[i+1].Ready
 		}
-		killed := x.Asked != ledger.Never && x.End != ledger.Never && x.End-x.Asked < about // SIGKILL, or an end in no order
+		killed := x.Asked != ledger.Never && x.End != ledger.Never && x.End-x.Asked < about // SIGKILL, or an exit without a drain
 		if killed && x.Asked-about <= at && at <= to {
 			return true
 		}
@@ -267,22 +271,22 @@
 	return at >= a.end-about
 }
 
-// checkRepeats checks that no message is sent again beyond its class's allowance, and none once it is ended.
+// checkRepeats checks that messages are repeated only as their class allows, and never after a notice of their end.
 func (a *auditor) checkRepeats() {
 	for trace, calls := range a.calls {
 		h := a.ledger.Find(trace)
 		if h == nil {
-			continue // told of by rest
+			continue // reported by checkSingleRecords
 		}
 		class := &a.plan.Classes[a.plan.Arrivals[h.Message].Class]
 		for k, c := range calls {
 			for _, b := range calls[:k] {
-				// What proves that it never ran has to have been told before the next one left.
+				// Proof that the earlier call never ran must have been written before the next call was sent.
 				if b.LastByte == ledger.Never || !mayRun(b, trace) && b.Written != ledger.Never && b.Written <= c.FirstByte+limitTolerance/10 {
 					continue
 				}
 				if a.lostState(c.Relay, b.FirstByte, c.FirstByte) {
-					continue // the id came again to a machine that knows nothing of it
+					continue // the id was submitted again after the relay lost its state
 				}
 				from, to := a.plan.Endpoints[b.Endpoint].Building, a.plan.Endpoints[c.Endpoint].Building
 				switch {
@@ -300,13 +304,13 @@
 		}
 		if ns := a.notices[trace]; len(ns) > 0 {
 			if c := calls[len(calls)-1]; c.FirstByte > ns[0].At+waitGrace && c.Relay == ns[0].Relay {
-				a.report(RuleSecondFinal, c.FirstByte, c.Relay, "%s: sent though its end was told at %v", trace, ns[0].At)
+				a.report(RuleSecondFinal, c.FirstByte, c.Relay, "%s: sent although its end was reported at %v", trace, ns[0].At)
 			}
 		}
 	}
 }
 
-// mayRun tells whether a call's outcome leaves open that a message of it has run.
+// mayRun reports whether a call's outcome leaves it possible that one of its messages ran.
 func mayRun(c *ledger.Call, trace string) bool {
 	if c.Status == 200 && len(c.Traces) > 1 {
 		switch messageState(c, trace) {
@@ -317,7 +321,7 @@
 	return c.MayRun
 }
 
-// checkDrains checks that nothing new goes to an endpoint that a relay was told checkDrains or is gone.
+// checkDrains checks that a relay sends no new calls to an endpoint that discovery reported as draining or gone.
 func (a *auditor) checkDrains() {
 	type key struct{ relay, endpoint int }
 	told := map[key]time.Duration{}
@@ -332,8 +336,8 @@
 		if !ok || c.FirstByte <= at+drainGrace+limitTolerance {
 			continue
 		}
-		at = a.reachableFrom(c.Relay, at) // news counts as told once discovery can be reached
-		// What began, or stood still, since then has heard of it only afterwards.
+		at = a.reachableFrom(c.Relay, at) // a change counts as delivered once discovery can be reached
+		// A process that was started or paused since then learned of the change only afterwards.
 		for _, x := range a.lives[c.Relay] {
 			if x.Start <= c.FirstByte && x.Start > at && !x.Replaces {
 				at = x.Start
@@ -345,12 +349,12 @@
 			}
 		}
 		if c.FirstByte > at+drainGrace+limitTolerance {
-			a.report(RuleDrain, c.FirstByte, c.Relay, "call to %s, told to drain at %v", a.plan.Endpoints[c.Endpoint].ID, at)
+			a.report(RuleDrain, c.FirstByte, c.Relay, "call to %s, reported as draining at %v", a.plan.Endpoints[c.Endpoint].ID, at)
 		}
 	}
 }
 
-// checkWaits checks that a relay that was told to wait does.
+// checkWaits checks that relays honor the wait that a 429 tells them.
 func (a *auditor) checkWaits() {
 	type key struct{ relay, scope int }
 	scope := func(endpoint int) int {
@@ -376,7 +380,7 @@
 				return !x.Replaces && x.Start > w.Written && x.Start <= c.FirstByte
 			})
 			if !restarted {
-				a.report(RuleWait, c.FirstByte, c.Relay, "call to %s %v after it told to wait %v", a.plan.Endpoints[c.Endpoint].ID,
+				a.report(RuleWait, c.FirstByte, c.Relay, "call to %s %v after it asked to wait %v", a.plan.Endpoints[c.Endpoint].ID,
 					c.FirstByte-w.Written, w.Wait)
 				break
 			}
@@ -384,22 +388,22 @@
 	}
 }
 
-// checkCold checks that no partner that came back was pushed over by relays that had seen it fail.
+// checkCold checks that no recovering partner was overloaded mostly by relays that had seen it fail.
 func (a *auditor) checkCold() {
 	for _, o := range a.ledger.Outages {
 		if o.Fell != ledger.Never && float64(o.ByThose) >= witnessShare*float64(o.Pushed) {
-			relay := 0 // the relay to name: any of them
+			relay := 0 // any of the witnesses, to name one in the report
 			for r := range o.Witness {
 				relay = r
 				break
 			}
-			a.report(RuleCold, o.Fell, relay, "partner %d was back at %v and pushed over: %d calls, %d of them from relays that had seen it fail",
+			a.report(RuleCold, o.Fell, relay, "partner %d recovered at %v and was overloaded again: %d calls, %d of them from relays that had seen it fail",
 				a.plan.Partners[o.Partner].ID, o.To, o.Pushed, o.ByThose)
 		}
 	}
 }
 
-// checkSingleRecords checks what needs no more than one record.
+// checkSingleRecords checks the rules that a single record can violate: unknown messages, hostile peers, crashes, limits.
 func (a *auditor) checkSingleRecords() {
 	for _, u := range a.ledger.Unknowns {
 		a.report(RuleWrong, u.At, u.Relay, "%s at %s", u.What, a.plan.Endpoints[u.Endpoint].ID)
@@ -408,7 +412,7 @@
 		switch {
 		case p.Excuse || p.At+hostileTimeout+limitTolerance > a.end || a.unavailable(p.Relay, p.At) || a.unavailable(p.Relay, p.At+hostileTimeout):
 		case p.Ended == ledger.Never || p.Ended > p.At+hostileTimeout+limitTolerance:
-			a.report(RuleHostile, p.At, p.Relay, "a peer of way %d was kept (status %d)", p.Way, p.Status)
+			a.report(RuleHostile, p.At, p.Relay, "a hostile peer of kind %d was not disconnected in time (status %d)", p.Way, p.Status)
 		}
 	}
 	for _, lives := range a.lives {
@@ -416,22 +420,22 @@
 			if x.End == ledger.Never || x.Asked != ledger.Never && x.Asked <= x.End || x.End >= a.end {
 				continue
 			}
-			// One whose place another has taken may end by itself.
+			// A process may exit by itself once its replacement has started.
 			if i+1 < len(lives) && lives[i+1].Replaces && lives[i+1].Start < x.End {
 				continue
 			}
-			a.report(RuleCrash, x.End, x.Relay, "process %d ended: %s", x.PID, x.Exit)
+			a.report(RuleCrash, x.End, x.Relay, "process %d exited: %s", x.PID, x.Exit)
 		}
 	}
 	a.checkLimits()
 }
 
-// checkLimits checks what the processes of a relay held together.
+// checkLimits checks the resources that all processes of a relay use together.
 func (a *auditor) checkLimits() {
 	x := a.plan.Experiment.Fleet
 	worst := map[string]Violation{}
 	for i := 0; i < len(a.ledger.Samples); {
-		// Samples of one relay at one time stand together.
+		// Samples of one relay at one time are adjacent.
 		s, memory, sockets := a.ledger.Samples[i], 0.0, 0
 		k := i
 		for ; k < len(a.ledger.Samples) && a.ledger.Samples[k].Relay == s.Relay && a.ledger.Samples[k].At-s.At < limitTolerance; k++ {
@@ -454,7 +458,7 @@
 	}
 }
 
-// CountByRule counts the breaches of each rule.
+// CountByRule returns the number of violations of each rule.
 func CountByRule(found []Violation) map[string]float64 {
 	n := map[string]float64{}
 	for _, r := range Rules {
@@ -466,7 +470,7 @@
 	return n
 }
 
-// quantile is the value at a share of the sorted values; NaN of none.
+// quantile returns the q-quantile of sorted values, or NaN if there are none.
 func quantile(sorted []float64, q float64) float64 {
 	if len(sorted) == 0 {
 		return math.NaN()
--- a/internal/testbed/audit/audit_test.go
+++ b/internal/testbed/audit/audit_test.go
@@ -17,8 +17,8 @@
 
 const second = time.Second
 
-// fixture is a run that kept every rule: two relays, one partner with three endpoints of which two stand in one building,
-// and a message of each class.
+// fixture is a run without violations: two relays, one partner with three endpoints of which two are in one building, and a
+// message of each class.
 type fixture struct {
 	p *plan.Plan
 	l *ledger.Ledger
@@ -52,21 +52,21 @@
 
 func (w *fixture) call(class int) *ledger.Call { return w.l.Calls[class] }
 
-// repeatCall adds a further call of a message.
+// repeatCall adds another call of a message.
 func (w *fixture) repeatCall(class, endpoint int, at time.Duration) *ledger.Call {
 	c := &ledger.Call{Endpoint: endpoint, Traces: []string{trace(class)}, FirstByte: at, LastByte: at, Written: at + 1e8, Status: 200, MayRun: true}
 	w.l.Add(c)
 	return c
 }
 
-// killRelay has the first relay be killRelay, and start again.
+// killRelay has the first relay killed and started again.
 func (w *fixture) killRelay(at time.Duration) {
 	w.l.Lives[0].Asked, w.l.Lives[0].End = at, at
 	w.l.Add(&ledger.Life{Relay: 0, Start: 8 * second, Ready: 8 * second, Asked: ledger.Never, End: ledger.Never})
 }
 
-// refuseOnFailingDisk has the first relay refuse a message while its files fail for a time, be killed 2 s later, and send the
-// message when its id comes again.
+// refuseOnFailingDisk has the first relay refuse a message while its files fail for the given time, be killed 2 s later, and
+// send the message when its id is submitted again.
 func (w *fixture) refuseOnFailingDisk(failing time.Duration) {
 	w.dropAnswer(safe)
 	w.l.HandIns[safe].Status, w.l.HandIns[safe].Answered = 500, 2500*time.Millisecond
@@ -76,19 +76,20 @@
 	w.repeatCall(safe, 1, 9*second)
 }
 
-// dropAnswer has a call end with nothing that tells whether it ran.
+// dropAnswer makes a call end without an answer that tells whether it ran.
 func (w *fixture) dropAnswer(class int) {
 	c := w.call(class)
 	c.Status, c.Written = 0, ledger.Never
 }
 
+// TestRules changes one thing in a run without violations and checks which rule, if any, is reported as violated.
 func TestRules(t *testing.T) {
 	for name, c := range map[string]struct {
 		change func(w *fixture)
-		rule   string // "": none is broken
+		rule   string // "": no violation
 	}{
-		"all kept":    {func(*fixture) {}, ""},
-		"never ended": {func(w *fixture) { w.dropAnswer(unsafe) }, RuleLost},
+		"no violation": {func(*fixture) {}, ""},
+		"never ended":  {func(w *fixture) { w.dropAnswer(unsafe) }, RuleLost},
 		"ended by a notice": {func(w *fixture) {
 			w.dropAnswer(unsafe)
 			w.l.Add(ledger.Notice{Trace: "payment", Status: "undeliverable", At: 5 * second})
@@ -101,13 +102,13 @@
 			w.dropAnswer(safe)
 			w.l.Add(ledger.Notice{Trace: "status", Status: "deferred", At: 6*second + 340e6})
 		}, ""},
-		"late, but its relay was away": {func(w *fixture) {
+		"late, but its relay was down": {func(w *fixture) {
 			w.dropAnswer(safe)
 			w.l.Lives[0].Asked, w.l.Lives[0].End = 5*second, 5*second
 			w.l.Add(&ledger.Life{Relay: 0, Start: 8 * second, Ready: 8 * second, Asked: ledger.Never, End: ledger.Never})
 			w.l.Add(ledger.Notice{Trace: "status", Status: "deferred", At: 9 * second})
 		}, ""},
-		"still late after that": {func(w *fixture) {
+		"late even for a restarted relay": {func(w *fixture) {
 			w.dropAnswer(safe)
 			w.l.Lives[0].Asked, w.l.Lives[0].End = 5*second, 5*second
 			w.l.Add(&ledger.Life{Relay: 0, Start: 8 * second, Ready: 8 * second, Asked: ledger.Never, End: ledger.Never})
@@ -127,17 +128,17 @@
 			h := w.l.HandIns[safe]
 			h.Broken, h.Answered, h.Status = true, ledger.Never, 0
 		}, RuleLost},
-		"that one by SIGKILL": {func(w *fixture) {
+		"a connection without an answer after SIGKILL": {func(w *fixture) {
 			h := w.l.HandIns[safe]
 			h.Broken, h.Answered, h.Status = true, ledger.Never, 0
 			w.l.Lives[0].Asked, w.l.Lives[0].End = second+1e6, second+2e6
 		}, ""},
-		"two ends": {func(w *fixture) {
+		"two different notices": {func(w *fixture) {
 			w.dropAnswer(safe)
 			w.l.Add(ledger.Notice{Trace: "status", Status: "deferred", At: 3 * second})
 			w.l.Add(ledger.Notice{Trace: "status", Status: "undeliverable", At: 4 * second})
 		}, RuleSecondFinal},
-		"one end told twice": {func(w *fixture) {
+		"the same notice twice": {func(w *fixture) {
 			w.dropAnswer(safe)
 			w.l.Add(ledger.Notice{Trace: "status", Status: "deferred", At: 3 * second})
 			w.l.Add(ledger.Notice{Trace: "status", Status: "deferred", At: 4 * second})
@@ -152,11 +153,11 @@
 			w.l.HandIns[safe].Status, w.l.HandIns[safe].Answered = 500, 2500*time.Millisecond
 			w.repeatCall(safe, 1, 3*second)
 		}, RuleEndedSent},
-		"sent after its id was denied": {func(w *fixture) {
+		"sent after a resubmission was refused": {func(w *fixture) {
 			w.l.Add(&ledger.Resubmission{Trace: "status", Answered: 3 * second, Status: 400})
 			w.repeatCall(safe, 1, 4*second)
 		}, RuleEndedSent},
-		"sent after its id was taken": {func(w *fixture) {
+		"sent after a resubmission was accepted": {func(w *fixture) {
 			w.l.Add(&ledger.Resubmission{Trace: "status", Answered: 3 * second, Status: 202})
 			w.repeatCall(safe, 1, 4*second)
 		}, ""},
@@ -186,35 +187,35 @@
 			w.killRelay(2501 * time.Millisecond)
 			w.repeatCall(safe, 1, 9*second)
 		}, RuleEndedSent},
-		"refused while the disk failed to the end, and taken on anew": {func(w *fixture) { w.refuseOnFailingDisk(3 * second) }, ""},
-		"the same, but the disk was well before the end":              {func(w *fixture) { w.refuseOnFailingDisk(second) }, RuleEndedSent},
+		"refused while the disk failed until the kill, and accepted anew": {func(w *fixture) { w.refuseOnFailingDisk(3 * second) }, ""},
+		"the same, but the disk worked again before the kill":             {func(w *fixture) { w.refuseOnFailingDisk(second) }, RuleEndedSent},
 		"the same, but the next process found it": {func(w *fixture) {
 			w.refuseOnFailingDisk(3 * second)
 			w.l.Add(ledger.Recovered{Trace: "status", At: 8500 * time.Millisecond, Left: w.l.HandIns[safe].Deadline - 8500*time.Millisecond})
 		}, RuleEndedSent},
-		"the same, and a third process found what the second took on": {func(w *fixture) {
+		"the same, and a third process found what the second accepted": {func(w *fixture) {
 			w.refuseOnFailingDisk(3 * second)
 			w.l.Add(ledger.Recovered{Trace: "status", At: 8950 * time.Millisecond, Left: 20*second - 8950*time.Millisecond})
 		}, ""},
-		"the same, but nobody handed it in again": {func(w *fixture) {
+		"the same, but without a resubmission": {func(w *fixture) {
 			w.refuseOnFailingDisk(3 * second)
 			w.l.Resubmissions = nil
 		}, RuleEndedSent},
-		"refused, and sent by an emptied machine": {func(w *fixture) {
+		"refused, and sent after the relay lost its state": {func(w *fixture) {
 			w.dropAnswer(safe)
 			w.l.HandIns[safe].Status, w.l.HandIns[safe].Answered = 503, 2500*time.Millisecond
 			w.killRelay(3 * second)
 			w.l.Lives[len(w.l.Lives)-1].Emptied = true
 			w.repeatCall(safe, 1, 9*second)
 		}, ""},
-		"a restart that takes a message to have more time": {func(w *fixture) {
-			w.l.Add(ledger.Recovered{Trace: "status", At: 3 * second, Left: 5 * second}) // of 3 s
+		"a restart that computes too much remaining time": {func(w *fixture) {
+			w.l.Add(ledger.Recovered{Trace: "status", At: 3 * second, Left: 5 * second}) // 3 s remain
 		}, RuleDeadlineMoved},
-		"a restart that goes by an id's second time": {func(w *fixture) {
+		"a restart that uses the deadline of a resubmission": {func(w *fixture) {
 			w.l.Add(&ledger.Resubmission{Trace: "status", Sent: 2 * second, Deadline: 8 * second, Answered: 2 * second, Status: 202})
 			w.l.Add(ledger.Recovered{Trace: "status", At: 3 * second, Left: 5 * second})
 		}, ""},
-		"a restart that goes by neither time": {func(w *fixture) {
+		"a restart that uses neither deadline": {func(w *fixture) {
 			w.l.Add(&ledger.Resubmission{Trace: "status", Sent: 2 * second, Deadline: 20 * second, Answered: 2 * second, Status: 202})
 			w.l.Add(ledger.Recovered{Trace: "status", At: 3 * second, Left: 5 * second})
 		}, RuleDeadlineMoved},
@@ -224,7 +225,7 @@
 			w.killRelay(3 * second)
 			w.repeatCall(unsafe, 1, 9*second)
 		}, RuleDuplicate},
-		"a payment whose id came to an emptied machine": {func(w *fixture) {
+		"a payment submitted again after the relay lost its state": {func(w *fixture) {
 			w.dropAnswer(unsafe)
 			w.killRelay(3 * second)
 			w.l.Lives[len(w.l.Lives)-1].Emptied = true
@@ -235,7 +236,7 @@
 			c.Status, c.MayRun = 503, false
 			w.repeatCall(unsafe, 1, 4*second)
 		}, ""},
-		"a payment before the refusal came": {func(w *fixture) {
+		"a payment sent again before the refusal": {func(w *fixture) {
 			c := w.call(unsafe)
 			c.Status, c.MayRun, c.Written = 503, false, 5*second
 			w.repeatCall(unsafe, 1, 4*second)
@@ -246,28 +247,28 @@
 		"an order in another building":    {func(w *fixture) { w.dropAnswer(keyed); w.repeatCall(keyed, 0, 4*second) }, RuleDuplicate},
 		"a call 600 ms after a drain":     {func(w *fixture) { w.tellDrain(2*second - 600e6) }, RuleDrain},
 		"a call 540 ms after a drain":     {func(w *fixture) { w.tellDrain(2*second - 540e6) }, ""},
-		"a drain told to one that slept": {func(w *fixture) {
+		"a drain reported to a paused relay": {func(w *fixture) {
 			w.tellDrain(second)
 			w.l.Lives[0].Paused = []ledger.Pause{{From: second / 2, To: 1800e6}}
 		}, ""},
-		"a call in a told wait":            {func(w *fixture) { w.tellWait(second+850e6, 500*time.Millisecond) }, RuleWait},
-		"a call as the wait is told":       {func(w *fixture) { w.tellWait(second+950e6, 500*time.Millisecond) }, ""},
-		"a call once the wait is over":     {func(w *fixture) { w.tellWait(second, second) }, ""},
-		"a wait that a restart ended":      {func(w *fixture) { w.tellWait(second, 5*second); w.l.Lives[0].Start = second + 500e6 }, ""},
-		"pushed over by those who saw it":  {func(w *fixture) { w.overload(20, 30) }, RuleCold},
-		"pushed over by those who did not": {func(w *fixture) { w.overload(19, 30) }, ""},
-		"an unknown message":               {func(w *fixture) { w.l.Add(ledger.Unknown{What: "x"}) }, RuleWrong},
-		"a peer kept":                      {func(w *fixture) { w.l.Add(ledger.Peer{At: second, Ended: 4*second + 100e6}) }, RuleHostile},
-		"a peer never ended":               {func(w *fixture) { w.l.Add(ledger.Peer{At: second, Ended: ledger.Never, Status: 202}) }, RuleHostile},
-		"a peer closed in time":            {func(w *fixture) { w.l.Add(ledger.Peer{At: second, Ended: 3 * second}) }, ""},
-		"a crash":                          {func(w *fixture) { w.l.Lives[1].End = 9 * second }, RuleCrash},
-		"an end that was asked for":        {func(w *fixture) { w.l.Lives[1].Asked, w.l.Lives[1].End = 8*second, 9*second }, ""},
-		"an old process after a hand-over": {func(w *fixture) {
+		"a call during a wait":                                {func(w *fixture) { w.tellWait(second+850e6, 500*time.Millisecond) }, RuleWait},
+		"a call at the same time as the answer with the wait": {func(w *fixture) { w.tellWait(second+950e6, 500*time.Millisecond) }, ""},
+		"a call after the wait":                               {func(w *fixture) { w.tellWait(second, second) }, ""},
+		"a wait forgotten by a restart":                       {func(w *fixture) { w.tellWait(second, 5*second); w.l.Lives[0].Start = second + 500e6 }, ""},
+		"overloaded by relays that saw the outage":            {func(w *fixture) { w.overload(20, 30) }, RuleCold},
+		"overloaded by other relays":                          {func(w *fixture) { w.overload(19, 30) }, ""},
+		"an unknown message":                                  {func(w *fixture) { w.l.Add(ledger.Unknown{What: "x"}) }, RuleWrong},
+		"a hostile peer disconnected too late":                {func(w *fixture) { w.l.Add(ledger.Peer{At: second, Ended: 4*second + 100e6}) }, RuleHostile},
+		"a hostile peer never disconnected":                   {func(w *fixture) { w.l.Add(ledger.Peer{At: second, Ended: ledger.Never, Status: 202}) }, RuleHostile},
+		"a hostile peer disconnected in time":                 {func(w *fixture) { w.l.Add(ledger.Peer{At: second, Ended: 3 * second}) }, ""},
+		"a crash":                                             {func(w *fixture) { w.l.Lives[1].End = 9 * second }, RuleCrash},
+		"a requested exit":                                    {func(w *fixture) { w.l.Lives[1].Asked, w.l.Lives[1].End = 8*second, 9*second }, ""},
+		"the exit of an old process after a hand-over": {func(w *fixture) {
 			w.l.Lives[1].End = 9 * second
 			w.l.Add(&ledger.Life{Relay: 1, Replaces: true, Start: 8 * second, Ready: 8 * second, Asked: ledger.Never, End: ledger.Never})
 		}, ""},
 		"too much memory": {func(w *fixture) { w.l.Add(ledger.Sample{At: second, MemoryMB: 95, DiskMB: 2}) }, RuleOverLimit},
-		"too much of two": {func(w *fixture) {
+		"too many sockets of two processes together": {func(w *fixture) {
 			w.l.Add(ledger.Sample{At: second, PID: 1, Sockets: 300})
 			w.l.Add(ledger.Sample{At: second + 1e6, PID: 2, Sockets: 300})
 		}, RuleOverLimit},
@@ -285,22 +286,24 @@
 	}
 }
 
+// tellDrain has discovery tell the first relay that the second endpoint drains.
 func (w *fixture) tellDrain(at time.Duration) {
 	w.l.Add(ledger.Told{Relay: 0, Endpoint: 1, State: "draining", At: at})
 }
 
-// tellWait has the partner tell a tellWait before the calls that come at 2 s.
+// tellWait has the partner ask for a wait before the calls that come at 2 s.
 func (w *fixture) tellWait(at, d time.Duration) {
 	w.l.Add(&ledger.Call{Endpoint: 0, Traces: []string{"status"}, FirstByte: at, LastByte: at, Written: at, Status: 429, Wait: d})
 }
 
+// overload has the partner overloaded again after an outage, by so many calls, some of them from witnesses.
 func (w *fixture) overload(byThose, pushed int) {
 	w.l.Add(&ledger.Outage{From: second, To: 4 * second, Fell: 5 * second, Pushed: pushed, ByThose: byThose, Witness: map[int]bool{0: true}})
 }
 
 func TestWorth(t *testing.T) {
 	w := newFixture()
-	// The status is in time, the order 15 s late of the 26 s that it has, the payment never delivered.
+	// The status is delivered in time, the order 15 s after it was due (late), the payment never.
 	w.call(keyed).Written = second + 15*second
 	w.dropAnswer(unsafe)
 	w.l.Add(ledger.Notice{Trace: "payment", Status: "undeliverable", At: 5 * second})
@@ -310,7 +313,7 @@
 			t.Errorf("message %d %s, want %s", i, OutcomeNames[fates[i].Outcome], OutcomeNames[want])
 		}
 	}
-	// 2 of worth fall by half over the 26 s from aim to deadline, of which 13 have passed.
+	// A worth of 2 falls by half over the 26 s from aim to deadline, of which 13 have passed.
 	if got := fates[1].Earned; got < 1.499 || got > 1.501 {
 		t.Errorf("the order earned %v, want 1.5", got)
 	}
--- a/internal/testbed/audit/ended.go
+++ b/internal/testbed/audit/ended.go
@@ -11,24 +11,25 @@
 )
 
 const (
-	// recordDelay is within how long a relay has put on disk what it has learned from an endpoint.
+	// recordDelay is how long a relay may take to write to disk what it learned from an endpoint.
 	recordDelay = 20 * time.Millisecond
-	// diskCatchUp is within how long a relay has put on disk what a failing disk did not take, once that is well.
+	// diskCatchUp is how long a relay may take to write what a failing disk rejected, once the disk works again.
 	diskCatchUp = 250 * time.Millisecond
 )
 
-// endings are the moments from which on nothing may be sent for a request, by trace id.
+// endings holds, by trace id, the times from which on nothing may be sent for a request.
 type endings map[string][]ending
 
-// ending is one such moment.
+// ending is one way in which a request ended.
 type ending struct {
 	relay        int
 	at           time.Duration
 	cause        string
-	fromEndpoint bool // from an endpoint: nobody was told of it yet
+	fromEndpoint bool // learned from an endpoint and not yet reported to anybody
 }
 
-// collectEndings collects how relays have ended requests: by an answer, to whoever handed the id in, by a notice, or as an endpoint told.
+// collectEndings collects how relays ended requests: by an answer to a submission or resubmission, by a notice, or as an
+// endpoint reported.
 func (a *auditor) collectEndings() endings {
 	all := endings{}
 	add := func(trace string, e ending) { all[trace] = append(all[trace], e) }
@@ -46,12 +47,12 @@
 		add(trace, ending{relay: ns[0].Relay, at: ns[0].At, cause: ns[0].Status})
 	}
 	for _, x := range a.ledger.Learned {
-		add(x.Trace, ending{relay: x.Relay, at: x.At, cause: "an endpoint told", fromEndpoint: true})
+		add(x.Trace, ending{relay: x.Relay, at: x.At, cause: "reported by an endpoint", fromEndpoint: true})
 	}
 	return all
 }
 
-// checkEnded checks that nothing is sent for a request that its relay has checkEnded, by this process of it or a later one.
+// checkEnded checks that neither the same nor a later process of a relay sends a request that the relay has ended.
 func (a *auditor) checkEnded() {
 	for trace, ends := range a.collectEndings() {
 		for _, c := range a.calls[trace] {
@@ -60,15 +61,15 @@
 					!a.neverAccepted(trace, e.relay, e.at, c.FirstByte)
 			})
 			if i >= 0 {
-				a.report(RuleEndedSent, c.FirstByte, c.Relay, "%s: sent, and ended at %v (%s)", trace, ends[i].at, ends[i].cause)
+				a.report(RuleEndedSent, c.FirstByte, c.Relay, "%s: sent after it ended at %v (%s)", trace, ends[i].at, ends[i].cause)
 				break
 			}
 		}
 	}
 }
 
-// mayForget tells whether a relay may have lost an end by a moment: with its machine, or, where nobody was told of it, with a
-// process that was killed before the disk had it.
+// mayForget reports whether a relay may have lost an ending by a given time: with its machine or, if the ending was not yet
+// reported to anybody, with a process that was killed before the ending was on disk.
 func (a *auditor) mayForget(e ending, by time.Duration) bool {
 	if a.lostState(e.relay, e.at, by) {
 		return true
@@ -83,8 +84,8 @@
 	return false
 }
 
-// neverAccepted tells whether a relay refused a request without taking it on, and could not put that down, since its files failed until
-// its process ended: the next process took the id on anew, and did not find it on disk.
+// neverAccepted reports whether a relay refused a request and could not record the refusal, because its files failed until
+// its process ended. The next process then found nothing on disk and accepted the id anew.
 func (a *auditor) neverAccepted(trace string, relay int, at, by time.Duration) bool {
 	if !a.diskFailed(relay, at, at) {
 		return false
@@ -102,12 +103,12 @@
 	})
 }
 
-// lostState tells whether a relay lost its machine, and with it all that it knew, between two moments.
+// lostState reports whether a relay restarted with an empty folder between two times.
 func (a *auditor) lostState(relay int, from, to time.Duration) bool {
 	return slices.ContainsFunc(a.lives[relay], func(x *ledger.Life) bool { return x.Emptied && from < x.Start && x.Start < to })
 }
 
-// diskFailed tells whether a relay's files failed at any time between two moments.
+// diskFailed reports whether a fault made a relay's files fail at any time between two times.
 func (a *auditor) diskFailed(relay int, from, to time.Duration) bool {
 	for _, f := range a.plan.Faults {
 		begin, end := a.offset+f.At, a.offset+f.At+f.For+limitTolerance
--- a/internal/testbed/audit/givenup.go
+++ b/internal/testbed/audit/givenup.go
@@ -8,13 +8,13 @@
 )
 
 const (
-	// minUntried is how many untried messages restarts have to find for their share to mean something.
+	// minUntried is the least number of unattempted messages recovered by restarts for their share to be meaningful.
 	minUntried = 6
-	// earlyMargin is how long before its time an end counts as given up early.
+	// earlyMargin is how long before its deadline a message must end to count as given up early.
 	earlyMargin = 500 * time.Millisecond
 )
 
-// checkGivenUp checks that what restarts find untried, with half of its time left, is tried.
+// checkGivenUp checks that messages which a restart recovers unattempted, with half of their time left, are attempted.
 func (a *auditor) checkGivenUp() {
 	untried, givenUp := 0, 0
 	var last Violation
@@ -34,19 +34,19 @@
 		}
 	}
 	if untried >= minUntried && 2*givenUp > untried {
-		a.report(RuleGivenUp, last.At, 0, "%d of %d messages that restarts found untried were given up with no call", givenUp, untried)
+		a.report(RuleGivenUp, last.At, 0, "%d of %d unattempted messages that restarts recovered were given up without a call", givenUp, untried)
 	}
 }
 
-// attempted tells whether a restart found a message of which its relay has attempts on record: connections that are refused reach no
-// endpoint's books.
+// attempted reports whether the relay's own log has attempts for a recovered message. Refused connections reach no endpoint,
+// so the endpoints' records do not show them.
 func (a *auditor) attempted(h *ledger.HandIn) bool {
 	return slices.ContainsFunc(a.ledger.Recovered, func(x ledger.Recovered) bool {
 		return x.Relay == h.Relay && x.Trace == h.Trace && x.Attempts > 0
 	})
 }
 
-// recoveredAt is when the process was ready that found a message which another had taken on; Never if none did.
+// recoveredAt returns when the process became ready that recovered a message accepted by an earlier process, or Never.
 func (a *auditor) recoveredAt(h *ledger.HandIn) time.Duration {
 	if h.Answered == ledger.Never || h.Status >= 300 {
 		return ledger.Never
--- a/internal/testbed/audit/givenup_test.go
+++ b/internal/testbed/audit/givenup_test.go
@@ -7,6 +7,8 @@
 	"onyxroad.dev/onyxroad/internal/testbed/ledger"
 )
 
+// TestGivenUpIgnoresAttemptedMessages guards against counting a message as given up without an attempt when the relay's log has
+// attempts whose connections were refused, and which no endpoint has therefore seen.
 func TestGivenUpIgnoresAttemptedMessages(t *testing.T) {
 	for _, attempts := range []int{0, 1} {
 		w := newFixture()
@@ -18,7 +20,7 @@
 			w.l.Add(ledger.Notice{Trace: id, Status: "deferred", At: 9 * second})
 		}
 		if found := CountByRule(Check(w.p, w.l, 0, 60*second))[RuleGivenUp]; (found > 0) != (attempts == 0) {
-			t.Errorf("%d attempts on record: broken %v times", attempts, found)
+			t.Errorf("%d logged attempts: %v violations", attempts, found)
 		}
 	}
 }
--- a/internal/testbed/audit/views.go
+++ b/internal/testbed/audit/views.go
@@ -10,17 +10,17 @@
 )
 
 const (
-	// viewTimeout is how long a change of the fleet is looked for in the others' views.
+	// viewTimeout is how long the other members' views are searched for a change of the fleet.
 	viewTimeout = 20 * time.Second
-	// removalGrace is how long after a pause or a restart of a member its removal is no false one.
+	// removalGrace is how long after a pause or a restart of a member its removal does not count as false.
 	removalGrace = 8 * time.Second
-	// shortPause is a pause that excuses nothing.
+	// shortPause is the longest pause that must not lead to a removal.
 	shortPause = 1300 * time.Millisecond
 )
 
-// ViewFigures adds what the relays saw of their fleet: how long a member that was killed, or left in order, stayed in the views of
-// those that lived on, in seconds; how long the start took until every view held all; how often a member was removed that
-// was there; and how many changes the busiest view had in 30 s.
+// ViewFigures adds the figures on membership views: how many seconds a killed or leaving member stayed in the views of the
+// surviving members, how long it took at the start until every view was complete, how often a running member was removed,
+// and the largest number of changes of one view in 30 s.
 func ViewFigures(p *plan.Plan, l *ledger.Ledger, offset time.Duration, fig map[string]float64) {
 	changesByRelay := map[int][]ledger.ViewChange{}
 	for _, v := range l.Views {
@@ -34,7 +34,7 @@
 	for r := range p.Relays {
 		index[p.Relays[r].Name] = r
 	}
-	undisturbed := func(r int, from, to time.Duration) bool { // one process of the relay lived through it, and never stood still
+	undisturbed := func(r int, from, to time.Duration) bool { // one process of the relay ran throughout, without a pause
 		return slices.ContainsFunc(lives[r], func(x *ledger.Life) bool {
 			return x.Ready != ledger.Never && x.Ready <= from && (x.End == ledger.Never || x.End >= to) &&
 				(x.Asked == ledger.Never || x.Asked >= to) &&
@@ -74,7 +74,7 @@
 	if len(left) == 0 {
 		fig["view_left_p99_s"] = 0
 	}
-	// The last to be ready begins the count: until then not all are there.
+	// Counted from when the last member is ready, since no view can be complete before.
 	ready, last, missing := time.Duration(0), time.Duration(0), 0.0
 	for r := range p.Members() {
 		ready = max(ready, lives[r][0].Ready)
@@ -87,7 +87,7 @@
 	}
 	fig["view_joined_s"], fig["views_never_whole"] = (last - ready).Seconds(), missing
 	splitFigures(p, changesByRelay, offset, fig)
-	healing := func(at time.Duration) bool { // what comes back then has every reason to
+	healing := func(at time.Duration) bool { // members that return then do so because a partition ended
 		return slices.ContainsFunc(p.Faults, func(f plan.Fault) bool {
 			return (f.Kind == "cut" || f.Kind == "one-way") && offset+f.At+f.For <= at && at <= offset+f.At+f.For+removalGrace
 		})
@@ -116,15 +116,15 @@
 	fig["false_removals"], fig["view_changes_30s"] = falseRemovals, float64(busiest)
 }
 
-// partitioned tells whether a fault between relays ran at a moment, or had just ended: who is gone then is gone for a reason.
+// partitioned reports whether a fault between relays was active at a time, or had just ended: removals then are justified.
 func partitioned(p *plan.Plan, offset, at time.Duration) bool {
 	return slices.ContainsFunc(p.Faults, func(f plan.Fault) bool {
 		return (f.Kind == "cut" || f.Kind == "one-way") && offset+f.At <= at && at <= offset+f.At+f.For+removalGrace
 	})
 }
 
-// splitFigures adds, for the last cut between relays, the share of the relays that said in its time that they are splitFigures or alone,
-// and the seconds from its end until every view held all again; as long as the run where one never did.
+// splitFigures adds, for the last cut between relays, the share of the members that reported themselves as split or alone
+// while it lasted, and the seconds from its end until every view was complete again (the run's length if one never was).
 func splitFigures(p *plan.Plan, changesByRelay map[int][]ledger.ViewChange, offset time.Duration, fig map[string]float64) {
 	for _, f := range p.Faults {
 		if f.Kind != "cut" {
@@ -153,7 +153,7 @@
 			if !whole {
 				at = p.Length
 			} else if at == p.Length {
-				at = 0 // it was whole all the time
+				at = 0 // the view was complete all the time
 			}
 			healed = max(healed, at)
 		}
@@ -161,7 +161,7 @@
 	}
 }
 
-// maxFlaps is how often, in any 30 s, a member came back into one view that had gone from it, without a new start of its own.
+// maxFlaps returns the most times in any 30 s that one member returned to one view after a removal, without having restarted.
 func maxFlaps(changesByRelay map[int][]ledger.ViewChange, lives map[int][]*ledger.Life, index map[string]int, healing func(time.Duration) bool) float64 {
 	most := 0
 	for _, vs := range changesByRelay {
@@ -195,8 +195,8 @@
 	return float64(most)
 }
 
-// IdleFigures adds what a member costs at rest over a relay that is none, in the run's second half: share of a core, MB of memory, and
-// bytes a second.
+// IdleFigures adds what an idle member costs over a relay that is not a member, in the second half of the run: share of a
+// core, MB of memory, and bytes per second.
 func IdleFigures(p *plan.Plan, l *ledger.Ledger, offset time.Duration, fig map[string]float64) {
 	type span struct{ first, last ledger.Sample }
 	spans := map[int]*span{}
--- a/internal/testbed/audit/views_test.go
+++ b/internal/testbed/audit/views_test.go
@@ -26,9 +26,9 @@
 	}
 	see(0, 8*s, 2, "settling", nil, []string{"c"})
 	see(1, 9*s, 2, "settling", nil, []string{"c"})
-	see(0, 20*s, 1, "alone", nil, []string{"b"}) // which is there
+	see(0, 20*s, 1, "alone", nil, []string{"b"}) // a false removal: b is running
 	see(0, 21*s, 2, "settling", []string{"b"}, nil)
-	see(0, 33*s, 1, "alone", nil, []string{"b"}) // cut off
+	see(0, 33*s, 1, "alone", nil, []string{"b"}) // during the cut
 	see(0, 45*s, 3, "settling", []string{"b", "c"}, nil)
 	fig := map[string]float64{}
 	ViewFigures(p, l, 0, fig)
@@ -46,7 +46,7 @@
 	x.Fleet.NonMembers = 1
 	p := &plan.Plan{Experiment: x, Length: 20 * s, Relays: make([]plan.Relay, 3)}
 	l := &ledger.Ledger{Traffic: []ledger.Traffic{{Relay: 0, From: 10 * s, To: 20 * s, Bytes: 1000}, {Relay: 1, From: 10 * s, To: 15 * s, Bytes: 1500}}}
-	for r, used := range []time.Duration{s / 10, s / 5, s / 20} { // members take 0.01 and 0.02 of a core, the other one 0.005
+	for r, used := range []time.Duration{s / 10, s / 5, s / 20} { // members use 0.01 and 0.02 of a core, the other relay 0.005
 		for i, at := range []time.Duration{5 * s, 10 * s, 20 * s} {
 			l.Samples = append(l.Samples, ledger.Sample{Relay: r, PID: r + 1, At: at, CPU: s + used*time.Duration(i), MemoryMB: float64(20 - 5*(r/2))})
 		}
--- a/internal/testbed/audit/worth.go
+++ b/internal/testbed/audit/worth.go
@@ -9,21 +9,21 @@
 	"onyxroad.dev/onyxroad/internal/testbed/plan"
 )
 
-// The weights of service, and points of it that are taken off.
+// Weights of the served shares in the goal figure, and the penalties that are subtracted from it.
 const (
 	weightTotal, weightWindow, weightClass, weightCustomer    = 0.4, 0.3, 0.2, 0.1
 	penaltyHandshake, penaltyWaste, penaltyLate, penaltyProbe = 0.06, 0.05, 0.02, 0.01
 	penaltyCross                                              = 0.01
 	worstWindow                                               = 10 * time.Second
-	overShareWorth                                            = 0.1  // worth of traffic beyond a customer's share
-	quotaShare                                                = 0.85 // of the full load, that the shares divide
-	minClassShare                                             = 0.05 // a class with less of the messages is not judged by itself
+	overShareWorth                                            = 0.1  // factor on the worth of traffic beyond a customer's share
+	quotaShare                                                = 0.85 // part of the full load that the customers' shares divide
+	minClassShare                                             = 0.05 // a class with a smaller share of the messages does not count as the worst class
 )
 
 // Outcome is how a message ended for its client.
 type Outcome int
 
-// The outcomes.
+// The possible outcomes.
 const (
 	InTime Outcome = iota
 	TooLate
@@ -32,21 +32,21 @@
 	Unanswered
 )
 
-// OutcomeNames are their names.
+// OutcomeNames holds the names of the outcomes, by value.
 var OutcomeNames = []string{"in time", "late", "refused", "failed", "no answer"}
 
-// MessageResult is what became of a message.
+// MessageResult is the result of one message.
 type MessageResult struct {
-	At      time.Duration // when it was first due, from the first arrival
+	At      time.Duration // when it was first due, from the start of the load
 	Class   int
 	Partner int
 	Outcome Outcome
-	Latency time.Duration // to the delivery
-	Worth   float64       // worth
+	Latency time.Duration // until the delivery
+	Worth   float64       // what it earns when delivered in time
 	Earned  float64
 }
 
-// MessageResults are those of the plan's messages, in their order.
+// MessageResults returns the results of the plan's messages, in their order.
 func MessageResults(p *plan.Plan, l *ledger.Ledger, offset time.Duration) []MessageResult {
 	tries := make([][]*ledger.HandIn, len(p.Arrivals))
 	for _, h := range l.HandIns {
@@ -70,7 +70,7 @@
 	for i, a := range p.Arrivals {
 		c := &p.Classes[a.Class]
 		f := MessageResult{At: a.At, Class: a.Class, Partner: a.Partner, Outcome: Unanswered, Worth: c.Worth}
-		// A bucket of two seconds of its share tells what lies beyond.
+		// A token bucket that holds two seconds of the customer's share decides which messages exceed it.
 		quota := p.Experiment.Load.Customers[a.Customer].Share * p.FullRate * quotaShare
 		queued[a.Customer] = math.Max(0, queued[a.Customer]-quota*(a.At-at[a.Customer]).Seconds()) + 1
 		if at[a.Customer] = a.At; queued[a.Customer] > 1+2*quota {
@@ -114,7 +114,7 @@
 	return results
 }
 
-// worthShare is what was served of what was asked for; 1 where nothing was.
+// worthShare is the worth earned out of the worth possible. Its ratio is 1 if nothing was possible.
 type worthShare struct{ possible, earned float64 }
 
 func (s *worthShare) add(f MessageResult) {
@@ -128,7 +128,7 @@
 	return s.earned / s.possible
 }
 
-// Figures are the run's figures besides the broken rules, by the names that bounds use.
+// Figures returns the run's figures, except those on violated rules, by the names that bounds use.
 func Figures(p *plan.Plan, l *ledger.Ledger, results []MessageResult, offset time.Duration) map[string]float64 {
 	var total, late worthShare
 	classes, customers := make([]worthShare, len(p.Classes)), make([]worthShare, len(p.Experiment.Load.Customers))
@@ -143,7 +143,7 @@
 		seconds[min(len(seconds)-1, int(f.At/time.Second))].add(f)
 		customer := f
 		if customer.Worth < p.Classes[f.Class].Worth {
-			customer = MessageResult{} // beyond its share
+			customer = MessageResult{} // beyond the customer's share
 		}
 		customers[p.Arrivals[i].Customer].add(customer)
 		outcomes[f.Outcome]++
@@ -182,7 +182,7 @@
 	return fig
 }
 
-// worstShare is the least share served in any ten seconds in a row.
+// worstShare returns the lowest share served in any ten consecutive seconds.
 func worstShare(seconds []worthShare) float64 {
 	span := int(worstWindow / time.Second)
 	lowest := 1.0
@@ -196,8 +196,8 @@
 	return lowest
 }
 
-// recoverySeconds is how long after the first relays are killed service is recoverySeconds: seconds until two in a row serve 95% of what the
-// eight before the kill did. -1 if none are killed, the rest of the run if it never is.
+// recoverySeconds returns the seconds from the first kill until service has recovered: until two consecutive seconds serve
+// 95% of what the eight seconds before the kill did. It is -1 without a kill, and the rest of the run without a recovery.
 func recoverySeconds(p *plan.Plan, seconds []worthShare) float64 {
 	for _, f := range p.Faults {
 		if f.Kind != "kill" {
@@ -219,7 +219,7 @@
 	return -1
 }
 
-// addCallFigures adds what the fleet's calls cost, each by message.
+// addCallFigures adds the figures on the fleet's calls, per message.
 func addCallFigures(p *plan.Plan, l *ledger.Ledger, n float64, fig map[string]float64) {
 	var calls, fresh, probes, crossed, refused, lost, all, down float64
 	for _, c := range l.Calls {
@@ -250,7 +250,7 @@
 	fig["wasted"] = lost / math.Max(all, 1e-9)
 }
 
-// addResourceFigures adds what the processes addResourceFigures, and how long their starts took.
+// addResourceFigures adds the resources that the processes used, and how long they took to start.
 func addResourceFigures(p *plan.Plan, l *ledger.Ledger, offset time.Duration, fig map[string]float64) {
 	half := map[int][2][]float64{}
 	cpu := map[int]time.Duration{}
@@ -269,7 +269,7 @@
 		}
 		half[s.PID] = h
 	}
-	// Memory that grows: from the third quarter to the last, in the mean over the processes that lived through both.
+	// Memory growth from the third quarter to the last, averaged over the processes that ran in both.
 	var growth []float64
 	for _, h := range half {
 		if len(h[0]) > 2 && len(h[1]) > 2 {
--- a/internal/testbed/experiment/default.go
+++ b/internal/testbed/experiment/default.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// Default is an experiment with everything but its length, faults and bounds set: a fleet, partners, a network and a load
-// of the sizes that the operators name for their site. A file overrides what it is about. A list that a file gives, of
-// kinds or classes say, takes the place of the default one.
+// Default returns an experiment with everything set except its length, faults and bounds: a fleet, partners, a network and a
+// load of the sizes that the operators give for their site. A file overrides individual values. A list in a file, of kinds or
+// classes for example, replaces the whole default list.
 func Default() *Experiment {
 	ms := func(n int) Duration { return Duration(time.Duration(n) * time.Millisecond) }
 	return &Experiment{
--- a/internal/testbed/experiment/experiment_test.go
+++ b/internal/testbed/experiment/experiment_test.go
@@ -38,11 +38,11 @@
 		t.Errorf("fault %+v", f)
 	}
 	if len(x.Partners.Kinds) != 3 || x.Load.AnswerTimeout.D() != 400*time.Millisecond {
-		t.Error("what the file does not name is not as it is by default")
+		t.Error("values that the file does not set differ from the defaults")
 	}
 }
 
-// TestListReplacesDefault gives a list of which there is a default one.
+// TestListReplacesDefault checks that a list in a file replaces the default one instead of being merged with it.
 func TestListReplacesDefault(t *testing.T) {
 	x, err := Parse("x.toml", []byte(minimal+`
 [[load.class]]
@@ -91,7 +91,7 @@
 func TestRepositoryExperiments(t *testing.T) {
 	files, _ := filepath.Glob("../../../experiments/*.toml")
 	if len(files) < 8 {
-		t.Fatalf("%d experiments", len(files))
+		t.Fatalf("found %d experiments, want at least 8", len(files))
 	}
 	for _, f := range files {
 		if _, err := Read(f); err != nil {
--- a/internal/testbed/plan/arrivals.go
+++ b/internal/testbed/plan/arrivals.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// weightedChoice draws an index by weight.
+// weightedChoice draws an index by weight. It holds the cumulative sums of the weights.
 type weightedChoice []float64
 
 func newWeightedChoice(weights []float64) weightedChoice {
@@ -26,8 +26,8 @@
 	return min(sort.SearchFloat64s(w, x), len(w)-1)
 }
 
-// drawArrivals draws the messages: a Poisson process over the length, whose rate bursts raise, and clumps for single
-// partners, each at one relay.
+// drawArrivals draws the messages: a Poisson process over the length of the run, whose rate bursts raise, and clumps of
+// messages for a single partner, each clump at one relay.
 func (p *Plan) drawArrivals(rng *rand.Rand) {
 	x := p.Experiment.Load
 	level, clumps := x.Level.Draw(rng), x.Clumps.Draw(rng)
@@ -42,7 +42,7 @@
 		sum, nominal = sum+weights[i], nominal+d.Share
 	}
 	for i := range weights {
-		weights[i] *= nominal / sum // the level holds, whatever each customer uses of its share
+		weights[i] *= nominal / sum // keeps the total level, whatever part of its share each customer uses
 	}
 	relays := make([]float64, len(p.Relays))
 	for i, r := range p.Relays {
@@ -55,7 +55,7 @@
 		shares := make([]float64, len(p.Classes))
 		for c := range p.Classes {
 			if p.Classes[c].servesKind(kind) {
-				// Of a destination's traffic, as much is of this class as its share of all that such destinations get.
+				// A class's part of a destination's traffic is its share of the traffic of all destinations that it may go to.
 				shares[c] = p.Classes[c].Share.Lo / p.reachableShare(c)
 			}
 		}
@@ -96,7 +96,7 @@
 	slices.SortStableFunc(p.Arrivals, func(a, b Arrival) int { return cmp.Compare(a.At, b.At) })
 }
 
-// reachableShare is the share of the traffic that destinations get to which a class goes.
+// reachableShare returns the share of the traffic of the destinations that a class may be sent to.
 func (p *Plan) reachableShare(c int) float64 {
 	sum := 0.0
 	for i := range p.Partners {
@@ -107,7 +107,7 @@
 	return math.Max(sum, 1e-9)
 }
 
-// burstFactor is by how much bursts raise the traffic at a moment.
+// burstFactor returns the factor by which bursts raise the traffic at a time.
 func (p *Plan) burstFactor(at time.Duration) float64 {
 	f := 1.0
 	for _, x := range p.Faults {
@@ -118,14 +118,15 @@
 	return f
 }
 
-// messageGenerator draws what a message is.
+// messageGenerator draws the properties of messages.
 type messageGenerator struct {
 	p                                          *Plan
 	relays                                     weightedChoice
-	classes                                    []weightedChoice // for each destination
+	classes                                    []weightedChoice // by destination
 	retries, heedShare, leaveShare, heavyShare float64
 }
 
+// message draws one message for a partner. A negative relay has the relay drawn by share of traffic.
 func (k *messageGenerator) message(rng *rand.Rand, at time.Duration, partner, relay int) Arrival {
 	x := k.p.Experiment.Load
 	a := Arrival{At: at, Relay: relay, Partner: partner, Customer: k.p.Partners[partner].Customer, Draw: rng.Uint64()}
@@ -134,6 +135,7 @@
 	}
 	a.Class = k.classes[partner].draw(rng)
 	c := &k.p.Classes[a.Class]
+	// A lognormal distribution with a mean of 1 and the class's coefficient of variation.
 	// A lognormal of mean 1 and the class's variation.
 	v := math.Log(1 + c.CV*c.CV)
 	a.Work = millis(c.WorkMS * math.Exp(math.Sqrt(v)*rng.NormFloat64()-v/2))
@@ -159,7 +161,7 @@
 	return a
 }
 
-// drawHostilePeers draws the peers that speak no proper request.
+// drawHostilePeers draws the peers that violate the request protocol.
 func (p *Plan) drawHostilePeers(rng *rand.Rand) {
 	add := func(rate float64, from, to time.Duration, relays []int) {
 		for at := from; rate > 0; {
--- a/internal/testbed/plan/faults.go
+++ b/internal/testbed/plan/faults.go
@@ -11,18 +11,19 @@
 )
 
 const (
-	// A replaced endpoint's successor is listed this long before the old one drains, and the old one ends this long after.
+	// The successor of a replaced endpoint is listed this long before the old endpoint starts to drain.
 	successorLead = 1500 * time.Millisecond
-	drainTime     = 3500 * time.Millisecond
-	// faultsEnd is the share of the length by which every fault has begun and, if it lasts, is over: what comes back is
-	// seen to come back.
+	// A draining endpoint ends after this time.
+	drainTime = 3500 * time.Millisecond
+	// faultsEnd is the share of the run's length by which every fault has started and, if it has a duration, ended, so that
+	// the run shows the recovery from it.
 	faultsEnd = 0.9
 )
 
-// TornWriteTail is for how long the files of a torn write go on failing after the kill.
+// TornWriteTail is how long the files of a torn write keep failing after the kill.
 const TornWriteTail = 300 * time.Millisecond
 
-// drawFaults draws each fault's moment, targets and size.
+// drawFaults draws each fault's time, targets and size.
 func (p *Plan) drawFaults(rng *rand.Rand) {
 	for i, spec := range p.Experiment.Faults {
 		from := len(p.Faults)
@@ -40,7 +41,7 @@
 	slices.SortStableFunc(p.Faults, func(a, b Fault) int { return cmp.Compare(a.At, b.At) })
 }
 
-// drawFault draws one drawFault.
+// drawFault draws one fault.
 func (p *Plan) drawFault(rng *rand.Rand, spec experiment.Fault) {
 	f := Fault{Kind: spec.Kind, At: time.Duration((spec.At.Draw(rng) + rng.Float64()*spec.Over.Draw(rng)) * float64(p.Length)), For: spec.For.Draw(rng), Size: spec.Size.Draw(rng),
 		Building: -1}
@@ -86,7 +87,7 @@
 	p.Faults = append(p.Faults, f)
 }
 
-// The calls that may fail, and how.
+// The calls that may be made to fail, and their errors.
 var (
 	socketCalls = []string{"accept", "accept", "connect", "socket", "recv", "send", "listen"}
 	socketErrs  = map[string][]string{
@@ -100,12 +101,12 @@
 	failureEffects = []string{"", "part", "all"}
 	wallSteps      = []int{-3600, -5, 5, 3600}
 	shortSizes     = []int{1, 7, 64}
-	// Writes that fail until a kill: with no effect, with some that can or can't be taken away, or now and then.
+	// Writes that fail until a kill: without effect, with an effect that a truncation can or cannot undo, or only some of them.
 	tornWrites = [][]string{{"write EIO 1 "}, {"write EIO 1 part"}, {"write EIO 1 all", "truncate EIO 1 "}, {"write ENOSPC 1 part", "truncate EIO 1 "},
 		{"write EIO 2 "}, {"write EIO 3 all"}}
 )
 
-// failureInterval is of how many calls one fails. A broken connection is rare, or nothing would get through.
+// failureInterval draws n, where one in n calls fails. Broken connections are rare, or no request would get through.
 func failureInterval(rng *rand.Rand, call string) int {
 	if call == "recv" || call == "send" {
 		return pickOne(rng, []int{20, 60})
@@ -113,9 +114,10 @@
 	return pickOne(rng, []int{1, 1, 3, 9})
 }
 
+// pickOne draws one of the values.
 func pickOne[T any](rng *rand.Rand, values []T) T { return values[rng.IntN(len(values))] }
 
-// drawInjectionRules draws what is injected into relays; nothing for other kinds of fault.
+// drawInjectionRules draws the rules of the failures to inject into relays; none for other kinds of fault.
 func drawInjectionRules(rng *rand.Rand, kind string) []string {
 	switch kind {
 	case "wall-step":
@@ -129,7 +131,7 @@
 		return pickOne(rng, tornWrites)
 	case "files":
 		var rules []string
-		for range 1 + rng.IntN(2) { // and what cleans up after it
+		for range 1 + rng.IntN(2) { // a second rule may also fail the cleanup after the first failure
 			rules = append(rules, fmt.Sprintf("%s %s %d %s", pickOne(rng, fileCalls), pickOne(rng, fileErrs), failureInterval(rng, ""), pickOne(rng, failureEffects)))
 		}
 		return rules
@@ -137,7 +139,7 @@
 	return nil
 }
 
-// pickRelays draws a share of the relays, one at least.
+// pickRelays draws a share of the relays, at least one.
 func (p *Plan) pickRelays(rng *rand.Rand, portion float64, building int) []int {
 	var candidates []int
 	for i := range p.Relays {
@@ -151,8 +153,8 @@
 	return candidates
 }
 
-// pickPartners draws partners that get about a share of the traffic, one at least, and the endpoints struck: all of
-// theirs, or those in one building.
+// pickPartners draws partners that receive about the given share of the traffic, at least one, and the affected endpoints:
+// all of theirs, or those in one building.
 func (p *Plan) pickPartners(rng *rand.Rand, x experiment.Fault, share float64, building int) (partners, endpoints []int) {
 	sum := 0.0
 	for _, i := range rng.Perm(len(p.Partners)) {
@@ -165,7 +167,7 @@
 		if len(in) == 0 || len(partners) > 0 && sum+p.Partners[i].Share > share*1.2 {
 			continue
 		}
-		// Routes apart have outages of their own, but most strike all of a partner's.
+		// Separate routes can fail independently, but most outages affect all endpoints of a partner.
 		partners, endpoints = append(partners, i), append(endpoints, in...)
 		if sum += p.Partners[i].Share; sum >= share*0.8 {
 			break
@@ -176,7 +178,8 @@
 	return partners, endpoints
 }
 
-// drawRollingRestart makes a restart of each relay out of a rolling one, over its time, in an order that is drawn.
+// drawRollingRestart turns a rolling restart or upgrade into one fault for each relay, in a drawn order, spread over its
+// duration. Every second relay of a rolling restart is killed.
 func (p *Plan) drawRollingRestart(rng *rand.Rand, f Fault) {
 	order := rng.Perm(len(p.Relays))
 	for k, r := range order {
@@ -191,7 +194,7 @@
 	}
 }
 
-// drawRelease replaces a share of the endpoints, in steps.
+// drawRelease replaces a share of the endpoints step by step.
 func (p *Plan) drawRelease(rng *rand.Rand, f *Fault, share float64) {
 	var candidates []int
 	for i := range p.Endpoints {
--- a/internal/testbed/plan/plan.go
+++ b/internal/testbed/plan/plan.go
@@ -1,6 +1,6 @@
-// Package plan draws, from an experiment and a seed, everything that a run is given: the fleet, the partners, each
-// message with its time and work, and each fault with its moment and its targets. Nothing is drawn while a run is under
-// way, so that the same seed gives the same run whatever the program under test does; Write prints it, byte for byte.
+// Package plan draws, from an experiment and a seed, everything that a run is given: the fleet, the partners, each message
+// with its time and work, and each fault with its time and targets. Nothing is drawn during a run, so that a seed gives the
+// same run whatever the program under test does. Write prints the plan, byte for byte the same for the same seed.
 package plan
 
 import (
@@ -17,27 +17,27 @@
 	"onyxroad.dev/onyxroad/internal/testbed/experiment"
 )
 
-// Plan is one run, drawn.
+// Plan is the plan of one run.
 type Plan struct {
 	Experiment    *experiment.Experiment
 	Seed          uint64
-	Length        time.Duration // messages arrive for so long
+	Length        time.Duration // how long messages arrive
 	Buildings     []string
 	Relays        []Relay
 	Partners      []Partner
-	Endpoints     []Endpoint // those of the start first, then those that releases add, in their order
+	Endpoints     []Endpoint // those present at the start, then those added by releases, in order
 	Classes       []Class
 	Arrivals      []Arrival     // by time
 	Faults        []Fault       // by time
 	HostilePeers  []HostilePeer // by time
-	FullRate      float64       // messages a second at full load
+	FullRate      float64       // messages per second at full load
 	Delays        [][]time.Duration
-	Handshakes    float64 // round trips of a new connection
+	Handshakes    float64 // round trips that a new connection takes
 	Jitter        float64
-	AnswerTimeout time.Duration // how long a client waits
+	AnswerTimeout time.Duration // how long a client waits for an answer
 }
 
-// Relay is one relay's place and size.
+// Relay is one relay with its place and size.
 type Relay struct {
 	Name     string
 	Building int
@@ -53,15 +53,15 @@
 	Kind      int
 	Customer  int
 	Share     float64 // of the traffic
-	Limit     float64 // calls a second from all relays together; 0: none but its capacity
-	Capacity  float64 // calls a second, over all its endpoints
-	Depth     float64 // seconds of its capacity that may wait
+	Limit     float64 // calls per second from all relays together; 0: only its capacity limits it
+	Capacity  float64 // calls per second over all its endpoints
+	Depth     float64 // queue length, in seconds of its capacity
 	Speed     float64
 	Warm      time.Duration
 	Cold      float64
-	TellsWait time.Duration // with a refusal; 0: not told
-	Report    time.Duration // from one refresh of the report to the next
-	Delay     time.Duration // until it is seen
+	TellsWait time.Duration // sent with a refusal; 0: not sent
+	Report    time.Duration // interval at which the load report is refreshed
+	Delay     time.Duration // until a refreshed report becomes visible
 	Noise     float64
 	Errors    float64
 	Endpoints []int
@@ -72,73 +72,74 @@
 	ID       string
 	Partner  int
 	Building int
-	Capacity float64       // calls a second
-	Conns    int           // connections that it holds; 0: any number
-	Added    time.Duration // when discovery lists it; 0 at the start
+	Capacity float64       // calls per second
+	Conns    int           // most connections; 0: no limit
+	Added    time.Duration // when discovery first lists it; 0: from the start
 	Gone     time.Duration // when it has ended; 0: never
-	Drains   time.Duration // when it begins to; 0: never
+	Drains   time.Duration // when it starts to drain; 0: never
 }
 
-// Class is a class of message with its drawn figures.
+// Class is a message class with its drawn figures.
 type Class struct {
 	experiment.Class
 	WorkMS float64
 	CV     float64
 }
 
-// Arrival is one message as its client first hands it in.
+// Arrival is one message as its client first submits it.
 type Arrival struct {
 	At       time.Duration
 	Relay    int
 	Class    int
 	Customer int
 	Partner  int
-	Work     time.Duration // at a partner of usual pace
+	Work     time.Duration // at a partner of normal speed
 	Body     int           // bytes
-	Retries  int           // times that its client comes again after a refusal
+	Retries  int           // most times that its client retries after a refusal
 	Backoff  time.Duration
-	Heeds    bool          // heeds a told time
-	Leaves   time.Duration // its client leaves after so long, once; 0: it stays
-	Again    time.Duration // until it comes again after a relay's death
-	Draw     uint64        // for what else is to be drawn for it
+	Heeds    bool          // waits as long as a refusal asks
+	Leaves   time.Duration // its client disconnects after this time, once; 0: it does not
+	Again    time.Duration // until it is submitted again after its relay died
+	Draw     uint64        // seeds everything else that is drawn for it
 }
 
-// Fault is one trouble with its moment and targets.
+// Fault is one fault with its time and targets.
 type Fault struct {
 	Kind      string
 	At, For   time.Duration
 	Size      float64
 	Relays    []int
-	Emptied   []int // of Relays: those that come back with an empty folder
+	Emptied   []int // those of Relays that restart with an empty folder
 	Partners  []int
 	Endpoints []int    // replaced
 	Building  int      // -1: none
 	Rules     []string // of package faultfile, for what is injected into the relays
-	Origin    int      // its place among the experiment's faults
+	Origin    int      // its index among the experiment's faults
 }
 
-// HostilePeer is one peer that speaks no proper request.
+// HostilePeer is a peer that violates the request protocol.
 type HostilePeer struct {
 	At    time.Duration
 	Relay int
-	Way   int // which of the ways to misbehave
+	Way   int // how it misbehaves, below HostileBehaviors
 	Draw  uint64
 }
 
-// HostileBehaviors is how many ways hostile peers have.
+// HostileBehaviors is the number of ways in which hostile peers misbehave.
 const HostileBehaviors = 8
 
-// Members is how many relays, the first, are members of their fleet if any are.
+// Members returns how many of the relays, counted from the first, are members if the fleet has a membership.
 func (p *Plan) Members() int { return max(1, len(p.Relays)-p.Experiment.Fleet.NonMembers) }
 
-// newRand is a source of random numbers of its own for each part of a plan: what one part draws does not move another.
+// newRand returns a separate source of random numbers for each part of a plan, so that a change in what one part draws does
+// not affect another.
 func newRand(seed uint64, part string) *rand.Rand {
 	h := fnv.New64a()
 	io.WriteString(h, part)
 	return rand.New(rand.NewPCG(seed, h.Sum64()))
 }
 
-// Draw draws a plan.
+// Draw draws a plan. With quick it uses the experiment's shorter length and smaller fleet.
 func Draw(x *experiment.Experiment, seed uint64, quick bool) *Plan {
 	p := &Plan{Experiment: x, Seed: seed, Length: x.Length.D(), Buildings: x.Fleet.Buildings, AnswerTimeout: x.Load.AnswerTimeout.D()}
 	relays := x.Fleet.Relays
@@ -170,7 +171,7 @@
 	}
 }
 
-// servesKind tells whether a class servesKind to a kind.
+// servesKind reports whether messages of a class go to a kind of destination.
 func (c *Class) servesKind(kind string) bool {
 	return len(c.Kinds) == 0 || slices.Contains(c.Kinds, kind)
 }
@@ -190,7 +191,7 @@
 	for i := range p.Partners {
 		p.Partners[i] = Partner{ID: ids[i], Kind: kinds[i]}
 	}
-	// A class may go to some kinds alone: the share of a destination adds up over the classes.
+	// A class may be limited to some kinds, so a destination's share is the sum over the classes that go to it.
 	for _, c := range p.Classes {
 		sum := 0.0
 		for i := range weights {
@@ -213,7 +214,7 @@
 	}
 }
 
-// drawKinds deals the drawKinds out to n destinations, of which the first has the most traffic.
+// drawKinds assigns kinds to n destinations, the first of which has the most traffic.
 func (p *Plan) drawKinds(rng *rand.Rand, n int) []int {
 	x := p.Experiment.Partners.Kinds
 	sum := 0.0
@@ -242,7 +243,7 @@
 	return kinds
 }
 
-// assignCustomers gives each destination the customer that has most of its share left.
+// assignCustomers assigns each destination to the customer with the largest unassigned share.
 func (p *Plan) assignCustomers() {
 	left := make([]float64, len(p.Experiment.Load.Customers))
 	for i, c := range p.Experiment.Load.Customers {
@@ -260,13 +261,14 @@
 	}
 }
 
+// drawEndpoints draws the figures of a destination and its n endpoints.
 func (p *Plan) drawEndpoints(rng *rand.Rand, i, n int) {
 	x := p.Experiment.Partners
 	d := &p.Partners[i]
 	k := x.Kinds[d.Kind]
 	calls := p.FullRate * d.Share
 	if k.Batch > 1 {
-		calls /= 2 // several travel in a call where several wait
+		calls /= 2 // a call carries several messages when several wait
 	}
 	d.Limit = math.Max(k.MinRate.Draw(rng), calls*k.Headroom.Draw(rng))
 	d.Capacity = d.Limit * k.CapacityHeadroom.Draw(rng)
@@ -294,7 +296,7 @@
 	}
 }
 
-// meanWork is the mean time in seconds that a call takes at a destination.
+// meanWork returns the mean time in seconds that a call takes at a destination.
 func (p *Plan) meanWork(d *Partner) float64 {
 	sum, share := 0.0, 0.0
 	for _, c := range p.Classes {
@@ -334,7 +336,7 @@
 	for i := range n {
 		sum += 1 / math.Pow(float64(i+1), skew)
 	}
-	busy := 0.0 // slots that the full load keeps busy, in the mean: the work, the way there and back
+	busy := 0.0 // mean number of slots in use at full load: work plus the round trip
 	for i := range p.Partners {
 		d := &p.Partners[i]
 		calls := p.FullRate * d.Share
@@ -353,7 +355,7 @@
 	}
 }
 
-// meanDelay is the one-way delay between two buildings drawn at random.
+// meanDelay returns the mean one-way delay between two buildings.
 func (p *Plan) meanDelay() time.Duration {
 	sum, n := time.Duration(0), 0
 	for _, row := range p.Delays {
--- a/internal/testbed/plan/plan_test.go
+++ b/internal/testbed/plan/plan_test.go
@@ -10,6 +10,7 @@
 	"onyxroad.dev/onyxroad/internal/testbed/experiment"
 )
 
+// drawText returns the printed plan of an experiment file.
 func drawText(t *testing.T, path string, seed uint64) string {
 	t.Helper()
 	x, err := experiment.Read(path)
@@ -23,16 +24,16 @@
 	return b.String()
 }
 
-// TestPlanDependsOnlyOnSeed plans every experiment twice from a seed, and once from another.
+// TestPlanDependsOnlyOnSeed plans every experiment twice with one seed, and once with another.
 func TestPlanDependsOnlyOnSeed(t *testing.T) {
 	files, _ := filepath.Glob("../../../experiments/*.toml")
 	for _, f := range files {
 		one, again, other := drawText(t, f, 7), drawText(t, f, 7), drawText(t, f, 8)
 		if one != again {
-			t.Errorf("%s: one seed, two plans", f)
+			t.Errorf("%s: two plans of one seed differ", f)
 		}
 		if one == other {
-			t.Errorf("%s: two seeds, one plan", f)
+			t.Errorf("%s: plans of two seeds are the same", f)
 		}
 	}
 }
@@ -45,12 +46,12 @@
 		p := Draw(x, seed, false)
 		got := float64(len(p.Arrivals)) / p.Length.Seconds() / p.FullRate
 		if math.Abs(got-0.5) > 0.06 {
-			t.Errorf("seed %d: %.3f of the full load, 0.5 asked for", seed, got)
+			t.Errorf("seed %d: %.3f of the full load, want 0.5", seed, got)
 		}
 		payments := 0
 		for i, a := range p.Arrivals {
 			if i > 0 && a.At < p.Arrivals[i-1].At {
-				t.Fatalf("seed %d: message %d comes before the one ahead of it", seed, i)
+				t.Fatalf("seed %d: message %d is earlier than its predecessor", seed, i)
 			}
 			if p.Classes[a.Class].Effect == "unsafe" {
 				if p.Partners[a.Partner].Kind != 0 {
@@ -82,11 +83,11 @@
 		switch {
 		case f.Kind == "kill" && f.At == 30*time.Second:
 			if len(f.Relays) != 14 {
-				t.Errorf("%d relays killed of 20, 14 wanted", len(f.Relays))
+				t.Errorf("%d relays killed of 20, want 14", len(f.Relays))
 			}
 		case f.Kind == "shut":
 			if f.At+f.For > 90*time.Second || len(f.Partners) == 0 {
-				t.Errorf("shut %+v: not over by nine tenths, or nobody struck", f)
+				t.Errorf("shut %+v: not over by nine tenths of the run, or no partner affected", f)
 			}
 		case f.Kind == "term", f.Kind == "kill":
 			rolled[f.Relays[0]] = true
--- a/internal/testbed/report/report.go
+++ b/internal/testbed/report/report.go
@@ -1,4 +1,4 @@
-// Package report writes a run up: Markdown with plots of what happened second by second, with the faults drawn in.
+// Package report writes the report of a run: Markdown, with plots over time that show the faults.
 package report
 
 import (
@@ -20,7 +20,7 @@
 
 const (
 	width, height = 22 * vg.Centimeter, 7 * vg.Centimeter
-	maxPartners   = 6 // the busiest
+	maxPartners   = 6 // the busiest ones
 )
 
 var (
@@ -30,7 +30,7 @@
 	grey       = color.RGBA{97, 97, 97, 255}
 )
 
-// Write writes report.md, and the plots that it shows, into a run's folder.
+// Write writes report.md and its plots to a run's folder.
 func Write(dir string) error {
 	var r run.Result
 	var s run.Series
@@ -109,7 +109,7 @@
 	}
 }
 
-// addPlot makes a plot, with the faults behind it, as SVG and PNG, and shows it.
+// addPlot saves a plot over the faults as SVG and PNG, and adds it to the report.
 func (w *writer) addPlot(name, title, y string, top float64, fill func(p *plot.Plot)) {
 	p := plot.New()
 	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = title, "seconds", y
@@ -136,7 +136,7 @@
 	w.printf("\n![%s](%s.svg)", title, name)
 }
 
-// addLine adds a addLine of values by the second.
+// addLine adds a line with one value per second to a plot.
 func (w *writer) addLine(p *plot.Plot, label string, c color.Color, dashed bool, values []float64) {
 	xy := make(plotter.XYs, len(values))
 	for i, v := range values {
@@ -163,7 +163,7 @@
 	return out
 }
 
-// axisTop is a little over the most of some values.
+// axisTop returns an upper end for the y axis, a little above the highest value.
 func axisTop(values ...[]float64) float64 {
 	highest := 1.0
 	for _, v := range values {
@@ -177,7 +177,7 @@
 	for _, name := range audit.OutcomeNames {
 		all = append(all, floats(w.series.Outcomes[name]))
 	}
-	w.addPlot("outcomes", "Messages by outcome", "messages a second", axisTop(all...), func(p *plot.Plot) {
+	w.addPlot("outcomes", "Messages by outcome", "messages per second", axisTop(all...), func(p *plot.Plot) {
 		for i, name := range audit.OutcomeNames {
 			w.addLine(p, name, colors[name], false, all[i])
 		}
@@ -185,7 +185,7 @@
 }
 
 func (w *writer) plotLatency() {
-	w.addPlot("latency", "Time to the delivery", "ms", axisTop(w.series.P99), func(p *plot.Plot) {
+	w.addPlot("latency", "Time to delivery", "ms", axisTop(w.series.P99), func(p *plot.Plot) {
 		w.addLine(p, "p50", colors["in time"], false, w.series.P50)
 		w.addLine(p, "p99", colors["failed"], false, w.series.P99)
 	})
@@ -210,7 +210,7 @@
 				limit[i] = d.Capacity
 			}
 		}
-		w.addPlot(fmt.Sprintf("partner-%d", d.ID), fmt.Sprintf("Calls at partner %d (%s)", d.ID, d.Kind), "calls a second",
+		w.addPlot(fmt.Sprintf("partner-%d", d.ID), fmt.Sprintf("Calls at partner %d (%s)", d.ID, d.Kind), "calls per second",
 			axisTop(taken, refused, failed, limit), func(p *plot.Plot) {
 				w.addLine(p, "taken", colors["in time"], false, taken)
 				w.addLine(p, "refused", colors["refused"], false, refused)
@@ -222,5 +222,5 @@
 
 func (w *writer) plotRelays() {
 	alive := floats(w.series.Alive)
-	w.addPlot("relays", "Relays that are ready", "relays", axisTop(alive), func(p *plot.Plot) { w.addLine(p, "ready", grey, false, alive) })
+	w.addPlot("relays", "Ready relays", "relays", axisTop(alive), func(p *plot.Plot) { w.addLine(p, "ready", grey, false, alive) })
 }
--- a/internal/testbed/run/compare.go
+++ b/internal/testbed/run/compare.go
@@ -6,17 +6,18 @@
 	"slices"
 )
 
-// Comparison is a figure of two revisions, each played once on every seed.
+// Comparison compares a figure between two revisions, each run once with every seed.
 type Comparison struct {
 	Name                   string
 	Base, With             string // revisions
 	BaseValues, WithValues []float64
-	Higher                 int     // seeds on which With's figure is the greater one
-	P                      float64 // chance of ranks at least as far apart if the two were alike; two-sided
+	Higher                 int     // number of seeds for which With's value is higher
+	P                      float64 // two-sided p-value: probability of such a difference between equal revisions
 }
 
-// Compare compares a figure's values, those of a seed at the same place. The seed decides on most of a figure, so that it is
-// the differences that are judged: by the signed-rank test of Wilcoxon, exactly, which asks nothing of how plays scatter.
+// Compare compares the values of a figure, where the values of one seed have the same index. The seed determines most of a
+// figure, so the paired differences are tested, with the exact Wilcoxon signed-rank test, which does not assume any
+// distribution.
 func Compare(name, base, with string, a, b []float64) Comparison {
 	c := Comparison{Name: name, Base: base, With: with, P: signedRankTest(a, b)}
 	for i := range a {
@@ -28,23 +29,23 @@
 	return c
 }
 
-// Significant tells whether the difference stands out of noise.
+// Significant reports whether the difference is significant at the 5% level.
 func (c Comparison) Significant() bool { return c.P < 0.05 }
 
 func (c Comparison) String() string {
 	verdict := "within noise"
 	if c.Significant() {
-		verdict = "stands out"
+		verdict = "significant"
 	}
 	return fmt.Sprintf("%-18s %s %.3f (%.3f to %.3f)   %s %.3f (%.3f to %.3f)   higher on %d of %d seeds, p %.3f, %s", c.Name, c.Base,
 		median(c.BaseValues), c.BaseValues[0], c.BaseValues[len(c.BaseValues)-1], c.With, median(c.WithValues), c.WithValues[0], c.WithValues[len(c.WithValues)-1], c.Higher, len(c.BaseValues), c.P, verdict)
 }
 
-// median of sorted values.
+// median returns the median of sorted values.
 func median(v []float64) float64 { return (v[(len(v)-1)/2] + v[len(v)/2]) / 2 }
 
-// signedRankTest is the two-sided p of paired differences: of all ways to deal out their signs, the share in which the ranks of
-// the positive ones add up to as little or as much. Pairs that are alike count for nothing, ties share their mean rank.
+// signedRankTest returns the two-sided p-value of paired differences: the share of all assignments of signs for which the sum of
+// the positive ranks is at least as far from its mean. Pairs without a difference are ignored, and ties share their mean rank.
 func signedRankTest(a, b []float64) float64 {
 	var diffs []float64
 	for i := range a {
@@ -57,7 +58,7 @@
 		sizes[i] = math.Abs(d)
 	}
 	slices.Sort(sizes)
-	// ways[s] counts the deals whose positive ranks, doubled so that ties stay whole, add up to s.
+	// ways[s] counts the sign assignments whose positive ranks, doubled so that mean ranks of ties stay integers, sum to s.
 	ways, sum := []float64{1}, 0
 	for _, d := range diffs {
 		lo, _ := slices.BinarySearch(sizes, math.Abs(d))
--- a/internal/testbed/run/compare_test.go
+++ b/internal/testbed/run/compare_test.go
@@ -10,7 +10,7 @@
 		a, b []float64
 		p    float64
 	}{
-		{[]float64{1, 2, 3}, []float64{4, 5, 6}, 0.25}, // 2 of 8 deals
+		{[]float64{1, 2, 3}, []float64{4, 5, 6}, 0.25}, // 2 of 8 sign assignments
 		{[]float64{1, 2, 3, 4, 5, 6}, []float64{2, 4, 6, 8, 10, 12}, 2.0 / 64},
 		{[]float64{1, 4}, []float64{2, 3}, 1},
 		{[]float64{5, 5, 5}, []float64{5, 5, 5}, 1},
--- a/internal/testbed/run/run.go
+++ b/internal/testbed/run/run.go
@@ -1,5 +1,5 @@
-// Package run plays an experiment: it draws the plan, brings up the platform and the relays, lets load and faults loose on
-// them, and has what came of it judged.
+// Package run runs an experiment: it draws the plan, starts the platform and the relays, applies load and faults, and evaluates
+// the result.
 package run
 
 import (
@@ -28,29 +28,29 @@
 )
 
 const (
-	settleTime = 300 * time.Millisecond // from ready to the first message
-	// After the last message a run goes on until all is ended; no longer than this, under --quick than that, which is the time that
-	// the longest class has.
+	settleTime = 300 * time.Millisecond // from when all relays are ready to the first message
+	// After the last message a run continues until every message has ended, for at most this long. The limit under --quick
+	// covers the longest deadline of a class.
 	drainTimeout, quickDrainTimeout = 30 * time.Second, 28500 * time.Millisecond
-	// maxLateness is how late the testbed's own clients may be, at the 99th percentile. Later, the machine was too loaded
-	// for its figures to mean anything.
+	// maxLateness is how late the testbed's own clients may be at the 99th percentile. Beyond it the machine was too loaded
+	// for the figures to be meaningful.
 	maxLateness   = 20 * time.Millisecond
 	maxViolations = 200
 )
 
-// ErrInvalid tells that the machine was too loaded: the run's figures say nothing about the relays.
+// ErrInvalid reports that the machine was too loaded, so that the run's figures say nothing about the relays.
 var ErrInvalid = errors.New("run invalid")
 
-// Options say what to play.
+// Options configures a run.
 type Options struct {
 	Experiment    *experiment.Experiment
 	Seed          uint64
 	Quick         bool
-	Program       string // the relay's; the stewards' stands beside it
+	Program       string // path of the relay; the steward's program is in the same folder
 	Revision      string
-	Out           string    // folder for the results; made if it is not there
-	Progress      io.Writer // a line a second; nil: none
-	SkippedFaults []int     // places of the experiment's faults that are left out
+	Out           string    // folder for the results; created if missing
+	Progress      io.Writer // receives a line per second; nil: no progress
+	SkippedFaults []int     // indices of the experiment's faults to skip
 }
 
 // Bound is a bound with its value in a run.
@@ -62,7 +62,7 @@
 	OK    bool    `json:"ok"`
 }
 
-// Result is what a run came to.
+// Result is the result of a run.
 type Result struct {
 	Experiment string             `json:"experiment"`
 	Seed       uint64             `json:"seed"`
@@ -76,7 +76,7 @@
 	Invalid    string             `json:"invalid,omitempty"`
 }
 
-// OK tells whether every bound holds and no rule is broken.
+// OK reports whether the run is valid and every bound holds, among them the one that no rule is violated.
 func (r *Result) OK() bool {
 	for _, b := range r.Bounds {
 		if !b.OK {
@@ -86,7 +86,7 @@
 	return r.Invalid == ""
 }
 
-// Run plays an experiment. With ErrInvalid there is a result, too, whose figures are not to be used.
+// Run runs an experiment. With ErrInvalid it also returns a result, whose figures must not be used.
 func Run(ctx context.Context, o Options) (*Result, error) {
 	p := plan.Draw(o.Experiment, o.Seed, o.Quick)
 	p.Faults = slices.DeleteFunc(p.Faults, func(f plan.Fault) bool { return slices.Contains(o.SkippedFaults, f.Origin) })
@@ -153,19 +153,19 @@
 	return nil
 }
 
-// runner is one run.
+// runner is the state of one run.
 type runner struct {
 	options     Options
 	plan        *plan.Plan
 	ledger      *ledger.Ledger
 	platform    *platform.Platform
 	fleet       *process.Fleet
-	stewards    *duties.Beside // nil: none
+	stewards    *duties.Beside // nil: no stewards
 	load        *load.Load
 	offset, end time.Duration
 }
 
-// execute has messages, peers and faults come, and waits until all is ended.
+// execute applies the messages, hostile peers and faults, and waits until every message has ended.
 func (c *runner) execute(ctx context.Context) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -201,7 +201,7 @@
 	c.load.Wait()
 }
 
-// drained tells whether every message that was taken on has its end, and none may still come again.
+// drained reports whether every accepted message has ended and no client may submit one again.
 func (c *runner) drained() bool {
 	if c.ledger.Now() < c.offset+c.plan.Length+2*time.Second {
 		return false
@@ -229,7 +229,7 @@
 	return done
 }
 
-// injectFault has one injectFault begin and end.
+// injectFault starts a fault at its time and ends it after its duration.
 func (c *runner) injectFault(ctx context.Context, f *plan.Fault) {
 	if network.Sleep(ctx, c.offset+f.At-c.ledger.Now()) != nil || c.fleet.Begin(f) {
 		return
@@ -245,11 +245,11 @@
 	}
 	network.Sleep(ctx, f.For)
 	if err := c.platform.End(f); err != nil {
-		fmt.Fprintf(os.Stderr, "testbed: end of %s: %v\n", f.Kind, err)
+		fmt.Fprintf(os.Stderr, "testbed: ending %s: %v\n", f.Kind, err)
 	}
 }
 
-// printProgress says once a second how far the run is.
+// printProgress prints the run's progress every second.
 func (c *runner) printProgress(ctx context.Context) {
 	if c.options.Progress == nil {
 		return
@@ -257,15 +257,15 @@
 	for network.Sleep(ctx, time.Second) == nil {
 		var handed, calls int
 		c.ledger.Do(func() { handed, calls = len(c.ledger.HandIns), len(c.ledger.Calls) })
-		fmt.Fprintf(c.options.Progress, "\r%s seed %d: %3.0f of %.0f s, %d of %d messages handed in, %d calls   ", c.options.Experiment.Name, c.options.Seed,
+		fmt.Fprintf(c.options.Progress, "\r%s seed %d: %3.0f of %.0f s, %d of %d messages submitted, %d calls   ", c.options.Experiment.Name, c.options.Seed,
 			(c.ledger.Now() - c.offset).Seconds(), c.plan.Length.Seconds(), handed, len(c.plan.Arrivals), calls)
 	}
 	fmt.Fprintln(c.options.Progress)
 }
 
-// evaluate has the ledger judged and writes the result.
+// evaluate checks the ledger and writes the result.
 func (c *runner) evaluate() (*Result, error) {
-	// What still runs must not write while the judge reads.
+	// Nothing may write to the ledger while it is evaluated.
 	c.fleet.Close()
 	c.platform.Close()
 	if err := c.fleet.Views(); err != nil {
@@ -294,7 +294,7 @@
 	}
 	for name, v := range r.Figures {
 		if math.IsNaN(v) || math.IsInf(v, 0) {
-			r.Figures[name] = -1 // there was nothing to measure
+			r.Figures[name] = -1 // nothing was measured
 		}
 	}
 	bounds := append([]experiment.Bound{{Name: "broken_rules", Op: "<=", Limit: 0}}, c.options.Experiment.Bounds...)
@@ -318,12 +318,12 @@
 	return r, nil
 }
 
-// Finish holds the figures against their bounds, and writes the result into a folder.
+// Finish compares the figures with their bounds and writes the result to a folder.
 func (r *Result) Finish(bounds []experiment.Bound, dir string) error {
 	for _, b := range bounds {
 		v, ok := r.Figures[b.Name]
 		if !ok {
-			return fmt.Errorf("run: bound on %q, which no run measures", b.Name)
+			return fmt.Errorf("run: there is no figure %q for a bound", b.Name)
 		}
 		r.Bounds = append(r.Bounds, Bound{b.Name, v, b.Limit, b.Op, b.Op == "<=" && v <= b.Limit || b.Op == ">=" && v >= b.Limit})
 	}
--- a/internal/testbed/run/series.go
+++ b/internal/testbed/run/series.go
@@ -11,33 +11,33 @@
 // Series is a run second by second, for its report.
 type Series struct {
 	Seconds  int              `json:"seconds"`
-	Outcomes map[string][]int `json:"outcomes"` // by the second in which a message was first due
-	P50      []float64        `json:"p50_ms"`   // of the messages delivered; 0 where there were none
+	Outcomes map[string][]int `json:"outcomes"` // by name, then by the second in which a message was first due
+	P50      []float64        `json:"p50_ms"`   // of the delivered messages; 0 if there are none
 	P99      []float64        `json:"p99_ms"`
 	Partners []PartnerSeries  `json:"partners"`
 	Alive    []int            `json:"alive"` // relays with a ready process
 	Faults   []FaultSpan      `json:"faults"`
 }
 
-// PartnerSeries is one partner's calls beside its limit.
+// PartnerSeries is the calls at one partner, with its limit.
 type PartnerSeries struct {
 	ID       int       `json:"id"`
 	Kind     string    `json:"kind"`
 	Taken    []int     `json:"taken"`
 	Refused  []int     `json:"refused"`
 	Failed   []int     `json:"failed"`
-	Limit    []float64 `json:"limit"` // calls a second; 0: none
+	Limit    []float64 `json:"limit"` // calls per second; 0: no limit
 	Capacity float64   `json:"capacity"`
 }
 
-// FaultSpan is a fault on the time line, in seconds.
+// FaultSpan is a fault on the timeline, in seconds.
 type FaultSpan struct {
 	Kind string  `json:"kind"`
 	From float64 `json:"from"`
 	To   float64 `json:"to"`
 }
 
-// series sums the run up by the second.
+// series aggregates the run by second.
 func (c *runner) series(results []audit.MessageResult) *Series {
 	n := int((c.end-c.offset)/time.Second) + 1
 	s := &Series{Seconds: n, Outcomes: map[string][]int{}, P50: make([]float64, n), P99: make([]float64, n), Alive: make([]int, n)}
--- a/internal/testbed/soak/soak.go
+++ b/internal/testbed/soak/soak.go
@@ -1,5 +1,5 @@
-// Package soak draws experiments in which two or three troubles overlap in time, plays them on real relay processes, seed after
-// seed, and shrinks one that breaks a rule to the fewest troubles that still do.
+// Package soak draws experiments in which two or three faults overlap in time, runs them on real relay processes, seed after
+// seed, and shrinks one that violates a rule to a minimal set of faults that still does.
 package soak
 
 import (
@@ -20,19 +20,19 @@
 
 const (
 	runLength      = 14 * time.Second
-	overlapsPerRun = 3    // in a play
-	overlapSpan    = 0.04 // of the length, within which the troubles of an overlap begin
+	overlapsPerRun = 3    // in a run
+	overlapSpan    = 0.04 // part of the length within which the faults of an overlap start
 	firstOverlapAt = 0.12
 	lastOverlapAt  = 0.62
 
-	resubmittedShare = 0.25 // of the messages
-	crowdedShare     = 0.2  // of the plays
+	resubmittedShare = 0.25 // share of the messages
+	crowdedShare     = 0.2  // share of the runs
 )
 
-// crowdSize is how many connections idle clients hold at a relay in a crowded play.
+// crowdSize is how many connections idle clients keep open to a relay in a crowded run.
 var crowdSize = experiment.NewRange(100, 250)
 
-// faultTemplates are what is drawn from: each is a fault without its moment.
+// faultTemplates are the faults to draw from, without their times.
 var faultTemplates = []experiment.Fault{
 	{Kind: "term", Share: experiment.NewRange(0.2, 0.7)},
 	{Kind: "kill", Share: experiment.NewRange(0.1, 0.6), For: milliRange(600, 900)},
@@ -61,15 +61,16 @@
 	{Kind: "short", Share: experiment.NewRange(0.3, 1), For: milliRange(1000, 4000)},
 }
 
+// milliRange returns a range of durations given in milliseconds.
 func milliRange(from, to int) experiment.DurationRange {
 	return experiment.DurationRange{Lo: time.Duration(from) * time.Millisecond, Hi: time.Duration(to) * time.Millisecond}
 }
 
-// Draw draws the experiment of a seed, on so many relays.
+// Draw draws the experiment of a seed for a number of relays.
 func Draw(seed uint64, relays int) *experiment.Experiment {
 	rng := rand.New(rand.NewPCG(seed, 0x736f616b))
 	x := experiment.Default()
-	x.Name, x.About = "soak", "Troubles that overlap"
+	x.Name, x.About = "soak", "Overlapping faults"
 	x.Length, x.Quick = experiment.Duration(runLength), experiment.Duration(runLength)
 	x.Fleet.Relays = experiment.NewRange(float64(relays), float64(relays))
 	x.Fleet.QuickRelays = x.Fleet.Relays
@@ -78,7 +79,7 @@
 	x.Load.HostileRate, x.Load.LeaveShare, x.Load.HeavyBody = experiment.NewRange(1, 6), experiment.NewRange(0, 0.03), experiment.NewRange(0, 0.03)
 	x.Partners.Garbled = experiment.NewRange(0, 0.01)
 	x.Load.Resubmitted = resubmittedShare
-	for i := range x.Load.Classes { // short, so that a play's end does not wait for them
+	for i := range x.Load.Classes { // short, so that the end of a run does not wait for them
 		c := &x.Load.Classes[i]
 		c.Deadline = experiment.Duration(min(c.Deadline.D(), 7*time.Second))
 		c.Window = experiment.Duration(min(c.Window.D(), 3*time.Second))
@@ -96,7 +97,8 @@
 	return x
 }
 
-// drawExtra draws what came to the soak test later, by itself, so that the troubles of a seed stay what they were.
+// drawExtra draws the parts that were added to the soak test later. It uses a separate source of random numbers, so that the
+// other faults of a seed stay the same.
 func drawExtra(x *experiment.Experiment, seed uint64) {
 	rng := rand.New(rand.NewPCG(seed, 0x6d6f7265))
 	if rng.Float64() < crowdedShare {
@@ -112,30 +114,30 @@
 	}
 }
 
-// Options say what to play.
+// Options configures a soak test.
 type Options struct {
 	Seeds       []uint64
-	Relays      int // in a play; 0: 24 to 48, by the seed
-	Parallel    int // plays at once
+	Relays      int // in a run; 0: 24 to 48, depending on the seed
+	Parallel    int // concurrent runs
 	Program     string
 	Revision    string
 	Out         string
 	Log         io.Writer
-	Shrink      bool // play one that breaks a rule again with fewer troubles
-	StopOnFirst bool // end with the first play that breaks a rule
+	Shrink      bool // after a violation, run the seed again with fewer faults
+	StopOnFirst bool // stop after the first run that violates a rule
 }
 
-// Summary is what came of the plays.
+// Summary summarizes the runs.
 type Summary struct {
 	Runs, Invalid, Broken int
 	Messages, Processes   float64
-	Faults                map[string]int // played, by kind
-	Overlaps              map[string]int // pairs of kinds that began together
+	Faults                map[string]int // by kind
+	Overlaps              map[string]int // by pair of kinds that overlapped
 	Rules                 map[string]float64
 	FailedSeeds           []uint64
 }
 
-// Run plays seeds until all are played or ctx ends.
+// Run runs all seeds, or stops when ctx ends.
 func Run(ctx context.Context, o Options) (*Summary, error) {
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
@@ -179,7 +181,7 @@
 	return s, firstErr
 }
 
-// BrokenRules are the rules that were, with how often.
+// BrokenRules returns the rules that were violated, with the number of violations.
 func (s *Summary) BrokenRules() (names []string) {
 	for rule, n := range s.Rules {
 		if n > 0 {
@@ -190,7 +192,7 @@
 	return names
 }
 
-// relays is how many relays a seed is played on.
+// relays returns the number of relays for a seed.
 func (o *Options) relays(seed uint64) int {
 	if o.Relays > 0 {
 		return o.Relays
@@ -198,7 +200,7 @@
 	return 24 + int(seed%25)
 }
 
-// runSeed plays one seed without some of its troubles. A runSeed on a loaded machine has a result, too.
+// runSeed runs one seed without some of its faults. A run on an overloaded machine returns a result, too.
 func (o *Options) runSeed(ctx context.Context, x *experiment.Experiment, seed uint64, without []int) (*run.Result, error) {
 	r, err := run.Run(ctx, run.Options{Experiment: x, Seed: seed, Quick: true, Program: o.Program, Revision: o.Revision,
 		Out: filepath.Join(o.Out, fmt.Sprintf("soak-%d", seed)), SkippedFaults: without})
@@ -208,7 +210,7 @@
 	return r, err
 }
 
-// record takes a play into the summary, and tells of it.
+// record adds a run to the summary and logs it.
 func (s *Summary) record(x *experiment.Experiment, seed uint64, r *run.Result, log io.Writer) {
 	s.Runs++
 	s.Messages += r.Figures["messages"]
@@ -244,7 +246,7 @@
 	}
 }
 
-// FaultList are the troubles of an experiment but for those that are left out.
+// FaultList lists the faults of an experiment, except those that are left out.
 func FaultList(x *experiment.Experiment, without []int) string {
 	var names []string
 	for i, f := range x.Faults {
@@ -255,7 +257,7 @@
 	return strings.Join(names, " ")
 }
 
-// shrink leaves out one trouble after another for as long as the play still breaks a rule, and tells what is left.
+// shrink leaves out one fault after another while the run still violates a rule, and logs the remaining ones.
 func (o *Options) shrink(ctx context.Context, x *experiment.Experiment, seed uint64, first *run.Result) {
 	var without []int
 	for i := range x.Faults {
@@ -272,7 +274,7 @@
 		strings.Trim(strings.ReplaceAll(fmt.Sprint(without), " ", ","), "[]"))
 }
 
-// RunOne plays a single seed without some of its troubles, and tells of it.
+// RunOne runs a single seed without some of its faults, and logs the result.
 func RunOne(ctx context.Context, o Options, seed uint64, without []int) (*run.Result, error) {
 	x := Draw(seed, o.relays(seed))
 	r, err := o.runSeed(ctx, x, seed, without)
