--- a/cmd/testbed/breaks.go
+++ b/cmd/testbed/breaks.go
@@ -64,18 +64,18 @@
 	if err != nil {
 		return false, "", err
 	}
-	head := map[string]string{}
+	header := map[string]string{}
 	for line := range strings.Lines(string(data)) {
 		key, value, ok := strings.Cut(strings.TrimSpace(line), ": ")
 		if !ok {
 			break
 		}
-		head[key] = value
+		header[key] = value
 	}
-	if head["rule"] == "" || head["experiment"] == "" {
+	if header["rule"] == "" || header["experiment"] == "" {
 		return false, "", errors.New("the patch names no rule or no experiment")
 	}
-	x, err := experiment.Read(filepath.Join(root, head["experiment"]))
+	x, err := experiment.Read(filepath.Join(root, header["experiment"]))
 	if err != nil {
 		return false, "", err
 	}
@@ -89,9 +89,9 @@
 		return false, "", err
 	}
 	// head["rule"] names a rule, or the figure of a bound.
-	n := r.RuleCounts[head["rule"]]
+	n := r.RuleCounts[header["rule"]]
 	for _, b := range r.Bounds {
-		if b.Name == head["rule"] && !b.OK {
+		if b.Name == header["rule"] && !b.OK {
 			n++
 		}
 	}
@@ -101,10 +101,10 @@
 	}
 	others := []string{}
 	for rule, k := range r.RuleCounts {
-		if k > 0 && rule != head["rule"] {
+		if k > 0 && rule != header["rule"] {
 			others = append(others, fmt.Sprintf("%s %.0f", rule, k))
 		}
 	}
 	slices.Sort(others)
-	return n > 0, fmt.Sprintf("%-22s %s: %s %.0f %v", name, verdict, head["rule"], n, others), nil
+	return n > 0, fmt.Sprintf("%-22s %s: %s %.0f %v", name, verdict, header["rule"], n, others), nil
 }
--- a/cmd/testbed/duties.go
+++ b/cmd/testbed/duties.go
@@ -41,15 +41,15 @@
 	if err != nil {
 		return nil, err
 	}
-	say := func(string) {}
+	report := func(string) {}
 	if w := progress(); w != nil {
-		say = func(s string) { fmt.Fprintf(w, "\r%s   ", s) }
+		report = func(s string) { fmt.Fprintf(w, "\r%s   ", s) }
 	}
-	got, err := duties.Run(ctx, x, seed, quick, duties.Programs{Steward: steward, Testbed: self}, say)
+	outcome, err := duties.Run(ctx, x, seed, quick, duties.Programs{Steward: steward, Testbed: self}, report)
 	if err != nil {
 		return nil, err
 	}
-	r := &run.Result{Experiment: x.Name, Seed: seed, Quick: quick, Revision: revision, Figures: got.Figures}
+	r := &run.Result{Experiment: x.Name, Seed: seed, Quick: quick, Revision: revision, Figures: outcome.Figures}
 	return r, r.Finish(x.Bounds, out)
 }
 
--- a/cmd/testbed/load.go
+++ b/cmd/testbed/load.go
@@ -55,9 +55,9 @@
 	}
 	book := ledger.New()
 	l := load.New(p, book, func(int) string { return addr }, func(int) bool { return true })
-	began := book.Now() + 100*time.Millisecond
-	l.Run(ctx, began)
-	took := book.Now() - began
+	start := book.Now() + 100*time.Millisecond
+	l.Run(ctx, start)
+	took := book.Now() - start
 	l.Wait()
 	answered := 0
 	for _, h := range book.HandIns {
--- a/cmd/testbed/recovery.go
+++ b/cmd/testbed/recovery.go
@@ -71,18 +71,18 @@
 		bounded bool
 	}{{"empty", 3, false, true}, {"3 MB", 3, true, true}, {"64 MB", 64, true, false}} {
 		var ready, first []time.Duration
-		held := 0
+		heldMessages := 0
 		for range c.Plays {
 			one, err := c.startup(ctx, program, size.diskMB, size.full)
 			if err != nil {
 				return err
 			}
-			ready, first, held = append(ready, one.ready), append(first, one.firstDelivery), one.held
+			ready, first, heldMessages = append(ready, one.ready), append(first, one.firstDelivery), one.heldMessages
 		}
 		slices.Sort(ready)
 		slices.Sort(first)
 		r, f := ready[c.Plays/2], first[c.Plays/2]
-		text := fmt.Sprintf("start with a log of %s, %d messages: ready in %.1f ms, first delivery in %.1f ms", size.name, held,
+		text := fmt.Sprintf("start with a log of %s, %d messages: ready in %.1f ms, first delivery in %.1f ms", size.name, heldMessages,
 			r.Seconds()*1000, f.Seconds()*1000)
 		if size.bounded {
 			text = fmt.Sprintf("%s %s, ready <= %v", boundLabel(r <= c.Ready), text, c.Ready)
@@ -202,12 +202,12 @@
 	}
 	times = hdrhistogram.New(1, 60_000_000, 3)
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: c.Clients}}
-	var all sync.WaitGroup
+	var workers sync.WaitGroup
 	var mu sync.Mutex
 	done, refused := 0, 0
 	began := time.Now()
 	for k := range c.Clients {
-		all.Go(func() {
+		workers.Go(func() {
 			for i := 0; time.Since(began) < c.For && ctx.Err() == nil; i++ {
 				req, err := http.NewRequest(http.MethodPost, "http://"+x.addr+"/status", bytes.NewReader(make([]byte, 200)))
 				if err != nil {
@@ -234,7 +234,7 @@
 			}
 		})
 	}
-	all.Wait()
+	workers.Wait()
 	if refused > done/100 {
 		return 0, nil, fmt.Errorf("%d of %d messages refused", refused, done+refused)
 	}
@@ -244,7 +244,7 @@
 // startResult is the result of one start.
 type startResult struct {
 	ready, firstDelivery time.Duration
-	held                 int
+	heldMessages         int
 }
 
 // startup measures the start of a relay with a full or an empty log.
@@ -254,7 +254,7 @@
 		return s, err
 	}
 	defer x.close()
-	if s.held, err = fillLog(filepath.Join(x.dir, "state"), int64(diskMB*1e6), full); err != nil {
+	if s.heldMessages, err = fillLog(filepath.Join(x.dir, "state"), int64(diskMB*1e6), full); err != nil {
 		return s, err
 	}
 	began, ready, err := x.start(ctx, program, "power", c.Sync)
--- a/cmd/testbed/slope.go
+++ b/cmd/testbed/slope.go
@@ -49,10 +49,10 @@
 	if c.Seed != nil {
 		seeds = []uint64{*c.Seed}
 	}
-	var before *scale.Result
+	var previous *scale.Result
 	var err error
 	if c.Join {
-		if before, err = scale.ReadResult(filepath.Join(c.Out, s.Name+".json")); err != nil {
+		if previous, err = scale.ReadResult(filepath.Join(c.Out, s.Name+".json")); err != nil {
 			return err
 		}
 	}
@@ -66,11 +66,11 @@
 		return err
 	}
 	r.Revision = revision
-	if before != nil {
-		if err := before.Join(r); err != nil {
+	if previous != nil {
+		if err := previous.Join(r); err != nil {
 			return err
 		}
-		r = before
+		r = previous
 	}
 	path, err := r.Write(c.Out)
 	if err != nil {
--- a/internal/testbed/audit/audit.go
+++ b/internal/testbed/audit/audit.go
@@ -130,7 +130,7 @@
 
 // excusedUntil returns the extended time limit for a report that was due from a relay at the given time: restarts, pauses
 // and failing connections postpone it. gone tells whether the relay lost its state after since, so that nothing is due.
-func (a *auditor) excusedUntil(relay int, since, at time.Duration) (until time.Duration, gone bool) {
+func (a *auditor) excusedUntil(relay int, since, at time.Duration) (until time.Duration, lost bool) {
 	until = a.reachableFrom(relay, at)
 	lives := a.lives[relay]
 	for i, x := range lives {
@@ -251,24 +251,24 @@
 
 // unavailable reports whether a relay had no process that could answer around a time, or was ending then.
 func (a *auditor) unavailable(relay int, at time.Duration) bool {
-	const about = time.Second
+	const margin = time.Second
 	lives := a.lives[relay]
 	for i, x := range lives {
 		to := a.end
 		if i+1 < len(lives) && lives[i+1].Ready != ledger.Never {
 			to = lives[i+1].Ready
 		}
-		killed := x.Asked != ledger.Never && x.End != ledger.Never && x.End-x.Asked < about // SIGKILL, or an exit without a drain
-		if killed && x.Asked-about <= at && at <= to {
+		killed := x.Asked != ledger.Never && x.End != ledger.Never && x.End-x.Asked < margin // SIGKILL, or an exit without a drain
+		if killed && x.Asked-margin <= at && at <= to {
 			return true
 		}
 		for _, p := range x.Paused {
-			if p.From-about <= at && at <= p.To {
+			if p.From-margin <= at && at <= p.To {
 				return true
 			}
 		}
 	}
-	return at >= a.end-about
+	return at >= a.end-margin
 }
 
 // checkRepeats checks that messages are repeated only as their class allows, and never after a notice of their end.
@@ -433,7 +433,7 @@
 // checkLimits checks the resources that all processes of a relay use together.
 func (a *auditor) checkLimits() {
 	x := a.plan.Experiment.Fleet
-	worst := map[string]Violation{}
+	violations := map[string]Violation{}
 	for i := 0; i < len(a.ledger.Samples); {
 		// Samples of one relay at one time are adjacent.
 		s, memory, sockets := a.ledger.Samples[i], 0.0, 0
@@ -444,16 +444,16 @@
 		i = k
 		name := a.plan.Relays[s.Relay].Name
 		if memory+s.DiskMB > x.MemoryMB {
-			worst[name+"memory"] = Violation{RuleOverLimit, s.At, name, fmt.Sprintf("%.1f MB of memory and files of %.0f", memory+s.DiskMB, x.MemoryMB)}
+			violations[name+"memory"] = Violation{RuleOverLimit, s.At, name, fmt.Sprintf("%.1f MB of memory and files of %.0f", memory+s.DiskMB, x.MemoryMB)}
 		}
 		if sockets > x.Sockets {
-			worst[name+"sockets"] = Violation{RuleOverLimit, s.At, name, fmt.Sprintf("%d descriptors of %d", sockets, x.Sockets)}
+			violations[name+"sockets"] = Violation{RuleOverLimit, s.At, name, fmt.Sprintf("%d descriptors of %d", sockets, x.Sockets)}
 		}
 		if s.DiskMB > x.DiskMB {
-			worst[name+"disk"] = Violation{RuleOverLimit, s.At, name, fmt.Sprintf("%.2f MB on disk of %.0f", s.DiskMB, x.DiskMB)}
+			violations[name+"disk"] = Violation{RuleOverLimit, s.At, name, fmt.Sprintf("%.2f MB on disk of %.0f", s.DiskMB, x.DiskMB)}
 		}
 	}
-	for _, b := range worst {
+	for _, b := range violations {
 		a.violations = append(a.violations, b)
 	}
 }
--- a/internal/testbed/audit/givenup.go
+++ b/internal/testbed/audit/givenup.go
@@ -19,12 +19,12 @@
 	untried, givenUp := 0, 0
 	var last Violation
 	for _, h := range a.ledger.HandIns {
-		ready := a.recoveredAt(h)
+		recovered := a.recoveredAt(h)
 		calls, notices := a.calls[h.Trace], a.notices[h.Trace]
-		if ready == ledger.Never || len(calls) > 0 && calls[0].FirstByte < ready || len(notices) > 0 && notices[0].At < ready {
+		if recovered == ledger.Never || len(calls) > 0 && calls[0].FirstByte < recovered || len(notices) > 0 && notices[0].At < recovered {
 			continue
 		}
-		if h.Deadline-ready < (h.Deadline-h.Answered)/2 || a.attempted(h) {
+		if h.Deadline-recovered < (h.Deadline-h.Answered)/2 || a.attempted(h) {
 			continue
 		}
 		untried++
--- a/internal/testbed/audit/restarts.go
+++ b/internal/testbed/audit/restarts.go
@@ -32,14 +32,14 @@
 		if h == nil {
 			continue
 		}
-		off := x.Left - (h.Deadline - x.At)
+		deviation := x.Left - (h.Deadline - x.At)
 		for _, r := range a.ledger.Resubmissions { // the relay accepts it as new if the first never arrived or its client had left
-			if o := x.Left - (r.Deadline - x.At); r.Trace == x.Trace && r.Sent < x.At && o.Abs() < off.Abs() {
-				off = o
+			if o := x.Left - (r.Deadline - x.At); r.Trace == x.Trace && r.Sent < x.At && o.Abs() < deviation.Abs() {
+				deviation = o
 			}
 		}
-		if off.Abs() > deadlineTolerance {
-			a.report(RuleDeadlineMoved, x.At, x.Relay, "%s: a restart computed %v as the remaining time, off by %v", x.Trace, x.Left, off)
+		if deviation.Abs() > deadlineTolerance {
+			a.report(RuleDeadlineMoved, x.At, x.Relay, "%s: a restart computed %v as the remaining time, off by %v", x.Trace, x.Left, deviation)
 		}
 	}
 }
--- a/internal/testbed/audit/views.go
+++ b/internal/testbed/audit/views.go
@@ -133,24 +133,24 @@
 		from, to := offset+f.At, offset+f.At+f.For
 		aware, healed := 0.0, time.Duration(0)
 		for r := range p.Members() {
-			whole, known := true, false
+			complete, known := true, false
 			at := p.Length
 			for _, v := range changesByRelay[r] {
 				if v.At > from && v.At <= to {
 					known = known || v.Agreement == "split" || v.Agreement == "alone"
 				}
 				if v.At <= to {
-					whole = v.Present == p.Members()
-				} else if !whole && v.Present == p.Members() {
-					whole, at = true, v.At-to
+					complete = v.Present == p.Members()
+				} else if !complete && v.Present == p.Members() {
+					complete, at = true, v.At-to
 				} else if v.Present < p.Members() {
-					whole = false
+					complete = false
 				}
 			}
 			if known {
 				aware++
 			}
-			if !whole {
+			if !complete {
 				at = p.Length
 			} else if at == p.Length {
 				at = 0 // the view was complete all the time
--- a/internal/testbed/audit/worth.go
+++ b/internal/testbed/audit/worth.go
@@ -48,9 +48,9 @@
 
 // MessageResults returns the results of the plan's messages, in their order.
 func MessageResults(p *plan.Plan, l *ledger.Ledger, offset time.Duration) []MessageResult {
-	tries := make([][]*ledger.HandIn, len(p.Arrivals))
+	attempts := make([][]*ledger.HandIn, len(p.Arrivals))
 	for _, h := range l.HandIns {
-		tries[h.Message] = append(tries[h.Message], h)
+		attempts[h.Message] = append(attempts[h.Message], h)
 	}
 	calls := map[string][]*ledger.Call{}
 	for _, c := range l.Calls {
@@ -78,7 +78,7 @@
 			f.Worth *= overShareWorth
 		}
 		first := ledger.Never
-		for _, h := range tries[i] {
+		for _, h := range attempts[i] {
 			if h.Answered == ledger.Never {
 				continue
 			}
@@ -130,7 +130,7 @@
 
 // Figures returns the run's figures, except those on violated rules, by the names that bounds use.
 func Figures(p *plan.Plan, l *ledger.Ledger, results []MessageResult, offset time.Duration) map[string]float64 {
-	var total, late worthShare
+	var total, lateWorth worthShare
 	classes, customers := make([]worthShare, len(p.Classes)), make([]worthShare, len(p.Experiment.Load.Customers))
 	seconds := make([]worthShare, int(p.Length/time.Second)+1)
 	outcomes := make([]float64, len(OutcomeNames))
@@ -151,7 +151,7 @@
 			latencies = append(latencies, f.Latency.Seconds()*1000)
 		}
 		if f.Outcome != InTime && f.Earned < f.Worth {
-			late.possible += f.Worth
+			lateWorth.possible += f.Worth
 		}
 	}
 	slices.Sort(latencies)
@@ -177,7 +177,7 @@
 	addCallFigures(p, l, n, fig)
 	fig["goal"] = weightTotal*fig["served"] + weightWindow*fig["served_worst_10s"] + weightClass*fig["served_worst_class"] +
 		weightCustomer*fig["served_worst_customer"] - penaltyHandshake*fig["handshakes"] - penaltyWaste*fig["wasted"] -
-		penaltyLate*late.possible/math.Max(1, total.possible) - penaltyProbe*fig["probes"] - penaltyCross*fig["crossed"]
+		penaltyLate*lateWorth.possible/math.Max(1, total.possible) - penaltyProbe*fig["probes"] - penaltyCross*fig["crossed"]
 	addResourceFigures(p, l, offset, fig)
 	return fig
 }
@@ -209,8 +209,8 @@
 			before.possible, before.earned = before.possible+s.possible, before.earned+s.earned
 		}
 		for i := at + 1; i+1 < len(seconds); i++ {
-			two := worthShare{seconds[i].possible + seconds[i+1].possible, seconds[i].earned + seconds[i+1].earned}
-			if two.ratio() >= 0.95*before.ratio() {
+			pair := worthShare{seconds[i].possible + seconds[i+1].possible, seconds[i].earned + seconds[i+1].earned}
+			if pair.ratio() >= 0.95*before.ratio() {
 				return float64(i) - f.At.Seconds()
 			}
 		}
@@ -221,7 +221,7 @@
 
 // addCallFigures adds the figures on the fleet's calls, per message.
 func addCallFigures(p *plan.Plan, l *ledger.Ledger, n float64, fig map[string]float64) {
-	var calls, fresh, probes, crossed, refused, lost, all, down float64
+	var calls, fresh, probes, crossed, refused, wasted, work, down float64
 	for _, c := range l.Calls {
 		if c.Fresh {
 			fresh++
@@ -240,14 +240,14 @@
 		if c.Outage {
 			down++
 		}
-		all += c.Work.Seconds()
+		work += c.Work.Seconds()
 		if c.Ran && c.Status != 200 {
-			lost += c.Work.Seconds()
+			wasted += c.Work.Seconds()
 		}
 	}
 	fig["calls"], fig["handshakes"], fig["probes"], fig["crossed"] = calls/n, fresh/n, probes/n, crossed/n
 	fig["calls_refused"], fig["calls_to_down"] = refused/n, down
-	fig["wasted"] = lost / math.Max(all, 1e-9)
+	fig["wasted"] = wasted / math.Max(work, 1e-9)
 }
 
 // addResourceFigures adds the resources that the processes used, and how long they took to start.
--- a/internal/testbed/experiment/default.go
+++ b/internal/testbed/experiment/default.go
@@ -24,7 +24,7 @@
 				{Name: "elevators", Share: 2, TrafficBias: -0.3, Limit: "none", Headroom: NewRange(1.4, 2.5), MinRate: NewRange(2.3, 4.1), CapacityHeadroom: NewRange(1.2, 1.6),
 					QueueSeconds: NewRange(0.3, 1), Speed: NewRange(0.59, 0.8), Batch: 1, SeparateRoutes: true},
 				{Name: "short-lines", Share: 2, TrafficBias: -0.6, Limit: "window", Headroom: NewRange(1.1, 2.3), MinRate: NewRange(2, 4.6), CapacityHeadroom: NewRange(1.3, 1.6),
-					QueueSeconds: NewRange(0.3, 0.96), WindowSeconds: 2, Speed: NewRange(0.85, 1.1), Batch: 1, ReportsRefused: true},
+					QueueSeconds: NewRange(0.3, 0.96), WindowSeconds: 2, Speed: NewRange(0.85, 1.1), Batch: 1, CountsRefused: true},
 			},
 		},
 		Network: Network{Same: NewRange(15, 45), Cross: NewRange(68, 110), Jitter: NewRange(0.08, 0.27), Handshakes: NewRange(2, 3)},
--- a/internal/testbed/experiment/experiment.go
+++ b/internal/testbed/experiment/experiment.go
@@ -117,7 +117,7 @@
 	Speed            Range   `toml:"speed"`         // 1: normal speed
 	Batch            int     `toml:"batch"`         // most messages in a call
 	SeparateRoutes   bool    `toml:"apart"`         // endpoints are separate routes, each with its own limit, speed and outages
-	ReportsRefused   bool    `toml:"refused_count"` // refused calls count towards the time window's limit, too
+	CountsRefused    bool    `toml:"refused_count"` // refused calls count towards the time window's limit, too
 }
 
 // Network describes the delays between buildings.
--- a/internal/testbed/plan/arrivals.go
+++ b/internal/testbed/plan/arrivals.go
@@ -80,11 +80,11 @@
 	}
 	for i := range p.Partners {
 		size := math.Max(2, x.ClumpSpan.Draw(rng)*p.FullRate*p.Partners[i].Share)
-		every := size / (rate * weights[i] * clumps)
+		interval := size / (rate * weights[i] * clumps)
 		if clumps == 0 {
 			continue
 		}
-		for at := seconds(rng.ExpFloat64() * every); at < p.Length; at += seconds(rng.ExpFloat64() * every) {
+		for at := seconds(rng.ExpFloat64() * interval); at < p.Length; at += seconds(rng.ExpFloat64() * interval) {
 			relay, gap := gen.relays.draw(rng), seconds((0.05+0.15*rng.Float64())/size)
 			for k := range max(2, int(size*(0.5+rng.Float64()))) {
 				if t := at + time.Duration(k)*gap; t < p.Length {
@@ -127,30 +127,30 @@
 }
 
 // message draws one message for a partner. A negative relay has the relay drawn by share of traffic.
-func (k *messageGenerator) message(rng *rand.Rand, at time.Duration, partner, relay int) Arrival {
-	x := k.p.Experiment.Load
-	a := Arrival{At: at, Relay: relay, Partner: partner, Customer: k.p.Partners[partner].Customer, Draw: rng.Uint64()}
+func (g *messageGenerator) message(rng *rand.Rand, at time.Duration, partner, relay int) Arrival {
+	x := g.p.Experiment.Load
+	a := Arrival{At: at, Relay: relay, Partner: partner, Customer: g.p.Partners[partner].Customer, Draw: rng.Uint64()}
 	if relay < 0 {
-		a.Relay = k.relays.draw(rng)
+		a.Relay = g.relays.draw(rng)
 	}
-	a.Class = k.classes[partner].draw(rng)
-	c := &k.p.Classes[a.Class]
+	a.Class = g.classes[partner].draw(rng)
+	c := &g.p.Classes[a.Class]
 	// A lognormal distribution with a mean of 1 and the class's coefficient of variation.
 	// A lognormal of mean 1 and the class's variation.
 	v := math.Log(1 + c.CV*c.CV)
 	a.Work = millis(c.WorkMS * math.Exp(math.Sqrt(v)*rng.NormFloat64()-v/2))
 	a.Body = 64 + rng.IntN(448)
-	if rng.Float64() < k.heavyShare {
+	if rng.Float64() < g.heavyShare {
 		a.Body = 8<<10 + rng.IntN(56<<10)
 	}
-	a.Retries = int(k.retries)
-	if rng.Float64() < k.retries-math.Floor(k.retries) {
+	a.Retries = int(g.retries)
+	if rng.Float64() < g.retries-math.Floor(g.retries) {
 		a.Retries++
 	}
-	a.Backoff, a.Heeds, a.Again = millis(x.Backoff.Draw(rng)), rng.Float64() < k.heedShare, millis(x.ResendDelay.Draw(rng))
+	a.Backoff, a.Heeds, a.Again = millis(x.Backoff.Draw(rng)), rng.Float64() < g.heedShare, millis(x.ResendDelay.Draw(rng))
 	leaves, when := rng.Float64(), millis(1+60*rng.Float64())
-	share := k.leaveShare
-	for _, f := range k.p.Faults {
+	share := g.leaveShare
+	for _, f := range g.p.Faults {
 		if f.Kind == "leave" && at >= f.At && at < f.At+f.For {
 			share = f.Size
 		}
--- a/internal/testbed/plan/faults.go
+++ b/internal/testbed/plan/faults.go
@@ -140,7 +140,7 @@
 }
 
 // pickRelays draws a share of the relays, at least one.
-func (p *Plan) pickRelays(rng *rand.Rand, portion float64, building int) []int {
+func (p *Plan) pickRelays(rng *rand.Rand, share float64, building int) []int {
 	var candidates []int
 	for i := range p.Relays {
 		if building < 0 || p.Relays[i].Building == building {
@@ -148,7 +148,7 @@
 		}
 	}
 	rng.Shuffle(len(candidates), func(i, j int) { candidates[i], candidates[j] = candidates[j], candidates[i] })
-	candidates = candidates[:min(len(candidates), max(1, int(portion*float64(len(candidates))+0.5)))]
+	candidates = candidates[:min(len(candidates), max(1, int(share*float64(len(candidates))+0.5)))]
 	slices.Sort(candidates)
 	return candidates
 }
--- a/internal/testbed/platform/partner.go
+++ b/internal/testbed/platform/partner.go
@@ -203,7 +203,7 @@
 	if limit <= 0 {
 		return true
 	}
-	counts := s.plan.Experiment.Partners.Kinds[sc.kind].ReportsRefused
+	counts := s.plan.Experiment.Partners.Kinds[sc.kind].CountsRefused
 	if sc.span > 0 {
 		s.refill(sc, now)
 		room := math.Max(1, math.Floor(limit*sc.span.Seconds()))
--- a/internal/testbed/run/run.go
+++ b/internal/testbed/run/run.go
@@ -106,40 +106,40 @@
 		return nil, err
 	}
 	defer ports.Release()
-	c := &runner{options: o, plan: p, ledger: ledger.New()}
-	if c.platform, err = platform.New(p, c.ledger, ports); err != nil {
+	rn := &runner{options: o, plan: p, ledger: ledger.New()}
+	if rn.platform, err = platform.New(p, rn.ledger, ports); err != nil {
 		return nil, err
 	}
-	defer c.platform.Close()
+	defer rn.platform.Close()
 	if o.Experiment.DisruptsGossip() {
-		if err := c.platform.OpenGossip(); err != nil {
+		if err := rn.platform.OpenGossip(); err != nil {
 			return nil, err
 		}
 	}
 	if n := o.Experiment.Fleet.Stewards; n > 0 {
 		starter := process.NewStarter()
 		defer starter.End()
-		c.stewards, err = duties.StartBeside(ctx, n, filepath.Join(filepath.Dir(o.Program), build.Steward), tempDir, ports.Base(), starter)
+		rn.stewards, err = duties.StartBeside(ctx, n, filepath.Join(filepath.Dir(o.Program), build.Steward), tempDir, ports.Base(), starter)
 		if err != nil {
 			return nil, err
 		}
-		defer c.stewards.Close()
+		defer rn.stewards.Close()
 	}
-	c.fleet = process.New(p, c.ledger, ports, c.platform, o.Program, tempDir)
-	defer c.fleet.Close()
-	if c.stewards != nil {
-		c.fleet.Stewards = c.stewards.APIs()
+	rn.fleet = process.New(p, rn.ledger, ports, rn.platform, o.Program, tempDir)
+	defer rn.fleet.Close()
+	if rn.stewards != nil {
+		rn.fleet.Stewards = rn.stewards.APIs()
 	}
-	c.load = load.New(p, c.ledger, ports.Relay, c.fleet.Alive)
-	c.platform.Ended = c.load.Ended
-	if err := c.fleet.Start(ctx); err != nil {
+	rn.load = load.New(p, rn.ledger, ports.Relay, rn.fleet.Alive)
+	rn.platform.Ended = rn.load.Ended
+	if err := rn.fleet.Start(ctx); err != nil {
 		return nil, err
 	}
-	c.execute(ctx)
+	rn.execute(ctx)
 	if err := ctx.Err(); err != nil {
 		return nil, err
 	}
-	return c.evaluate()
+	return rn.evaluate()
 }
 
 func writePlan(p *plan.Plan, path string) error {
@@ -166,60 +166,60 @@
 }
 
 // execute applies the messages, hostile peers and faults, and waits until every message has ended.
-func (c *runner) execute(ctx context.Context) {
+func (rn *runner) execute(ctx context.Context) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	c.offset = c.ledger.Now() + max(settleTime, c.plan.Experiment.Fleet.Settle.D())
-	c.platform.Run(c.offset)
-	var all sync.WaitGroup
-	all.Go(func() { c.load.RunHostile(ctx, c.offset) })
-	all.Go(func() { c.load.RunCrowd(ctx, c.offset) })
-	for i := range c.plan.Faults {
-		all.Go(func() { c.injectFault(ctx, &c.plan.Faults[i]) })
-	}
-	if c.plan.Experiment.Fleet.NonMembers > 0 {
-		all.Go(func() {
-			if network.Sleep(ctx, c.offset+c.plan.Length/2-c.ledger.Now()) == nil {
-				c.fleet.Traffic(ctx, c.plan.Length*2/5)
+	rn.offset = rn.ledger.Now() + max(settleTime, rn.plan.Experiment.Fleet.Settle.D())
+	rn.platform.Run(rn.offset)
+	var workers sync.WaitGroup
+	workers.Go(func() { rn.load.RunHostile(ctx, rn.offset) })
+	workers.Go(func() { rn.load.RunCrowd(ctx, rn.offset) })
+	for i := range rn.plan.Faults {
+		workers.Go(func() { rn.injectFault(ctx, &rn.plan.Faults[i]) })
+	}
+	if rn.plan.Experiment.Fleet.NonMembers > 0 {
+		workers.Go(func() {
+			if network.Sleep(ctx, rn.offset+rn.plan.Length/2-rn.ledger.Now()) == nil {
+				rn.fleet.Traffic(ctx, rn.plan.Length*2/5)
 			}
 		})
 	}
-	all.Go(func() { c.printProgress(ctx) })
-	c.load.Run(ctx, c.offset)
-	most := drainTimeout
-	if c.options.Quick {
-		most = quickDrainTimeout
+	workers.Go(func() { rn.printProgress(ctx) })
+	rn.load.Run(ctx, rn.offset)
+	timeout := drainTimeout
+	if rn.options.Quick {
+		timeout = quickDrainTimeout
 	}
-	for by := c.offset + c.plan.Length + most; c.ledger.Now() < by && !c.drained(); {
+	for by := rn.offset + rn.plan.Length + timeout; rn.ledger.Now() < by && !rn.drained(); {
 		if network.Sleep(ctx, 100*time.Millisecond) != nil {
 			break
 		}
 	}
-	c.end = c.ledger.Now()
+	rn.end = rn.ledger.Now()
 	cancel()
-	all.Wait()
-	c.load.Wait()
+	workers.Wait()
+	rn.load.Wait()
 }
 
 // drained reports whether every accepted message has ended and no client may submit one again.
-func (c *runner) drained() bool {
-	if c.ledger.Now() < c.offset+c.plan.Length+2*time.Second {
+func (rn *runner) drained() bool {
+	if rn.ledger.Now() < rn.offset+rn.plan.Length+2*time.Second {
 		return false
 	}
 	done := true
-	c.ledger.Do(func() {
+	rn.ledger.Do(func() {
 		ended := map[string]bool{}
-		for _, x := range c.ledger.Calls {
+		for _, x := range rn.ledger.Calls {
 			if x.Status == 200 {
 				for _, t := range x.Traces {
 					ended[t] = true
 				}
 			}
 		}
-		for _, n := range c.ledger.Notices {
+		for _, n := range rn.ledger.Notices {
 			ended[n.Trace] = true
 		}
-		for _, h := range c.ledger.HandIns {
+		for _, h := range rn.ledger.HandIns {
 			if h.Answered != ledger.Never && h.Status < 300 && !ended[h.Trace] {
 				done = false
 				return
@@ -230,64 +230,64 @@
 }
 
 // injectFault starts a fault at its time and ends it after its duration.
-func (c *runner) injectFault(ctx context.Context, f *plan.Fault) {
-	if network.Sleep(ctx, c.offset+f.At-c.ledger.Now()) != nil || c.fleet.Begin(f) {
+func (rn *runner) injectFault(ctx context.Context, f *plan.Fault) {
+	if network.Sleep(ctx, rn.offset+f.At-rn.ledger.Now()) != nil || rn.fleet.Begin(f) {
 		return
 	}
 	if f.Kind == "stewards" {
-		if err := c.stewards.Down(ctx, f.For); err != nil {
+		if err := rn.stewards.Down(ctx, f.For); err != nil {
 			fmt.Fprintf(os.Stderr, "testbed: %s: %v\n", f.Kind, err)
 		}
 		return
 	}
-	if _, err := c.platform.Begin(f); err != nil {
+	if _, err := rn.platform.Begin(f); err != nil {
 		fmt.Fprintf(os.Stderr, "testbed: %s: %v\n", f.Kind, err)
 	}
 	network.Sleep(ctx, f.For)
-	if err := c.platform.End(f); err != nil {
+	if err := rn.platform.End(f); err != nil {
 		fmt.Fprintf(os.Stderr, "testbed: ending %s: %v\n", f.Kind, err)
 	}
 }
 
 // printProgress prints the run's progress every second.
-func (c *runner) printProgress(ctx context.Context) {
-	if c.options.Progress == nil {
+func (rn *runner) printProgress(ctx context.Context) {
+	if rn.options.Progress == nil {
 		return
 	}
 	for network.Sleep(ctx, time.Second) == nil {
 		var handed, calls int
-		c.ledger.Do(func() { handed, calls = len(c.ledger.HandIns), len(c.ledger.Calls) })
-		fmt.Fprintf(c.options.Progress, "\r%s seed %d: %3.0f of %.0f s, %d of %d messages submitted, %d calls   ", c.options.Experiment.Name, c.options.Seed,
-			(c.ledger.Now() - c.offset).Seconds(), c.plan.Length.Seconds(), handed, len(c.plan.Arrivals), calls)
+		rn.ledger.Do(func() { handed, calls = len(rn.ledger.HandIns), len(rn.ledger.Calls) })
+		fmt.Fprintf(rn.options.Progress, "\r%s seed %d: %3.0f of %.0f s, %d of %d messages submitted, %d calls   ", rn.options.Experiment.Name, rn.options.Seed,
+			(rn.ledger.Now() - rn.offset).Seconds(), rn.plan.Length.Seconds(), handed, len(rn.plan.Arrivals), calls)
 	}
-	fmt.Fprintln(c.options.Progress)
+	fmt.Fprintln(rn.options.Progress)
 }
 
 // evaluate checks the ledger and writes the result.
-func (c *runner) evaluate() (*Result, error) {
+func (rn *runner) evaluate() (*Result, error) {
 	// Nothing may write to the ledger while it is evaluated.
-	c.fleet.Close()
-	c.platform.Close()
-	if err := c.fleet.Views(); err != nil {
+	rn.fleet.Close()
+	rn.platform.Close()
+	if err := rn.fleet.Views(); err != nil {
 		return nil, err
 	}
-	if c.plan.Experiment.Fleet.Debug {
-		if err := c.fleet.Recovered(); err != nil {
+	if rn.plan.Experiment.Fleet.Debug {
+		if err := rn.fleet.Recovered(); err != nil {
 			return nil, err
 		}
 	}
-	results := audit.MessageResults(c.plan, c.ledger, c.offset)
-	violations := audit.Check(c.plan, c.ledger, c.offset, c.end)
-	r := &Result{Experiment: c.options.Experiment.Name, Seed: c.options.Seed, Quick: c.options.Quick, Revision: c.options.Revision, Relays: len(c.plan.Relays),
-		Figures: audit.Figures(c.plan, c.ledger, results, c.offset), RuleCounts: audit.CountByRule(violations),
+	results := audit.MessageResults(rn.plan, rn.ledger, rn.offset)
+	violations := audit.Check(rn.plan, rn.ledger, rn.offset, rn.end)
+	r := &Result{Experiment: rn.options.Experiment.Name, Seed: rn.options.Seed, Quick: rn.options.Quick, Revision: rn.options.Revision, Relays: len(rn.plan.Relays),
+		Figures: audit.Figures(rn.plan, rn.ledger, results, rn.offset), RuleCounts: audit.CountByRule(violations),
 		Violations: violations[:min(len(violations), maxViolations)]}
-	if c.plan.Experiment.Fleet.Members {
-		audit.ViewFigures(c.plan, c.ledger, c.offset, r.Figures)
-		if c.plan.Experiment.Fleet.NonMembers > 0 {
-			audit.IdleFigures(c.plan, c.ledger, c.offset, r.Figures)
+	if rn.plan.Experiment.Fleet.Members {
+		audit.ViewFigures(rn.plan, rn.ledger, rn.offset, r.Figures)
+		if rn.plan.Experiment.Fleet.NonMembers > 0 {
+			audit.IdleFigures(rn.plan, rn.ledger, rn.offset, r.Figures)
 		}
 	}
-	r.Figures["lateness_p99_ms"] = c.load.Lateness(99).Seconds() * 1000
+	r.Figures["lateness_p99_ms"] = rn.load.Lateness(99).Seconds() * 1000
 	r.Figures["broken_rules"] = float64(len(violations))
 	for name, n := range r.RuleCounts {
 		r.Figures["broken_"+name] = n
@@ -297,19 +297,19 @@
 			r.Figures[name] = -1 // nothing was measured
 		}
 	}
-	bounds := append([]experiment.Bound{{Name: "broken_rules", Op: "<=", Limit: 0}}, c.options.Experiment.Bounds...)
-	if late := c.load.Lateness(99); late > maxLateness {
+	bounds := append([]experiment.Bound{{Name: "broken_rules", Op: "<=", Limit: 0}}, rn.options.Experiment.Bounds...)
+	if late := rn.load.Lateness(99); late > maxLateness {
 		r.Invalid = fmt.Sprintf("the testbed's own clients were %v late at the 99th percentile, over %v: the machine was too loaded", late, maxLateness)
 	}
-	if len(violations) > 0 && c.plan.Experiment.Fleet.Debug {
-		if err := c.fleet.KeepLogs(filepath.Join(c.options.Out, "logs")); err != nil {
+	if len(violations) > 0 && rn.plan.Experiment.Fleet.Debug {
+		if err := rn.fleet.KeepLogs(filepath.Join(rn.options.Out, "logs")); err != nil {
 			return nil, err
 		}
 	}
-	if err := writeJSON(filepath.Join(c.options.Out, "series.json"), c.series(results)); err != nil {
+	if err := writeJSON(filepath.Join(rn.options.Out, "series.json"), rn.series(results)); err != nil {
 		return nil, err
 	}
-	if err := r.Finish(bounds, c.options.Out); err != nil {
+	if err := r.Finish(bounds, rn.options.Out); err != nil {
 		return nil, err
 	}
 	if r.Invalid != "" {
--- a/internal/testbed/run/series.go
+++ b/internal/testbed/run/series.go
@@ -38,8 +38,8 @@
 }
 
 // series aggregates the run by second.
-func (c *runner) series(results []audit.MessageResult) *Series {
-	n := int((c.end-c.offset)/time.Second) + 1
+func (rn *runner) series(results []audit.MessageResult) *Series {
+	n := int((rn.end-rn.offset)/time.Second) + 1
 	s := &Series{Seconds: n, Outcomes: map[string][]int{}, P50: make([]float64, n), P99: make([]float64, n), Alive: make([]int, n)}
 	for _, name := range audit.OutcomeNames {
 		s.Outcomes[name] = make([]int, n)
@@ -58,21 +58,21 @@
 			s.P50[i], s.P99[i] = t[len(t)/2], t[len(t)*99/100]
 		}
 	}
-	for i := range c.plan.Partners {
-		d := &c.plan.Partners[i]
-		p := PartnerSeries{ID: d.ID, Kind: c.plan.Experiment.Partners.Kinds[d.Kind].Name, Taken: make([]int, n), Refused: make([]int, n),
+	for i := range rn.plan.Partners {
+		d := &rn.plan.Partners[i]
+		p := PartnerSeries{ID: d.ID, Kind: rn.plan.Experiment.Partners.Kinds[d.Kind].Name, Taken: make([]int, n), Refused: make([]int, n),
 			Failed: make([]int, n), Limit: make([]float64, n), Capacity: d.Capacity}
 		for k := range p.Limit {
-			for _, x := range c.ledger.Limits {
-				if x.Partner == i && x.At <= c.offset+time.Duration(k)*time.Second {
+			for _, x := range rn.ledger.Limits {
+				if x.Partner == i && x.At <= rn.offset+time.Duration(k)*time.Second {
 					p.Limit[k] = x.Limit
 				}
 			}
 		}
 		s.Partners = append(s.Partners, p)
 	}
-	for _, x := range c.ledger.Calls {
-		p, i := &s.Partners[c.plan.Endpoints[x.Endpoint].Partner], at(x.FirstByte-c.offset)
+	for _, x := range rn.ledger.Calls {
+		p, i := &s.Partners[rn.plan.Endpoints[x.Endpoint].Partner], at(x.FirstByte-rn.offset)
 		switch x.Status {
 		case 200:
 			p.Taken[i]++
@@ -83,16 +83,16 @@
 		}
 	}
 	for k := range s.Alive {
-		t := c.offset + time.Duration(k)*time.Second
+		t := rn.offset + time.Duration(k)*time.Second
 		up := map[int]bool{}
-		for _, x := range c.ledger.Lives {
+		for _, x := range rn.ledger.Lives {
 			if x.Ready != ledger.Never && x.Ready <= t && (x.End == ledger.Never || x.End > t) {
 				up[x.Relay] = true
 			}
 		}
 		s.Alive[k] = len(up)
 	}
-	for _, f := range c.plan.Faults {
+	for _, f := range rn.plan.Faults {
 		s.Faults = append(s.Faults, FaultSpan{f.Kind, f.At.Seconds(), (f.At + f.For).Seconds()})
 	}
 	return s
--- a/internal/testbed/soak/soak.go
+++ b/internal/testbed/soak/soak.go
@@ -84,8 +84,8 @@
 		c.Deadline = experiment.Duration(min(c.Deadline.D(), 7*time.Second))
 		c.Window = experiment.Duration(min(c.Window.D(), 3*time.Second))
 	}
-	for k := range overlapsPerRun {
-		at := firstOverlapAt + (lastOverlapAt-firstOverlapAt)*(float64(k)+rng.Float64())/overlapsPerRun
+	for overlap := range overlapsPerRun {
+		at := firstOverlapAt + (lastOverlapAt-firstOverlapAt)*(float64(overlap)+rng.Float64())/overlapsPerRun
 		for range 2 + rng.IntN(2) {
 			f := faultTemplates[rng.IntN(len(faultTemplates))]
 			begin := at + rng.Float64()*overlapSpan
