--- a/cmd/testbed/main.go
+++ b/cmd/testbed/main.go
@@ -1,5 +1,5 @@
-// Command testbed runs experiments with real relay processes on an emulated platform, injects faults and checks the results. See
-// docs/testbed.md.
+// Command testbed runs experiments with real relay processes on an emulated platform, injects faults and checks the
+// results. See docs/testbed.md.
 package main
 
 import (
--- a/cmd/testbed/recovery.go
+++ b/cmd/testbed/recovery.go
@@ -187,7 +187,7 @@
 		}
 		time.Sleep(500 * time.Microsecond)
 	}
-	return began, ready, errors.New("the relay did not become ready in 30 s")
+	return began, ready, errors.New("the relay did not become ready")
 }
 
 // throughput measures a relay while clients send one message after another.
--- a/internal/testbed/audit/audit.go
+++ b/internal/testbed/audit/audit.go
@@ -129,7 +129,7 @@
 }
 
 // excusedUntil returns the extended time limit for a report that was due from a relay at the given time: restarts, pauses
-// and failing connections postpone it. gone tells whether the relay lost its state after since, so that nothing is due.
+// and failing connections postpone it. lost tells whether the relay lost its state after since, so that nothing is due.
 func (a *auditor) excusedUntil(relay int, since, at time.Duration) (until time.Duration, lost bool) {
 	until = a.reachableFrom(relay, at)
 	lives := a.lives[relay]
--- a/internal/testbed/plan/arrivals.go
+++ b/internal/testbed/plan/arrivals.go
@@ -136,7 +136,6 @@
 	a.Class = g.classes[partner].draw(rng)
 	c := &g.p.Classes[a.Class]
 	// A lognormal distribution with a mean of 1 and the class's coefficient of variation.
-	// A lognormal of mean 1 and the class's variation.
 	v := math.Log(1 + c.CV*c.CV)
 	a.Work = millis(c.WorkMS * math.Exp(math.Sqrt(v)*rng.NormFloat64()-v/2))
 	a.Body = 64 + rng.IntN(448)
--- a/internal/testbed/run/run.go
+++ b/internal/testbed/run/run.go
@@ -1,5 +1,5 @@
-// Package run runs an experiment: it draws the plan, starts the platform and the relays, applies load and faults, and evaluates
-// the result.
+// Package run runs an experiment: it draws the plan, starts the platform and the relays, applies load and faults, and
+// evaluates the result.
 package run
 
 import (
