--- a/internal/testbed/experiment/experiment.go
+++ b/internal/testbed/experiment/experiment.go
@@ -221,7 +221,7 @@
 	"disk-sick":  "relays' disks fail every sync for For",
 	"disk-slow":  "relays' syncs take Size milliseconds each for For",
 	"wall-step":  "relays' wall clocks step by an hour or five seconds, forward or back, and stay so",
-	"calls":      "a call of relays' sockets fails as Linux documents, all or some of them for For",
+	"calls":      "socket calls of relays fail with errors that Linux documents, all or some of them for For",
 	"files":      "file operations of relays fail, all or some of them, with or without effect, for For",
 	"short":      "reads and writes of relays' sockets transfer only a few bytes at a time for For",
 	"quiet":      "discovery sends nothing for For",
