--- a/cmd/testbed/breaks.go
+++ b/cmd/testbed/breaks.go
@@ -15,14 +15,14 @@
 )
 
 type breaksCmd struct {
-	Names []string `arg:"" optional:"" help:"The breaks to play; none: all."`
+	Names []string `arg:"" optional:"" help:"The breaks to run; default: all."`
 	Dir   string   `default:"experiments/breaks" type:"existingdir" help:"Folder with a patch for each break."`
-	Seed  uint64   `default:"1" help:"What all is drawn from."`
+	Seed  uint64   `default:"1" help:"The seed."`
 	Out   string   `default:"results" help:"Folder for the results."`
 }
 
-// Run plays each break's build on the experiment that its patch names. A patch begins with lines of the form
-// "rule: NAME", "experiment: FILE" and "why: ..."; the build has to be caught by that rule.
+// Run runs each broken build on the experiment that its patch names. A patch begins with lines of the form "rule: NAME",
+// "experiment: FILE" and "why: ..."; the build must violate that rule.
 func (c *breaksCmd) Run(ctx context.Context) error {
 	root, err := build.Root(".")
 	if err != nil {
@@ -38,7 +38,7 @@
 		if len(c.Names) > 0 && !slices.Contains(c.Names, name) {
 			continue
 		}
-		caught, text, err := c.play(ctx, root, path, name)
+		caught, text, err := c.runBreak(ctx, root, path, name)
 		if err != nil {
 			return fmt.Errorf("%s: %w", name, err)
 		}
@@ -54,7 +54,8 @@
 	return nil
 }
 
-func (c *breaksCmd) play(ctx context.Context, root, path, name string) (caught bool, text string, err error) {
+// runBreak builds HEAD with one patch, runs it and reports whether the patch's rule was violated.
+func (c *breaksCmd) runBreak(ctx context.Context, root, path, name string) (caught bool, text string, err error) {
 	path, err = filepath.Abs(path)
 	if err != nil {
 		return false, "", err
@@ -63,18 +64,18 @@
 	if err != nil {
 		return false, "", err
 	}
-	head := map[string]string{}
+	header := map[string]string{}
 	for line := range strings.Lines(string(data)) {
 		key, value, ok := strings.Cut(strings.TrimSpace(line), ": ")
 		if !ok {
 			break
 		}
-		head[key] = value
+		header[key] = value
 	}
-	if head["rule"] == "" || head["experiment"] == "" {
+	if header["rule"] == "" || header["experiment"] == "" {
 		return false, "", errors.New("the patch names no rule or no experiment")
 	}
-	x, err := experiment.Read(filepath.Join(root, head["experiment"]))
+	x, err := experiment.Read(filepath.Join(root, header["experiment"]))
 	if err != nil {
 		return false, "", err
 	}
@@ -87,10 +88,10 @@
 	if err != nil {
 		return false, "", err
 	}
-	// A rule by its name, or a bound by its figure's.
-	n := r.Broken[head["rule"]]
+	// head["rule"] names a rule, or the figure of a bound.
+	n := r.RuleCounts[header["rule"]]
 	for _, b := range r.Bounds {
-		if b.Name == head["rule"] && !b.OK {
+		if b.Name == header["rule"] && !b.OK {
 			n++
 		}
 	}
@@ -99,11 +100,11 @@
 		verdict = "NOT CAUGHT"
 	}
 	others := []string{}
-	for rule, k := range r.Broken {
-		if k > 0 && rule != head["rule"] {
+	for rule, k := range r.RuleCounts {
+		if k > 0 && rule != header["rule"] {
 			others = append(others, fmt.Sprintf("%s %.0f", rule, k))
 		}
 	}
 	slices.Sort(others)
-	return n > 0, fmt.Sprintf("%-22s %s: %s %.0f %v", name, verdict, head["rule"], n, others), nil
+	return n > 0, fmt.Sprintf("%-22s %s: %s %.0f %v", name, verdict, header["rule"], n, others), nil
 }
--- a/cmd/testbed/recovery.go
+++ b/cmd/testbed/recovery.go
@@ -26,16 +26,16 @@
 )
 
 type recoveryCmd struct {
-	Clients int           `default:"64" help:"Clients at once, each with one message after another."`
-	Sync    time.Duration `default:"1ms" help:"What a sync takes."`
-	For     time.Duration `default:"3s" help:"How long a play is."`
-	Plays   int           `default:"3" help:"Plays of each, in turns."`
-	Least   float64       `default:"0.5" help:"The least ratio of messages a second, power to process."`
-	Ready   time.Duration `default:"150ms" help:"The longest start with a log as large as 3 MB allow."`
+	Clients int           `default:"64" help:"Concurrent clients, each sending one message after another."`
+	Sync    time.Duration `default:"1ms" help:"Duration of a sync."`
+	For     time.Duration `default:"3s" help:"Duration of a run."`
+	Plays   int           `default:"3" help:"Runs of each durability, alternately."`
+	Least   float64       `default:"0.5" help:"Minimum ratio of the throughput with power durability to that with process durability."`
+	Ready   time.Duration `default:"150ms" help:"Maximum start time with a log as large as 3 MB allow."`
 	Out     string        `default:"results" help:"Folder for the relay's build."`
 }
 
-// Run measures one relay: what durability costs, and how long a start takes with how much in the log.
+// Run measures one relay: the cost of durability, and the start time by the size of the log.
 func (c *recoveryCmd) Run(ctx context.Context) error {
 	root, err := build.Root(".")
 	if err != nil {
@@ -54,7 +54,7 @@
 				return err
 			}
 			rates[durability] = append(rates[durability], rate)
-			fmt.Printf("  %-8s %6.0f messages a second, answers p50 %.1f ms, p99 %.1f ms\n", durability, rate,
+			fmt.Printf("  %-8s %6.0f messages per second, answers p50 %.1f ms, p99 %.1f ms\n", durability, rate,
 				float64(times.ValueAtQuantile(50))/1000, float64(times.ValueAtQuantile(99))/1000)
 		}
 	}
@@ -63,7 +63,7 @@
 	}
 	ratio := rates["power"][c.Plays/2] / rates["process"][c.Plays/2]
 	broken := ratio < c.Least
-	fmt.Printf("%s power/process %.2f >= %g (medians)\n", mark(!broken), ratio, c.Least)
+	fmt.Printf("%s power/process %.2f >= %g (medians)\n", boundLabel(!broken), ratio, c.Least)
 	for _, size := range []struct {
 		name    string
 		diskMB  float64
@@ -71,21 +71,21 @@
 		bounded bool
 	}{{"empty", 3, false, true}, {"3 MB", 3, true, true}, {"64 MB", 64, true, false}} {
 		var ready, first []time.Duration
-		held := 0
+		heldMessages := 0
 		for range c.Plays {
 			one, err := c.startup(ctx, program, size.diskMB, size.full)
 			if err != nil {
 				return err
 			}
-			ready, first, held = append(ready, one.ready), append(first, one.first), one.held
+			ready, first, heldMessages = append(ready, one.ready), append(first, one.firstDelivery), one.heldMessages
 		}
 		slices.Sort(ready)
 		slices.Sort(first)
 		r, f := ready[c.Plays/2], first[c.Plays/2]
-		text := fmt.Sprintf("start with a log of %s, %d messages: ready in %.1f ms, first delivery in %.1f ms", size.name, held,
+		text := fmt.Sprintf("start with a log of %s, %d messages: ready in %.1f ms, first delivery in %.1f ms", size.name, heldMessages,
 			r.Seconds()*1000, f.Seconds()*1000)
 		if size.bounded {
-			text = fmt.Sprintf("%s %s, ready <= %v", mark(r <= c.Ready), text, c.Ready)
+			text = fmt.Sprintf("%s %s, ready <= %v", boundLabel(r <= c.Ready), text, c.Ready)
 			broken = broken || r > c.Ready
 		}
 		fmt.Println(text)
@@ -96,30 +96,31 @@
 	return nil
 }
 
-func mark(ok bool) string {
+func boundLabel(ok bool) string {
 	if ok {
 		return "ok    "
 	}
 	return "BROKEN"
 }
 
-// lone is one relay with an endpoint that answers at once.
-type lone struct {
+// singleRelay is one relay with an endpoint that answers immediately.
+type singleRelay struct {
 	dir, addr string
-	first     chan time.Time // the first call at the endpoint
+	firstCall chan time.Time // receives the time of the first call at the endpoint
 	server    *httptest.Server
 	cmd       *exec.Cmd
 }
 
-func newLone(diskMB float64) (*lone, error) {
+// newSingleRelay starts the endpoint and writes the relay's configuration.
+func newSingleRelay(diskMB float64) (*singleRelay, error) {
 	dir, err := os.MkdirTemp("", "testbed-")
 	if err != nil {
 		return nil, err
 	}
-	x := &lone{dir: dir, first: make(chan time.Time, 1)}
+	x := &singleRelay{dir: dir, firstCall: make(chan time.Time, 1)}
 	x.server = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		select {
-		case x.first <- time.Now():
+		case x.firstCall <- time.Now():
 		default:
 		}
 		io.Copy(io.Discard, r.Body)
@@ -152,7 +153,7 @@
 	return x, err
 }
 
-func (x *lone) close() {
+func (x *singleRelay) close() {
 	if x.cmd != nil {
 		x.cmd.Process.Kill()
 		x.cmd.Wait()
@@ -162,8 +163,8 @@
 	os.RemoveAll(x.dir)
 }
 
-// start starts the relay and returns when it was started and when it said that it is ready.
-func (x *lone) start(ctx context.Context, program, durability string, sync time.Duration) (began, ready time.Time, err error) {
+// start starts the relay and returns when it was started and when it reported that it is ready.
+func (x *singleRelay) start(ctx context.Context, program, durability string, sync time.Duration) (began, ready time.Time, err error) {
 	own := filepath.Join(x.dir, "settings.toml")
 	if err := os.WriteFile(own, fmt.Appendf(nil, "[state]\ndurability = %q\n", durability), 0o600); err != nil {
 		return began, ready, err
@@ -186,12 +187,12 @@
 		}
 		time.Sleep(500 * time.Microsecond)
 	}
-	return began, ready, errors.New("the relay was never ready")
+	return began, ready, errors.New("the relay did not become ready")
 }
 
-// throughput has clients hand in one message after another.
+// throughput measures a relay while clients send one message after another.
 func (c *recoveryCmd) throughput(ctx context.Context, program, durability string) (rate float64, times *hdrhistogram.Histogram, err error) {
-	x, err := newLone(16)
+	x, err := newSingleRelay(16)
 	if err != nil {
 		return 0, nil, err
 	}
@@ -201,12 +202,12 @@
 	}
 	times = hdrhistogram.New(1, 60_000_000, 3)
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: c.Clients}}
-	var all sync.WaitGroup
+	var workers sync.WaitGroup
 	var mu sync.Mutex
 	done, refused := 0, 0
 	began := time.Now()
 	for k := range c.Clients {
-		all.Go(func() {
+		workers.Go(func() {
 			for i := 0; time.Since(began) < c.For && ctx.Err() == nil; i++ {
 				req, err := http.NewRequest(http.MethodPost, "http://"+x.addr+"/status", bytes.NewReader(make([]byte, 200)))
 				if err != nil {
@@ -233,27 +234,27 @@
 			}
 		})
 	}
-	all.Wait()
+	workers.Wait()
 	if refused > done/100 {
 		return 0, nil, fmt.Errorf("%d of %d messages refused", refused, done+refused)
 	}
 	return float64(done) / time.Since(began).Seconds(), times, ctx.Err()
 }
 
-// started is one start.
-type started struct {
-	ready, first time.Duration
-	held         int
+// startResult is the result of one start.
+type startResult struct {
+	ready, firstDelivery time.Duration
+	heldMessages         int
 }
 
-// startup has a relay start on a log, full or empty.
-func (c *recoveryCmd) startup(ctx context.Context, program string, diskMB float64, full bool) (s started, err error) {
-	x, err := newLone(diskMB)
+// startup measures the start of a relay with a full or an empty log.
+func (c *recoveryCmd) startup(ctx context.Context, program string, diskMB float64, full bool) (s startResult, err error) {
+	x, err := newSingleRelay(diskMB)
 	if err != nil {
 		return s, err
 	}
 	defer x.close()
-	if s.held, err = fill(filepath.Join(x.dir, "state"), int64(diskMB*1e6), full); err != nil {
+	if s.heldMessages, err = fillLog(filepath.Join(x.dir, "state"), int64(diskMB*1e6), full); err != nil {
 		return s, err
 	}
 	began, ready, err := x.start(ctx, program, "power", c.Sync)
@@ -262,18 +263,19 @@
 	}
 	s.ready = ready.Sub(began)
 	select {
-	case at := <-x.first:
-		s.first = at.Sub(began)
+	case at := <-x.firstCall:
+		s.firstDelivery = at.Sub(began)
 	case <-time.After(10 * time.Second):
-		return s, errors.New("nothing was ever delivered")
+		return s, errors.New("no message was delivered in 10 s")
 	case <-ctx.Done():
 		return s, ctx.Err()
 	}
 	return s, nil
 }
 
-// fill leaves a log behind: with one message, or as large as the limit allows, with what held messages leave on the way.
-func fill(dir string, limit int64, full bool) (held int, err error) {
+// fillLog writes a log with a single message or, if full, as large as the limit allows, with the records that delivered messages
+// leave between held ones.
+func fillLog(dir string, limit int64, full bool) (held int, err error) {
 	l, _, err := wal.OpenWith(wal.Options{Dir: dir, Limit: limit * 9 / 10, Format: wal.SegmentFormat, Name: "n0"})
 	if err != nil {
 		return 0, err
@@ -288,7 +290,7 @@
 		}
 		held++
 		if id%3 == 0 {
-			// A delivered one for every two that are held.
+			// One delivered message for every two that stay in the log.
 			if err := l.RecordSends(wal.Send{Message: m, Attempt: wal.Attempt{Host: "s-1", At: time.Now()}}); err != nil {
 				return 0, err
 			}
--- a/internal/testbed/run/run.go
+++ b/internal/testbed/run/run.go
@@ -1,5 +1,5 @@
-// Package run plays an experiment: it draws the plan, brings up the platform and the relays, lets load and faults loose on
-// them, and has what came of it judged.
+// Package run runs an experiment: it draws the plan, starts the platform and the relays, applies load and faults, and
+// evaluates the result.
 package run
 
 import (
@@ -28,29 +28,29 @@
 )
 
 const (
-	settle = 300 * time.Millisecond // from ready to the first message
-	// After the last message a run goes on until all is ended; no longer than this, under --quick than that, which is the time that
-	// the longest class has.
-	drainMost, drainQuick = 30 * time.Second, 28500 * time.Millisecond
-	// latenessMost is how late the testbed's own clients may be, at the 99th percentile. Later, the machine was too loaded
-	// for its figures to mean anything.
-	latenessMost = 20 * time.Millisecond
-	breachesKept = 200
+	settleTime = 300 * time.Millisecond // from when all relays are ready to the first message
+	// After the last message a run continues until every message has ended, for at most this long. The limit under --quick
+	// covers the longest deadline of a class.
+	drainTimeout, quickDrainTimeout = 30 * time.Second, 28500 * time.Millisecond
+	// maxLateness is how late the testbed's own clients may be at the 99th percentile. Beyond it the machine was too loaded
+	// for the figures to be meaningful.
+	maxLateness   = 20 * time.Millisecond
+	maxViolations = 200
 )
 
-// ErrInvalid tells that the machine was too loaded: the run's figures say nothing about the relays.
+// ErrInvalid reports that the machine was too loaded, so that the run's figures say nothing about the relays.
 var ErrInvalid = errors.New("run invalid")
 
-// Options say what to play.
+// Options configures a run.
 type Options struct {
-	Experiment *experiment.Experiment
-	Seed       uint64
-	Quick      bool
-	Program    string // the relay's; the stewards' stands beside it
-	Revision   string
-	Out        string    // folder for the results; made if it is not there
-	Progress   io.Writer // a line a second; nil: none
-	Without    []int     // places of the experiment's faults that are left out
+	Experiment    *experiment.Experiment
+	Seed          uint64
+	Quick         bool
+	Program       string // path of the relay; the steward's program is in the same folder
+	Revision      string
+	Out           string    // folder for the results; created if missing
+	Progress      io.Writer // receives a line per second; nil: no progress
+	SkippedFaults []int     // indices of the experiment's faults to skip
 }
 
 // Bound is a bound with its value in a run.
@@ -62,7 +62,7 @@
 	OK    bool    `json:"ok"`
 }
 
-// Result is what a run came to.
+// Result is the result of a run.
 type Result struct {
 	Experiment string             `json:"experiment"`
 	Seed       uint64             `json:"seed"`
@@ -71,12 +71,12 @@
 	Relays     int                `json:"relays"`
 	Bounds     []Bound            `json:"bounds"`
 	Figures    map[string]float64 `json:"figures"`
-	Broken     map[string]float64 `json:"broken"`
-	Breaches   []audit.Breach     `json:"breaches"`
+	RuleCounts map[string]float64 `json:"broken"`
+	Violations []audit.Violation  `json:"breaches"`
 	Invalid    string             `json:"invalid,omitempty"`
 }
 
-// OK tells whether every bound holds and no rule is broken.
+// OK reports whether the run is valid and every bound holds, among them the one that no rule is violated.
 func (r *Result) OK() bool {
 	for _, b := range r.Bounds {
 		if !b.OK {
@@ -86,60 +86,60 @@
 	return r.Invalid == ""
 }
 
-// Run plays an experiment. With ErrInvalid there is a result, too, whose figures are not to be used.
+// Run runs an experiment. With ErrInvalid it also returns a result, whose figures must not be used.
 func Run(ctx context.Context, o Options) (*Result, error) {
 	p := plan.Draw(o.Experiment, o.Seed, o.Quick)
-	p.Faults = slices.DeleteFunc(p.Faults, func(f plan.Fault) bool { return slices.Contains(o.Without, f.Origin) })
+	p.Faults = slices.DeleteFunc(p.Faults, func(f plan.Fault) bool { return slices.Contains(o.SkippedFaults, f.Origin) })
 	if err := os.MkdirAll(o.Out, 0o700); err != nil {
 		return nil, fmt.Errorf("run: %w", err)
 	}
 	if err := writePlan(p, filepath.Join(o.Out, "plan.txt")); err != nil {
 		return nil, err
 	}
-	home, err := os.MkdirTemp("", "testbed-")
+	tempDir, err := os.MkdirTemp("", "testbed-")
 	if err != nil {
 		return nil, fmt.Errorf("run: %w", err)
 	}
-	defer os.RemoveAll(home)
+	defer os.RemoveAll(tempDir)
 	ports, err := platform.TakePorts()
 	if err != nil {
 		return nil, err
 	}
 	defer ports.Release()
-	c := &conductor{o: o, plan: p, book: ledger.New()}
-	if c.platform, err = platform.New(p, c.book, ports); err != nil {
+	rn := &runner{options: o, plan: p, ledger: ledger.New()}
+	if rn.platform, err = platform.New(p, rn.ledger, ports); err != nil {
 		return nil, err
 	}
-	defer c.platform.Close()
-	if o.Experiment.GossipSuffers() {
-		if err := c.platform.OpenGossip(); err != nil {
+	defer rn.platform.Close()
+	if o.Experiment.DisruptsGossip() {
+		if err := rn.platform.OpenGossip(); err != nil {
 			return nil, err
 		}
 	}
 	if n := o.Experiment.Fleet.Stewards; n > 0 {
 		starter := process.NewStarter()
 		defer starter.End()
-		c.stewards, err = duties.StartBeside(ctx, n, filepath.Join(filepath.Dir(o.Program), build.Steward), home, ports.Base(), starter)
+		rn.stewards, err = duties.StartBeside(ctx, n, filepath.Join(filepath.Dir(o.Program), build.Steward), tempDir, ports.Base(), starter)
 		if err != nil {
 			return nil, err
 		}
-		defer c.stewards.Close()
+		defer rn.stewards.Close()
 	}
-	c.fleet = process.New(p, c.book, ports, c.platform, o.Program, home)
-	defer c.fleet.Close()
-	if c.stewards != nil {
-		c.fleet.Stewards = c.stewards.APIs()
+	rn.fleet = process.New(p, rn.ledger, ports, rn.platform, o.Program, tempDir)
+	defer rn.fleet.Close()
+	if rn.stewards != nil {
+		rn.fleet.Stewards = rn.stewards.APIs()
 	}
-	c.load = load.New(p, c.book, ports.Relay, c.fleet.Alive)
-	c.platform.Ended = c.load.Ended
-	if err := c.fleet.Start(ctx); err != nil {
+	rn.load = load.New(p, rn.ledger, ports.Relay, rn.fleet.Alive)
+	rn.platform.Ended = rn.load.Ended
+	if err := rn.fleet.Start(ctx); err != nil {
 		return nil, err
 	}
-	c.play(ctx)
+	rn.execute(ctx)
 	if err := ctx.Err(); err != nil {
 		return nil, err
 	}
-	return c.judge()
+	return rn.evaluate()
 }
 
 func writePlan(p *plan.Plan, path string) error {
@@ -153,73 +153,73 @@
 	return nil
 }
 
-// conductor is one run.
-type conductor struct {
-	o           Options
+// runner is the state of one run.
+type runner struct {
+	options     Options
 	plan        *plan.Plan
-	book        *ledger.Ledger
+	ledger      *ledger.Ledger
 	platform    *platform.Platform
 	fleet       *process.Fleet
-	stewards    *duties.Beside // nil: none
+	stewards    *duties.Beside // nil: no stewards
 	load        *load.Load
 	offset, end time.Duration
 }
 
-// play has messages, peers and faults come, and waits until all is ended.
-func (c *conductor) play(ctx context.Context) {
+// execute applies the messages, hostile peers and faults, and waits until every message has ended.
+func (rn *runner) execute(ctx context.Context) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	c.offset = c.book.Now() + max(settle, c.plan.Experiment.Fleet.Settle.D())
-	c.platform.Run(c.offset)
-	var all sync.WaitGroup
-	all.Go(func() { c.load.RunHostile(ctx, c.offset) })
-	all.Go(func() { c.load.RunCrowd(ctx, c.offset) })
-	for i := range c.plan.Faults {
-		all.Go(func() { c.fault(ctx, &c.plan.Faults[i]) })
-	}
-	if c.plan.Experiment.Fleet.Loners > 0 {
-		all.Go(func() {
-			if network.Sleep(ctx, c.offset+c.plan.Length/2-c.book.Now()) == nil {
-				c.fleet.Traffic(ctx, c.plan.Length*2/5)
+	rn.offset = rn.ledger.Now() + max(settleTime, rn.plan.Experiment.Fleet.Settle.D())
+	rn.platform.Run(rn.offset)
+	var workers sync.WaitGroup
+	workers.Go(func() { rn.load.RunHostile(ctx, rn.offset) })
+	workers.Go(func() { rn.load.RunCrowd(ctx, rn.offset) })
+	for i := range rn.plan.Faults {
+		workers.Go(func() { rn.injectFault(ctx, &rn.plan.Faults[i]) })
+	}
+	if rn.plan.Experiment.Fleet.NonMembers > 0 {
+		workers.Go(func() {
+			if network.Sleep(ctx, rn.offset+rn.plan.Length/2-rn.ledger.Now()) == nil {
+				rn.fleet.Traffic(ctx, rn.plan.Length*2/5)
 			}
 		})
 	}
-	all.Go(func() { c.progress(ctx) })
-	c.load.Run(ctx, c.offset)
-	most := drainMost
-	if c.o.Quick {
-		most = drainQuick
+	workers.Go(func() { rn.printProgress(ctx) })
+	rn.load.Run(ctx, rn.offset)
+	timeout := drainTimeout
+	if rn.options.Quick {
+		timeout = quickDrainTimeout
 	}
-	for by := c.offset + c.plan.Length + most; c.book.Now() < by && !c.drained(); {
+	for by := rn.offset + rn.plan.Length + timeout; rn.ledger.Now() < by && !rn.drained(); {
 		if network.Sleep(ctx, 100*time.Millisecond) != nil {
 			break
 		}
 	}
-	c.end = c.book.Now()
+	rn.end = rn.ledger.Now()
 	cancel()
-	all.Wait()
-	c.load.Wait()
+	workers.Wait()
+	rn.load.Wait()
 }
 
-// drained tells whether every message that was taken on has its end, and none may still come again.
-func (c *conductor) drained() bool {
-	if c.book.Now() < c.offset+c.plan.Length+2*time.Second {
+// drained reports whether every accepted message has ended and no client may submit one again.
+func (rn *runner) drained() bool {
+	if rn.ledger.Now() < rn.offset+rn.plan.Length+2*time.Second {
 		return false
 	}
 	done := true
-	c.book.Do(func() {
+	rn.ledger.Do(func() {
 		ended := map[string]bool{}
-		for _, x := range c.book.Calls {
+		for _, x := range rn.ledger.Calls {
 			if x.Status == 200 {
 				for _, t := range x.Traces {
 					ended[t] = true
 				}
 			}
 		}
-		for _, n := range c.book.Notices {
+		for _, n := range rn.ledger.Notices {
 			ended[n.Trace] = true
 		}
-		for _, h := range c.book.HandIns {
+		for _, h := range rn.ledger.HandIns {
 			if h.Answered != ledger.Never && h.Status < 300 && !ended[h.Trace] {
 				done = false
 				return
@@ -229,87 +229,87 @@
 	return done
 }
 
-// fault has one fault begin and end.
-func (c *conductor) fault(ctx context.Context, f *plan.Fault) {
-	if network.Sleep(ctx, c.offset+f.At-c.book.Now()) != nil || c.fleet.Begin(f) {
+// injectFault starts a fault at its time and ends it after its duration.
+func (rn *runner) injectFault(ctx context.Context, f *plan.Fault) {
+	if network.Sleep(ctx, rn.offset+f.At-rn.ledger.Now()) != nil || rn.fleet.Begin(f) {
 		return
 	}
 	if f.Kind == "stewards" {
-		if err := c.stewards.Down(ctx, f.For); err != nil {
+		if err := rn.stewards.Down(ctx, f.For); err != nil {
 			fmt.Fprintf(os.Stderr, "testbed: %s: %v\n", f.Kind, err)
 		}
 		return
 	}
-	if _, err := c.platform.Begin(f); err != nil {
+	if _, err := rn.platform.Begin(f); err != nil {
 		fmt.Fprintf(os.Stderr, "testbed: %s: %v\n", f.Kind, err)
 	}
 	network.Sleep(ctx, f.For)
-	if err := c.platform.End(f); err != nil {
-		fmt.Fprintf(os.Stderr, "testbed: end of %s: %v\n", f.Kind, err)
+	if err := rn.platform.End(f); err != nil {
+		fmt.Fprintf(os.Stderr, "testbed: ending %s: %v\n", f.Kind, err)
 	}
 }
 
-// progress says once a second how far the run is.
-func (c *conductor) progress(ctx context.Context) {
-	if c.o.Progress == nil {
+// printProgress prints the run's progress every second.
+func (rn *runner) printProgress(ctx context.Context) {
+	if rn.options.Progress == nil {
 		return
 	}
 	for network.Sleep(ctx, time.Second) == nil {
 		var handed, calls int
-		c.book.Do(func() { handed, calls = len(c.book.HandIns), len(c.book.Calls) })
-		fmt.Fprintf(c.o.Progress, "\r%s seed %d: %3.0f of %.0f s, %d of %d messages handed in, %d calls   ", c.o.Experiment.Name, c.o.Seed,
-			(c.book.Now() - c.offset).Seconds(), c.plan.Length.Seconds(), handed, len(c.plan.Arrivals), calls)
+		rn.ledger.Do(func() { handed, calls = len(rn.ledger.HandIns), len(rn.ledger.Calls) })
+		fmt.Fprintf(rn.options.Progress, "\r%s seed %d: %3.0f of %.0f s, %d of %d messages submitted, %d calls   ", rn.options.Experiment.Name, rn.options.Seed,
+			(rn.ledger.Now() - rn.offset).Seconds(), rn.plan.Length.Seconds(), handed, len(rn.plan.Arrivals), calls)
 	}
-	fmt.Fprintln(c.o.Progress)
+	fmt.Fprintln(rn.options.Progress)
 }
 
-// judge has the ledger judged and writes the result.
-func (c *conductor) judge() (*Result, error) {
-	// What still runs must not write while the judge reads.
-	c.fleet.Close()
-	c.platform.Close()
-	if err := c.fleet.Views(); err != nil {
+// evaluate checks the ledger and writes the result.
+func (rn *runner) evaluate() (*Result, error) {
+	// Nothing may write to the ledger while it is evaluated.
+	rn.fleet.Close()
+	rn.platform.Close()
+	if err := rn.fleet.Views(); err != nil {
 		return nil, err
 	}
-	if c.plan.Experiment.Fleet.Debug {
-		if err := c.fleet.Recovered(); err != nil {
+	if rn.plan.Experiment.Fleet.Debug {
+		if err := rn.fleet.Recovered(); err != nil {
 			return nil, err
 		}
 	}
-	fates := audit.Fates(c.plan, c.book, c.offset)
-	breaches := audit.Judge(c.plan, c.book, c.offset, c.end)
-	r := &Result{Experiment: c.o.Experiment.Name, Seed: c.o.Seed, Quick: c.o.Quick, Revision: c.o.Revision, Relays: len(c.plan.Relays),
-		Figures: audit.Figures(c.plan, c.book, fates, c.offset), Broken: audit.Count(breaches),
-		Breaches: breaches[:min(len(breaches), breachesKept)]}
-	if c.plan.Experiment.Fleet.Members {
-		audit.Views(c.plan, c.book, c.offset, r.Figures)
-		if c.plan.Experiment.Fleet.Loners > 0 {
-			audit.Rest(c.plan, c.book, c.offset, r.Figures)
+	results := audit.MessageResults(rn.plan, rn.ledger, rn.offset)
+	violations := audit.Check(rn.plan, rn.ledger, rn.offset, rn.end)
+	r := &Result{Experiment: rn.options.Experiment.Name, Seed: rn.options.Seed, Quick: rn.options.Quick, Revision: rn.options.Revision, Relays: len(rn.plan.Relays),
+		Figures: audit.Figures(rn.plan, rn.ledger, results, rn.offset), RuleCounts: audit.CountByRule(violations),
+		Violations: violations[:min(len(violations), maxViolations)]}
+	if rn.plan.Experiment.Fleet.Members {
+		audit.ViewFigures(rn.plan, rn.ledger, rn.offset, r.Figures)
+		if rn.plan.Experiment.Fleet.NonMembers > 0 {
+			audit.IdleFigures(rn.plan, rn.ledger, rn.offset, r.Figures)
 		}
 	}
-	r.Figures["lateness_p99_ms"] = c.load.Lateness(99).Seconds() * 1000
-	r.Figures["broken_rules"] = float64(len(breaches))
-	for name, n := range r.Broken {
+	r.Figures["lateness_p99_ms"] = rn.load.Lateness(99).Seconds() * 1000
+	r.Figures["broken_rules"] = float64(len(violations))
+	for name, n := range r.RuleCounts {
 		r.Figures["broken_"+name] = n
 	}
 	for name, v := range r.Figures {
 		if math.IsNaN(v) || math.IsInf(v, 0) {
-			r.Figures[name] = -1 // there was nothing to measure
+			r.Figures[name] = -1 // nothing was measured
 		}
 	}
-	bounds := append([]experiment.Bound{{Name: "broken_rules", Op: "<=", Limit: 0}}, c.o.Experiment.Bounds...)
-	if late := c.load.Lateness(99); late > latenessMost {
-		r.Invalid = fmt.Sprintf("the testbed's own clients were %v late at the 99th percentile, over %v: the machine was too loaded", late, latenessMost)
+	bounds := append([]experiment.Bound{{Name: "broken_rules", Op: "<=", Limit: 0}}, rn.options.Experiment.Bounds...)
+	if late := rn.load.Lateness(99); late > maxLateness {
+		r.Invalid = fmt.Sprintf("the testbed's own clients were %v late at the 99th percentile, over %v: the machine was too loaded", late, maxLateness)
 	}
-	if len(breaches) > 0 && c.plan.Experiment.Fleet.Debug {
-		if err := c.fleet.KeepLogs(filepath.Join(c.o.Out, "logs")); err != nil {
+	if len(violations) > 0 && rn.plan.Experiment.Fleet.Debug {
+		if err := rn.fleet.KeepLogs(filepath.Join(rn.options.Out, "logs")); err != nil {
 			return nil, err
 		}
 	}
-	if err := writeJSON(filepath.Join(c.o.Out, "series.json"), c.series(fates)); err != nil {
+	if err := writeJSON(filepath.Join(rn.options.Out, "series.json"), rn.series(results)); err != nil {
 		return nil, err
 	}
-	if err := r.Conclude(bounds, c.o.Out); err != nil {
+	if err := r.Finish(bounds, rn.options.Out); err != nil {
 		return nil, err
 	}
 	if r.Invalid != "" {
@@ -318,12 +318,12 @@
 	return r, nil
 }
 
-// Conclude holds the figures against their bounds, and writes the result into a folder.
-func (r *Result) Conclude(bounds []experiment.Bound, dir string) error {
+// Finish compares the figures with their bounds and writes the result to a folder.
+func (r *Result) Finish(bounds []experiment.Bound, dir string) error {
 	for _, b := range bounds {
 		v, ok := r.Figures[b.Name]
 		if !ok {
-			return fmt.Errorf("run: bound on %q, which no run measures", b.Name)
+			return fmt.Errorf("run: there is no figure %q for a bound", b.Name)
 		}
 		r.Bounds = append(r.Bounds, Bound{b.Name, v, b.Limit, b.Op, b.Op == "<=" && v <= b.Limit || b.Op == ">=" && v >= b.Limit})
 	}
