--- a/cmd/testbed/breaks.go
+++ b/cmd/testbed/breaks.go
@@ -24,7 +24,7 @@
 // Run plays each break's build on the experiment that its patch names. A patch begins with lines of the form
 // "rule: NAME", "experiment: FILE" and "why: ..."; the build has to be caught by that rule.
 func (c *breaksCmd) Run(ctx context.Context) error {
-	root, err := build.Root(".")
+	root, err := build.FindRoot(".")
 	if err != nil {
 		return err
 	}
--- a/cmd/testbed/duties.go
+++ b/cmd/testbed/duties.go
@@ -62,11 +62,11 @@
 			return path, "built", err
 		}
 	}
-	root, err := build.Root(".")
+	root, err := build.FindRoot(".")
 	if err != nil {
 		return "", "", err
 	}
-	relay, revision, err := build.Work(ctx, root, into)
+	relay, revision, err := build.WorkTree(ctx, root, into)
 	return filepath.Join(filepath.Dir(relay), build.Steward), revision, err
 }
 
--- a/cmd/testbed/load.go
+++ b/cmd/testbed/load.go
@@ -60,7 +60,7 @@
 	took := book.Now() - began
 	l.Wait()
 	answered := 0
-	for _, h := range book.HandIns {
+	for _, h := range book.Submissions {
 		if h.Status == http.StatusAccepted {
 			answered++
 		}
--- a/cmd/testbed/recovery.go
+++ b/cmd/testbed/recovery.go
@@ -37,11 +37,11 @@
 
 // Run measures one relay: what durability costs, and how long a start takes with how much in the log.
 func (c *recoveryCmd) Run(ctx context.Context) error {
-	root, err := build.Root(".")
+	root, err := build.FindRoot(".")
 	if err != nil {
 		return err
 	}
-	program, revision, err := build.Work(ctx, root, filepath.Join(c.Out, "bin-disk"), "testbed")
+	program, revision, err := build.WorkTree(ctx, root, filepath.Join(c.Out, "bin-disk"), "testbed")
 	if err != nil {
 		return err
 	}
--- a/cmd/testbed/run.go
+++ b/cmd/testbed/run.go
@@ -86,14 +86,14 @@
 		}
 		return "", "", fmt.Errorf("no %s in %s", build.Relay, built)
 	}
-	root, err := build.Root(".")
+	root, err := build.FindRoot(".")
 	if err != nil {
 		return "", "", err
 	}
 	if injected {
-		return build.Work(ctx, root, filepath.Join(out, "bin-disk"), "testbed")
+		return build.WorkTree(ctx, root, filepath.Join(out, "bin-disk"), "testbed")
 	}
-	return build.Work(ctx, root, filepath.Join(out, "bin"))
+	return build.WorkTree(ctx, root, filepath.Join(out, "bin"))
 }
 
 // progress is where progress lines go: nowhere if nobody watches.
@@ -159,7 +159,7 @@
 	if err != nil {
 		return err
 	}
-	root, err := build.Root(".")
+	root, err := build.FindRoot(".")
 	if err != nil {
 		return err
 	}
@@ -175,7 +175,7 @@
 		}
 	}
 	if c.With == "" {
-		sides[1].program, sides[1].revision, err = build.Work(ctx, root, filepath.Join(c.Out, "with"))
+		sides[1].program, sides[1].revision, err = build.WorkTree(ctx, root, filepath.Join(c.Out, "with"))
 	} else {
 		sides[1].program, sides[1].revision, err = build.Revision(ctx, root, c.With, "", filepath.Join(c.Out, "with"))
 	}
--- a/cmd/testbed/slope.go
+++ b/cmd/testbed/slope.go
@@ -100,7 +100,7 @@
 	if err := limits.Check(s, sizes, seeds); err != nil {
 		return "", err
 	}
-	root, err := build.Root(".")
+	root, err := build.FindRoot(".")
 	if err != nil {
 		return "", err
 	}
@@ -108,6 +108,6 @@
 		return build.Head(ctx, root), nil
 	}
 	env.Build = filepath.Join("results", "bin")
-	_, revision, err := build.Work(ctx, root, env.Build)
+	_, revision, err := build.WorkTree(ctx, root, env.Build)
 	return revision, err
 }
--- a/cmd/testbed/soak.go
+++ b/cmd/testbed/soak.go
@@ -47,8 +47,8 @@
 		o.Revision = "built"
 	} else {
 		var root string
-		if root, err = build.Root("."); err == nil {
-			o.Program, o.Revision, err = build.Work(ctx, root, filepath.Join(c.Out, "bin-faults"), "testbed")
+		if root, err = build.FindRoot("."); err == nil {
+			o.Program, o.Revision, err = build.WorkTree(ctx, root, filepath.Join(c.Out, "bin-faults"), "testbed")
 		}
 	}
 	if err != nil {
@@ -78,7 +78,7 @@
 
 // check plays a build that is broken on purpose until a seed catches it: exit 0 if one does.
 func (c *soakCmd) check(ctx context.Context, o soak.Options) error {
-	root, err := build.Root(".")
+	root, err := build.FindRoot(".")
 	if err != nil {
 		return err
 	}
--- a/internal/testbed/audit/audit.go
+++ b/internal/testbed/audit/audit.go
@@ -59,9 +59,9 @@
 // Judge finds the breaches of a run, in the order of their times. offset is when the first message was due; from end on
 // nothing is held against anybody: the testbed was ending.
 func Judge(p *plan.Plan, l *ledger.Ledger, offset, end time.Duration) []Breach {
-	j := &judge{plan: p, l: l, offset: offset, end: end, lives: map[int][]*ledger.Life{}, calls: map[string][]*ledger.Call{},
+	j := &judge{plan: p, l: l, offset: offset, end: end, lives: map[int][]*ledger.Process{}, calls: map[string][]*ledger.Call{},
 		notices: map[string][]ledger.Notice{}}
-	for _, x := range l.Lives {
+	for _, x := range l.Processes {
 		j.lives[x.Relay] = append(j.lives[x.Relay], x)
 	}
 	slices.SortStableFunc(l.Calls, func(a, b *ledger.Call) int { return cmp.Compare(a.FirstByte, b.FirstByte) })
@@ -91,7 +91,7 @@
 	plan        *plan.Plan
 	l           *ledger.Ledger
 	offset, end time.Duration
-	lives       map[int][]*ledger.Life
+	lives       map[int][]*ledger.Process
 	calls       map[string][]*ledger.Call
 	notices     map[string][]ledger.Notice
 	found       []Breach
@@ -132,12 +132,12 @@
 	until = j.reachable(relay, at)
 	lives := j.lives[relay]
 	for i, x := range lives {
-		for _, p := range x.Paused {
+		for _, p := range x.Pauses {
 			if p.From <= until && until <= p.To+restartMost {
 				until = p.To + restartMost
 			}
 		}
-		if x.Asked == ledger.Never || x.Asked > until {
+		if x.StopSignaled == ledger.Never || x.StopSignaled > until {
 			continue
 		}
 		// A process that was replaced leaves no gap.
@@ -148,7 +148,7 @@
 				break
 			}
 		}
-		if next < len(lives) && lives[next].Emptied && since <= x.Asked {
+		if next < len(lives) && lives[next].EmptyState && since <= x.StopSignaled {
 			return until, true
 		}
 		switch {
@@ -210,8 +210,8 @@
 
 // finals checks that each message that was taken on has one final answer, in time.
 func (j *judge) finals() {
-	for _, h := range j.l.HandIns {
-		if h.Broken && !j.away(h.Relay, h.Sent) && !j.cutOff(h.Relay, h.Sent) {
+	for _, h := range j.l.Submissions {
+		if h.ConnBroken && !j.away(h.Relay, h.Sent) && !j.cutOff(h.Relay, h.Sent) {
 			j.broken(Lost, h.Sent, h.Relay, "%s: the connection ended with no answer once the request was written", h.Trace)
 		}
 		if h.Answered == ledger.Never || h.Status >= 300 {
@@ -254,11 +254,11 @@
 		if i+1 < len(lives) && lives[i+1].Ready != ledger.Never {
 			to = lives[i+1].Ready
 		}
-		killed := x.Asked != ledger.Never && x.End != ledger.Never && x.End-x.Asked < about // SIGKILL, or an end in no order
-		if killed && x.Asked-about <= at && at <= to {
+		killed := x.StopSignaled != ledger.Never && x.End != ledger.Never && x.End-x.StopSignaled < about // SIGKILL, or an end in no order
+		if killed && x.StopSignaled-about <= at && at <= to {
 			return true
 		}
-		for _, p := range x.Paused {
+		for _, p := range x.Pauses {
 			if p.From-about <= at && at <= p.To {
 				return true
 			}
@@ -314,14 +314,14 @@
 			return false
 		}
 	}
-	return c.MayRun
+	return c.MayHaveRun
 }
 
 // drains checks that nothing new goes to an endpoint that a relay was told drains or is gone.
 func (j *judge) drains() {
 	type key struct{ relay, endpoint int }
 	told := map[key]time.Duration{}
-	for _, t := range j.l.Told {
+	for _, t := range j.l.ListChanges {
 		k := key{t.Relay, t.Endpoint}
 		if at, ok := told[k]; t.State != "ready" && (!ok || t.At < at) {
 			told[k] = t.At
@@ -335,10 +335,10 @@
 		at = j.reachable(c.Relay, at) // news counts as told once discovery can be reached
 		// What began, or stood still, since then has heard of it only afterwards.
 		for _, x := range j.lives[c.Relay] {
-			if x.Start <= c.FirstByte && x.Start > at && !x.Replaces {
+			if x.Start <= c.FirstByte && x.Start > at && !x.Replacement {
 				at = x.Start
 			}
-			for _, p := range x.Paused {
+			for _, p := range x.Pauses {
 				if p.From <= c.FirstByte && p.To > at {
 					at = p.To
 				}
@@ -362,22 +362,22 @@
 	}
 	told := map[key][]*ledger.Call{}
 	for _, c := range j.l.Calls {
-		if c.Status == 429 && c.Wait > 0 {
+		if c.Status == 429 && c.RetryAfter > 0 {
 			k := key{c.Relay, scope(c.Endpoint)}
 			told[k] = append(told[k], c)
 		}
 	}
 	for _, c := range j.l.Calls {
 		for _, w := range told[key{c.Relay, scope(c.Endpoint)}] {
-			if c.LastByte <= w.Written+waitGrace || c.FirstByte >= w.Written+w.Wait-slack/10 {
+			if c.LastByte <= w.Written+waitGrace || c.FirstByte >= w.Written+w.RetryAfter-slack/10 {
 				continue
 			}
-			restarted := slices.ContainsFunc(j.lives[c.Relay], func(x *ledger.Life) bool {
-				return !x.Replaces && x.Start > w.Written && x.Start <= c.FirstByte
+			restarted := slices.ContainsFunc(j.lives[c.Relay], func(x *ledger.Process) bool {
+				return !x.Replacement && x.Start > w.Written && x.Start <= c.FirstByte
 			})
 			if !restarted {
 				j.broken(Wait, c.FirstByte, c.Relay, "call to %s %v after it told to wait %v", j.plan.Endpoints[c.Endpoint].ID,
-					c.FirstByte-w.Written, w.Wait)
+					c.FirstByte-w.Written, w.RetryAfter)
 				break
 			}
 		}
@@ -387,37 +387,37 @@
 // cold checks that no partner that came back was pushed over by relays that had seen it fail.
 func (j *judge) cold() {
 	for _, o := range j.l.Outages {
-		if o.Fell != ledger.Never && float64(o.ByThose) >= toldMost*float64(o.Pushed) {
+		if o.Collapsed != ledger.Never && float64(o.WitnessCalls) >= toldMost*float64(o.CollapseCalls) {
 			most := 0 // the relay to name: any of them
-			for r := range o.Witness {
+			for r := range o.Witnesses {
 				most = r
 				break
 			}
-			j.broken(Cold, o.Fell, most, "partner %d was back at %v and pushed over: %d calls, %d of them from relays that had seen it fail",
-				j.plan.Partners[o.Partner].ID, o.To, o.Pushed, o.ByThose)
+			j.broken(Cold, o.Collapsed, most, "partner %d was back at %v and pushed over: %d calls, %d of them from relays that had seen it fail",
+				j.plan.Partners[o.Partner].ID, o.To, o.CollapseCalls, o.WitnessCalls)
 		}
 	}
 }
 
 // rest checks what needs no more than one record.
 func (j *judge) rest() {
-	for _, u := range j.l.Unknowns {
-		j.broken(Wrong, u.At, u.Relay, "%s at %s", u.What, j.plan.Endpoints[u.Endpoint].ID)
+	for _, u := range j.l.UnexplainedCalls {
+		j.broken(Wrong, u.At, u.Relay, "%s at %s", u.Reason, j.plan.Endpoints[u.Endpoint].ID)
 	}
-	for _, p := range j.l.Peers {
+	for _, p := range j.l.HostilePeers {
 		switch {
-		case p.Excuse || p.At+hostileMost+slack > j.end || j.away(p.Relay, p.At) || j.away(p.Relay, p.At+hostileMost):
-		case p.Ended == ledger.Never || p.Ended > p.At+hostileMost+slack:
-			j.broken(Hostile, p.At, p.Relay, "a peer of way %d was kept (status %d)", p.Way, p.Status)
+		case p.RelayDown || p.At+hostileMost+slack > j.end || j.away(p.Relay, p.At) || j.away(p.Relay, p.At+hostileMost):
+		case p.Rejected == ledger.Never || p.Rejected > p.At+hostileMost+slack:
+			j.broken(Hostile, p.At, p.Relay, "a peer of way %d was kept (status %d)", p.Behavior, p.Status)
 		}
 	}
 	for _, lives := range j.lives {
 		for i, x := range lives {
-			if x.End == ledger.Never || x.Asked != ledger.Never && x.Asked <= x.End || x.End >= j.end {
+			if x.End == ledger.Never || x.StopSignaled != ledger.Never && x.StopSignaled <= x.End || x.End >= j.end {
 				continue
 			}
 			// One whose place another has taken may end by itself.
-			if i+1 < len(lives) && lives[i+1].Replaces && lives[i+1].Start < x.End {
+			if i+1 < len(lives) && lives[i+1].Replacement && lives[i+1].Start < x.End {
 				continue
 			}
 			j.broken(Crash, x.End, x.Relay, "process %d ended: %s", x.PID, x.Exit)
--- a/internal/testbed/audit/audit_test.go
+++ b/internal/testbed/audit/audit_test.go
@@ -37,13 +37,13 @@
 	w := &world{p, ledger.New()}
 	for class := range p.Classes {
 		p.Arrivals = append(p.Arrivals, plan.Arrival{At: sec, Class: class})
-		w.l.HandIn(&ledger.HandIn{Message: class, Trace: trace(class), Due: sec, Sent: sec, Deadline: sec + p.Classes[class].Deadline.D(),
+		w.l.AddSubmission(&ledger.Submission{Message: class, Trace: trace(class), Due: sec, Sent: sec, Deadline: sec + p.Classes[class].Deadline.D(),
 			Answered: sec + 1e6, Status: 202})
 		w.l.Add(&ledger.Call{Endpoint: 1, Traces: []string{trace(class)}, FirstByte: 2 * sec, LastByte: 2 * sec, Written: 2*sec + 2e8,
-			Status: 200, MayRun: true, Ran: true})
+			Status: 200, MayHaveRun: true, Ran: true})
 	}
 	for r := range 2 {
-		w.l.Add(&ledger.Life{Relay: r, Start: 0, Ready: 1e8, Asked: ledger.Never, End: ledger.Never})
+		w.l.Add(&ledger.Process{Relay: r, Start: 0, Ready: 1e8, StopSignaled: ledger.Never, End: ledger.Never})
 	}
 	return w
 }
@@ -54,22 +54,22 @@
 
 // again adds a further call of a message.
 func (w *world) again(class, endpoint int, at time.Duration) *ledger.Call {
-	c := &ledger.Call{Endpoint: endpoint, Traces: []string{trace(class)}, FirstByte: at, LastByte: at, Written: at + 1e8, Status: 200, MayRun: true}
+	c := &ledger.Call{Endpoint: endpoint, Traces: []string{trace(class)}, FirstByte: at, LastByte: at, Written: at + 1e8, Status: 200, MayHaveRun: true}
 	w.l.Add(c)
 	return c
 }
 
 // killed has the first relay be killed, and start again.
 func (w *world) killed(at time.Duration) {
-	w.l.Lives[0].Asked, w.l.Lives[0].End = at, at
-	w.l.Add(&ledger.Life{Relay: 0, Start: 8 * sec, Ready: 8 * sec, Asked: ledger.Never, End: ledger.Never})
+	w.l.Processes[0].StopSignaled, w.l.Processes[0].End = at, at
+	w.l.Add(&ledger.Process{Relay: 0, Start: 8 * sec, Ready: 8 * sec, StopSignaled: ledger.Never, End: ledger.Never})
 }
 
 // refusedOnAFailingDisk has the first relay refuse a message while its files fail for a time, be killed 2 s later, and send the
 // message when its id comes again.
 func (w *world) refusedOnAFailingDisk(failing time.Duration) {
 	w.unanswered(safe)
-	w.l.HandIns[safe].Status, w.l.HandIns[safe].Answered = 500, 2500*time.Millisecond
+	w.l.Submissions[safe].Status, w.l.Submissions[safe].Answered = 500, 2500*time.Millisecond
 	w.p.Faults = []plan.Fault{{Kind: "files", At: 2 * sec, For: failing, Relays: []int{0}}}
 	w.killed(4500 * time.Millisecond)
 	w.l.Add(&ledger.Resubmission{Trace: "status", Sent: 8900 * time.Millisecond, Deadline: 20 * sec, Answered: 8900 * time.Millisecond, Status: 202})
@@ -103,34 +103,34 @@
 		}, ""},
 		"late, but its relay was away": {func(w *world) {
 			w.unanswered(safe)
-			w.l.Lives[0].Asked, w.l.Lives[0].End = 5*sec, 5*sec
-			w.l.Add(&ledger.Life{Relay: 0, Start: 8 * sec, Ready: 8 * sec, Asked: ledger.Never, End: ledger.Never})
+			w.l.Processes[0].StopSignaled, w.l.Processes[0].End = 5*sec, 5*sec
+			w.l.Add(&ledger.Process{Relay: 0, Start: 8 * sec, Ready: 8 * sec, StopSignaled: ledger.Never, End: ledger.Never})
 			w.l.Add(ledger.Notice{Trace: "status", Status: "deferred", At: 9 * sec})
 		}, ""},
 		"still late after that": {func(w *world) {
 			w.unanswered(safe)
-			w.l.Lives[0].Asked, w.l.Lives[0].End = 5*sec, 5*sec
-			w.l.Add(&ledger.Life{Relay: 0, Start: 8 * sec, Ready: 8 * sec, Asked: ledger.Never, End: ledger.Never})
+			w.l.Processes[0].StopSignaled, w.l.Processes[0].End = 5*sec, 5*sec
+			w.l.Add(&ledger.Process{Relay: 0, Start: 8 * sec, Ready: 8 * sec, StopSignaled: ledger.Never, End: ledger.Never})
 			w.l.Add(ledger.Notice{Trace: "status", Status: "deferred", At: 9*sec + 600e6})
 		}, Late},
 		"lost with its machine": {func(w *world) {
 			w.unanswered(unsafe)
-			w.l.Lives[0].Asked, w.l.Lives[0].End = 5*sec, 5*sec
-			w.l.Add(&ledger.Life{Relay: 0, Start: 8 * sec, Ready: 8 * sec, Emptied: true, Asked: ledger.Never, End: ledger.Never})
+			w.l.Processes[0].StopSignaled, w.l.Processes[0].End = 5*sec, 5*sec
+			w.l.Add(&ledger.Process{Relay: 0, Start: 8 * sec, Ready: 8 * sec, EmptyState: true, StopSignaled: ledger.Never, End: ledger.Never})
 		}, ""},
 		"lost by a restart": {func(w *world) {
 			w.unanswered(unsafe)
-			w.l.Lives[0].Asked, w.l.Lives[0].End = 5*sec, 5*sec
-			w.l.Add(&ledger.Life{Relay: 0, Start: 8 * sec, Ready: 8 * sec, Asked: ledger.Never, End: ledger.Never})
+			w.l.Processes[0].StopSignaled, w.l.Processes[0].End = 5*sec, 5*sec
+			w.l.Add(&ledger.Process{Relay: 0, Start: 8 * sec, Ready: 8 * sec, StopSignaled: ledger.Never, End: ledger.Never})
 		}, Lost},
 		"a connection without an answer": {func(w *world) {
-			h := w.l.HandIns[safe]
-			h.Broken, h.Answered, h.Status = true, ledger.Never, 0
+			h := w.l.Submissions[safe]
+			h.ConnBroken, h.Answered, h.Status = true, ledger.Never, 0
 		}, Lost},
 		"that one by SIGKILL": {func(w *world) {
-			h := w.l.HandIns[safe]
-			h.Broken, h.Answered, h.Status = true, ledger.Never, 0
-			w.l.Lives[0].Asked, w.l.Lives[0].End = sec+1e6, sec+2e6
+			h := w.l.Submissions[safe]
+			h.ConnBroken, h.Answered, h.Status = true, ledger.Never, 0
+			w.l.Processes[0].StopSignaled, w.l.Processes[0].End = sec+1e6, sec+2e6
 		}, ""},
 		"two ends": {func(w *world) {
 			w.unanswered(safe)
@@ -149,7 +149,7 @@
 		}, Second},
 		"sent after a 500": {func(w *world) {
 			w.unanswered(safe)
-			w.l.HandIns[safe].Status, w.l.HandIns[safe].Answered = 500, 2500*time.Millisecond
+			w.l.Submissions[safe].Status, w.l.Submissions[safe].Answered = 500, 2500*time.Millisecond
 			w.again(safe, 1, 3*sec)
 		}, SentEnded},
 		"sent after its id was denied": {func(w *world) {
@@ -161,28 +161,28 @@
 			w.again(safe, 1, 4*sec)
 		}, ""},
 		"sent after it was delivered": {func(w *world) {
-			w.l.Add(ledger.Learned{Trace: "status", At: 2300 * time.Millisecond})
+			w.l.Add(ledger.LearnedEnd{Trace: "status", At: 2300 * time.Millisecond})
 			w.again(safe, 1, 4*sec)
 		}, SentEnded},
 		"sent by the next process after it was delivered": {func(w *world) {
-			w.l.Add(ledger.Learned{Trace: "status", At: 2300 * time.Millisecond})
+			w.l.Add(ledger.LearnedEnd{Trace: "status", At: 2300 * time.Millisecond})
 			w.killed(sec * 3)
 			w.again(safe, 1, 9*sec)
 		}, SentEnded},
 		"delivered right before a kill": {func(w *world) {
-			w.l.Add(ledger.Learned{Trace: "status", At: 2300 * time.Millisecond})
+			w.l.Add(ledger.LearnedEnd{Trace: "status", At: 2300 * time.Millisecond})
 			w.killed(2310 * time.Millisecond)
 			w.again(safe, 1, 9*sec)
 		}, ""},
 		"delivered while the disk failed": {func(w *world) {
-			w.l.Add(ledger.Learned{Trace: "status", At: 2300 * time.Millisecond})
+			w.l.Add(ledger.LearnedEnd{Trace: "status", At: 2300 * time.Millisecond})
 			w.p.Faults = []plan.Fault{{Kind: "files", At: 2 * sec, For: 2 * sec, Relays: []int{0}}}
 			w.killed(3 * sec)
 			w.again(safe, 1, 9*sec)
 		}, ""},
 		"refused, and sent by the next process": {func(w *world) {
 			w.unanswered(safe)
-			w.l.HandIns[safe].Status, w.l.HandIns[safe].Answered = 500, 2500*time.Millisecond
+			w.l.Submissions[safe].Status, w.l.Submissions[safe].Answered = 500, 2500*time.Millisecond
 			w.killed(2501 * time.Millisecond)
 			w.again(safe, 1, 9*sec)
 		}, SentEnded},
@@ -190,11 +190,11 @@
 		"the same, but the disk was well before the end":              {func(w *world) { w.refusedOnAFailingDisk(sec) }, SentEnded},
 		"the same, but the next process found it": {func(w *world) {
 			w.refusedOnAFailingDisk(3 * sec)
-			w.l.Add(ledger.Recovered{Trace: "status", At: 8500 * time.Millisecond, Left: w.l.HandIns[safe].Deadline - 8500*time.Millisecond})
+			w.l.Add(ledger.Recovery{Trace: "status", At: 8500 * time.Millisecond, Remaining: w.l.Submissions[safe].Deadline - 8500*time.Millisecond})
 		}, SentEnded},
 		"the same, and a third process found what the second took on": {func(w *world) {
 			w.refusedOnAFailingDisk(3 * sec)
-			w.l.Add(ledger.Recovered{Trace: "status", At: 8950 * time.Millisecond, Left: 20*sec - 8950*time.Millisecond})
+			w.l.Add(ledger.Recovery{Trace: "status", At: 8950 * time.Millisecond, Remaining: 20*sec - 8950*time.Millisecond})
 		}, ""},
 		"the same, but nobody handed it in again": {func(w *world) {
 			w.refusedOnAFailingDisk(3 * sec)
@@ -202,21 +202,21 @@
 		}, SentEnded},
 		"refused, and sent by an emptied machine": {func(w *world) {
 			w.unanswered(safe)
-			w.l.HandIns[safe].Status, w.l.HandIns[safe].Answered = 503, 2500*time.Millisecond
+			w.l.Submissions[safe].Status, w.l.Submissions[safe].Answered = 503, 2500*time.Millisecond
 			w.killed(3 * sec)
-			w.l.Lives[len(w.l.Lives)-1].Emptied = true
+			w.l.Processes[len(w.l.Processes)-1].EmptyState = true
 			w.again(safe, 1, 9*sec)
 		}, ""},
 		"a restart that takes a message to have more time": {func(w *world) {
-			w.l.Add(ledger.Recovered{Trace: "status", At: 3 * sec, Left: 5 * sec}) // of 3 s
+			w.l.Add(ledger.Recovery{Trace: "status", At: 3 * sec, Remaining: 5 * sec}) // of 3 s
 		}, Moved},
 		"a restart that goes by an id's second time": {func(w *world) {
 			w.l.Add(&ledger.Resubmission{Trace: "status", Sent: 2 * sec, Deadline: 8 * sec, Answered: 2 * sec, Status: 202})
-			w.l.Add(ledger.Recovered{Trace: "status", At: 3 * sec, Left: 5 * sec})
+			w.l.Add(ledger.Recovery{Trace: "status", At: 3 * sec, Remaining: 5 * sec})
 		}, ""},
 		"a restart that goes by neither time": {func(w *world) {
 			w.l.Add(&ledger.Resubmission{Trace: "status", Sent: 2 * sec, Deadline: 20 * sec, Answered: 2 * sec, Status: 202})
-			w.l.Add(ledger.Recovered{Trace: "status", At: 3 * sec, Left: 5 * sec})
+			w.l.Add(ledger.Recovery{Trace: "status", At: 3 * sec, Remaining: 5 * sec})
 		}, Moved},
 		"a payment twice": {func(w *world) { w.unanswered(unsafe); w.again(unsafe, 1, 4*sec) }, Duplicate},
 		"a payment twice, by the next process": {func(w *world) {
@@ -227,17 +227,17 @@
 		"a payment whose id came to an emptied machine": {func(w *world) {
 			w.unanswered(unsafe)
 			w.killed(3 * sec)
-			w.l.Lives[len(w.l.Lives)-1].Emptied = true
+			w.l.Processes[len(w.l.Processes)-1].EmptyState = true
 			w.again(unsafe, 1, 9*sec)
 		}, ""},
 		"a payment after a refusal": {func(w *world) {
 			c := w.call(unsafe)
-			c.Status, c.MayRun = 503, false
+			c.Status, c.MayHaveRun = 503, false
 			w.again(unsafe, 1, 4*sec)
 		}, ""},
 		"a payment before the refusal came": {func(w *world) {
 			c := w.call(unsafe)
-			c.Status, c.MayRun, c.Written = 503, false, 5*sec
+			c.Status, c.MayHaveRun, c.Written = 503, false, 5*sec
 			w.again(unsafe, 1, 4*sec)
 		}, Duplicate},
 		"a status twice":                   {func(w *world) { w.unanswered(safe); w.again(safe, 0, 4*sec) }, ""},
@@ -246,22 +246,22 @@
 		"an order in another building":     {func(w *world) { w.unanswered(keyed); w.again(keyed, 0, 4*sec) }, Duplicate},
 		"a call 600 ms after a drain":      {func(w *world) { w.drain(2*sec - 600e6) }, Drain},
 		"a call 540 ms after a drain":      {func(w *world) { w.drain(2*sec - 540e6) }, ""},
-		"a drain told to one that slept":   {func(w *world) { w.drain(sec); w.l.Lives[0].Paused = []ledger.Pause{{From: sec / 2, To: 1800e6}} }, ""},
+		"a drain told to one that slept":   {func(w *world) { w.drain(sec); w.l.Processes[0].Pauses = []ledger.Pause{{From: sec / 2, To: 1800e6}} }, ""},
 		"a call in a told wait":            {func(w *world) { w.wait(sec+850e6, 500*time.Millisecond) }, Wait},
 		"a call as the wait is told":       {func(w *world) { w.wait(sec+950e6, 500*time.Millisecond) }, ""},
 		"a call once the wait is over":     {func(w *world) { w.wait(sec, sec) }, ""},
-		"a wait that a restart ended":      {func(w *world) { w.wait(sec, 5*sec); w.l.Lives[0].Start = sec + 500e6 }, ""},
+		"a wait that a restart ended":      {func(w *world) { w.wait(sec, 5*sec); w.l.Processes[0].Start = sec + 500e6 }, ""},
 		"pushed over by those who saw it":  {func(w *world) { w.fell(20, 30) }, Cold},
 		"pushed over by those who did not": {func(w *world) { w.fell(19, 30) }, ""},
-		"an unknown message":               {func(w *world) { w.l.Add(ledger.Unknown{What: "x"}) }, Wrong},
-		"a peer kept":                      {func(w *world) { w.l.Add(ledger.Peer{At: sec, Ended: 4*sec + 100e6}) }, Hostile},
-		"a peer never ended":               {func(w *world) { w.l.Add(ledger.Peer{At: sec, Ended: ledger.Never, Status: 202}) }, Hostile},
-		"a peer closed in time":            {func(w *world) { w.l.Add(ledger.Peer{At: sec, Ended: 3 * sec}) }, ""},
-		"a crash":                          {func(w *world) { w.l.Lives[1].End = 9 * sec }, Crash},
-		"an end that was asked for":        {func(w *world) { w.l.Lives[1].Asked, w.l.Lives[1].End = 8*sec, 9*sec }, ""},
+		"an unknown message":               {func(w *world) { w.l.Add(ledger.UnexplainedCall{Reason: "x"}) }, Wrong},
+		"a peer kept":                      {func(w *world) { w.l.Add(ledger.HostilePeer{At: sec, Rejected: 4*sec + 100e6}) }, Hostile},
+		"a peer never ended":               {func(w *world) { w.l.Add(ledger.HostilePeer{At: sec, Rejected: ledger.Never, Status: 202}) }, Hostile},
+		"a peer closed in time":            {func(w *world) { w.l.Add(ledger.HostilePeer{At: sec, Rejected: 3 * sec}) }, ""},
+		"a crash":                          {func(w *world) { w.l.Processes[1].End = 9 * sec }, Crash},
+		"an end that was asked for":        {func(w *world) { w.l.Processes[1].StopSignaled, w.l.Processes[1].End = 8*sec, 9*sec }, ""},
 		"an old process after a hand-over": {func(w *world) {
-			w.l.Lives[1].End = 9 * sec
-			w.l.Add(&ledger.Life{Relay: 1, Replaces: true, Start: 8 * sec, Ready: 8 * sec, Asked: ledger.Never, End: ledger.Never})
+			w.l.Processes[1].End = 9 * sec
+			w.l.Add(&ledger.Process{Relay: 1, Replacement: true, Start: 8 * sec, Ready: 8 * sec, StopSignaled: ledger.Never, End: ledger.Never})
 		}, ""},
 		"too much memory": {func(w *world) { w.l.Add(ledger.Sample{At: sec, MemoryMB: 95, DiskMB: 2}) }, Limit},
 		"too much of two": {func(w *world) {
@@ -283,16 +283,16 @@
 }
 
 func (w *world) drain(at time.Duration) {
-	w.l.Add(ledger.Told{Relay: 0, Endpoint: 1, State: "draining", At: at})
+	w.l.Add(ledger.ListChange{Relay: 0, Endpoint: 1, State: "draining", At: at})
 }
 
 // wait has the partner tell a wait before the calls that come at 2 s.
 func (w *world) wait(at, d time.Duration) {
-	w.l.Add(&ledger.Call{Endpoint: 0, Traces: []string{"status"}, FirstByte: at, LastByte: at, Written: at, Status: 429, Wait: d})
+	w.l.Add(&ledger.Call{Endpoint: 0, Traces: []string{"status"}, FirstByte: at, LastByte: at, Written: at, Status: 429, RetryAfter: d})
 }
 
 func (w *world) fell(byThose, pushed int) {
-	w.l.Add(&ledger.Outage{From: sec, To: 4 * sec, Fell: 5 * sec, Pushed: pushed, ByThose: byThose, Witness: map[int]bool{0: true}})
+	w.l.Add(&ledger.Outage{From: sec, To: 4 * sec, Collapsed: 5 * sec, CollapseCalls: pushed, WitnessCalls: byThose, Witnesses: map[int]bool{0: true}})
 }
 
 func TestWorth(t *testing.T) {
--- a/internal/testbed/audit/ended.go
+++ b/internal/testbed/audit/ended.go
@@ -32,7 +32,7 @@
 func (j *judge) endings() endings {
 	all := endings{}
 	add := func(trace string, e ending) { all[trace] = append(all[trace], e) }
-	for _, h := range j.l.HandIns {
+	for _, h := range j.l.Submissions {
 		if h.Answered != ledger.Never && h.Status >= http.StatusMultipleChoices {
 			add(h.Trace, ending{relay: h.Relay, at: h.Answered, what: http.StatusText(h.Status)})
 		}
@@ -45,7 +45,7 @@
 	for trace, ns := range j.notices {
 		add(trace, ending{relay: ns[0].Relay, at: ns[0].At, what: ns[0].Status})
 	}
-	for _, x := range j.l.Learned {
+	for _, x := range j.l.LearnedEnds {
 		add(x.Trace, ending{relay: x.Relay, at: x.At, what: "an endpoint told", learned: true})
 	}
 	return all
@@ -90,11 +90,11 @@
 		return false
 	}
 	found := func(until time.Duration) bool {
-		return slices.ContainsFunc(j.l.Recovered, func(x ledger.Recovered) bool {
+		return slices.ContainsFunc(j.l.Recoveries, func(x ledger.Recovery) bool {
 			return x.Relay == relay && x.Trace == trace && at < x.At && x.At <= until
 		})
 	}
-	return slices.ContainsFunc(j.lives[relay], func(x *ledger.Life) bool {
+	return slices.ContainsFunc(j.lives[relay], func(x *ledger.Process) bool {
 		return x.End != ledger.Never && at < x.End && x.End < by && j.diskFailed(relay, x.End-caughtUp, x.End) &&
 			slices.ContainsFunc(j.l.Resubmissions, func(r *ledger.Resubmission) bool {
 				return r.Relay == relay && r.Trace == trace && x.End < r.Sent && r.Sent <= by && r.Status == http.StatusAccepted && !found(r.Sent)
@@ -104,7 +104,7 @@
 
 // emptied tells whether a relay lost its machine, and with it all that it knew, between two moments.
 func (j *judge) emptied(relay int, from, to time.Duration) bool {
-	return slices.ContainsFunc(j.lives[relay], func(x *ledger.Life) bool { return x.Emptied && from < x.Start && x.Start < to })
+	return slices.ContainsFunc(j.lives[relay], func(x *ledger.Process) bool { return x.EmptyState && from < x.Start && x.Start < to })
 }
 
 // diskFailed tells whether a relay's files failed at any time between two moments.
--- a/internal/testbed/audit/givenup.go
+++ b/internal/testbed/audit/givenup.go
@@ -18,7 +18,7 @@
 func (j *judge) givenUp() {
 	found, lost := 0, 0
 	var last Breach
-	for _, h := range j.l.HandIns {
+	for _, h := range j.l.Submissions {
 		ready := j.outlived(h)
 		calls, notices := j.calls[h.Trace], j.notices[h.Trace]
 		if ready == ledger.Never || len(calls) > 0 && calls[0].FirstByte < ready || len(notices) > 0 && notices[0].At < ready {
@@ -40,19 +40,19 @@
 
 // tried tells whether a restart found a message of which its relay has attempts on record: connections that are refused reach no
 // endpoint's books.
-func (j *judge) tried(h *ledger.HandIn) bool {
-	return slices.ContainsFunc(j.l.Recovered, func(x ledger.Recovered) bool {
+func (j *judge) tried(h *ledger.Submission) bool {
+	return slices.ContainsFunc(j.l.Recoveries, func(x ledger.Recovery) bool {
 		return x.Relay == h.Relay && x.Trace == h.Trace && x.Attempts > 0
 	})
 }
 
 // outlived is when the process was ready that found a message which another had taken on; Never if none did.
-func (j *judge) outlived(h *ledger.HandIn) time.Duration {
+func (j *judge) outlived(h *ledger.Submission) time.Duration {
 	if h.Answered == ledger.Never || h.Status >= 300 {
 		return ledger.Never
 	}
 	for _, x := range j.lives[h.Relay] {
-		if x.Start > h.Answered && x.Ready != ledger.Never && !x.Replaces && !x.Emptied {
+		if x.Start > h.Answered && x.Ready != ledger.Never && !x.Replacement && !x.EmptyState {
 			return x.Ready
 		}
 	}
--- a/internal/testbed/audit/givenup_test.go
+++ b/internal/testbed/audit/givenup_test.go
@@ -13,8 +13,8 @@
 		w.killed(8 * sec / 2)
 		for i := range fewUntried {
 			id := fmt.Sprint("m", i)
-			w.l.HandIn(&ledger.HandIn{Message: safe, Trace: id, Sent: 3 * sec, Deadline: 30 * sec, Answered: 3 * sec, Status: 202})
-			w.l.Add(ledger.Recovered{Trace: id, At: 8 * sec, Left: 22 * sec, Attempts: attempts})
+			w.l.AddSubmission(&ledger.Submission{Message: safe, Trace: id, Sent: 3 * sec, Deadline: 30 * sec, Answered: 3 * sec, Status: 202})
+			w.l.Add(ledger.Recovery{Trace: id, At: 8 * sec, Remaining: 22 * sec, Attempts: attempts})
 			w.l.Add(ledger.Notice{Trace: id, Status: "deferred", At: 9 * sec})
 		}
 		if found := Count(Judge(w.p, w.l, 0, 60*sec))[GivenUp]; (found > 0) != (attempts == 0) {
--- a/internal/testbed/audit/restarts.go
+++ b/internal/testbed/audit/restarts.go
@@ -10,7 +10,7 @@
 
 // refused checks that what was refused, and may so be handed in anew, is not sent.
 func (j *judge) refused() {
-	for _, h := range j.l.HandIns {
+	for _, h := range j.l.Submissions {
 		if h.Status != http.StatusTooManyRequests && h.Status != http.StatusServiceUnavailable {
 			continue
 		}
@@ -26,19 +26,19 @@
 
 // moved checks what restarts told of the time that messages have left.
 func (j *judge) moved() {
-	for _, x := range j.l.Recovered {
+	for _, x := range j.l.Recoveries {
 		h := j.l.Find(x.Trace)
 		if h == nil {
 			continue
 		}
-		off := x.Left - (h.Deadline - x.At)
+		off := x.Remaining - (h.Deadline - x.At)
 		for _, r := range j.l.Resubmissions { // taken for a new message where the first never came, or its client had left
-			if o := x.Left - (r.Deadline - x.At); r.Trace == x.Trace && r.Sent < x.At && o.Abs() < off.Abs() {
+			if o := x.Remaining - (r.Deadline - x.At); r.Trace == x.Trace && r.Sent < x.At && o.Abs() < off.Abs() {
 				off = o
 			}
 		}
 		if off.Abs() > movedMost {
-			j.broken(Moved, x.At, x.Relay, "%s: a restart takes it to have %v left, off by %v", x.Trace, x.Left, off)
+			j.broken(Moved, x.At, x.Relay, "%s: a restart takes it to have %v left, off by %v", x.Trace, x.Remaining, off)
 		}
 	}
 }
--- a/internal/testbed/audit/views.go
+++ b/internal/testbed/audit/views.go
@@ -26,8 +26,8 @@
 	for _, v := range l.Views {
 		by[v.Relay] = append(by[v.Relay], v)
 	}
-	lives := map[int][]*ledger.Life{}
-	for _, x := range l.Lives {
+	lives := map[int][]*ledger.Process{}
+	for _, x := range l.Processes {
 		lives[x.Relay] = append(lives[x.Relay], x)
 	}
 	index := map[string]int{}
@@ -35,25 +35,25 @@
 		index[p.Relays[r].Name] = r
 	}
 	whole := func(r int, from, to time.Duration) bool { // one process of the relay lived through it, and never stood still
-		return slices.ContainsFunc(lives[r], func(x *ledger.Life) bool {
+		return slices.ContainsFunc(lives[r], func(x *ledger.Process) bool {
 			return x.Ready != ledger.Never && x.Ready <= from && (x.End == ledger.Never || x.End >= to) &&
-				(x.Asked == ledger.Never || x.Asked >= to) &&
-				!slices.ContainsFunc(x.Paused, func(p ledger.Pause) bool { return p.To-p.From > shortPause && p.From < to && p.To > from })
+				(x.StopSignaled == ledger.Never || x.StopSignaled >= to) &&
+				!slices.ContainsFunc(x.Pauses, func(p ledger.Pause) bool { return p.To-p.From > shortPause && p.From < to && p.To > from })
 		})
 	}
 	var killed, left []float64
-	for _, x := range l.Lives {
-		if x.Asked == ledger.Never || x.End == ledger.Never || x.Relay >= p.Members() {
+	for _, x := range l.Processes {
+		if x.StopSignaled == ledger.Never || x.End == ledger.Never || x.Relay >= p.Members() {
 			continue
 		}
 		name := p.Relays[x.Relay].Name
 		for r := range p.Members() {
-			if r == x.Relay || !whole(r, x.Asked-2*time.Second, x.End+viewMost) {
+			if r == x.Relay || !whole(r, x.StopSignaled-2*time.Second, x.End+viewMost) {
 				continue
 			}
 			took := viewMost
 			for _, v := range by[r] {
-				if v.At >= x.Asked && (slices.Contains(v.Gone, name) || slices.Contains(v.Came, name)) {
+				if v.At >= x.StopSignaled && (slices.Contains(v.Left, name) || slices.Contains(v.Joined, name)) {
 					took = max(0, v.At-x.End)
 					break
 				}
@@ -96,7 +96,7 @@
 	false_, busiest := 0.0, 0
 	for r, vs := range by {
 		for i, v := range vs {
-			for _, name := range v.Gone {
+			for _, name := range v.Left {
 				if cutOff(p, offset, v.At) {
 					continue
 				}
@@ -106,7 +106,7 @@
 			}
 			n := 0
 			for _, w := range vs[i:] {
-				if w.At <= v.At+30*time.Second && len(w.Gone)+len(w.Came) > 0 {
+				if w.At <= v.At+30*time.Second && len(w.Left)+len(w.Joined) > 0 {
 					n++
 				}
 			}
@@ -162,16 +162,16 @@
 }
 
 // flaps is how often, in any 30 s, a member came back into one view that had gone from it, without a new start of its own.
-func flaps(by map[int][]ledger.ViewChange, lives map[int][]*ledger.Life, index map[string]int, healing func(time.Duration) bool) float64 {
+func flaps(by map[int][]ledger.ViewChange, lives map[int][]*ledger.Process, index map[string]int, healing func(time.Duration) bool) float64 {
 	most := 0
 	for _, vs := range by {
 		gone, back := map[string]bool{}, map[string][]time.Duration{}
 		for _, v := range vs {
-			for _, name := range v.Gone {
+			for _, name := range v.Left {
 				gone[name] = true
 			}
-			for _, name := range v.Came {
-				began := slices.ContainsFunc(lives[index[name]], func(x *ledger.Life) bool {
+			for _, name := range v.Joined {
+				began := slices.ContainsFunc(lives[index[name]], func(x *ledger.Process) bool {
 					return x.Start <= v.At && v.At <= x.Start+excuse
 				})
 				if gone[name] && !began && !healing(v.At) {
--- a/internal/testbed/audit/views_test.go
+++ b/internal/testbed/audit/views_test.go
@@ -13,13 +13,13 @@
 	const s = time.Second
 	p := &plan.Plan{Experiment: &experiment.Experiment{}, Length: 60 * s, Relays: []plan.Relay{{Name: "a"}, {Name: "b"}, {Name: "c"}},
 		Faults: []plan.Fault{{Kind: "cut", At: 30 * s, For: 10 * s}}}
-	life := func(r int, asked, end time.Duration, exit string) *ledger.Life {
-		return &ledger.Life{Relay: r, Ready: s, Asked: asked, End: end, Exit: exit}
+	life := func(r int, asked, end time.Duration, exit string) *ledger.Process {
+		return &ledger.Process{Relay: r, Ready: s, StopSignaled: asked, End: end, Exit: exit}
 	}
-	l := &ledger.Ledger{Lives: []*ledger.Life{life(0, ledger.Never, ledger.Never, ""), life(1, ledger.Never, ledger.Never, ""),
+	l := &ledger.Ledger{Processes: []*ledger.Process{life(0, ledger.Never, ledger.Never, ""), life(1, ledger.Never, ledger.Never, ""),
 		life(2, 5*s, 5*s, "signal: killed")}}
 	see := func(r int, at time.Duration, present int, agreement string, came, gone []string) {
-		l.Views = append(l.Views, ledger.ViewChange{Relay: r, At: at, Present: present, Agreement: agreement, Came: came, Gone: gone})
+		l.Views = append(l.Views, ledger.ViewChange{Relay: r, At: at, Present: present, Agreement: agreement, Joined: came, Left: gone})
 	}
 	for r := range 3 {
 		see(r, 2*s, 3, "settling", []string{"a", "b", "c"}, nil)
--- a/internal/testbed/audit/worth.go
+++ b/internal/testbed/audit/worth.go
@@ -48,8 +48,8 @@
 
 // Fates are those of the plan's messages, in their order.
 func Fates(p *plan.Plan, l *ledger.Ledger, offset time.Duration) []Fate {
-	tries := make([][]*ledger.HandIn, len(p.Arrivals))
-	for _, h := range l.HandIns {
+	tries := make([][]*ledger.Submission, len(p.Arrivals))
+	for _, h := range l.Submissions {
 		tries[h.Message] = append(tries[h.Message], h)
 	}
 	calls := map[string][]*ledger.Call{}
@@ -171,7 +171,7 @@
 		fig["served_worst_customer"] = math.Min(fig["served_worst_customer"], c.value())
 	}
 	fig["back_s"] = back(p, seconds)
-	fig["starts"] = float64(len(l.Lives))
+	fig["starts"] = float64(len(l.Processes))
 	work(p, l, n, fig)
 	fig["goal"] = weightWhole*fig["served"] + weightWindow*fig["served_worst_10s"] + weightClass*fig["served_worst_class"] +
 		weightCustomer*fig["served_worst_customer"] - priceHandshake*fig["handshakes"] - priceWaste*fig["wasted"] -
@@ -221,7 +221,7 @@
 func work(p *plan.Plan, l *ledger.Ledger, n float64, fig map[string]float64) {
 	var calls, fresh, probes, crossed, refused, lost, all, down float64
 	for _, c := range l.Calls {
-		if c.Fresh {
+		if c.FirstOnConn {
 			fresh++
 		}
 		if c.Probe {
@@ -235,12 +235,12 @@
 		if c.Status == 503 || c.Status == 429 {
 			refused++
 		}
-		if c.Outage {
+		if c.InOutage {
 			down++
 		}
-		all += c.Work.Seconds()
+		all += c.Latency.Seconds()
 		if c.Ran && c.Status != 200 {
-			lost += c.Work.Seconds()
+			lost += c.Latency.Seconds()
 		}
 	}
 	fig["calls"], fig["handshakes"], fig["probes"], fig["crossed"] = calls/n, fresh/n, probes/n, crossed/n
@@ -287,7 +287,7 @@
 	}
 	fig["cpu_ms_per_message"] = total.Seconds() * 1000 / math.Max(1, fig["messages"])
 	var ready []float64
-	for _, x := range l.Lives {
+	for _, x := range l.Processes {
 		if x.Ready != ledger.Never {
 			ready = append(ready, (x.Ready-x.Start).Seconds()*1000)
 		}
--- a/internal/testbed/build/build.go
+++ b/internal/testbed/build/build.go
@@ -19,8 +19,8 @@
 	Steward = "cherrytrestle-steward"
 )
 
-// Root is the repository's root above a folder.
-func Root(from string) (string, error) {
+// FindRoot is the repository's root above a folder.
+func FindRoot(from string) (string, error) {
 	dir, err := filepath.Abs(from)
 	if err != nil {
 		return "", fmt.Errorf("build: %w", err)
@@ -35,10 +35,10 @@
 	}
 }
 
-// Work builds the work as it stands into a folder and returns the program's path and the revision, with + behind it where
+// WorkTree builds the work as it stands into a folder and returns the program's path and the revision, with + behind it where
 // the work differs.
-func Work(ctx context.Context, root, into string, tags ...string) (program, revision string, err error) {
-	program, err = compile(ctx, root, into, tags...)
+func WorkTree(ctx context.Context, root, outDir string, tags ...string) (program, revision string, err error) {
+	program, err = compile(ctx, root, outDir, tags...)
 	return program, Head(ctx, root), err
 }
 
@@ -56,7 +56,7 @@
 
 // Revision builds a revision into a folder, in a work tree of its own that is gone afterwards. patch, if not "", is a
 // file that is applied to it first.
-func Revision(ctx context.Context, root, rev, patch, into string, tags ...string) (program, revision string, err error) {
+func Revision(ctx context.Context, root, rev, patch, outDir string, tags ...string) (program, revision string, err error) {
 	if revision, err = git(ctx, root, "rev-parse", "--short", rev+"^{commit}"); err != nil {
 		return "", "", err
 	}
@@ -74,19 +74,19 @@
 			return "", "", err
 		}
 	}
-	program, err = compile(ctx, tree, into, tags...)
+	program, err = compile(ctx, tree, outDir, tags...)
 	return program, revision, err
 }
 
-func compile(ctx context.Context, tree, into string, tags ...string) (string, error) {
-	into, err := filepath.Abs(into)
+func compile(ctx context.Context, tree, outDir string, tags ...string) (string, error) {
+	outDir, err := filepath.Abs(outDir)
 	if err != nil {
 		return "", fmt.Errorf("build: %w", err)
 	}
-	if err := os.MkdirAll(into, 0o755); err != nil {
+	if err := os.MkdirAll(outDir, 0o755); err != nil {
 		return "", fmt.Errorf("build: %w", err)
 	}
-	program := filepath.Join(into, Relay)
+	program := filepath.Join(outDir, Relay)
 	packages := []string{"./cmd/" + Relay}
 	for _, name := range []string{Fleet, Steward} {
 		if _, err := os.Stat(filepath.Join(tree, "cmd", name)); err == nil {
@@ -94,7 +94,7 @@
 		}
 	}
 	cmd := exec.CommandContext(ctx, "go", append([]string{"build", "-buildvcs=false", "-ldflags=-linkmode=external",
-		"-tags=" + strings.Join(tags, ","), "-o", into + "/"}, packages...)...)
+		"-tags=" + strings.Join(tags, ","), "-o", outDir + "/"}, packages...)...)
 	cmd.Dir, cmd.Env = tree, append(os.Environ(), "CGO_ENABLED=1")
 	if out, err := cmd.CombinedOutput(); err != nil {
 		return "", fmt.Errorf("build: %w: %s", err, strings.TrimSpace(string(out)))
--- a/internal/testbed/duties/fleet.go
+++ b/internal/testbed/duties/fleet.go
@@ -100,7 +100,7 @@
 
 // open puts a forwarder before a party's port: others speak to it, and each has a path of its own.
 func (f *fleet) open(place, port int) error {
-	x := &network.Forwarder{Target: f.at(place, 1, port), Choose: func(from netip.AddrPort) *network.Path {
+	x := &network.Forwarder{Target: f.at(place, 1, port), PathFor: func(from netip.AddrPort) *network.Path {
 		ip := from.Addr().Unmap().As4()
 		return f.path(int(ip[2]), place)
 	}}
@@ -323,13 +323,13 @@
 	set := func(cut bool) {
 		for _, x := range a {
 			for _, y := range b {
-				f.path(x, y).Change(network.Out, func(c *network.Conditions) { c.Cut = cut })
-				f.path(y, x).Change(network.Back, func(c *network.Conditions) { c.Cut = cut })
+				f.path(x, y).Update(network.Outbound, func(c *network.Conditions) { c.Cut = cut })
+				f.path(y, x).Update(network.Inbound, func(c *network.Conditions) { c.Cut = cut })
 				if oneWay {
 					continue
 				}
-				f.path(x, y).Change(network.Back, func(c *network.Conditions) { c.Cut = cut })
-				f.path(y, x).Change(network.Out, func(c *network.Conditions) { c.Cut = cut })
+				f.path(x, y).Update(network.Inbound, func(c *network.Conditions) { c.Cut = cut })
+				f.path(y, x).Update(network.Outbound, func(c *network.Conditions) { c.Cut = cut })
 			}
 		}
 	}
@@ -342,7 +342,7 @@
 func (f *fleet) delay(w *node, by, d time.Duration) {
 	set := func(by time.Duration) {
 		for i := range f.receivers {
-			f.path(w.place, placeReceiver+i).Change(network.Out, func(c *network.Conditions) { c.Delay, c.Jitter = by, 0.5 })
+			f.path(w.place, placeReceiver+i).Update(network.Outbound, func(c *network.Conditions) { c.Delay, c.Jitter = by, 0.5 })
 		}
 	}
 	set(by)
--- a/internal/testbed/duties/run.go
+++ b/internal/testbed/duties/run.go
@@ -57,7 +57,7 @@
 		return nil, fmt.Errorf("duties: %w", err)
 	}
 	defer os.RemoveAll(dir)
-	ports, err := platform.TakePorts()
+	ports, err := platform.ReservePorts()
 	if err != nil {
 		return nil, err
 	}
@@ -93,7 +93,7 @@
 		}
 		break
 	}
-	starter.End()
+	starter.Stop()
 	if err := errors.Join(errs...); err != nil {
 		return nil, err
 	}
@@ -342,7 +342,7 @@
 			continue
 		}
 		n.mu.Lock()
-		now := process.ProcessorTime(n.cmd.Process.Pid)
+		now := process.CPUTime(n.cmd.Process.Pid)
 		n.mu.Unlock()
 		if n == last && now > used {
 			c.add(&c.cpu, (now-used).Seconds()/time.Since(at).Seconds())
--- a/internal/testbed/ledger/ledger.go
+++ b/internal/testbed/ledger/ledger.go
@@ -17,109 +17,109 @@
 
 // Ledger collects records. It is safe for concurrent use; the slices are to be read once the run is over.
 type Ledger struct {
-	began time.Time
+	start time.Time
 
-	mu       sync.Mutex
-	HandIns  []*HandIn
-	Calls    []*Call
-	Notices  []Notice
-	Told     []Told
-	Lives    []*Life
-	Peers    []Peer
-	Samples  []Sample
-	Outages  []*Outage
-	Limits   []LimitChange
-	Unknowns []Unknown
-	Views    []ViewChange
-	Traffic  []Traffic
-	// Recovered is what restarts told of the messages that they found, where relays log it.
-	Recovered []Recovered
-	// Learned are the ends that relays have learned of from endpoints, where they log them.
-	Learned []Learned
+	mu               sync.Mutex
+	Submissions      []*Submission
+	Calls            []*Call
+	Notices          []Notice
+	ListChanges      []ListChange
+	Processes        []*Process
+	HostilePeers     []HostilePeer
+	Samples          []Sample
+	Outages          []*Outage
+	Limits           []LimitChange
+	UnexplainedCalls []UnexplainedCall
+	Views            []ViewChange
+	Traffic          []Traffic
+	// Recoveries is what restarts told of the messages that they found, where relays log it.
+	Recoveries []Recovery
+	// LearnedEnds are the ends that relays have learned of from endpoints, where they log them.
+	LearnedEnds []LearnedEnd
 	// Resubmissions are ids that were handed in again.
 	Resubmissions []*Resubmission
 
-	byTrace map[string]*HandIn
+	byTrace map[string]*Submission
 }
 
-// At is a moment of the wall clock, as the ledger counts.
-func (l *Ledger) At(t time.Time) time.Duration { return t.Sub(l.began) }
+// Offset is a moment of the wall clock, as the ledger counts.
+func (l *Ledger) Offset(t time.Time) time.Duration { return t.Sub(l.start) }
 
-// HandIn is one request that a client made. A message may be handed in several times, under a fresh trace each.
-type HandIn struct {
-	Message  int // index among the plan's arrivals
-	Try      int // 0: the first
-	Trace    string
-	Key      string
-	Relay    int
-	Due      time.Duration // when it was to be sent
-	Sent     time.Duration // its last byte; Never if it was not written whole
-	Deadline time.Duration // the message's
-	Answered time.Duration // Never if no answer came
-	Status   int
-	Again    time.Duration // told with a refusal
-	Left     bool          // its client went away before an answer
-	Broken   bool          // the connection ended with no answer once the request was written
+// Submission is one request that a client made. A message may be handed in several times, under a fresh trace each.
+type Submission struct {
+	Message    int // index among the plan's arrivals
+	Try        int // 0: the first
+	Trace      string
+	Key        string
+	Relay      int
+	Due        time.Duration // when it was to be sent
+	Sent       time.Duration // its last byte; Never if it was not written whole
+	Deadline   time.Duration // the message's
+	Answered   time.Duration // Never if no answer came
+	Status     int
+	RetryAfter time.Duration // told with a refusal
+	Abandoned  bool          // its client went away before an answer
+	ConnBroken bool          // the connection ended with no answer once the request was written
 }
 
 // Call is one call as it reached an endpoint.
 type Call struct {
-	Relay     int
-	Endpoint  int
-	Traces    []string
-	Keys      []string
-	FirstByte time.Duration
-	LastByte  time.Duration // Never if it did not come whole
-	Fresh     bool          // the first on its connection
-	Probe     bool
-	Status    int           // of the answer; 0: none was written
-	States    []string      // of a bundle's answer
-	Written   time.Duration // the answer's; Never
-	Wait      time.Duration // told with it
-	MayRun    bool          // what became of it does not prove that it never ran
-	Ran       bool
-	Work      time.Duration
-	Outage    bool // the endpoint was in an outage that had not ended
+	Relay       int
+	Endpoint    int
+	Traces      []string
+	Keys        []string
+	FirstByte   time.Duration
+	LastByte    time.Duration // Never if it did not come whole
+	FirstOnConn bool          // the first on its connection
+	Probe       bool
+	Status      int           // of the answer; 0: none was written
+	States      []string      // of a bundle's answer
+	Written     time.Duration // the answer's; Never
+	RetryAfter  time.Duration // told with it
+	MayHaveRun  bool          // what became of it does not prove that it never ran
+	Ran         bool
+	Latency     time.Duration
+	InOutage    bool // the endpoint was in an outage that had not ended
 }
 
 // Notice is a line of a POST to /v2/finals.
 type Notice struct {
-	Relay  int
-	Trace  string
-	Status string
-	Again  time.Duration
-	At     time.Duration
+	Relay      int
+	Trace      string
+	Status     string
+	RetryAfter time.Duration
+	At         time.Duration
 }
 
-// Told is a change of the list that a relay's agent had, and so counts as told to it.
-type Told struct {
+// ListChange is a change of the list that a relay's agent had, and so counts as told to it.
+type ListChange struct {
 	Relay    int
 	Endpoint int
 	State    string // "ready", "draining" or "gone"
 	At       time.Duration
 }
 
-// Life is one process of a relay.
-type Life struct {
-	Relay    int
-	PID      int
-	Start    time.Duration
-	Ready    time.Duration // its first 200 to /_health; Never
-	Asked    time.Duration // SIGTERM or SIGKILL by the testbed; Never
-	End      time.Duration // Never while it runs
-	Exit     string        // how it ended
-	Emptied  bool          // it began with an empty folder
-	Paused   []Pause
-	Replaces bool // a process beside which it was started
+// Process is one process of a relay.
+type Process struct {
+	Relay        int
+	PID          int
+	Start        time.Duration
+	Ready        time.Duration // its first 200 to /_health; Never
+	StopSignaled time.Duration // SIGTERM or SIGKILL by the testbed; Never
+	End          time.Duration // Never while it runs
+	Exit         string        // how it ended
+	EmptyState   bool          // it began with an empty folder
+	Pauses       []Pause
+	Replacement  bool // a process beside which it was started
 }
 
 // ViewChange is a change of what a relay sees of its fleet, by its own log.
 type ViewChange struct {
-	Relay, PID int
-	At         time.Duration
-	Present    int
-	Agreement  string
-	Came, Gone []string // names
+	Relay, PID   int
+	At           time.Duration
+	Present      int
+	Agreement    string
+	Joined, Left []string // names
 }
 
 // Traffic is what a member's part in its fleet cost the network between two moments.
@@ -129,18 +129,18 @@
 	Bytes    int64
 }
 
-// Recovered is a message that a restart found, with the time that it took it to have left.
-type Recovered struct {
-	Relay int
-	Trace string
-	At    time.Duration
-	Left  time.Duration
+// Recovery is a message that a restart found, with the time that it took it to have left.
+type Recovery struct {
+	Relay     int
+	Trace     string
+	At        time.Duration
+	Remaining time.Duration
 	// Attempts are those that its relay has on record, those among them that could not connect and reached no endpoint.
 	Attempts int
 }
 
-// Learned is the end of a message that a relay has learned of from an endpoint.
-type Learned struct {
+// LearnedEnd is the end of a message that a relay has learned of from an endpoint.
+type LearnedEnd struct {
 	Relay int
 	Trace string
 	At    time.Duration
@@ -159,14 +159,14 @@
 // Pause is a time for which a process stood still.
 type Pause struct{ From, To time.Duration }
 
-// Peer is a hostile peer.
-type Peer struct {
-	Relay  int
-	Way    int
-	At     time.Duration // it connected
-	Ended  time.Duration // an error or a close came; Never
-	Status int           // of an error; 0: a close
-	Excuse bool          // its relay was not there, or died, meanwhile
+// HostilePeer is a hostile peer.
+type HostilePeer struct {
+	Relay     int
+	Behavior  int
+	At        time.Duration // it connected
+	Rejected  time.Duration // an error or a close came; Never
+	Status    int           // of an error; 0: a close
+	RelayDown bool          // its relay was not there, or died, meanwhile
 }
 
 // Sample is what a process held at a moment.
@@ -181,13 +181,13 @@
 
 // Outage is a time for which a scope, a destination or one endpoint of separate routes, failed or refused most calls.
 type Outage struct {
-	Scope    int // the testbed's number for it
-	Partner  int
-	From, To time.Duration // To: Never until it is over
-	Witness  map[int]bool  // relays whose calls failed there, or were refused, meanwhile
-	Fell     time.Duration // pushed over after it; Never
-	Pushed   int           // calls in the span that pushed it over
-	ByThose  int           // and those of them from witnesses
+	Scope         int // the testbed's number for it
+	Partner       int
+	From, To      time.Duration // To: Never until it is over
+	Witnesses     map[int]bool  // relays whose calls failed there, or were refused, meanwhile
+	Collapsed     time.Duration // pushed over after it; Never
+	CollapseCalls int           // calls in the span that pushed it over
+	WitnessCalls  int           // and those of them from witnesses
 }
 
 // LimitChange is a limit from a moment on.
@@ -197,39 +197,39 @@
 	Limit   float64
 }
 
-// Unknown is a call that no client's request explains.
-type Unknown struct {
+// UnexplainedCall is a call that no client's request explains.
+type UnexplainedCall struct {
 	Relay, Endpoint int
 	At              time.Duration
-	What            string
+	Reason          string
 }
 
 // New returns a ledger that begins now.
-func New() *Ledger { return &Ledger{began: time.Now(), byTrace: map[string]*HandIn{}} }
+func New() *Ledger { return &Ledger{start: time.Now(), byTrace: map[string]*Submission{}} }
 
 // Now is the time of the run.
-func (l *Ledger) Now() time.Duration { return time.Since(l.began) }
+func (l *Ledger) Now() time.Duration { return time.Since(l.start) }
 
-// Began is when the run began.
-func (l *Ledger) Began() time.Time { return l.began }
+// StartTime is when the run began.
+func (l *Ledger) StartTime() time.Time { return l.start }
 
-// Do changes records that were added before.
-func (l *Ledger) Do(f func()) {
+// Update changes records that were added before.
+func (l *Ledger) Update(f func()) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	f()
 }
 
-// HandIn adds a request that is about to be made.
-func (l *Ledger) HandIn(h *HandIn) {
+// AddSubmission adds a request that is about to be made.
+func (l *Ledger) AddSubmission(h *Submission) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.HandIns = append(l.HandIns, h)
+	l.Submissions = append(l.Submissions, h)
 	l.byTrace[h.Trace] = h
 }
 
 // Find returns the request with a trace; nil if there is none.
-func (l *Ledger) Find(trace string) *HandIn {
+func (l *Ledger) Find(trace string) *Submission {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.byTrace[trace]
@@ -244,28 +244,28 @@
 		l.Calls = append(l.Calls, x)
 	case Notice:
 		l.Notices = append(l.Notices, x)
-	case Told:
-		l.Told = append(l.Told, x)
-	case *Life:
-		l.Lives = append(l.Lives, x)
-	case Peer:
-		l.Peers = append(l.Peers, x)
+	case ListChange:
+		l.ListChanges = append(l.ListChanges, x)
+	case *Process:
+		l.Processes = append(l.Processes, x)
+	case HostilePeer:
+		l.HostilePeers = append(l.HostilePeers, x)
 	case Sample:
 		l.Samples = append(l.Samples, x)
 	case *Outage:
 		l.Outages = append(l.Outages, x)
 	case LimitChange:
 		l.Limits = append(l.Limits, x)
-	case Unknown:
-		l.Unknowns = append(l.Unknowns, x)
+	case UnexplainedCall:
+		l.UnexplainedCalls = append(l.UnexplainedCalls, x)
 	case ViewChange:
 		l.Views = append(l.Views, x)
 	case Traffic:
 		l.Traffic = append(l.Traffic, x)
-	case Recovered:
-		l.Recovered = append(l.Recovered, x)
-	case Learned:
-		l.Learned = append(l.Learned, x)
+	case Recovery:
+		l.Recoveries = append(l.Recoveries, x)
+	case LearnedEnd:
+		l.LearnedEnds = append(l.LearnedEnds, x)
 	case *Resubmission:
 		l.Resubmissions = append(l.Resubmissions, x)
 	default:
--- a/internal/testbed/load/crowd.go
+++ b/internal/testbed/load/crowd.go
@@ -10,31 +10,31 @@
 )
 
 const (
-	crowdedEvery = 4 // of so many relays one is crowded
-	crowdPause   = 200 * time.Millisecond
-	crowdSalt    = 0x6372_6f77
+	idleRelayEvery = 4 // of so many relays one is crowded
+	reconnectPause = 200 * time.Millisecond
+	idleClientSeed = 0x6372_6f77
 )
 
-// RunCrowd has idle clients hold connections at some of the relays until ctx ends. One that its relay closes comes again.
-func (l *Load) RunCrowd(ctx context.Context, offset time.Duration) {
-	rng := rand.New(rand.NewPCG(l.plan.Seed, crowdSalt))
+// RunIdleClients has idle clients hold connections at some of the relays until ctx ends. One that its relay closes comes again.
+func (l *Load) RunIdleClients(ctx context.Context, offset time.Duration) {
+	rng := rand.New(rand.NewPCG(l.plan.Seed, idleClientSeed))
 	connections := int(l.plan.Experiment.Load.Crowd.Draw(rng))
-	if connections == 0 || network.Sleep(ctx, offset-l.book.Now()) != nil {
+	if connections == 0 || network.Sleep(ctx, offset-l.ledger.Now()) != nil {
 		return
 	}
 	for relay := range l.plan.Relays {
-		if relay%crowdedEvery != 0 {
+		if relay%idleRelayEvery != 0 {
 			continue
 		}
 		for range connections {
-			l.work.Go(func() { l.idle(ctx, relay) })
+			l.wg.Go(func() { l.holdIdleConn(ctx, relay) })
 		}
 	}
 }
 
-// idle is a client that connects and says nothing.
-func (l *Load) idle(ctx context.Context, relay int) {
-	for network.Sleep(ctx, crowdPause) == nil {
+// holdIdleConn is a client that connects and says nothing.
+func (l *Load) holdIdleConn(ctx context.Context, relay int) {
+	for network.Sleep(ctx, reconnectPause) == nil {
 		if !l.alive(relay) {
 			continue
 		}
--- a/internal/testbed/load/hostile.go
+++ b/internal/testbed/load/hostile.go
@@ -14,53 +14,53 @@
 	"onyxroad.dev/onyxroad/internal/testbed/plan"
 )
 
-// hostileFor is how long a hostile peer stays: longer than it is owed an error or a close in.
-const hostileFor = 5 * time.Second
+// hostileTimeout is how long a hostile peer stays: longer than it is owed an error or a close in.
+const hostileTimeout = 5 * time.Second
 
-// RunHostile has the hostile peers come, each when it is planned.
-func (l *Load) RunHostile(ctx context.Context, offset time.Duration) {
+// RunHostilePeers has the hostile peers come, each when it is planned.
+func (l *Load) RunHostilePeers(ctx context.Context, offset time.Duration) {
 	for i := range l.plan.Peers {
-		if network.Sleep(ctx, offset+l.plan.Peers[i].At-l.book.Now()) != nil {
+		if network.Sleep(ctx, offset+l.plan.Peers[i].At-l.ledger.Now()) != nil {
 			return
 		}
-		l.work.Go(func() { l.hostile(ctx, &l.plan.Peers[i]) })
+		l.wg.Go(func() { l.runHostilePeer(ctx, &l.plan.Peers[i]) })
 	}
 }
 
-// hostile is one peer that makes no proper request. It is owed an error or a close.
-func (l *Load) hostile(ctx context.Context, h *plan.Hostile) {
-	rec := ledger.Peer{Relay: h.Relay, Way: h.Way, At: l.book.Now(), Ended: ledger.Never}
+// runHostilePeer is one peer that makes no proper request. It is owed an error or a close.
+func (l *Load) runHostilePeer(ctx context.Context, h *plan.Hostile) {
+	rec := ledger.HostilePeer{Relay: h.Relay, Behavior: h.Way, At: l.ledger.Now(), Rejected: ledger.Never}
 	c, err := (&net.Dialer{Timeout: time.Second}).DialContext(ctx, "tcp4", l.addr(h.Relay))
 	if err != nil {
 		return // its relay is not there
 	}
 	defer c.Close()
 	defer context.AfterFunc(ctx, func() { c.Close() })()
-	c.SetDeadline(time.Now().Add(hostileFor))
-	go l.misbehave(ctx, c, h)
+	c.SetDeadline(time.Now().Add(hostileTimeout))
+	go l.sendInvalid(ctx, c, h)
 	res, err := http.ReadResponse(bufio.NewReader(c), nil)
 	switch {
 	case err == nil:
 		rec.Status = res.StatusCode
 		if res.StatusCode >= 400 {
-			rec.Ended = l.book.Now()
+			rec.Rejected = l.ledger.Now()
 		}
 	case ctx.Err() != nil:
 		return
 	default:
 		if e, ok := err.(net.Error); !ok || !e.Timeout() {
-			rec.Ended = l.book.Now()
+			rec.Rejected = l.ledger.Now()
 		}
 	}
-	rec.Excuse = !l.alive(h.Relay)
-	l.book.Add(rec)
+	rec.RelayDown = !l.alive(h.Relay)
+	l.ledger.Add(rec)
 }
 
-// misbehave says what the peer says. Nothing of it is a request that may be taken on.
-func (l *Load) misbehave(ctx context.Context, c net.Conn, h *plan.Hostile) {
+// sendInvalid says what the peer says. Nothing of it is a request that may be taken on.
+func (l *Load) sendInvalid(ctx context.Context, c net.Conn, h *plan.Hostile) {
 	rng := rand.New(rand.NewPCG(h.Draw, 0x686f7374))
 	class := l.plan.Classes[rng.IntN(len(l.plan.Classes))].Name
-	head := fmt.Sprintf("POST /%s HTTP/1.1\r\nHost: x\r\nX-Trace-Id: %016x\r\nX-Qos: %s\r\nX-Customer: %s\r\nX-Expires-In-Ms: 900\r\nIdempotency-Key: k\r\n",
+	header := fmt.Sprintf("POST /%s HTTP/1.1\r\nHost: x\r\nX-Trace-Id: %016x\r\nX-Qos: %s\r\nX-Customer: %s\r\nX-Expires-In-Ms: 900\r\nIdempotency-Key: k\r\n",
 		class, rng.Uint64(), class, l.plan.Experiment.Load.Customers[0].Name)
 	dest := fmt.Sprintf("Envelope: dest=%d\r\n", l.plan.Partners[0].ID)
 	noise := make([]byte, 200)
@@ -70,24 +70,24 @@
 	switch h.Way {
 	case 0: // says nothing
 	case 1: // half a head
-		c.Write([]byte(head[:20+rng.IntN(len(head)-20)]))
+		c.Write([]byte(header[:20+rng.IntN(len(header)-20)]))
 	case 2: // noise
 		c.Write(append(noise, "\r\n\r\n"...))
 	case 3: // no destination
-		c.Write([]byte(head + "Content-Length: 0\r\n\r\n"))
+		c.Write([]byte(header + "Content-Length: 0\r\n\r\n"))
 	case 4: // a body that does not come
-		c.Write([]byte(head + dest + "Content-Length: 300\r\n\r\nabc"))
+		c.Write([]byte(header + dest + "Content-Length: 300\r\n\r\nabc"))
 	case 5: // a head without end
-		c.Write([]byte(head))
+		c.Write([]byte(header))
 		for ctx.Err() == nil {
 			if _, err := fmt.Fprintf(c, "X-%d: %x\r\n", rng.IntN(1000), noise); err != nil {
 				return
 			}
 		}
 	case 6: // two lengths
-		c.Write([]byte(head + dest + "Content-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n"))
+		c.Write([]byte(header + dest + "Content-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n"))
 	case 7: // a byte now and then
-		for _, b := range []byte(head) {
+		for _, b := range []byte(header) {
 			if _, err := c.Write([]byte{b}); err != nil || network.Sleep(ctx, 100*time.Millisecond) != nil {
 				return
 			}
--- a/internal/testbed/load/load.go
+++ b/internal/testbed/load/load.go
@@ -24,25 +24,25 @@
 )
 
 const (
-	idleFor   = 5 * time.Second // a client keeps a connection for so long
-	brokenTry = 4               // times that a message comes again because its relay died or did not answer
-	least     = 50 * time.Millisecond
+	connIdleTimeout  = 5 * time.Second // a client keeps a connection for so long
+	maxBrokenRetries = 4               // times that a message comes again because its relay died or did not answer
+	minTimeLeft      = 50 * time.Millisecond
 )
 
 // Load is the clients of all relays.
 type Load struct {
 	plan   *plan.Plan
-	book   *ledger.Ledger
+	ledger *ledger.Ledger
 	addr   func(relay int) string
 	offset time.Duration
 	ctx    context.Context
-	work   sync.WaitGroup
+	wg     sync.WaitGroup
 
-	mu    sync.Mutex
-	pools []pool
-	late  *hdrhistogram.Histogram // microseconds from when a message was due to when its client began
-	wants map[string]*want        // by trace: messages that a notice may hand back
-	alive func(relay int) bool
+	mu       sync.Mutex
+	pools    []pool
+	lateness *hdrhistogram.Histogram    // microseconds from when a message was due to when its client began
+	pending  map[string]*pendingMessage // by trace: messages that a notice may hand back
+	alive    func(relay int) bool
 }
 
 // pool is the idle connections to one relay.
@@ -50,24 +50,24 @@
 
 type conn struct {
 	net.Conn
-	r     *bufio.Reader
-	since time.Time
+	r         *bufio.Reader
+	idleSince time.Time
 }
 
-// want is a message that its client has not had delivered.
-type want struct {
-	message  int
-	try      int
-	refusals int
-	breaks   int
-	relay    int
-	left     bool // it has left once already
+// pendingMessage is a message that its client has not had delivered.
+type pendingMessage struct {
+	message     int
+	try         int
+	refusals    int
+	brokenTries int
+	relay       int
+	abandoned   bool // it has left once already
 }
 
 // New returns the load of a plan. addr tells where a relay's clients find it, alive whether it runs.
-func New(p *plan.Plan, book *ledger.Ledger, addr func(int) string, alive func(int) bool) *Load {
-	return &Load{plan: p, book: book, addr: addr, alive: alive, pools: make([]pool, len(p.Relays)), wants: map[string]*want{},
-		late: hdrhistogram.New(1, int64(time.Minute/time.Microsecond), 3)}
+func New(p *plan.Plan, led *ledger.Ledger, addr func(int) string, alive func(int) bool) *Load {
+	return &Load{plan: p, ledger: led, addr: addr, alive: alive, pools: make([]pool, len(p.Relays)), pending: map[string]*pendingMessage{},
+		lateness: hdrhistogram.New(1, int64(time.Minute/time.Microsecond), 3)}
 }
 
 // Run hands in every message when it is due, counted from offset, and returns when the last one was, or ctx ends. Retries
@@ -75,16 +75,18 @@
 func (l *Load) Run(ctx context.Context, offset time.Duration) {
 	l.ctx, l.offset = ctx, offset
 	for i := range l.plan.Arrivals {
-		if network.Sleep(ctx, offset+l.plan.Arrivals[i].At-l.book.Now()) != nil {
+		if network.Sleep(ctx, offset+l.plan.Arrivals[i].At-l.ledger.Now()) != nil {
 			return
 		}
-		l.work.Go(func() { l.handIn(&want{message: i, relay: l.plan.Arrivals[i].Relay}, "", l.plan.Arrivals[i].At+offset) })
+		l.wg.Go(func() {
+			l.submit(&pendingMessage{message: i, relay: l.plan.Arrivals[i].Relay}, "", l.plan.Arrivals[i].At+offset)
+		})
 	}
 }
 
 // Wait waits for what is under way.
 func (l *Load) Wait() {
-	l.work.Wait()
+	l.wg.Wait()
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, p := range l.pools {
@@ -98,77 +100,77 @@
 func (l *Load) Lateness(quantile float64) time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return time.Duration(l.late.ValueAtQuantile(quantile)) * time.Microsecond
+	return time.Duration(l.lateness.ValueAtQuantile(quantile)) * time.Microsecond
 }
 
-// trace is a message's id on one occasion.
-func (l *Load) trace(w *want) string {
+// traceID is a message's id on one occasion.
+func (l *Load) traceID(w *pendingMessage) string {
 	rng := rand.New(rand.NewPCG(l.plan.Arrivals[w.message].Draw, uint64(w.try)))
 	return fmt.Sprintf("%016x", rng.Uint64())
 }
 
-func (l *Load) key(message int) string {
+func (l *Load) idempotencyKey(message int) string {
 	rng := rand.New(rand.NewPCG(l.plan.Arrivals[message].Draw, 0x6b6579))
 	return fmt.Sprintf("%016x%016x", rng.Uint64(), rng.Uint64())
 }
 
-// handIn hands a message in, once, and sees to what follows.
-func (l *Load) handIn(w *want, second string, due time.Duration) {
+// submit hands a message in, once, and sees to what follows.
+func (l *Load) submit(w *pendingMessage, secondTry string, due time.Duration) {
 	a := &l.plan.Arrivals[w.message]
 	class := &l.plan.Classes[a.Class]
-	now := l.book.Now()
+	now := l.ledger.Now()
 	if w.try == 0 {
 		l.mu.Lock()
-		l.late.RecordValue(max(1, int64((now-due)/time.Microsecond)))
+		l.lateness.RecordValue(max(1, int64((now-due)/time.Microsecond)))
 		l.mu.Unlock()
 	}
-	h := &ledger.HandIn{Message: w.message, Try: w.try, Trace: l.trace(w), Relay: w.relay, Due: due, Sent: ledger.Never,
+	h := &ledger.Submission{Message: w.message, Try: w.try, Trace: l.traceID(w), Relay: w.relay, Due: due, Sent: ledger.Never,
 		Deadline: l.offset + a.At + class.Deadline.D(), Answered: ledger.Never}
 	if class.Effect == "keyed" {
-		h.Key = l.key(w.message)
+		h.Key = l.idempotencyKey(w.message)
 	}
-	if h.Deadline-now < least {
+	if h.Deadline-now < minTimeLeft {
 		return
 	}
-	l.book.HandIn(h)
+	l.ledger.AddSubmission(h)
 	l.mu.Lock()
-	l.wants[h.Trace] = w
+	l.pending[h.Trace] = w
 	l.mu.Unlock()
 	wait := l.plan.AnswerIn
-	leaves := a.Leaves > 0 && !w.left
-	if leaves {
-		wait, w.left = a.Leaves, true
+	abandons := a.Leaves > 0 && !w.abandoned
+	if abandons {
+		wait, w.abandoned = a.Leaves, true
 	}
-	status, again, err := l.request(h, a, second, wait)
+	status, retryAfter, err := l.request(h, a, secondTry, wait)
 	l.resubmit(h, a)
 	switch {
 	case err == nil && status < 300:
 		return // taken on: what comes of it is the relay's to say
 	case err == nil && (status == http.StatusTooManyRequests || status == http.StatusServiceUnavailable):
-		l.refused(w, again)
+		l.retryRefused(w, retryAfter)
 	case err == nil:
 		return // failed
-	case leaves:
-		l.later(w, a.Again, "")
+	case abandons:
+		l.scheduleRetry(w, a.Again, "")
 	default:
 		// Not there, broken off, or no answer in time: to a live relay, unless it may have run and may not be repeated.
-		if class.Effect == "unsafe" && l.mayRun(h.Trace) {
+		if class.Effect == "unsafe" && l.mayHaveRun(h.Trace) {
 			return
 		}
-		if w.breaks++; w.breaks > brokenTry {
+		if w.brokenTries++; w.brokenTries > maxBrokenRetries {
 			return
 		}
 		second := "again"
 		if h.Sent == ledger.Never {
 			second = ""
 		}
-		w.relay = l.live(w.relay, a.Draw+uint64(w.try))
-		l.later(w, a.Again, second)
+		w.relay = l.runningRelay(w.relay, a.Draw+uint64(w.try))
+		l.scheduleRetry(w, a.Again, second)
 	}
 }
 
-// live is a relay that runs: the same one if it does.
-func (l *Load) live(relay int, draw uint64) int {
+// runningRelay is a relay that runs: the same one if it does.
+func (l *Load) runningRelay(relay int, draw uint64) int {
 	n := len(l.plan.Relays)
 	for k := range n {
 		if r := (relay + k*(1+int(draw%7))) % n; l.alive(r) {
@@ -178,77 +180,77 @@
 	return relay
 }
 
-func (l *Load) mayRun(trace string) (may bool) {
-	l.book.Do(func() {
-		for i := len(l.book.Calls) - 1; i >= 0 && !may; i-- {
-			c := l.book.Calls[i]
+func (l *Load) mayHaveRun(trace string) (may bool) {
+	l.ledger.Update(func() {
+		for i := len(l.ledger.Calls) - 1; i >= 0 && !may; i-- {
+			c := l.ledger.Calls[i]
 			for _, t := range c.Traces {
-				may = may || t == trace && c.MayRun
+				may = may || t == trace && c.MayHaveRun
 			}
 		}
 	})
 	return may
 }
 
-// refused has the message come again after a refusal, if its client does.
-func (l *Load) refused(w *want, again time.Duration) {
+// retryRefused has the message come again after a refusal, if its client does.
+func (l *Load) retryRefused(w *pendingMessage, retryAfter time.Duration) {
 	a := &l.plan.Arrivals[w.message]
 	if w.refusals >= a.Retries {
 		return
 	}
 	wait := a.Backoff << w.refusals
-	if again > 0 && a.Heeds {
-		wait = again
+	if retryAfter > 0 && a.Heeds {
+		wait = retryAfter
 	}
 	w.refusals++
-	l.later(w, wait, "1")
+	l.scheduleRetry(w, wait, "1")
 }
 
-// later hands the message in once more after d.
-func (l *Load) later(w *want, d time.Duration, second string) {
+// scheduleRetry hands the message in once more after d.
+func (l *Load) scheduleRetry(w *pendingMessage, d time.Duration, secondTry string) {
 	next := *w
 	next.try++
-	l.work.Go(func() {
+	l.wg.Go(func() {
 		if network.Sleep(l.ctx, d) == nil {
-			l.handIn(&next, second, l.book.Now())
+			l.submit(&next, secondTry, l.ledger.Now())
 		}
 	})
 }
 
-// Ended is told of each notice: a message that is handed back may come again.
-func (l *Load) Ended(n ledger.Notice) {
+// HandleNotice is told of each notice: a message that is handed back may come again.
+func (l *Load) HandleNotice(n ledger.Notice) {
 	l.mu.Lock()
-	w := l.wants[n.Trace]
-	delete(l.wants, n.Trace)
+	w := l.pending[n.Trace]
+	delete(l.pending, n.Trace)
 	l.mu.Unlock()
 	if w != nil && n.Status == "deferred" {
-		l.refused(w, n.Again)
+		l.retryRefused(w, n.RetryAfter)
 	}
 }
 
 // request makes a request and reads its answer. A connection that its relay closed before it read the request is no end:
 // the request goes once more on a new one.
-func (l *Load) request(h *ledger.HandIn, a *plan.Arrival, second string, wait time.Duration) (status int, again time.Duration, err error) {
-	by := time.Now().Add(wait)
+func (l *Load) request(h *ledger.Submission, a *plan.Arrival, secondTry string, wait time.Duration) (status int, retryAfter time.Duration, err error) {
+	deadline := time.Now().Add(wait)
 	for try := 0; ; try++ {
-		c, fresh, err := l.connect(h.Relay, by, try > 0)
+		c, isNew, err := l.connect(h.Relay, deadline, try > 0)
 		if err != nil {
 			return 0, 0, err
 		}
-		status, again, err = l.exchange(c, h, a, second, by)
-		if err == nil || fresh || errors.Is(err, errLeft) {
-			return status, again, err
+		status, retryAfter, err = l.exchange(c, h, a, secondTry, deadline)
+		if err == nil || isNew || errors.Is(err, errAnswerTimeout) {
+			return status, retryAfter, err
 		}
 	}
 }
 
 var (
-	errLeft = errors.New("no answer in time")
-	errAway = errors.New("relay not there")
+	errAnswerTimeout = errors.New("no answer in time")
+	errRelayDown     = errors.New("relay not there")
 )
 
-func (l *Load) connect(relay int, by time.Time, fresh bool) (c *conn, isFresh bool, err error) {
-	for !fresh {
+func (l *Load) connect(relay int, deadline time.Time, forceNew bool) (c *conn, isNew bool, err error) {
+	for !forceNew {
 		l.mu.Lock()
 		p := l.pools[relay]
 		if len(p) == 0 {
@@ -257,77 +259,77 @@
 		}
 		c, l.pools[relay] = p[len(p)-1], p[:len(p)-1]
 		l.mu.Unlock()
-		if time.Since(c.since) < idleFor {
+		if time.Since(c.idleSince) < connIdleTimeout {
 			return c, false, nil
 		}
 		c.Close()
 	}
 	// While a relay ends its clients come on the connections that stay open, and on no new ones.
 	if !l.alive(relay) {
-		return nil, true, errAway
+		return nil, true, errRelayDown
 	}
-	nc, err := (&net.Dialer{Deadline: by}).DialContext(l.ctx, "tcp4", l.addr(relay))
+	nc, err := (&net.Dialer{Deadline: deadline}).DialContext(l.ctx, "tcp4", l.addr(relay))
 	if err != nil {
 		return nil, true, err
 	}
 	return &conn{Conn: nc, r: bufio.NewReaderSize(nc, 1024)}, true, nil
 }
 
-func (l *Load) exchange(c *conn, h *ledger.HandIn, a *plan.Arrival, second string, by time.Time) (status int, again time.Duration, err error) {
+func (l *Load) exchange(c *conn, h *ledger.Submission, a *plan.Arrival, secondTry string, deadline time.Time) (status int, retryAfter time.Duration, err error) {
 	defer func() {
 		if err != nil {
 			c.Close()
 		}
 	}()
-	c.SetDeadline(by)
-	if _, err := c.Write(l.text(h, a, second)); err != nil {
+	c.SetDeadline(deadline)
+	if _, err := c.Write(l.requestText(h, a, secondTry)); err != nil {
 		return 0, 0, err
 	}
-	l.book.Do(func() { h.Sent = l.book.Now() })
+	l.ledger.Update(func() { h.Sent = l.ledger.Now() })
 	res, err := http.ReadResponse(c.r, nil)
 	if err == nil {
 		_, err = io.Copy(io.Discard, io.LimitReader(res.Body, 64<<10))
 	}
 	var late net.Error
 	if errors.As(err, &late) && late.Timeout() {
-		l.book.Do(func() { h.Left = true })
-		return 0, 0, errLeft
+		l.ledger.Update(func() { h.Abandoned = true })
+		return 0, 0, errAnswerTimeout
 	}
 	if err != nil {
 		// A relay may close a connection between requests, and a request that crosses that comes once more.
-		l.book.Do(func() { h.Broken = c.since.IsZero() })
+		l.ledger.Update(func() { h.ConnBroken = c.idleSince.IsZero() })
 		return 0, 0, err
 	}
 	if x, e := strconv.ParseFloat(res.Header.Get("Retry-After"), 64); e == nil {
-		again = time.Duration(x * float64(time.Second))
+		retryAfter = time.Duration(x * float64(time.Second))
 	}
-	l.book.Do(func() {
-		h.Answered, h.Status, h.Again, h.Broken = l.book.Now(), res.StatusCode, again, false
+	l.ledger.Update(func() {
+		h.Answered, h.Status, h.RetryAfter, h.ConnBroken = l.ledger.Now(), res.StatusCode, retryAfter, false
 	})
 	if res.Close {
 		c.Close()
 	} else {
 		c.SetDeadline(time.Time{})
-		c.since = time.Now()
+		c.idleSince = time.Now()
 		l.mu.Lock()
 		l.pools[h.Relay] = append(l.pools[h.Relay], c)
 		l.mu.Unlock()
 	}
-	return res.StatusCode, again, nil
+	return res.StatusCode, retryAfter, nil
 }
 
-// text is a request as it goes over the wire.
-func (l *Load) text(h *ledger.HandIn, a *plan.Arrival, second string) []byte {
+// requestText is a request as it goes over the wire.
+func (l *Load) requestText(h *ledger.Submission, a *plan.Arrival, secondTry string) []byte {
 	class := l.plan.Classes[a.Class].Name
 	b := fmt.Appendf(nil, "POST /%s HTTP/1.1\r\nHost: origin.svc\r\nX-Trace-Id: %s\r\nX-Qos: %s\r\nX-Customer: %s\r\nX-Expires-In-Ms: %d\r\n"+
 		"Content-Length: %d\r\nEnvelope: dest=%d\r\n", class, h.Trace, class, l.plan.Experiment.Load.Customers[a.Customer].Name,
-		max(1, (h.Deadline-l.book.Now()).Milliseconds()), a.Body, l.plan.Partners[a.Partner].ID)
+		max(1, (h.Deadline-l.ledger.Now()).Milliseconds()), a.Body, l.plan.Partners[a.Partner].ID)
 	if h.Key != "" {
 		b = fmt.Appendf(b, "Idempotency-Key: %s\r\n", h.Key)
 	}
-	if second != "" {
-		b = fmt.Appendf(b, "X-Second-Try: %s\r\n", second)
+	if secondTry != "" {
+		b = fmt.Appendf(b, "X-Second-Try: %s\r\n", secondTry)
 	}
 	b = append(b, "\r\n"...)
-	return append(b, platform.Body(h.Trace, a.Body)...)
+	return append(b, platform.MessageBody(h.Trace, a.Body)...)
 }
--- a/internal/testbed/network/forward.go
+++ b/internal/testbed/network/forward.go
@@ -11,20 +11,20 @@
 	"time"
 )
 
-// flowIdle is how long a datagram's sender is remembered after its last one, so that answers find back to it.
-const flowIdle = 30 * time.Second
+// flowIdleTimeout is how long a datagram's sender is remembered after its last one, so that answers find back to it.
+const flowIdleTimeout = 30 * time.Second
 
 // Forwarder carries UDP or TCP between processes that cannot be told to wait on a Path: peers speak to its address
 // instead of to the target's, and each of them has the path that Choose gives.
 type Forwarder struct {
 	Target string
-	// Choose gives the path of a peer by its address; nil turns the peer away.
-	Choose func(from netip.AddrPort) *Path
+	// PathFor gives the path of a peer by its address; nil turns the peer away.
+	PathFor func(from netip.AddrPort) *Path
 
 	cancel context.CancelFunc
 	closer io.Closer
 	addr   net.Addr
-	done   sync.WaitGroup
+	wg     sync.WaitGroup
 
 	mu    sync.Mutex
 	flows map[netip.AddrPort]*flow
@@ -32,9 +32,9 @@
 
 // flow is what goes between one sender of datagrams and the target.
 type flow struct {
-	conn *net.UDPConn // towards the target
-	path *Path
-	used time.Time
+	conn     *net.UDPConn // towards the target
+	path     *Path
+	lastUsed time.Time
 }
 
 // ForwardTCP serves TCP at addr.
@@ -43,8 +43,8 @@
 	if err != nil {
 		return fmt.Errorf("network: forward: %w", err)
 	}
-	ctx := f.begin(l, l.Addr())
-	f.done.Go(func() {
+	ctx := f.start(l, l.Addr())
+	f.wg.Go(func() {
 		for {
 			c, err := l.Accept()
 			if errors.Is(err, net.ErrClosed) {
@@ -54,13 +54,13 @@
 				time.Sleep(time.Millisecond) // short of descriptors, say
 				continue
 			}
-			f.done.Go(func() { f.carry(ctx, c) })
+			f.wg.Go(func() { f.forwardConn(ctx, c) })
 		}
 	})
 	return nil
 }
 
-func (f *Forwarder) begin(c io.Closer, addr net.Addr) context.Context {
+func (f *Forwarder) start(c io.Closer, addr net.Addr) context.Context {
 	ctx, cancel := context.WithCancel(context.Background())
 	f.cancel, f.closer, f.addr = cancel, c, addr
 	return ctx
@@ -78,18 +78,18 @@
 		x.conn.Close()
 	}
 	f.mu.Unlock()
-	f.done.Wait()
+	f.wg.Wait()
 }
 
-// carry is one TCP connection.
-func (f *Forwarder) carry(ctx context.Context, near net.Conn) {
+// forwardConn is one TCP connection.
+func (f *Forwarder) forwardConn(ctx context.Context, near net.Conn) {
 	defer near.Close()
-	path := f.Choose(near.RemoteAddr().(*net.TCPAddr).AddrPort())
-	if path == nil || path.Resets(Out) {
+	path := f.PathFor(near.RemoteAddr().(*net.TCPAddr).AddrPort())
+	if path == nil || path.Resets(Outbound) {
 		Reset(near)
 		return
 	}
-	if path.Pass(ctx, Out) != nil {
+	if path.AwaitArrival(ctx, Outbound) != nil {
 		return
 	}
 	far, err := (&net.Dialer{}).DialContext(ctx, "tcp4", f.Target)
@@ -102,27 +102,27 @@
 	defer cancel()
 	stop := context.AfterFunc(ctx, func() { near.Close(); far.Close() })
 	defer stop()
-	var both sync.WaitGroup
-	both.Go(func() { defer cancel(); pipe(ctx, far, near, path, Out) })
-	both.Go(func() { defer cancel(); pipe(ctx, near, far, path, Back) })
-	both.Wait()
+	var wg sync.WaitGroup
+	wg.Go(func() { defer cancel(); copyDelayed(ctx, far, near, path, Outbound) })
+	wg.Go(func() { defer cancel(); copyDelayed(ctx, near, far, path, Inbound) })
+	wg.Wait()
 }
 
-// pipe carries one direction, each piece as late as the path says and none before the one ahead of it.
-func pipe(ctx context.Context, to io.Writer, from io.Reader, path *Path, d Direction) {
-	type piece struct {
+// copyDelayed carries one direction, each piece as late as the path says and none before the one ahead of it.
+func copyDelayed(ctx context.Context, to io.Writer, from io.Reader, path *Path, d Direction) {
+	type chunk struct {
 		data []byte
 		at   time.Time
 	}
-	pieces := make(chan piece, 256)
+	chunks := make(chan chunk, 256)
 	go func() {
-		defer close(pieces)
+		defer close(chunks)
 		for {
 			buf := make([]byte, 16<<10)
 			n, err := from.Read(buf)
 			if n > 0 {
 				select {
-				case pieces <- piece{buf[:n], time.Now()}:
+				case chunks <- chunk{buf[:n], time.Now()}:
 				case <-ctx.Done():
 					return
 				}
@@ -132,10 +132,10 @@
 			}
 		}
 	}()
-	for p := range pieces {
+	for p := range chunks {
 		// What queued up behind an earlier piece has had a part of its delay.
 		c := path.Conditions(d)
-		if Sleep(ctx, c.Delay-time.Since(p.at)) != nil || path.open(ctx, d) != nil {
+		if Sleep(ctx, c.Delay-time.Since(p.at)) != nil || path.awaitCutEnd(ctx, d) != nil {
 			return
 		}
 		if _, err := to.Write(p.data); err != nil {
@@ -159,38 +159,38 @@
 		return fmt.Errorf("network: forward: %w", err)
 	}
 	f.flows = map[netip.AddrPort]*flow{}
-	ctx := f.begin(near, near.LocalAddr())
-	f.done.Go(func() {
+	ctx := f.start(near, near.LocalAddr())
+	f.wg.Go(func() {
 		buf := make([]byte, 64<<10)
 		for {
 			n, from, err := near.ReadFromUDPAddrPort(buf)
 			if err != nil {
 				return
 			}
-			if x := f.flow(ctx, near, from, target); x != nil {
-				later(ctx, x.path, Out, buf[:n], func(b []byte) { x.conn.Write(b) })
+			if x := f.flowFor(ctx, near, from, target); x != nil {
+				forwardDatagram(ctx, x.path, Outbound, buf[:n], func(b []byte) { x.conn.Write(b) })
 			}
 		}
 	})
 	return nil
 }
 
-// flow finds or begins the flow of a sender; nil if it is turned away.
-func (f *Forwarder) flow(ctx context.Context, near *net.UDPConn, from netip.AddrPort, target *net.UDPAddr) *flow {
+// flowFor finds or begins the flowFor of a sender; nil if it is turned away.
+func (f *Forwarder) flowFor(ctx context.Context, near *net.UDPConn, from netip.AddrPort, target *net.UDPAddr) *flow {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	x := f.flows[from]
 	if x != nil {
-		x.used = time.Now()
+		x.lastUsed = time.Now()
 		return x
 	}
 	for a, old := range f.flows {
-		if time.Since(old.used) > flowIdle {
+		if time.Since(old.lastUsed) > flowIdleTimeout {
 			old.conn.Close()
 			delete(f.flows, a)
 		}
 	}
-	path := f.Choose(from)
+	path := f.PathFor(from)
 	if path == nil || ctx.Err() != nil {
 		return nil
 	}
@@ -198,9 +198,9 @@
 	if err != nil {
 		return nil
 	}
-	x = &flow{conn: c, path: path, used: time.Now()}
+	x = &flow{conn: c, path: path, lastUsed: time.Now()}
 	f.flows[from] = x
-	f.done.Go(func() {
+	f.wg.Go(func() {
 		buf := make([]byte, 64<<10)
 		for {
 			n, err := c.Read(buf)
@@ -208,16 +208,16 @@
 				return
 			}
 			if err == nil { // an error else tells that the target is not there just now
-				later(ctx, path, Back, buf[:n], func(b []byte) { near.WriteToUDPAddrPort(b, from) })
+				forwardDatagram(ctx, path, Inbound, buf[:n], func(b []byte) { near.WriteToUDPAddrPort(b, from) })
 			}
 		}
 	})
 	return x
 }
 
-// later has the copies of a datagram that arrive written when they do.
-func later(ctx context.Context, path *Path, d Direction, data []byte, write func([]byte)) {
-	for _, wait := range path.datagram(d) {
+// forwardDatagram has the copies of a datagram that arrive written when they do.
+func forwardDatagram(ctx context.Context, path *Path, d Direction, data []byte, write func([]byte)) {
+	for _, wait := range path.drawDatagram(d) {
 		b := append([]byte(nil), data...)
 		if wait <= 0 {
 			write(b)
--- a/internal/testbed/network/network_test.go
+++ b/internal/testbed/network/network_test.go
@@ -12,27 +12,27 @@
 	"time"
 )
 
-func TestPass(t *testing.T) {
+func TestAwaitArrival(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := NewPath(Conditions{Delay: 50 * time.Millisecond}, 1)
 		began := time.Now()
-		if err := p.Pass(t.Context(), Out); err != nil || time.Since(began) != 50*time.Millisecond {
+		if err := p.AwaitArrival(t.Context(), Outbound); err != nil || time.Since(began) != 50*time.Millisecond {
 			t.Errorf("passed after %v, %v", time.Since(began), err)
 		}
 		// A cut of one direction holds that one up, and not the other.
-		p.Change(Out, func(c *Conditions) { c.Cut = true })
-		time.AfterFunc(3*time.Second, func() { p.Change(Out, func(c *Conditions) { c.Cut = false }) })
+		p.Update(Outbound, func(c *Conditions) { c.Cut = true })
+		time.AfterFunc(3*time.Second, func() { p.Update(Outbound, func(c *Conditions) { c.Cut = false }) })
 		began = time.Now()
-		if p.Pass(t.Context(), Back); time.Since(began) != 50*time.Millisecond {
+		if p.AwaitArrival(t.Context(), Inbound); time.Since(began) != 50*time.Millisecond {
 			t.Errorf("back after %v", time.Since(began))
 		}
-		if p.Pass(t.Context(), Out); time.Since(began) != 3*time.Second {
+		if p.AwaitArrival(t.Context(), Outbound); time.Since(began) != 3*time.Second {
 			t.Errorf("out after %v", time.Since(began))
 		}
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
-		p.Change(Out, func(c *Conditions) { c.Cut = true })
-		if err := p.Pass(ctx, Out); !errors.Is(err, context.DeadlineExceeded) {
+		p.Update(Outbound, func(c *Conditions) { c.Cut = true })
+		if err := p.AwaitArrival(ctx, Outbound); !errors.Is(err, context.DeadlineExceeded) {
 			t.Errorf("a cut without end: %v", err)
 		}
 	})
@@ -40,22 +40,22 @@
 
 func TestDatagrams(t *testing.T) {
 	p := NewPath(Conditions{Loss: 0.3, Duplicate: 0.1}, 2)
-	lost, twice := 0, 0
+	lost, duplicated := 0, 0
 	for range 10000 {
-		switch len(p.datagram(Out)) {
+		switch len(p.drawDatagram(Outbound)) {
 		case 0:
 			lost++
 		case 2:
-			twice++
+			duplicated++
 		}
 	}
-	if lost < 2850 || lost > 3150 || twice < 600 || twice > 800 {
-		t.Errorf("%d lost, %d twice of 10000", lost, twice)
+	if lost < 2850 || lost > 3150 || duplicated < 600 || duplicated > 800 {
+		t.Errorf("%d lost, %d twice of 10000", lost, duplicated)
 	}
 }
 
-// TestHole connects to an address that others of its port serve, while it is a hole and afterwards.
-func TestHole(t *testing.T) {
+// TestBlackhole connects to an address that others of its port serve, while it is a hole and afterwards.
+func TestBlackhole(t *testing.T) {
 	l, err := Listen(0)
 	if err != nil {
 		t.Fatal(err)
@@ -78,7 +78,7 @@
 		}
 		return err
 	}
-	h, err := NewHole(net.IPv4(127, 9, 9, 1), port)
+	h, err := NewBlackhole(net.IPv4(127, 9, 9, 1), port)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -110,7 +110,7 @@
 		c.Close()
 	}()
 	path := NewPath(Conditions{}, 3)
-	f := &Forwarder{Target: target.Addr().String(), Choose: func(netip.AddrPort) *Path { return path }}
+	f := &Forwarder{Target: target.Addr().String(), PathFor: func(netip.AddrPort) *Path { return path }}
 	if err := f.ForwardTCP("127.0.0.1:0"); err != nil {
 		t.Fatal(err)
 	}
@@ -126,14 +126,14 @@
 		t.Errorf("%q, %v", got, err)
 	}
 	// The way back alone is cut: what is said arrives, and the answer once the cut is over.
-	path.Change(Back, func(c *Conditions) { c.Cut = true })
+	path.Update(Inbound, func(c *Conditions) { c.Cut = true })
 	c.Write([]byte("again"))
 	c.SetReadDeadline(time.Now().Add(50 * time.Millisecond))
 	if _, err := c.Read(got); !errors.Is(err, os.ErrDeadlineExceeded) {
 		t.Errorf("through a cut: %v", err)
 	}
 	c.SetReadDeadline(time.Time{})
-	path.Change(Back, func(c *Conditions) { c.Cut = false })
+	path.Update(Inbound, func(c *Conditions) { c.Cut = false })
 	if _, err := io.ReadFull(c, got); err != nil || string(got) != "again" {
 		t.Errorf("%q, %v", got, err)
 	}
@@ -156,7 +156,7 @@
 		}
 	}()
 	path := NewPath(Conditions{Duplicate: 1}, 4)
-	f := &Forwarder{Target: target.LocalAddr().String(), Choose: func(netip.AddrPort) *Path { return path }}
+	f := &Forwarder{Target: target.LocalAddr().String(), PathFor: func(netip.AddrPort) *Path { return path }}
 	if err := f.ForwardUDP("127.0.0.1:0"); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/testbed/network/path.go
+++ b/internal/testbed/network/path.go
@@ -17,16 +17,16 @@
 
 // The directions. The side that opens connections is the near one.
 const (
-	Out  Direction = iota // from the near side to the far one
-	Back                  // from the far side to the near one
+	Outbound Direction = iota // from the near side to the far one
+	Inbound                   // from the far side to the near one
 )
 
 const (
-	// retransmit is the first time after which TCP sends a lost segment again, doubled with each further loss; Linux's
+	// retransmitTimeout is the first time after which TCP sends a lost segment again, doubled with each further loss; Linux's
 	// least.
-	retransmit = 200 * time.Millisecond
-	// resent bounds how often a segment is lost in a row.
-	resent = 6
+	retransmitTimeout = 200 * time.Millisecond
+	// maxRetransmits bounds how often a segment is lost in a row.
+	maxRetransmits = 6
 )
 
 // Conditions are those of one direction of a path. The zero value is a perfect one.
@@ -43,22 +43,22 @@
 
 // Path is one path.
 type Path struct {
-	mu      sync.Mutex
-	now     [2]Conditions
-	changed chan struct{} // closed with the next change
-	rng     *rand.Rand
+	mu         sync.Mutex
+	conditions [2]Conditions
+	changed    chan struct{} // closed with the next change
+	rng        *rand.Rand
 }
 
 // NewPath returns a path with the same conditions either way.
 func NewPath(c Conditions, seed uint64) *Path {
-	return &Path{now: [2]Conditions{c, c}, changed: make(chan struct{}), rng: rand.New(rand.NewPCG(seed, 0x70617468))}
+	return &Path{conditions: [2]Conditions{c, c}, changed: make(chan struct{}), rng: rand.New(rand.NewPCG(seed, 0x70617468))}
 }
 
-// Change changes the conditions of a direction.
-func (p *Path) Change(d Direction, f func(*Conditions)) {
+// Update changes the conditions of a direction.
+func (p *Path) Update(d Direction, f func(*Conditions)) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	f(&p.now[d])
+	f(&p.conditions[d])
 	close(p.changed)
 	p.changed = make(chan struct{})
 }
@@ -67,32 +67,32 @@
 func (p *Path) Conditions(d Direction) Conditions {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.now[d]
+	return p.conditions[d]
 }
 
-// Pass waits until a segment of a stream that is sent now has arrived: its delay, with what losses add, and any cut.
-func (p *Path) Pass(ctx context.Context, d Direction) error {
+// AwaitArrival waits until a segment of a stream that is sent now has arrived: its delay, with what losses add, and any cut.
+func (p *Path) AwaitArrival(ctx context.Context, d Direction) error {
 	p.mu.Lock()
-	c := p.now[d]
-	wait := p.delay(c)
-	for k := range resent {
+	c := p.conditions[d]
+	wait := p.drawDelay(c)
+	for k := range maxRetransmits {
 		if p.rng.Float64() >= c.Loss {
 			break
 		}
-		wait += retransmit << k
+		wait += retransmitTimeout << k
 	}
 	p.mu.Unlock()
 	if err := Sleep(ctx, wait); err != nil {
 		return err
 	}
-	return p.open(ctx, d)
+	return p.awaitCutEnd(ctx, d)
 }
 
-// open waits for the end of a cut.
-func (p *Path) open(ctx context.Context, d Direction) error {
+// awaitCutEnd waits for the end of a cut.
+func (p *Path) awaitCutEnd(ctx context.Context, d Direction) error {
 	for {
 		p.mu.Lock()
-		cut, changed := p.now[d].Cut, p.changed
+		cut, changed := p.conditions[d].Cut, p.changed
 		p.mu.Unlock()
 		if !cut {
 			return nil
@@ -109,37 +109,37 @@
 func (p *Path) Resets(d Direction) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.now[d].Reset > 0 && p.rng.Float64() < p.now[d].Reset
+	return p.conditions[d].Reset > 0 && p.rng.Float64() < p.conditions[d].Reset
 }
 
-// Silences draws whether an answer in this direction never comes.
-func (p *Path) Silences(d Direction) bool {
+// DropsAnswer draws whether an answer in this direction never comes.
+func (p *Path) DropsAnswer(d Direction) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.now[d].Silent > 0 && p.rng.Float64() < p.now[d].Silent
+	return p.conditions[d].Silent > 0 && p.rng.Float64() < p.conditions[d].Silent
 }
 
-// datagram draws what becomes of a datagram: when each copy of it arrives; none if it is lost.
-func (p *Path) datagram(d Direction) (copies []time.Duration) {
+// drawDatagram draws what becomes of a drawDatagram: when each copy of it arrives; none if it is lost.
+func (p *Path) drawDatagram(d Direction) (copies []time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	c := p.now[d]
+	c := p.conditions[d]
 	if c.Cut || p.rng.Float64() < c.Loss {
 		return nil
 	}
-	wait := p.delay(c)
+	wait := p.drawDelay(c)
 	if p.rng.Float64() < c.Reorder {
 		wait += max(c.Delay, 5*time.Millisecond)
 	}
 	copies = append(copies, wait)
 	if p.rng.Float64() < c.Duplicate {
-		copies = append(copies, wait+p.delay(c))
+		copies = append(copies, wait+p.drawDelay(c))
 	}
 	return copies
 }
 
-// delay draws a delay; with mu held.
-func (p *Path) delay(c Conditions) time.Duration {
+// drawDelay draws a drawDelay; with mu held.
+func (p *Path) drawDelay(c Conditions) time.Duration {
 	return time.Duration(float64(c.Delay) * math.Max(0.2, 1+c.Jitter*p.rng.NormFloat64()))
 }
 
--- a/internal/testbed/platform/discovery.go
+++ b/internal/testbed/platform/discovery.go
@@ -19,13 +19,13 @@
 )
 
 const (
-	emptyLine = 2 * time.Second         // a watch with nothing to tell gives an empty line so often
-	newsMost  = 6 * time.Second         // whatever there is to tell counts as told by then
-	oldFor    = 1500 * time.Millisecond // an address that was left closes its open connections after this
+	keepaliveInterval = 2 * time.Second         // a watch with nothing to tell gives an empty line so often
+	maxChangeDelay    = 6 * time.Second         // whatever there is to tell counts as told by then
+	oldAddressGrace   = 1500 * time.Millisecond // an address that was left closes its open connections after this
 )
 
 // News of a change reaches an agent so long after it, drawn for each.
-var newsDelay = map[string][2]time.Duration{
+var changeDelay = map[string][2]time.Duration{
 	"ready":    {300 * time.Millisecond, 2100 * time.Millisecond},
 	"draining": {100 * time.Millisecond, 1000 * time.Millisecond},
 	"gone":     {1200 * time.Millisecond, 3600 * time.Millisecond},
@@ -53,55 +53,55 @@
 
 // agent is discovery's agent on one relay's machine.
 type agent struct {
-	x     *Platform
-	relay int
-	rng   *rand.Rand
+	platform *Platform
+	relay    int
+	rng      *rand.Rand
 
-	mu      sync.Mutex
-	moves   int
-	servers []*http.Server
-	list    map[string]entry
-	version int64
-	log     []List // each change by itself
-	changed chan struct{}
-	quiet   bool
-	late    time.Duration
-	held    []entry // news that did not come through yet
+	mu          sync.Mutex
+	moves       int
+	servers     []*http.Server
+	entries     map[string]entry
+	version     int64
+	changes     []List // each change by itself
+	changed     chan struct{}
+	silenced    bool
+	extraDelay  time.Duration
+	heldChanges []entry // news that did not come through yet
 }
 
 func newAgent(x *Platform, relay int) (*agent, error) {
-	a := &agent{x: x, relay: relay, rng: rand.New(rand.NewPCG(x.plan.Seed, uint64(relay)+0x6167656e74)), list: map[string]entry{},
+	a := &agent{platform: x, relay: relay, rng: rand.New(rand.NewPCG(x.plan.Seed, uint64(relay)+0x6167656e74)), entries: map[string]entry{},
 		version: 1, changed: make(chan struct{})}
 	for i := range x.plan.Endpoints {
 		if x.plan.Endpoints[i].Added == 0 {
-			e := a.entry(i, "ready")
-			a.list[e.ID] = e
+			e := a.newEntry(i, "ready")
+			a.entries[e.ID] = e
 		}
 	}
 	return a, a.serve()
 }
 
-func (a *agent) entry(i int, state string) entry {
-	p := a.x.plan
+func (a *agent) newEntry(i int, state string) entry {
+	p := a.platform.plan
 	e := &p.Endpoints[i]
 	d := &p.Partners[e.Partner]
-	return entry{ID: e.ID, Addr: join(endpointIP(i, a.relay), a.x.ports.base+portEndpoints+i), Zone: p.Buildings[e.Building],
-		Kind: p.Experiment.Partners.Kinds[d.Kind].Name, Cell: d.ID, State: state, Weight: 1, Started: a.x.partners.startedMS(e.Added),
+	return entry{ID: e.ID, Addr: hostPort(endpointIP(i, a.relay), a.platform.ports.base+portEndpoints+i), Zone: p.Buildings[e.Building],
+		Kind: p.Experiment.Partners.Kinds[d.Kind].Name, Cell: d.ID, State: state, Weight: 1, Started: a.platform.partners.startedMS(e.Added),
 		index: i}
 }
 
 // serve opens the agent's address.
 func (a *agent) serve() error {
-	l, err := net.Listen("tcp4", a.x.ports.Agent(a.relay, a.moves))
+	l, err := net.Listen("tcp4", a.platform.ports.Agent(a.relay, a.moves))
 	if err != nil {
 		return fmt.Errorf("platform: agent: %w", err)
 	}
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET /catalog/members", a.members)
-	mux.HandleFunc("POST /v2/finals", a.finals)
-	s := &http.Server{Handler: mux, ReadHeaderTimeout: 5 * time.Second, BaseContext: func(net.Listener) context.Context { return a.x.ctx }}
+	mux.HandleFunc("GET /catalog/members", a.handleMembers)
+	mux.HandleFunc("POST /v2/finals", a.handleNotices)
+	s := &http.Server{Handler: mux, ReadHeaderTimeout: 5 * time.Second, BaseContext: func(net.Listener) context.Context { return a.platform.ctx }}
 	a.servers = append(a.servers, s)
-	a.x.work.Go(func() { s.Serve(l) })
+	a.platform.wg.Go(func() { s.Serve(l) })
 	return nil
 }
 
@@ -113,18 +113,18 @@
 	}
 }
 
-// follow brings the news of the plan's changes to the agent.
-func (a *agent) follow(offset time.Duration) {
+// followPlan brings the news of the plan's changes to the agent.
+func (a *agent) followPlan(offset time.Duration) {
 	type change struct {
 		at    time.Duration
 		index int
 		state string
 	}
 	var all []change
-	for i, e := range a.x.plan.Endpoints {
+	for i, e := range a.platform.plan.Endpoints {
 		for state, at := range map[string]time.Duration{"ready": e.Added, "draining": e.Drains, "gone": e.Gone} {
 			if at > 0 {
-				d := newsDelay[state]
+				d := changeDelay[state]
 				all = append(all, change{at + d[0] + time.Duration(a.rng.Float64()*float64(d[1]-d[0])), i, state})
 			}
 		}
@@ -132,59 +132,59 @@
 	slices.SortFunc(all, func(x, y change) int { return int(x.at - y.at) })
 	for _, c := range all {
 		a.mu.Lock()
-		late := min(a.late, newsMost)
+		late := min(a.extraDelay, maxChangeDelay)
 		a.mu.Unlock()
-		if network.Sleep(a.x.ctx, offset+c.at+late-a.x.book.Now()) != nil {
+		if network.Sleep(a.platform.ctx, offset+c.at+late-a.platform.ledger.Now()) != nil {
 			return
 		}
-		a.news(a.entry(c.index, c.state))
+		a.receive(a.newEntry(c.index, c.state))
 	}
 }
 
-// news is one change that has come to the agent.
-func (a *agent) news(e entry) {
+// receive is one change that has come to the agent.
+func (a *agent) receive(e entry) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if a.quiet {
-		a.held = append(a.held, e)
+	if a.silenced {
+		a.heldChanges = append(a.heldChanges, e)
 		return
 	}
-	a.take(e)
+	a.apply(e)
 }
 
-// take puts a change into the list; with mu held.
-func (a *agent) take(e entry) {
+// apply puts a change into the list; with mu held.
+func (a *agent) apply(e entry) {
 	if e.State == "gone" {
-		delete(a.list, e.ID)
+		delete(a.entries, e.ID)
 	} else {
-		a.list[e.ID] = e
+		a.entries[e.ID] = e
 	}
 	a.version++
-	a.log = append(a.log, List{Version: a.version, Servers: []entry{e}})
+	a.changes = append(a.changes, List{Version: a.version, Servers: []entry{e}})
 	close(a.changed)
 	a.changed = make(chan struct{})
-	a.x.book.Add(ledger.Told{Relay: a.relay, Endpoint: e.index, State: e.State, At: a.x.book.Now()})
+	a.platform.ledger.Add(ledger.ListChange{Relay: a.relay, Endpoint: e.index, State: e.State, At: a.platform.ledger.Now()})
 }
 
-// trouble has discovery fall silent, or its news come late; "" ends that.
-func (a *agent) trouble(kind string, size float64) {
+// setFault has discovery fall silent, or its news come late; "" ends that.
+func (a *agent) setFault(kind string, size float64) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.quiet, a.late = kind == "quiet", 0
+	a.silenced, a.extraDelay = kind == "quiet", 0
 	if kind == "late-news" {
-		a.late = time.Duration(size * float64(time.Second))
+		a.extraDelay = time.Duration(size * float64(time.Second))
 	}
-	if !a.quiet {
-		for _, e := range a.held {
-			a.take(e)
+	if !a.silenced {
+		for _, e := range a.heldChanges {
+			a.apply(e)
 		}
-		a.held = nil
+		a.heldChanges = nil
 	}
 }
 
-// Move moves a relay's agent to another address: the old one takes no new connections, and closes its open ones after a
+// MoveAgent moves a relay's agent to another address: the old one takes no new connections, and closes its open ones after a
 // while. It returns the new one.
-func (x *Platform) Move(relay int) (string, error) {
+func (x *Platform) MoveAgent(relay int) (string, error) {
 	a := x.agents[relay]
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -193,8 +193,8 @@
 	if err := a.serve(); err != nil {
 		return "", err
 	}
-	x.work.Go(func() {
-		ctx, cancel := context.WithTimeout(x.ctx, oldFor)
+	x.wg.Go(func() {
+		ctx, cancel := context.WithTimeout(x.ctx, oldAddressGrace)
 		defer cancel()
 		old.Shutdown(ctx)
 		old.Close()
@@ -202,39 +202,39 @@
 	return x.ports.Agent(relay, a.moves), nil
 }
 
-// Agent is where a relay finds discovery now.
-func (x *Platform) Agent(relay int) string {
+// AgentAddr is where a relay finds discovery now.
+func (x *Platform) AgentAddr(relay int) string {
 	a := x.agents[relay]
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return x.ports.Agent(relay, a.moves)
 }
 
-// Known is the list as a relay's agent has it, for its configuration.
-func (x *Platform) Known(relay int) List {
+// KnownList is the list as a relay's agent has it, for its configuration.
+func (x *Platform) KnownList(relay int) List {
 	a := x.agents[relay]
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.whole()
+	return a.fullList()
 }
 
-// whole is the whole list; with mu held.
-func (a *agent) whole() List {
+// fullList is the fullList list; with mu held.
+func (a *agent) fullList() List {
 	l := List{Version: a.version, Full: true, Servers: []entry{}}
-	for _, e := range a.list {
+	for _, e := range a.entries {
 		l.Servers = append(l.Servers, e)
 	}
 	slices.SortFunc(l.Servers, func(x, y entry) int { return x.index - y.index })
 	return l
 }
 
-// silent waits for the end of a silence.
-func (a *agent) silent(ctx context.Context) bool {
+// awaitSilenceEnd waits for the end of a silence.
+func (a *agent) awaitSilenceEnd(ctx context.Context) bool {
 	for {
 		a.mu.Lock()
-		quiet := a.quiet
+		silenced := a.silenced
 		a.mu.Unlock()
-		if !quiet {
+		if !silenced {
 			return ctx.Err() == nil
 		}
 		if network.Sleep(ctx, 20*time.Millisecond) != nil {
@@ -243,15 +243,15 @@
 	}
 }
 
-// members answers GET /catalog/members, with the list or as a watch.
-func (a *agent) members(w http.ResponseWriter, req *http.Request) {
-	if !a.silent(req.Context()) {
+// handleMembers answers GET /catalog/handleMembers, with the list or as a watch.
+func (a *agent) handleMembers(w http.ResponseWriter, req *http.Request) {
+	if !a.awaitSilenceEnd(req.Context()) {
 		return
 	}
 	enc := json.NewEncoder(w)
 	if req.URL.Query().Get("stream") != "1" {
 		a.mu.Lock()
-		l := a.whole()
+		l := a.fullList()
 		a.mu.Unlock()
 		enc.Encode(l)
 		return
@@ -264,9 +264,9 @@
 		changed, version := a.changed, a.version
 		var lines []List
 		if first && (after <= 0 || after > version) {
-			lines = append(lines, a.whole())
+			lines = append(lines, a.fullList())
 		} else {
-			for _, l := range a.log {
+			for _, l := range a.changes {
 				if l.Version > after {
 					lines = append(lines, l)
 				}
@@ -274,7 +274,7 @@
 		}
 		a.mu.Unlock()
 		after = version
-		if !a.silent(req.Context()) {
+		if !a.awaitSilenceEnd(req.Context()) {
 			return
 		}
 		for _, l := range lines {
@@ -286,17 +286,17 @@
 			io.WriteString(w, "\n")
 		}
 		flush()
-		for quiet := true; quiet; {
-			timer := time.NewTimer(emptyLine)
+		for unchanged := true; unchanged; {
+			timer := time.NewTimer(keepaliveInterval)
 			select {
 			case <-req.Context().Done():
 				timer.Stop()
 				return
 			case <-changed:
 				timer.Stop()
-				quiet = false
+				unchanged = false
 			case <-timer.C:
-				if !a.silent(req.Context()) {
+				if !a.awaitSilenceEnd(req.Context()) {
 					return
 				}
 				if _, err := io.WriteString(w, "\n"); err != nil {
@@ -308,8 +308,8 @@
 	}
 }
 
-// finals takes final notices, also while discovery is down.
-func (a *agent) finals(w http.ResponseWriter, req *http.Request) {
+// handleNotices takes final notices, also while discovery is down.
+func (a *agent) handleNotices(w http.ResponseWriter, req *http.Request) {
 	var notices []ledger.Notice
 	lines := bufio.NewScanner(io.LimitReader(req.Body, 4<<20))
 	for lines.Scan() {
@@ -327,15 +327,15 @@
 			return
 		}
 		notices = append(notices, ledger.Notice{Relay: a.relay, Trace: n.ID, Status: n.Status,
-			Again: time.Duration(n.Again * float64(time.Millisecond)), At: a.x.book.Now()})
+			RetryAfter: time.Duration(n.Again * float64(time.Millisecond)), At: a.platform.ledger.Now()})
 	}
 	for _, n := range notices {
-		a.x.book.Add(n)
-		a.x.mu.Lock()
-		a.x.over[n.Trace] = true
-		a.x.mu.Unlock()
-		if a.x.Ended != nil {
-			a.x.Ended(n)
+		a.platform.ledger.Add(n)
+		a.platform.mu.Lock()
+		a.platform.finished[n.Trace] = true
+		a.platform.mu.Unlock()
+		if a.platform.OnNotice != nil {
+			a.platform.OnNotice(n)
 		}
 	}
 	w.WriteHeader(http.StatusNoContent)
--- a/internal/testbed/platform/platform_test.go
+++ b/internal/testbed/platform/platform_test.go
@@ -17,8 +17,8 @@
 	"onyxroad.dev/onyxroad/internal/testbed/plan"
 )
 
-// world is a platform whose relay is the test: one partner of the kind given with one endpoint, no delays.
-func world(t *testing.T, kind int, change func(p *plan.Plan)) (*Platform, *ledger.Ledger, *Ports) {
+// newTestPlatform is a platform whose relay is the test: one partner of the kind given with one endpoint, no delays.
+func newTestPlatform(t *testing.T, kind int, change func(p *plan.Plan)) (*Platform, *ledger.Ledger, *Ports) {
 	t.Helper()
 	x := experiment.Default()
 	p := &plan.Plan{Experiment: x, Seed: 1, Length: time.Minute, FullRate: 10, Buildings: x.Fleet.Buildings[:1],
@@ -36,21 +36,21 @@
 	if change != nil {
 		change(p)
 	}
-	ports, err := TakePorts()
+	ports, err := ReservePorts()
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(ports.Release)
-	book := ledger.New()
+	led := ledger.New()
 	for i := range p.Arrivals {
-		book.HandIn(&ledger.HandIn{Message: i, Trace: trace(i), Deadline: time.Minute})
+		led.AddSubmission(&ledger.Submission{Message: i, Trace: trace(i), Deadline: time.Minute})
 	}
-	pl, err := New(p, book, ports)
+	pl, err := New(p, led, ports)
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(pl.Close)
-	return pl, book, ports
+	return pl, led, ports
 }
 
 func trace(i int) string { return fmt.Sprintf("%016x", i+1) }
@@ -75,23 +75,23 @@
 }
 
 func addr(p *Ports, endpoint int) string {
-	return join(endpointIP(endpoint, 0), p.base+portEndpoints+endpoint)
+	return hostPort(endpointIP(endpoint, 0), p.base+portEndpoints+endpoint)
 }
 
 func TestCalls(t *testing.T) {
-	_, book, ports := world(t, 0, nil)
+	_, led, ports := newTestPlatform(t, 0, nil)
 	c, err := net.Dial("tcp4", addr(ports, 0))
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer c.Close()
-	res := post(t, c, "", "/events", trace(0), Body(trace(0), 10))
+	res := post(t, c, "", "/events", trace(0), MessageBody(trace(0), 10))
 	if res.StatusCode != 200 || !strings.Contains(res.Header.Get("Endpoint-Load-Metrics"), "TEXT x0=") {
 		t.Errorf("%s, %v", res.Status, res.Header)
 	}
 	for name, r := range map[string]*http.Response{
-		"delivered before":   post(t, c, "", "/events", trace(0), Body(trace(0), 10)),
-		"wrong destination":  post(t, nil, addr(ports, 1), "/events", trace(1), Body(trace(1), 10)),
+		"delivered before":   post(t, c, "", "/events", trace(0), MessageBody(trace(0), 10)),
+		"wrong destination":  post(t, nil, addr(ports, 1), "/events", trace(1), MessageBody(trace(1), 10)),
 		"unknown message":    post(t, c, "", "/events", "nobody", []byte("x")),
 		"another body":       post(t, c, "", "/events", trace(2), []byte("0123456789")),
 		"unreadable bundle":  post(t, c, "", "/events/bundle", "", []byte("[")),
@@ -106,45 +106,45 @@
 			t.Errorf("%s: %s", name, r.Status)
 		}
 	}
-	if len(book.Unknowns) != 3 {
-		t.Errorf("unknown: %+v", book.Unknowns)
+	if len(led.UnexplainedCalls) != 3 {
+		t.Errorf("unknown: %+v", led.UnexplainedCalls)
 	}
 	res = post(t, c, "", "/events/bundle", "", bundleOf(10, 11, 0))
 	data, _ := io.ReadAll(res.Body)
-	if got := strings.Join(bundleStates(data), " "); res.StatusCode != 200 || got != "ok ok gone" {
+	if got := strings.Join(decodeBundleStates(data), " "); res.StatusCode != 200 || got != "ok ok gone" {
 		t.Errorf("bundle: %s %q", res.Status, got)
 	}
 }
 
 func bundleOf(ids ...int) []byte {
-	var items []item
+	var items []bundleItem
 	for _, i := range ids {
-		items = append(items, item{ID: trace(i), Body: Body(trace(i), 10)})
+		items = append(items, bundleItem{ID: trace(i), Body: MessageBody(trace(i), 10)})
 	}
 	data, _ := json.Marshal(items)
 	return data
 }
 
-// TestWindow asks a partner with a count in each span for more than that. Refused calls count, too, but do no more harm.
-func TestWindow(t *testing.T) {
+// TestWindowLimit asks a partner with a count in each span for more than that. Refused calls count, too, but do no more harm.
+func TestWindowLimit(t *testing.T) {
 	s := newPartners(&plan.Plan{Experiment: experiment.Default()}, ledger.New())
-	sc := &scope{kind: 2, full: 3, size: 1, span: 2 * time.Second}
-	taken := func(from time.Duration) (n int) {
+	sc := &scope{kind: 2, fullLimit: 3, limitFactor: 1, window: 2 * time.Second}
+	admitted := func(from time.Duration) (n int) {
 		for i := range 20 {
-			if s.takes(sc, from+time.Duration(i)*90*time.Millisecond) {
+			if s.admit(sc, from+time.Duration(i)*90*time.Millisecond) {
 				n++
 			}
 		}
 		return n
 	}
-	if a, b := taken(0), taken(2*time.Second); a != 6 || b != 6 {
+	if a, b := admitted(0), admitted(2*time.Second); a != 6 || b != 6 {
 		t.Errorf("%d and %d calls taken in spans of six", a, b)
 	}
-	if left := s.left(sc, 3*time.Second); left != 0 {
+	if left := s.remainingShare(sc, 3*time.Second); left != 0 {
 		t.Errorf("%v of the limit left", left)
 	}
-	sc.size = 0.5
-	if a := taken(4 * time.Second); a != 3 {
+	sc.limitFactor = 0.5
+	if a := admitted(4 * time.Second); a != 3 {
 		t.Errorf("%d calls taken at half the limit", a)
 	}
 }
@@ -153,10 +153,10 @@
 	s := newPartners(&plan.Plan{Experiment: experiment.Default(), Partners: []plan.Partner{{Limit: 10, Capacity: 1e6, Depth: 1, Speed: 1}},
 		Endpoints: []plan.Endpoint{{Capacity: 1e6}}, Classes: []plan.Class{{}}}, ledger.New())
 	// Limits are per partner, of kind 0, a plain rate: 50 calls in a second take ten and what may come at once.
-	s.endpoints[0].scope = &scope{full: 10, size: 1, tokens: 3, members: []int{0}, warmAt: ledger.Never}
+	s.endpoints[0].scope = &scope{fullLimit: 10, limitFactor: 1, tokens: 3, endpoints: []int{0}, recoveredAt: ledger.Never}
 	taken := 0
 	for i := range 50 {
-		if s.call(0, 0, time.Duration(i)*20*time.Millisecond, time.Millisecond, 1, 0).status == 200 {
+		if s.decide(0, 0, time.Duration(i)*20*time.Millisecond, time.Millisecond, 1, 0).status == 200 {
 			taken++
 		}
 	}
@@ -165,35 +165,35 @@
 	}
 }
 
-// TestCold has a partner come back from an outage: it takes what it can at the time, and falls over when pushed.
-func TestCold(t *testing.T) {
-	for _, pushed := range []bool{false, true} {
-		book := ledger.New()
+// TestOverloadWhileWarmingUp has a partner come back from an outage: it takes what it can at the time, and falls over when pushed.
+func TestOverloadWhileWarmingUp(t *testing.T) {
+	for _, overload := range []bool{false, true} {
+		led := ledger.New()
 		p := &plan.Plan{Experiment: experiment.Default(), Partners: []plan.Partner{{Capacity: 100, Depth: 1, Speed: 1, Warm: 8 * time.Second,
 			Cold: 0.15, Endpoints: []int{0}}}, Endpoints: []plan.Endpoint{{Capacity: 100}}, Classes: []plan.Class{{}}}
-		s := newPartners(p, book)
+		s := newPartners(p, led)
 		f := &plan.Fault{Kind: "shut", Partners: []int{0}, Endpoints: []int{0}}
-		s.begin(f, time.Second)
-		s.call(3, 0, 2*time.Second, time.Millisecond, 1, 0) // relay 3 sees it refuse
-		s.end(f, 5*time.Second)
+		s.beginFault(f, time.Second)
+		s.decide(3, 0, 2*time.Second, time.Millisecond, 1, 0) // relay 3 sees it refuse
+		s.endFault(f, 5*time.Second)
 		if got := s.capacity(0, 5*time.Second); got != 15 {
 			t.Errorf("capacity %v on its return", got)
 		}
 		gap := 50 * time.Millisecond // 20 a second at 15 of capacity
-		if pushed {
+		if overload {
 			gap = 9 * time.Millisecond // 222 calls in the last 2 s, where 210 are allowed
 		}
 		for at := 5 * time.Second; at < 7*time.Second; at += gap {
-			s.call(3, 0, at, time.Millisecond, 1, 0)
+			s.decide(3, 0, at, time.Millisecond, 1, 0)
 		}
-		if o := book.Outages[0]; (o.Fell != ledger.Never) != pushed || o.ByThose != o.Pushed {
-			t.Errorf("pushed %v: fell at %v, %d of %d by those who saw it fail", pushed, o.Fell, o.ByThose, o.Pushed)
+		if o := led.Outages[0]; (o.Collapsed != ledger.Never) != overload || o.WitnessCalls != o.CollapseCalls {
+			t.Errorf("pushed %v: fell at %v, %d of %d by those who saw it fail", overload, o.Collapsed, o.WitnessCalls, o.CollapseCalls)
 		}
 	}
 }
 
 func TestDiscovery(t *testing.T) {
-	x, book, ports := world(t, 0, nil)
+	x, led, ports := newTestPlatform(t, 0, nil)
 	base := "http://" + ports.Agent(0, 0)
 	res, err := http.Get(base + "/catalog/members")
 	if err != nil {
@@ -213,14 +213,14 @@
 	lines := bufio.NewScanner(watch.Body)
 	lines.Scan() // nothing new yet
 	a := x.agents[0]
-	a.news(a.entry(1, "draining"))
+	a.receive(a.newEntry(1, "draining"))
 	lines.Scan()
 	var change List
 	if err := json.Unmarshal(lines.Bytes(), &change); err != nil || change.Full || change.Servers[0].State != "draining" {
 		t.Errorf("%q, %v", lines.Bytes(), err)
 	}
-	if len(book.Told) != 1 || book.Told[0].Endpoint != 1 {
-		t.Errorf("told %+v", book.Told)
+	if len(led.ListChanges) != 1 || led.ListChanges[0].Endpoint != 1 {
+		t.Errorf("told %+v", led.ListChanges)
 	}
 	for body, want := range map[string]int{
 		"{\"id\":\"" + trace(0) + "\",\"status\":\"deferred\",\"again_ms\":500}\n": 204,
@@ -235,10 +235,10 @@
 			t.Errorf("%q: %s", body, res.Status)
 		}
 	}
-	if len(book.Notices) != 1 || book.Notices[0].Again != 500*time.Millisecond {
-		t.Errorf("notices %+v", book.Notices)
+	if len(led.Notices) != 1 || led.Notices[0].RetryAfter != 500*time.Millisecond {
+		t.Errorf("notices %+v", led.Notices)
 	}
-	moved, err := x.Move(0)
+	moved, err := x.MoveAgent(0)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -249,10 +249,10 @@
 }
 
 // The site's terms: N calls, 2 roots of N and 2; under 30 calls 3 roots of N and 3.
-func TestABudgetAllowsWhatIsChance(t *testing.T) {
-	for budget, most := range map[float64]float64{1: 7, 4: 13, 25: 43, 36: 50, 100: 122} {
-		if got := withChance(budget); got != most {
-			t.Errorf("a budget of %v allows %v calls, want %v", budget, got, most)
+func TestCallsAllowedByBudget(t *testing.T) {
+	for budget, want := range map[float64]float64{1: 7, 4: 13, 25: 43, 36: 50, 100: 122} {
+		if got := maxCallsForBudget(budget); got != want {
+			t.Errorf("a budget of %v allows %v calls, want %v", budget, got, want)
 		}
 	}
 }
--- a/internal/testbed/platform/report.go
+++ b/internal/testbed/platform/report.go
@@ -6,18 +6,18 @@
 	"time"
 )
 
-// report is what an endpoint tells of its scope's limit: as it stood at the last refresh that has been on its way for the
+// loadReport is what an endpoint tells of its scope's limit: as it stood at the last refresh that has been on its way for the
 // destination's delay, and a little off.
-func (s *partners) report(sc *scope, now time.Duration) string {
+func (s *partners) loadReport(sc *scope, now time.Duration) string {
 	d := &s.plan.Partners[sc.partner]
-	every := max(d.Report, time.Millisecond)
+	interval := max(d.Report, time.Millisecond)
 	// Refreshes come at fixed moments; what nobody asked for at the time is made up for with the state of now.
-	due := now - now%every
-	if n := len(sc.reports); n == 0 || sc.reports[n-1].at < due {
-		r := report{at: due}
-		if sc.full > 0 {
+	refreshedAt := now - now%interval
+	if n := len(sc.reports); n == 0 || sc.reports[n-1].at < refreshedAt {
+		r := report{at: refreshedAt}
+		if sc.fullLimit > 0 {
 			noise := func() float64 { return math.Max(0, 1+d.Noise*s.rng.NormFloat64()) }
-			r.left, r.limit = math.Min(1, s.left(sc, now)*noise()), sc.full*sc.size*noise()
+			r.remaining, r.limit = math.Min(1, s.remainingShare(sc, now)*noise()), sc.fullLimit*sc.limitFactor*noise()
 		}
 		sc.reports = append(sc.reports, r)
 	}
@@ -28,7 +28,7 @@
 	if r.at+d.Delay > now {
 		return ""
 	}
-	return fmt.Sprintf("TEXT x0=%.3f, x1=%.3f", r.left, r.limit)
+	return fmt.Sprintf("TEXT x0=%.3f, x1=%.3f", r.remaining, r.limit)
 }
 
 // startedMS is the wall time at which a listed endpoint started, in milliseconds; 0: long ago.
@@ -36,5 +36,5 @@
 	if added == 0 {
 		return 0
 	}
-	return s.book.Began().Add(s.offset + added).UnixMilli()
+	return s.ledger.StartTime().Add(s.offset + added).UnixMilli()
 }
--- a/internal/testbed/process/inject.go
+++ b/internal/testbed/process/inject.go
@@ -12,11 +12,11 @@
 	"onyxroad.dev/onyxroad/internal/testbed/plan"
 )
 
-// faults is what is injected into a relay at a moment: into the process that runs, and into the next one from its first call on.
-type faults struct {
-	mu   sync.Mutex
-	wall int // seconds by which the wall clock is off
-	now  []string
+// injectedFaults is what is injected into a relay at a moment: into the process that runs, and into the next one from its first call on.
+type injectedFaults struct {
+	mu         sync.Mutex
+	wallOffset int // seconds by which the wall clock is off
+	rules      []string
 }
 
 func (f *Fleet) faultsPath(r int) string {
@@ -25,30 +25,30 @@
 
 // inject has a relay's calls fail for a time, or its wall clock step for good.
 func (f *Fleet) inject(r int, x *plan.Fault) error {
-	of := &f.relays[r].faults
-	of.mu.Lock()
+	injected := &f.relays[r].faults
+	injected.mu.Lock()
 	if x.Kind == "wall-step" {
 		step, err := strconv.Atoi(strings.TrimPrefix(x.Rules[0], "wall "))
 		if err != nil {
-			of.mu.Unlock()
+			injected.mu.Unlock()
 			return fmt.Errorf("process: %w", err)
 		}
-		of.wall += step
+		injected.wallOffset += step
 	} else {
-		of.now = append(of.now, x.Rules...)
+		injected.rules = append(injected.rules, x.Rules...)
 	}
 	err := f.writeFaults(r)
-	of.mu.Unlock()
+	injected.mu.Unlock()
 	if err != nil || x.Kind == "wall-step" {
 		return err
 	}
 	network.Sleep(f.ctx, x.For)
-	of.mu.Lock()
-	defer of.mu.Unlock()
+	injected.mu.Lock()
+	defer injected.mu.Unlock()
 	for _, rule := range x.Rules {
-		for i := range of.now {
-			if of.now[i] == rule {
-				of.now = append(of.now[:i], of.now[i+1:]...)
+		for i := range injected.rules {
+			if injected.rules[i] == rule {
+				injected.rules = append(injected.rules[:i], injected.rules[i+1:]...)
 				break
 			}
 		}
@@ -58,9 +58,9 @@
 
 // writeFaults writes what is injected into a relay now; with its faults held.
 func (f *Fleet) writeFaults(r int) error {
-	of := &f.relays[r].faults
+	injected := &f.relays[r].faults
 	path := f.faultsPath(r)
-	text := fmt.Sprintf("wall %d\n%s\n", of.wall, strings.Join(of.now, "\n"))
+	text := fmt.Sprintf("wall %d\n%s\n", injected.wallOffset, strings.Join(injected.rules, "\n"))
 	if err := os.WriteFile(path+".new", []byte(text), 0o600); err != nil {
 		return fmt.Errorf("process: faults: %w", err)
 	}
--- a/internal/testbed/process/recovered.go
+++ b/internal/testbed/process/recovered.go
@@ -21,16 +21,16 @@
 	Attempts int
 }
 
-// Recovered reads from the relays' logs what restarts told of the messages that they found, and the ends that relays learned of,
+// ReadRecoveries reads from the relays' logs what restarts told of the messages that they found, and the ends that relays learned of,
 // into the ledger.
-func (f *Fleet) Recovered() error {
+func (f *Fleet) ReadRecoveries() error {
 	for r, relay := range f.plan.Relays {
 		logs, err := filepath.Glob(filepath.Join(f.dir, relay.Name, "log.*"))
 		if err != nil {
 			return fmt.Errorf("process: recovered: %w", err)
 		}
 		for _, path := range logs {
-			if err := f.recovered(r, path); err != nil {
+			if err := f.readLog(r, path); err != nil {
 				return fmt.Errorf("process: recovered: %w", err)
 			}
 		}
@@ -38,7 +38,7 @@
 	return nil
 }
 
-func (f *Fleet) recovered(r int, path string) error {
+func (f *Fleet) readLog(r int, path string) error {
 	file, err := os.Open(path)
 	if err != nil {
 		return err
@@ -52,14 +52,14 @@
 		}
 		var line lifecycleLine
 		if json.Unmarshal(lines.Bytes(), &line) == nil && line.From == "out" && (line.To == "delivered" || line.To == "gone") {
-			f.book.Add(ledger.Learned{Relay: r, Trace: line.Trace, At: f.book.At(line.Time)})
+			f.ledger.Add(ledger.LearnedEnd{Relay: r, Trace: line.Trace, At: f.ledger.Offset(line.Time)})
 			continue
 		}
 		if err := json.Unmarshal(lines.Bytes(), &line); err != nil || line.LeftMS == nil {
 			continue // cut off by a kill, or of a version of before
 		}
-		f.book.Add(ledger.Recovered{Relay: r, Trace: line.Trace, At: f.book.At(line.Time),
-			Left: time.Duration(*line.LeftMS) * time.Millisecond, Attempts: line.Attempts})
+		f.ledger.Add(ledger.Recovery{Relay: r, Trace: line.Trace, At: f.ledger.Offset(line.Time),
+			Remaining: time.Duration(*line.LeftMS) * time.Millisecond, Attempts: line.Attempts})
 	}
 	return lines.Err()
 }
--- a/internal/testbed/process/starter.go
+++ b/internal/testbed/process/starter.go
@@ -10,14 +10,14 @@
 
 // Starter starts processes that the kernel kills when the testbed ends, by a crash or SIGKILL too. The kernel goes by the
 // thread that started them, so that one thread does it and stays.
-type Starter struct{ todo chan func() }
+type Starter struct{ requests chan func() }
 
 // NewStarter returns one that is ready.
 func NewStarter() *Starter {
-	s := &Starter{todo: make(chan func())}
+	s := &Starter{requests: make(chan func())}
 	go func() {
 		runtime.LockOSThread() // never unlocked: the thread ends with the goroutine, when the run is over
-		for f := range s.todo {
+		for f := range s.requests {
 			f()
 		}
 	}()
@@ -28,9 +28,9 @@
 func (s *Starter) Start(cmd *exec.Cmd) error {
 	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL, Setpgid: true}
 	done := make(chan error)
-	s.todo <- func() { done <- cmd.Start() }
+	s.requests <- func() { done <- cmd.Start() }
 	return <-done
 }
 
-// End lets the thread go. Everything that it started has to have ended.
-func (s *Starter) End() { close(s.todo) }
+// Stop lets the thread go. Everything that it started has to have ended.
+func (s *Starter) Stop() { close(s.requests) }
--- a/internal/testbed/process/views.go
+++ b/internal/testbed/process/views.go
@@ -18,17 +18,17 @@
 	"onyxroad.dev/onyxroad/internal/testbed/network"
 )
 
-// Views reads from the relays' logs what each has seen of its fleet. The processes have ended.
-func (f *Fleet) Views() error {
+// ReadViews reads from the relays' logs what each has seen of its fleet. The processes have ended.
+func (f *Fleet) ReadViews() error {
 	if !f.plan.Experiment.Fleet.Members {
 		return nil
 	}
-	lives := map[int][]*ledger.Life{}
-	for _, l := range f.book.Lives {
-		lives[l.Relay] = append(lives[l.Relay], l)
+	processes := map[int][]*ledger.Process{}
+	for _, l := range f.ledger.Processes {
+		processes[l.Relay] = append(processes[l.Relay], l)
 	}
 	for r := range f.plan.Relays {
-		for n, life := range lives[r] {
+		for n, proc := range processes[r] {
 			data, err := os.ReadFile(filepath.Join(f.dir, f.plan.Relays[r].Name, fmt.Sprintf("log.%d", n)))
 			if err != nil {
 				return fmt.Errorf("process: %w", err)
@@ -42,8 +42,8 @@
 					Came, Gone []string
 				}
 				if json.Unmarshal(in.Bytes(), &line) == nil && line.Msg == "view" {
-					f.book.Add(ledger.ViewChange{Relay: r, PID: life.PID, At: f.book.At(line.Time), Present: line.Present,
-						Agreement: line.Agreement, Came: line.Came, Gone: line.Gone})
+					f.ledger.Add(ledger.ViewChange{Relay: r, PID: proc.PID, At: f.ledger.Offset(line.Time), Present: line.Present,
+						Agreement: line.Agreement, Joined: line.Came, Left: line.Gone})
 				}
 			}
 		}
@@ -51,18 +51,18 @@
 	return nil
 }
 
-// Traffic measures what the members send from now on for a time, by their own count.
-func (f *Fleet) Traffic(ctx context.Context, d time.Duration) {
-	type count struct {
+// MeasureTraffic measures what the members send from now on for a time, by their own count.
+func (f *Fleet) MeasureTraffic(ctx context.Context, d time.Duration) {
+	type byteCount struct {
 		at    time.Duration
 		bytes int64
 	}
-	read := func() map[int]count {
-		all := map[int]count{}
+	read := func() map[int]byteCount {
+		all := map[int]byteCount{}
 		for r := range f.plan.Members() {
-			if p := f.last(r); p != nil {
-				if n, err := f.bytes(ctx, p.admin); err == nil {
-					all[r] = count{f.book.Now(), n}
+			if p := f.newest(r); p != nil {
+				if n, err := f.sentBytes(ctx, p.admin); err == nil {
+					all[r] = byteCount{f.ledger.Now(), n}
 				}
 			}
 		}
@@ -74,13 +74,13 @@
 	}
 	for r, now := range read() {
 		if then, ok := before[r]; ok && now.bytes >= then.bytes {
-			f.book.Add(ledger.Traffic{Relay: r, From: then.at, To: now.at, Bytes: now.bytes - then.bytes})
+			f.ledger.Add(ledger.Traffic{Relay: r, From: then.at, To: now.at, Bytes: now.bytes - then.bytes})
 		}
 	}
 }
 
-// bytes asks a relay at its second address.
-func (f *Fleet) bytes(ctx context.Context, admin string) (int64, error) {
+// sentBytes asks a relay at its second address.
+func (f *Fleet) sentBytes(ctx context.Context, admin string) (int64, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+admin+"/api/telemetry", nil)
 	if err != nil {
 		return 0, err
--- a/internal/testbed/process/watch.go
+++ b/internal/testbed/process/watch.go
@@ -16,27 +16,27 @@
 )
 
 const (
-	watchEvery = 500 * time.Millisecond
-	block      = 512
-	ticks      = 100 // a second, of the kernel's count of processor time
+	sampleInterval      = 500 * time.Millisecond
+	diskBlock           = 512
+	clockTicksPerSecond = 100 // a second, of the kernel's count of processor time
 )
 
-// watch samples what each process holds.
-func (f *Fleet) watch() {
-	for network.Sleep(f.ctx, watchEvery) == nil {
+// sampleResources samples what each process holds.
+func (f *Fleet) sampleResources() {
+	for network.Sleep(f.ctx, sampleInterval) == nil {
 		for r, x := range f.relays {
 			f.mu.Lock()
-			now := append([]*process(nil), x.now...)
+			running := append([]*process(nil), x.running...)
 			f.mu.Unlock()
 			disk := diskMB(filepath.Join(f.dir, f.plan.Relays[r].Name, "state"))
-			for _, p := range now {
-				s := ledger.Sample{Relay: r, PID: p.life.PID, At: f.book.Now(), DiskMB: disk}
-				s.MemoryMB, s.CPU = memoryMB(s.PID), ProcessorTime(s.PID)
+			for _, p := range running {
+				s := ledger.Sample{Relay: r, PID: p.record.PID, At: f.ledger.Now(), DiskMB: disk}
+				s.MemoryMB, s.CPU = memoryMB(s.PID), CPUTime(s.PID)
 				if fds, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", s.PID)); err == nil {
 					s.Sockets = len(fds)
 				}
 				if s.MemoryMB > 0 {
-					f.book.Add(s)
+					f.ledger.Add(s)
 				}
 			}
 		}
@@ -60,8 +60,8 @@
 	return kb / 1024
 }
 
-// ProcessorTime is what a process has used of processors.
-func ProcessorTime(pid int) time.Duration {
+// CPUTime is what a process has used of processors.
+func CPUTime(pid int) time.Duration {
 	data, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
 		return 0
@@ -73,7 +73,7 @@
 	}
 	user, _ := strconv.Atoi(fields[11])
 	system, _ := strconv.Atoi(fields[12])
-	return time.Duration(user+system) * time.Second / ticks
+	return time.Duration(user+system) * time.Second / clockTicksPerSecond
 }
 
 // diskMB is what a folder takes, each file in whole blocks.
@@ -85,7 +85,7 @@
 	sum := int64(0)
 	for _, e := range entries {
 		if info, err := e.Info(); err == nil && info.Mode().IsRegular() {
-			sum += (info.Size() + block - 1) / block * block
+			sum += (info.Size() + diskBlock - 1) / diskBlock * diskBlock
 		}
 	}
 	return float64(sum) / (1 << 20)
@@ -93,19 +93,19 @@
 
 // starve has a relay share one core with a process that takes all of it.
 func (f *Fleet) starve(r int, d time.Duration) error {
-	p := f.last(r)
+	p := f.newest(r)
 	if p == nil {
 		return nil
 	}
-	var all, one unix.CPUSet
-	if err := unix.SchedGetaffinity(p.life.PID, &all); err != nil {
+	var allCPUs, oneCPU unix.CPUSet
+	if err := unix.SchedGetaffinity(p.record.PID, &allCPUs); err != nil {
 		return fmt.Errorf("process: affinity: %w", err)
 	}
 	n := 0
 	for cpu := range 1024 {
-		if all.IsSet(cpu) {
-			if n == r%all.Count() {
-				one.Set(cpu)
+		if allCPUs.IsSet(cpu) {
+			if n == r%allCPUs.Count() {
+				oneCPU.Set(cpu)
 			}
 			n++
 		}
@@ -115,22 +115,22 @@
 		return fmt.Errorf("process: %w", err)
 	}
 	burner := exec.Command(self, "burn", "--for", d.String())
-	if err := f.start.Start(burner); err != nil {
+	if err := f.starter.Start(burner); err != nil {
 		return fmt.Errorf("process: burn: %w", err)
 	}
 	f.mu.Lock()
-	f.burn = append(f.burn, burner)
+	f.burners = append(f.burners, burner)
 	f.mu.Unlock()
 	defer burner.Wait()
-	if err := setAffinity(burner.Process.Pid, &one); err != nil {
+	if err := setAffinity(burner.Process.Pid, &oneCPU); err != nil {
 		return err
 	}
-	if err := setAffinity(p.life.PID, &one); err != nil {
+	if err := setAffinity(p.record.PID, &oneCPU); err != nil {
 		return err
 	}
 	network.Sleep(f.ctx, d)
 	burner.Process.Kill()
-	return setAffinity(p.life.PID, &all)
+	return setAffinity(p.record.PID, &allCPUs)
 }
 
 // setAffinity binds every thread of a process.
--- a/internal/testbed/run/run.go
+++ b/internal/testbed/run/run.go
@@ -101,7 +101,7 @@
 		return nil, fmt.Errorf("run: %w", err)
 	}
 	defer os.RemoveAll(home)
-	ports, err := platform.TakePorts()
+	ports, err := platform.ReservePorts()
 	if err != nil {
 		return nil, err
 	}
@@ -112,13 +112,13 @@
 	}
 	defer c.platform.Close()
 	if o.Experiment.GossipSuffers() {
-		if err := c.platform.OpenGossip(); err != nil {
+		if err := c.platform.ForwardGossip(); err != nil {
 			return nil, err
 		}
 	}
 	if n := o.Experiment.Fleet.Stewards; n > 0 {
 		starter := process.NewStarter()
-		defer starter.End()
+		defer starter.Stop()
 		c.stewards, err = duties.StartBeside(ctx, n, filepath.Join(filepath.Dir(o.Program), build.Steward), home, ports.Base(), starter)
 		if err != nil {
 			return nil, err
@@ -131,7 +131,7 @@
 		c.fleet.Stewards = c.stewards.APIs()
 	}
 	c.load = load.New(p, c.book, ports.Relay, c.fleet.Alive)
-	c.platform.Ended = c.load.Ended
+	c.platform.OnNotice = c.load.HandleNotice
 	if err := c.fleet.Start(ctx); err != nil {
 		return nil, err
 	}
@@ -172,15 +172,15 @@
 	c.offset = c.book.Now() + max(settle, c.plan.Experiment.Fleet.Settle.D())
 	c.platform.Run(c.offset)
 	var all sync.WaitGroup
-	all.Go(func() { c.load.RunHostile(ctx, c.offset) })
-	all.Go(func() { c.load.RunCrowd(ctx, c.offset) })
+	all.Go(func() { c.load.RunHostilePeers(ctx, c.offset) })
+	all.Go(func() { c.load.RunIdleClients(ctx, c.offset) })
 	for i := range c.plan.Faults {
 		all.Go(func() { c.fault(ctx, &c.plan.Faults[i]) })
 	}
 	if c.plan.Experiment.Fleet.Loners > 0 {
 		all.Go(func() {
 			if network.Sleep(ctx, c.offset+c.plan.Length/2-c.book.Now()) == nil {
-				c.fleet.Traffic(ctx, c.plan.Length*2/5)
+				c.fleet.MeasureTraffic(ctx, c.plan.Length*2/5)
 			}
 		})
 	}
@@ -207,7 +207,7 @@
 		return false
 	}
 	done := true
-	c.book.Do(func() {
+	c.book.Update(func() {
 		ended := map[string]bool{}
 		for _, x := range c.book.Calls {
 			if x.Status == 200 {
@@ -219,7 +219,7 @@
 		for _, n := range c.book.Notices {
 			ended[n.Trace] = true
 		}
-		for _, h := range c.book.HandIns {
+		for _, h := range c.book.Submissions {
 			if h.Answered != ledger.Never && h.Status < 300 && !ended[h.Trace] {
 				done = false
 				return
@@ -231,7 +231,7 @@
 
 // fault has one fault begin and end.
 func (c *conductor) fault(ctx context.Context, f *plan.Fault) {
-	if network.Sleep(ctx, c.offset+f.At-c.book.Now()) != nil || c.fleet.Begin(f) {
+	if network.Sleep(ctx, c.offset+f.At-c.book.Now()) != nil || c.fleet.BeginFault(f) {
 		return
 	}
 	if f.Kind == "stewards" {
@@ -240,11 +240,11 @@
 		}
 		return
 	}
-	if _, err := c.platform.Begin(f); err != nil {
+	if _, err := c.platform.BeginFault(f); err != nil {
 		fmt.Fprintf(os.Stderr, "testbed: %s: %v\n", f.Kind, err)
 	}
 	network.Sleep(ctx, f.For)
-	if err := c.platform.End(f); err != nil {
+	if err := c.platform.EndFault(f); err != nil {
 		fmt.Fprintf(os.Stderr, "testbed: end of %s: %v\n", f.Kind, err)
 	}
 }
@@ -256,7 +256,7 @@
 	}
 	for network.Sleep(ctx, time.Second) == nil {
 		var handed, calls int
-		c.book.Do(func() { handed, calls = len(c.book.HandIns), len(c.book.Calls) })
+		c.book.Update(func() { handed, calls = len(c.book.Submissions), len(c.book.Calls) })
 		fmt.Fprintf(c.o.Progress, "\r%s seed %d: %3.0f of %.0f s, %d of %d messages handed in, %d calls   ", c.o.Experiment.Name, c.o.Seed,
 			(c.book.Now() - c.offset).Seconds(), c.plan.Length.Seconds(), handed, len(c.plan.Arrivals), calls)
 	}
@@ -268,11 +268,11 @@
 	// What still runs must not write while the judge reads.
 	c.fleet.Close()
 	c.platform.Close()
-	if err := c.fleet.Views(); err != nil {
+	if err := c.fleet.ReadViews(); err != nil {
 		return nil, err
 	}
 	if c.plan.Experiment.Fleet.Debug {
-		if err := c.fleet.Recovered(); err != nil {
+		if err := c.fleet.ReadRecoveries(); err != nil {
 			return nil, err
 		}
 	}
--- a/internal/testbed/run/series.go
+++ b/internal/testbed/run/series.go
@@ -85,7 +85,7 @@
 	for k := range s.Alive {
 		t := c.offset + time.Duration(k)*time.Second
 		up := map[int]bool{}
-		for _, x := range c.book.Lives {
+		for _, x := range c.book.Processes {
 			if x.Ready != ledger.Never && x.Ready <= t && (x.End == ledger.Never || x.End > t) {
 				up[x.Relay] = true
 			}
--- a/internal/testbed/scale/fleetslope/config.go
+++ b/internal/testbed/scale/fleetslope/config.go
@@ -302,7 +302,7 @@
 	a := newAgent(size)
 	defer a.close()
 	start := process.NewStarter()
-	defer start.End()
+	defer start.Stop()
 	x, err := startLone(ctx, start, a, env)
 	if err != nil {
 		return nil, err
--- a/internal/testbed/scale/fleetslope/fleetslope_test.go
+++ b/internal/testbed/scale/fleetslope/fleetslope_test.go
@@ -70,7 +70,7 @@
 func TestChildrenEnd(t *testing.T) {
 	defer noneLeft(t)
 	start := process.NewStarter()
-	defer start.End()
+	defer start.Stop()
 	c, err := launch(start, t.TempDir(), exec.Command("sleep", "60"))
 	if err != nil {
 		t.Fatal(err)
--- a/internal/testbed/scale/fleetslope/stewards.go
+++ b/internal/testbed/scale/fleetslope/stewards.go
@@ -181,7 +181,7 @@
 	for _, c := range append(s.clients, s.client) {
 		c.Close()
 	}
-	s.start.End()
+	s.start.Stop()
 }
 
 var stewardFigures = []scale.Figure{
--- a/internal/testbed/scale/relayslope/process.go
+++ b/internal/testbed/scale/relayslope/process.go
@@ -49,7 +49,7 @@
 	}
 	c.in, c.out = in, bufio.NewScanner(out)
 	if err := c.starter.Start(c.cmd); err != nil {
-		c.starter.End()
+		c.starter.Stop()
 		return nil, fmt.Errorf("relayslope: child: %w", err)
 	}
 	if c.first, err = c.read(); err != nil {
@@ -86,6 +86,6 @@
 	if werr := c.cmd.Wait(); werr != nil && !errors.As(werr, &status) {
 		err = errors.Join(err, werr)
 	}
-	c.starter.End()
+	c.starter.Stop()
 	return err
 }
