--- a/internal/testbed/build/build.go
+++ b/internal/testbed/build/build.go
@@ -1,4 +1,4 @@
-// Package build makes the relay's program from a revision of this project, or from the work as it stands.
+// Package build builds the programs under test from a revision of this project, or from the working tree.
 package build
 
 import (
@@ -11,15 +11,14 @@
 	"strings"
 )
 
-// Relay is the relay's package, and its program's name; Fleet is that of the one that is a member of its fleet.
+// Names of the programs and of their packages under cmd.
 const (
-	Relay = "cherrytrestle"
-	Fleet = "cherrytrestle-fleet"
-	// Steward is the stewards' program.
-	Steward = "cherrytrestle-steward"
+	Relay   = "cherrytrestle"         // a relay that runs on its own
+	Fleet   = "cherrytrestle-fleet"   // a relay that is a member of its fleet
+	Steward = "cherrytrestle-steward" // a steward
 )
 
-// FindRoot is the repository's root above a folder.
+// FindRoot returns the root of the repository that contains the folder from.
 func FindRoot(from string) (string, error) {
 	dir, err := filepath.Abs(from)
 	if err != nil {
@@ -35,14 +34,14 @@
 	}
 }
 
-// WorkTree builds the work as it stands into a folder and returns the program's path and the revision, with + behind it where
-// the work differs.
+// WorkTree builds the working tree into outDir. It returns the path of the relay program and the revision as Head does.
 func WorkTree(ctx context.Context, root, outDir string, tags ...string) (program, revision string, err error) {
 	program, err = compile(ctx, root, outDir, tags...)
 	return program, Head(ctx, root), err
 }
 
-// Head is the revision of the work, with + behind it where the work differs, or "unknown".
+// Head returns the checked-out revision, followed by + if Go files or go.mod in the working tree differ from it, or
+// "unknown".
 func Head(ctx context.Context, root string) string {
 	revision, err := git(ctx, root, "rev-parse", "--short", "HEAD")
 	if err != nil {
@@ -54,8 +53,7 @@
 	return revision
 }
 
-// Revision builds a revision into a folder, in a work tree of its own that is gone afterwards. patch, if not "", is a
-// file that is applied to it first.
+// Revision builds a revision into outDir, in a temporary worktree. patch, if not "", is a file that is applied first.
 func Revision(ctx context.Context, root, rev, patch, outDir string, tags ...string) (program, revision string, err error) {
 	if revision, err = git(ctx, root, "rev-parse", "--short", rev+"^{commit}"); err != nil {
 		return "", "", err
@@ -90,7 +88,7 @@
 	packages := []string{"./cmd/" + Relay}
 	for _, name := range []string{Fleet, Steward} {
 		if _, err := os.Stat(filepath.Join(tree, "cmd", name)); err == nil {
-			packages = append(packages, "./cmd/"+name) // earlier revisions have none
+			packages = append(packages, "./cmd/"+name) // earlier revisions don't have them
 		}
 	}
 	cmd := exec.CommandContext(ctx, "go", append([]string{"build", "-buildvcs=false", "-ldflags=-linkmode=external",
--- a/internal/testbed/ledger/ledger.go
+++ b/internal/testbed/ledger/ledger.go
@@ -1,9 +1,9 @@
-// Package ledger is what the testbed's own parties saw in a run: every request and its answer, every call that reached an
-// endpoint, every notice, what was told, and how each process fared. It holds facts as they stood on the emulator's side
-// of the sockets, and judges nothing; package audit does. Neither shares code with the relay, so that an error there is
-// not repeated here.
+// Package ledger records what the testbed's own parties observed in a run: every request and its answer, every call that
+// reached an endpoint, every notice, every change of discovery's list, and the start and end of each process. It holds the
+// facts as seen on the testbed's side of the sockets; package audit evaluates them. Neither shares code with the relay, so
+// that an error there is not repeated here.
 //
-// Times are from the start of the run, by its monotonic clock.
+// Times count from the start of the run, by the monotonic clock.
 package ledger
 
 import (
@@ -12,10 +12,10 @@
 	"time"
 )
 
-// Never is a time that has not come.
+// Never is the time of an event that has not happened.
 const Never = time.Duration(-1)
 
-// Ledger collects records. It is safe for concurrent use; the slices are to be read once the run is over.
+// Ledger collects records. Its methods are safe for concurrent use; its slices may be read once the run is over.
 type Ledger struct {
 	start time.Time
 
@@ -32,34 +32,34 @@
 	UnexplainedCalls []UnexplainedCall
 	Views            []ViewChange
 	Traffic          []Traffic
-	// Recoveries is what restarts told of the messages that they found, where relays log it.
+	// Recoveries are the messages that restarted relays recovered, if they log it.
 	Recoveries []Recovery
-	// LearnedEnds are the ends that relays have learned of from endpoints, where they log them.
+	// LearnedEnds are the ends of messages that relays learned of from endpoints, if they log it.
 	LearnedEnds []LearnedEnd
-	// Resubmissions are ids that were handed in again.
+	// Resubmissions are requests that reused the id of an earlier one.
 	Resubmissions []*Resubmission
 
 	byTrace map[string]*Submission
 }
 
-// Offset is a moment of the wall clock, as the ledger counts.
+// Offset converts a wall-clock time to the time of the run.
 func (l *Ledger) Offset(t time.Time) time.Duration { return t.Sub(l.start) }
 
-// Submission is one request that a client made. A message may be handed in several times, under a fresh trace each.
+// Submission is one request of a client. A message may be submitted several times, each time with a new trace.
 type Submission struct {
 	Message    int // index among the plan's arrivals
-	Try        int // 0: the first
+	Try        int // 0: the first submission of the message
 	Trace      string
 	Key        string
 	Relay      int
-	Due        time.Duration // when it was to be sent
-	Sent       time.Duration // its last byte; Never if it was not written whole
-	Deadline   time.Duration // the message's
+	Due        time.Duration // when the client meant to send it
+	Sent       time.Duration // when its last byte was written; Never if it was not written whole
+	Deadline   time.Duration // of the message
 	Answered   time.Duration // Never if no answer came
 	Status     int
-	RetryAfter time.Duration // told with a refusal
-	Abandoned  bool          // its client went away before an answer
-	ConnBroken bool          // the connection ended with no answer once the request was written
+	RetryAfter time.Duration // sent with a refusal
+	Abandoned  bool          // the client stopped waiting before an answer came
+	ConnBroken bool          // the connection ended without an answer after the request was written
 }
 
 // Call is one call as it reached an endpoint.
@@ -69,20 +69,20 @@
 	Traces      []string
 	Keys        []string
 	FirstByte   time.Duration
-	LastByte    time.Duration // Never if it did not come whole
-	FirstOnConn bool          // the first on its connection
+	LastByte    time.Duration // Never if the call did not arrive whole
+	FirstOnConn bool          // the first call on its connection
 	Probe       bool
-	Status      int           // of the answer; 0: none was written
-	States      []string      // of a bundle's answer
-	Written     time.Duration // the answer's; Never
-	RetryAfter  time.Duration // told with it
-	MayHaveRun  bool          // what became of it does not prove that it never ran
+	Status      int           // of the answer; 0: no answer was written
+	States      []string      // of the messages, from the answer to a bundle
+	Written     time.Duration // when the answer was written, or Never
+	RetryAfter  time.Duration // sent with the answer
+	MayHaveRun  bool          // the result does not prove that the call was not executed
 	Ran         bool
 	Latency     time.Duration
-	InOutage    bool // the endpoint was in an outage that had not ended
+	InOutage    bool // the endpoint was in an outage
 }
 
-// Notice is a line of a POST to /v2/finals.
+// Notice is a final notice: a line of a POST to /v2/finals.
 type Notice struct {
 	Relay      int
 	Trace      string
@@ -91,7 +91,7 @@
 	At         time.Duration
 }
 
-// ListChange is a change of the list that a relay's agent had, and so counts as told to it.
+// ListChange is a change of the list of a relay's discovery agent. From then on, the relay counts as informed of it.
 type ListChange struct {
 	Relay    int
 	Endpoint int
@@ -104,123 +104,124 @@
 	Relay        int
 	PID          int
 	Start        time.Duration
-	Ready        time.Duration // its first 200 to /_health; Never
-	StopSignaled time.Duration // SIGTERM or SIGKILL by the testbed; Never
+	Ready        time.Duration // when it first reported ready, or Never
+	StopSignaled time.Duration // when the testbed first sent SIGTERM or SIGKILL, or Never
 	End          time.Duration // Never while it runs
 	Exit         string        // how it ended
-	EmptyState   bool          // it began with an empty folder
+	EmptyState   bool          // it started with an empty state folder
 	Pauses       []Pause
-	Replacement  bool // a process beside which it was started
+	Replacement  bool // it was started to replace a running process
 }
 
-// ViewChange is a change of what a relay sees of its fleet, by its own log.
+// ViewChange is a change of a relay's view of its fleet, from its log.
 type ViewChange struct {
 	Relay, PID   int
 	At           time.Duration
 	Present      int
 	Agreement    string
-	Joined, Left []string // names
+	Joined, Left []string // names of relays
 }
 
-// Traffic is what a member's part in its fleet cost the network between two moments.
+// Traffic is the number of bytes that a member sent to its fleet between two times.
 type Traffic struct {
 	Relay    int
 	From, To time.Duration
 	Bytes    int64
 }
 
-// Recovery is a message that a restart found, with the time that it took it to have left.
+// Recovery is a message that a restarted relay recovered, with the time that the relay took it to have left.
 type Recovery struct {
 	Relay     int
 	Trace     string
 	At        time.Duration
 	Remaining time.Duration
-	// Attempts are those that its relay has on record, those among them that could not connect and reached no endpoint.
+	// Attempts counts the attempts on record at the relay, including those that failed to connect and reached no endpoint.
 	Attempts int
 }
 
-// LearnedEnd is the end of a message that a relay has learned of from an endpoint.
+// LearnedEnd is the end of a message that a relay learned of from an endpoint.
 type LearnedEnd struct {
 	Relay int
 	Trace string
 	At    time.Duration
 }
 
-// Resubmission is one request under the id of an earlier one. It counts for no worth.
+// Resubmission is a request that reuses the id of an earlier one. It yields no worth.
 type Resubmission struct {
 	Relay    int
 	Trace    string
 	Sent     time.Duration
-	Deadline time.Duration // that it states
+	Deadline time.Duration // as stated in the request
 	Answered time.Duration // Never if no answer came
 	Status   int
 }
 
-// Pause is a time for which a process stood still.
+// Pause is a period for which a process was stopped.
 type Pause struct{ From, To time.Duration }
 
-// HostilePeer is a hostile peer.
+// HostilePeer is a connection of a peer that makes no valid request.
 type HostilePeer struct {
 	Relay     int
 	Behavior  int
-	At        time.Duration // it connected
-	Rejected  time.Duration // an error or a close came; Never
-	Status    int           // of an error; 0: a close
-	RelayDown bool          // its relay was not there, or died, meanwhile
+	At        time.Duration // when it connected
+	Rejected  time.Duration // when it got an error or the connection was closed, or Never
+	Status    int           // of the answer; 0: no answer
+	RelayDown bool          // the relay was down at the end
 }
 
-// Sample is what a process held at a moment.
+// Sample is the resource usage of a process at a time.
 type Sample struct {
 	Relay, PID int
 	At         time.Duration
 	MemoryMB   float64
 	Sockets    int
 	DiskMB     float64
-	CPU        time.Duration // used so far
+	CPU        time.Duration // processor time used so far
 }
 
-// Outage is a time for which a scope, a destination or one endpoint of separate routes, failed or refused most calls.
+// Outage is a period in which a scope failed or refused most calls. A scope is a destination, or one endpoint where the
+// destination has separate routes.
 type Outage struct {
-	Scope         int // the testbed's number for it
+	Scope         int // its number in the testbed
 	Partner       int
-	From, To      time.Duration // To: Never until it is over
-	Witnesses     map[int]bool  // relays whose calls failed there, or were refused, meanwhile
-	Collapsed     time.Duration // pushed over after it; Never
-	CollapseCalls int           // calls in the span that pushed it over
-	WitnessCalls  int           // and those of them from witnesses
+	From, To      time.Duration // To is Never while the outage lasts
+	Witnesses     map[int]bool  // relays whose calls failed or were refused meanwhile
+	Collapsed     time.Duration // when calls overloaded the scope after the outage, or Never
+	CollapseCalls int           // calls in the period that caused the collapse
+	WitnessCalls  int           // those of CollapseCalls that came from witnesses
 }
 
-// LimitChange is a limit from a moment on.
+// LimitChange is the limit of a destination from a time on.
 type LimitChange struct {
 	Partner int
 	At      time.Duration
 	Limit   float64
 }
 
-// UnexplainedCall is a call that no client's request explains.
+// UnexplainedCall is a call that no request of a client explains.
 type UnexplainedCall struct {
 	Relay, Endpoint int
 	At              time.Duration
 	Reason          string
 }
 
-// New returns a ledger that begins now.
+// New returns an empty ledger of a run that starts now.
 func New() *Ledger { return &Ledger{start: time.Now(), byTrace: map[string]*Submission{}} }
 
-// Now is the time of the run.
+// Now returns the time of the run.
 func (l *Ledger) Now() time.Duration { return time.Since(l.start) }
 
-// StartTime is when the run began.
+// StartTime returns the wall-clock time at which the run started.
 func (l *Ledger) StartTime() time.Time { return l.start }
 
-// Update changes records that were added before.
+// Update calls f with the ledger locked, to change records that were added before.
 func (l *Ledger) Update(f func()) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	f()
 }
 
-// AddSubmission adds a request that is about to be made.
+// AddSubmission adds a request that is about to be sent.
 func (l *Ledger) AddSubmission(h *Submission) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -228,7 +229,7 @@
 	l.byTrace[h.Trace] = h
 }
 
-// Find returns the request with a trace; nil if there is none.
+// Find returns the submission with a trace, or nil.
 func (l *Ledger) Find(trace string) *Submission {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -269,6 +270,6 @@
 	case *Resubmission:
 		l.Resubmissions = append(l.Resubmissions, x)
 	default:
-		panic(fmt.Sprintf("ledger: no place for %T", x))
+		panic(fmt.Sprintf("ledger: unknown record type %T", x))
 	}
 }
--- a/internal/testbed/load/crowd.go
+++ b/internal/testbed/load/crowd.go
@@ -10,12 +10,13 @@
 )
 
 const (
-	idleRelayEvery = 4 // of so many relays one is crowded
+	idleRelayEvery = 4 // one relay of so many gets idle clients
 	reconnectPause = 200 * time.Millisecond
 	idleClientSeed = 0x6372_6f77
 )
 
-// RunIdleClients has idle clients hold connections at some of the relays until ctx ends. One that its relay closes comes again.
+// RunIdleClients starts idle clients that hold connections to some of the relays until ctx ends. They reconnect when a
+// relay closes their connection.
 func (l *Load) RunIdleClients(ctx context.Context, offset time.Duration) {
 	rng := rand.New(rand.NewPCG(l.plan.Seed, idleClientSeed))
 	connections := int(l.plan.Experiment.Load.Crowd.Draw(rng))
@@ -32,7 +33,7 @@
 	}
 }
 
-// holdIdleConn is a client that connects and says nothing.
+// holdIdleConn is a client that connects and sends nothing.
 func (l *Load) holdIdleConn(ctx context.Context, relay int) {
 	for network.Sleep(ctx, reconnectPause) == nil {
 		if !l.alive(relay) {
@@ -43,7 +44,7 @@
 			continue
 		}
 		stop := context.AfterFunc(ctx, func() { c.Close() })
-		c.Read(make([]byte, 1)) // until it is closed
+		c.Read(make([]byte, 1)) // blocks until the connection is closed
 		stop()
 		c.Close()
 	}
--- a/internal/testbed/load/hostile.go
+++ b/internal/testbed/load/hostile.go
@@ -14,10 +14,11 @@
 	"onyxroad.dev/onyxroad/internal/testbed/plan"
 )
 
-// hostileTimeout is how long a hostile peer stays: longer than it is owed an error or a close in.
+// hostileTimeout is how long a hostile peer stays connected: longer than a relay may take to send it an error or to close
+// the connection.
 const hostileTimeout = 5 * time.Second
 
-// RunHostilePeers has the hostile peers come, each when it is planned.
+// RunHostilePeers starts each hostile peer at its planned time.
 func (l *Load) RunHostilePeers(ctx context.Context, offset time.Duration) {
 	for i := range l.plan.Peers {
 		if network.Sleep(ctx, offset+l.plan.Peers[i].At-l.ledger.Now()) != nil {
@@ -27,12 +28,12 @@
 	}
 }
 
-// runHostilePeer is one peer that makes no proper request. It is owed an error or a close.
+// runHostilePeer runs one peer that makes no valid request. The relay must answer with an error or close the connection.
 func (l *Load) runHostilePeer(ctx context.Context, h *plan.Hostile) {
 	rec := ledger.HostilePeer{Relay: h.Relay, Behavior: h.Way, At: l.ledger.Now(), Rejected: ledger.Never}
 	c, err := (&net.Dialer{Timeout: time.Second}).DialContext(ctx, "tcp4", l.addr(h.Relay))
 	if err != nil {
-		return // its relay is not there
+		return // the relay is down
 	}
 	defer c.Close()
 	defer context.AfterFunc(ctx, func() { c.Close() })()
@@ -56,7 +57,7 @@
 	l.ledger.Add(rec)
 }
 
-// sendInvalid says what the peer says. Nothing of it is a request that may be taken on.
+// sendInvalid sends what the peer's behavior prescribes. None of it is a request that a relay may accept.
 func (l *Load) sendInvalid(ctx context.Context, c net.Conn, h *plan.Hostile) {
 	rng := rand.New(rand.NewPCG(h.Draw, 0x686f7374))
 	class := l.plan.Classes[rng.IntN(len(l.plan.Classes))].Name
@@ -68,25 +69,25 @@
 		noise[i] = byte(rng.UintN(256))
 	}
 	switch h.Way {
-	case 0: // says nothing
-	case 1: // half a head
+	case 0: // nothing
+	case 1: // a part of the header
 		c.Write([]byte(header[:20+rng.IntN(len(header)-20)]))
-	case 2: // noise
+	case 2: // random bytes
 		c.Write(append(noise, "\r\n\r\n"...))
 	case 3: // no destination
 		c.Write([]byte(header + "Content-Length: 0\r\n\r\n"))
-	case 4: // a body that does not come
+	case 4: // a body that does not arrive
 		c.Write([]byte(header + dest + "Content-Length: 300\r\n\r\nabc"))
-	case 5: // a head without end
+	case 5: // an endless header
 		c.Write([]byte(header))
 		for ctx.Err() == nil {
 			if _, err := fmt.Fprintf(c, "X-%d: %x\r\n", rng.IntN(1000), noise); err != nil {
 				return
 			}
 		}
-	case 6: // two lengths
+	case 6: // contradictory lengths
 		c.Write([]byte(header + dest + "Content-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n"))
-	case 7: // a byte now and then
+	case 7: // one byte at a time
 		for _, b := range []byte(header) {
 			if _, err := c.Write([]byte{b}); err != nil || network.Sleep(ctx, 100*time.Millisecond) != nil {
 				return
--- a/internal/testbed/load/load.go
+++ b/internal/testbed/load/load.go
@@ -1,5 +1,6 @@
-// Package load is the clients: it hands each planned message in when it is due, and never later because an earlier one
-// still waits for its answer, so that a stall of the relay counts in full against every message that fell into it.
+// Package load emulates the clients. It is an open-loop load generator: each planned message is submitted when it is due,
+// even while earlier ones wait for their answers, so that a stall of a relay counts in full against every message that it
+// delays.
 package load
 
 import (
@@ -24,12 +25,12 @@
 )
 
 const (
-	connIdleTimeout  = 5 * time.Second // a client keeps a connection for so long
-	maxBrokenRetries = 4               // times that a message comes again because its relay died or did not answer
+	connIdleTimeout  = 5 * time.Second // for which a client keeps an unused connection
+	maxBrokenRetries = 4               // of a message whose relay crashed or did not answer
 	minTimeLeft      = 50 * time.Millisecond
 )
 
-// Load is the clients of all relays.
+// Load runs the clients of all relays.
 type Load struct {
 	plan   *plan.Plan
 	ledger *ledger.Ledger
@@ -40,12 +41,12 @@
 
 	mu       sync.Mutex
 	pools    []pool
-	lateness *hdrhistogram.Histogram    // microseconds from when a message was due to when its client began
-	pending  map[string]*pendingMessage // by trace: messages that a notice may hand back
+	lateness *hdrhistogram.Histogram    // microseconds from the due time of a message to its submission
+	pending  map[string]*pendingMessage // by trace: messages that a notice may return to the client
 	alive    func(relay int) bool
 }
 
-// pool is the idle connections to one relay.
+// pool holds the idle connections to one relay.
 type pool []*conn
 
 type conn struct {
@@ -54,24 +55,24 @@
 	idleSince time.Time
 }
 
-// pendingMessage is a message that its client has not had delivered.
+// pendingMessage is a message that a client may have to submit again.
 type pendingMessage struct {
 	message     int
 	try         int
 	refusals    int
 	brokenTries int
 	relay       int
-	abandoned   bool // it has left once already
+	abandoned   bool // the client has already given up on an answer once
 }
 
-// New returns the load of a plan. addr tells where a relay's clients find it, alive whether it runs.
+// New returns the load of a plan. addr returns a relay's address for clients, alive whether clients may connect to it.
 func New(p *plan.Plan, led *ledger.Ledger, addr func(int) string, alive func(int) bool) *Load {
 	return &Load{plan: p, ledger: led, addr: addr, alive: alive, pools: make([]pool, len(p.Relays)), pending: map[string]*pendingMessage{},
 		lateness: hdrhistogram.New(1, int64(time.Minute/time.Microsecond), 3)}
 }
 
-// Run hands in every message when it is due, counted from offset, and returns when the last one was, or ctx ends. Retries
-// and answers go on until Wait.
+// Run submits every message at its due time, counted from offset. It returns after the last one or when ctx ends. Answers
+// and retries continue in the background; see Wait.
 func (l *Load) Run(ctx context.Context, offset time.Duration) {
 	l.ctx, l.offset = ctx, offset
 	for i := range l.plan.Arrivals {
@@ -84,7 +85,7 @@
 	}
 }
 
-// Wait waits for what is under way.
+// Wait waits for all requests and retries, and closes the idle connections.
 func (l *Load) Wait() {
 	l.wg.Wait()
 	l.mu.Lock()
@@ -96,14 +97,14 @@
 	}
 }
 
-// Lateness is how late the clients themselves were, at a quantile from 0 to 100.
+// Lateness returns a quantile (0 to 100) of how much later than due the clients submitted messages.
 func (l *Load) Lateness(quantile float64) time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return time.Duration(l.lateness.ValueAtQuantile(quantile)) * time.Microsecond
 }
 
-// traceID is a message's id on one occasion.
+// traceID returns the id of one submission of a message.
 func (l *Load) traceID(w *pendingMessage) string {
 	rng := rand.New(rand.NewPCG(l.plan.Arrivals[w.message].Draw, uint64(w.try)))
 	return fmt.Sprintf("%016x", rng.Uint64())
@@ -114,7 +115,8 @@
 	return fmt.Sprintf("%016x%016x", rng.Uint64(), rng.Uint64())
 }
 
-// submit hands a message in, once, and sees to what follows.
+// submit submits a message once and schedules a retry if the result calls for one. secondTry is the value of the header
+// X-Second-Try; "" sends none.
 func (l *Load) submit(w *pendingMessage, secondTry string, due time.Duration) {
 	a := &l.plan.Arrivals[w.message]
 	class := &l.plan.Classes[a.Class]
@@ -145,15 +147,16 @@
 	l.resubmit(h, a)
 	switch {
 	case err == nil && status < 300:
-		return // taken on: what comes of it is the relay's to say
+		return // accepted: the relay is responsible from here on
 	case err == nil && (status == http.StatusTooManyRequests || status == http.StatusServiceUnavailable):
 		l.retryRefused(w, retryAfter)
 	case err == nil:
-		return // failed
+		return // rejected for good
 	case abandons:
 		l.scheduleRetry(w, a.Again, "")
 	default:
-		// Not there, broken off, or no answer in time: to a live relay, unless it may have run and may not be repeated.
+		// The relay was down, the connection broke, or no answer came in time. Submit again to a running relay, unless the
+		// message may have been executed and must not be repeated.
 		if class.Effect == "unsafe" && l.mayHaveRun(h.Trace) {
 			return
 		}
@@ -169,7 +172,7 @@
 	}
 }
 
-// runningRelay is a relay that runs: the same one if it does.
+// runningRelay returns relay if it is running, and otherwise another one that is.
 func (l *Load) runningRelay(relay int, draw uint64) int {
 	n := len(l.plan.Relays)
 	for k := range n {
@@ -192,7 +195,7 @@
 	return may
 }
 
-// retryRefused has the message come again after a refusal, if its client does.
+// retryRefused schedules a retry after a refusal, if the client has retries left.
 func (l *Load) retryRefused(w *pendingMessage, retryAfter time.Duration) {
 	a := &l.plan.Arrivals[w.message]
 	if w.refusals >= a.Retries {
@@ -206,7 +209,7 @@
 	l.scheduleRetry(w, wait, "1")
 }
 
-// scheduleRetry hands the message in once more after d.
+// scheduleRetry submits the message again after d.
 func (l *Load) scheduleRetry(w *pendingMessage, d time.Duration, secondTry string) {
 	next := *w
 	next.try++
@@ -217,7 +220,7 @@
 	})
 }
 
-// HandleNotice is told of each notice: a message that is handed back may come again.
+// HandleNotice processes a notice: the client may submit a deferred message again.
 func (l *Load) HandleNotice(n ledger.Notice) {
 	l.mu.Lock()
 	w := l.pending[n.Trace]
@@ -228,9 +231,10 @@
 	}
 }
 
-// request makes a request and reads its answer. A connection that its relay closed before it read the request is no end:
-// the request goes once more on a new one.
-func (l *Load) request(h *ledger.Submission, a *plan.Arrival, secondTry string, wait time.Duration) (status int, retryAfter time.Duration, err error) {
+// request sends a request and reads its answer. If a reused connection fails, because the relay may have closed it before
+// it read the request, the request is sent again on a new connection.
+func (l *Load) request(h *ledger.Submission, a *plan.Arrival, secondTry string, wait time.Duration) (
+	status int, retryAfter time.Duration, err error) {
 	deadline := time.Now().Add(wait)
 	for try := 0; ; try++ {
 		c, isNew, err := l.connect(h.Relay, deadline, try > 0)
@@ -246,7 +250,7 @@
 
 var (
 	errAnswerTimeout = errors.New("no answer in time")
-	errRelayDown     = errors.New("relay not there")
+	errRelayDown     = errors.New("relay is down")
 )
 
 func (l *Load) connect(relay int, deadline time.Time, forceNew bool) (c *conn, isNew bool, err error) {
@@ -264,7 +268,7 @@
 		}
 		c.Close()
 	}
-	// While a relay ends its clients come on the connections that stay open, and on no new ones.
+	// While a relay shuts down, its clients use the connections that are still open but open no new ones.
 	if !l.alive(relay) {
 		return nil, true, errRelayDown
 	}
@@ -275,7 +279,8 @@
 	return &conn{Conn: nc, r: bufio.NewReaderSize(nc, 1024)}, true, nil
 }
 
-func (l *Load) exchange(c *conn, h *ledger.Submission, a *plan.Arrival, secondTry string, deadline time.Time) (status int, retryAfter time.Duration, err error) {
+func (l *Load) exchange(c *conn, h *ledger.Submission, a *plan.Arrival, secondTry string, deadline time.Time) (
+	status int, retryAfter time.Duration, err error) {
 	defer func() {
 		if err != nil {
 			c.Close()
@@ -296,7 +301,8 @@
 		return 0, 0, errAnswerTimeout
 	}
 	if err != nil {
-		// A relay may close a connection between requests, and a request that crosses that comes once more.
+		// Only a failure of a new connection counts: a relay may close an idle one just as a request is sent, which is then
+		// sent again.
 		l.ledger.Update(func() { h.ConnBroken = c.idleSince.IsZero() })
 		return 0, 0, err
 	}
@@ -318,7 +324,7 @@
 	return res.StatusCode, retryAfter, nil
 }
 
-// requestText is a request as it goes over the wire.
+// requestText returns a request as it is sent.
 func (l *Load) requestText(h *ledger.Submission, a *plan.Arrival, secondTry string) []byte {
 	class := l.plan.Classes[a.Class].Name
 	b := fmt.Appendf(nil, "POST /%s HTTP/1.1\r\nHost: origin.svc\r\nX-Trace-Id: %s\r\nX-Qos: %s\r\nX-Customer: %s\r\nX-Expires-In-Ms: %d\r\n"+
--- a/internal/testbed/load/resubmit.go
+++ b/internal/testbed/load/resubmit.go
@@ -13,15 +13,15 @@
 )
 
 const (
-	maxResubmissions = 3 // of one id at most
+	maxResubmissions = 3 // of one id
 	minResubmitDelay = 20 * time.Millisecond
-	resubmitWindow   = 5 * time.Second // within which an id comes again
-	resubmitTimeout  = 2 * time.Second // for the answer
+	resubmitWindow   = 5 * time.Second // within which an id is submitted again
+	resubmitTimeout  = 2 * time.Second // for the connection and the answer
 	resubmitSeed     = 0x7265_7375
 )
 
-// resubmit has the id of a request come again now and then, as hostile clients do: on a connection of its own, with the time that
-// its class has, and whatever became of the request.
+// resubmit submits the id of a request again at random, as hostile clients do: on a new connection, with the full deadline
+// of its class, and regardless of the request's result.
 func (l *Load) resubmit(h *ledger.Submission, a *plan.Arrival) {
 	rng := rand.New(rand.NewPCG(a.Draw, resubmitSeed+uint64(h.Try)))
 	if rng.Float64() >= l.plan.Experiment.Load.Resubmitted {
--- a/internal/testbed/network/forward.go
+++ b/internal/testbed/network/forward.go
@@ -11,14 +11,14 @@
 	"time"
 )
 
-// flowIdleTimeout is how long a datagram's sender is remembered after its last one, so that answers find back to it.
+// flowIdleTimeout is how long a flow is kept after the peer's last datagram, so that answers can be routed back.
 const flowIdleTimeout = 30 * time.Second
 
-// Forwarder carries UDP or TCP between processes that cannot be told to wait on a Path: peers speak to its address
-// instead of to the target's, and each of them has the path that Choose gives.
+// Forwarder forwards UDP or TCP between processes that cannot wait on a Path themselves: peers connect to its address
+// instead of the target's, and the traffic of each peer takes the path that PathFor returns.
 type Forwarder struct {
 	Target string
-	// PathFor gives the path of a peer by its address; nil turns the peer away.
+	// PathFor returns the path of a peer by its address; nil rejects the peer.
 	PathFor func(from netip.AddrPort) *Path
 
 	cancel context.CancelFunc
@@ -30,14 +30,14 @@
 	flows map[netip.AddrPort]*flow
 }
 
-// flow is what goes between one sender of datagrams and the target.
+// flow is the UDP traffic between one peer and the target.
 type flow struct {
-	conn     *net.UDPConn // towards the target
+	conn     *net.UDPConn // to the target
 	path     *Path
 	lastUsed time.Time
 }
 
-// ForwardTCP serves TCP at addr.
+// ForwardTCP listens at addr and forwards TCP connections until Close.
 func (f *Forwarder) ForwardTCP(addr string) error {
 	l, err := net.Listen("tcp4", addr)
 	if err != nil {
@@ -51,7 +51,7 @@
 				return
 			}
 			if err != nil {
-				time.Sleep(time.Millisecond) // short of descriptors, say
+				time.Sleep(time.Millisecond) // out of file descriptors, for example
 				continue
 			}
 			f.wg.Go(func() { f.forwardConn(ctx, c) })
@@ -66,10 +66,10 @@
 	return ctx
 }
 
-// Addr is where peers find the forwarder.
+// Addr returns the address at which the forwarder listens.
 func (f *Forwarder) Addr() string { return f.addr.String() }
 
-// Close ends it and all that it carries.
+// Close stops the forwarder and closes all connections and flows.
 func (f *Forwarder) Close() {
 	f.cancel()
 	f.closer.Close()
@@ -81,7 +81,7 @@
 	f.wg.Wait()
 }
 
-// forwardConn is one TCP connection.
+// forwardConn forwards one TCP connection.
 func (f *Forwarder) forwardConn(ctx context.Context, near net.Conn) {
 	defer near.Close()
 	path := f.PathFor(near.RemoteAddr().(*net.TCPAddr).AddrPort())
@@ -108,7 +108,7 @@
 	wg.Wait()
 }
 
-// copyDelayed carries one direction, each piece as late as the path says and none before the one ahead of it.
+// copyDelayed copies one direction of a connection. It delays each chunk as the path says and keeps their order.
 func copyDelayed(ctx context.Context, to io.Writer, from io.Reader, path *Path, d Direction) {
 	type chunk struct {
 		data []byte
@@ -133,7 +133,7 @@
 		}
 	}()
 	for p := range chunks {
-		// What queued up behind an earlier piece has had a part of its delay.
+		// The time that a chunk waited behind an earlier one counts towards its delay.
 		c := path.Conditions(d)
 		if Sleep(ctx, c.Delay-time.Since(p.at)) != nil || path.awaitCutEnd(ctx, d) != nil {
 			return
@@ -144,7 +144,8 @@
 	}
 }
 
-// ForwardUDP serves UDP at addr. The target sees each peer at an address of the forwarder's.
+// ForwardUDP listens at addr and forwards datagrams until Close. The target sees a separate address of the forwarder for
+// each peer.
 func (f *Forwarder) ForwardUDP(addr string) error {
 	a, err := net.ResolveUDPAddr("udp4", addr)
 	if err != nil {
@@ -175,7 +176,7 @@
 	return nil
 }
 
-// flowFor finds or begins the flowFor of a sender; nil if it is turned away.
+// flowFor returns the flow of a peer and creates it if needed; nil if the peer is rejected.
 func (f *Forwarder) flowFor(ctx context.Context, near *net.UDPConn, from netip.AddrPort, target *net.UDPAddr) *flow {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -207,7 +208,7 @@
 			if errors.Is(err, net.ErrClosed) {
 				return
 			}
-			if err == nil { // an error else tells that the target is not there just now
+			if err == nil { // other errors mean that the target is not listening at present
 				forwardDatagram(ctx, path, Inbound, buf[:n], func(b []byte) { near.WriteToUDPAddrPort(b, from) })
 			}
 		}
@@ -215,7 +216,7 @@
 	return x
 }
 
-// forwardDatagram has the copies of a datagram that arrive written when they do.
+// forwardDatagram writes the copies of a datagram that arrive, each after its delay.
 func forwardDatagram(ctx context.Context, path *Path, d Direction, data []byte, write func([]byte)) {
 	for _, wait := range path.drawDatagram(d) {
 		b := append([]byte(nil), data...)
--- a/internal/testbed/network/hole.go
+++ b/internal/testbed/network/hole.go
@@ -11,9 +11,9 @@
 	"golang.org/x/sys/unix"
 )
 
-// Listen listens at a port of every loopback address: the connection's local address tells by which of them a peer came,
-// so that one listener serves a party that each peer knows by an address of its own. Others may listen at single addresses
-// of the port beside it, and go first there; see Hole.
+// Listen listens at a port of every loopback address. The local address of a connection tells which of them the peer used,
+// so one listener can serve a party that has a different address for each peer. A listener at a single address of the port
+// may coexist with it and takes precedence there; see Blackhole.
 func Listen(port int) (net.Listener, error) {
 	lc := net.ListenConfig{Control: func(_, _ string, c syscall.RawConn) error { return sharePortOnLoopback(c) }}
 	l, err := lc.Listen(context.Background(), "tcp4", fmt.Sprintf("0.0.0.0:%d", port))
@@ -23,7 +23,7 @@
 	return l, nil
 }
 
-// sharePortOnLoopback has a socket share its port, and take what comes over the loopback interface alone.
+// sharePortOnLoopback lets a socket share its port and restricts it to the loopback interface.
 func sharePortOnLoopback(c syscall.RawConn) error {
 	var err error
 	if e := c.Control(func(fd uintptr) { err = setSharedLoopback(int(fd)) }); e != nil {
@@ -41,16 +41,16 @@
 	return os.NewSyscallError("bind to lo", unix.BindToDevice(fd, "lo"))
 }
 
-// Blackhole is an address at which connections neither come up nor are refused, as at a machine that is cut off: a listener
-// whose queue is full, so that the kernel drops what else asks to connect.
+// Blackhole is an address at which connections are neither established nor refused, as at a machine that is cut off. It is
+// a listener with a full accept queue, for which the kernel drops further connection requests.
 type Blackhole struct{ fds []int }
 
-// NewBlackhole makes the address ip:port a hole, also where Listen serves the port.
+// NewBlackhole makes the address ip:port a black hole, even if Listen serves the port.
 func NewBlackhole(ip net.IP, port int) (*Blackhole, error) {
 	h := &Blackhole{}
 	if err := h.open(ip, port); err != nil {
 		h.Close()
-		return nil, fmt.Errorf("network: hole at %v:%d: %w", ip, port, err)
+		return nil, fmt.Errorf("network: black hole at %v:%d: %w", ip, port, err)
 	}
 	return h, nil
 }
@@ -70,7 +70,7 @@
 	if err := unix.Listen(fd, 0); err != nil {
 		return os.NewSyscallError("listen", err)
 	}
-	// The one connection that a queue of none takes.
+	// A backlog of 0 still queues one connection; this one fills it.
 	if fd, err = h.newSocket(unix.SOCK_NONBLOCK); err != nil {
 		return err
 	}
@@ -89,7 +89,7 @@
 	return fd, nil
 }
 
-// Close ends the hole.
+// Close closes the sockets, so that the address works as before.
 func (h *Blackhole) Close() {
 	for _, fd := range h.fds {
 		unix.Close(fd)
@@ -97,7 +97,7 @@
 	h.fds = nil
 }
 
-// Reset closes a connection so that its peer sees it reset.
+// Reset closes a connection with a TCP reset.
 func Reset(c net.Conn) {
 	if t, ok := c.(*net.TCPConn); ok {
 		t.SetLinger(0)
--- a/internal/testbed/network/network_test.go
+++ b/internal/testbed/network/network_test.go
@@ -17,23 +17,23 @@
 		p := NewPath(Conditions{Delay: 50 * time.Millisecond}, 1)
 		began := time.Now()
 		if err := p.AwaitArrival(t.Context(), Outbound); err != nil || time.Since(began) != 50*time.Millisecond {
-			t.Errorf("passed after %v, %v", time.Since(began), err)
+			t.Errorf("arrived after %v, %v", time.Since(began), err)
 		}
-		// A cut of one direction holds that one up, and not the other.
+		// A cut of one direction stalls that one and not the other.
 		p.Update(Outbound, func(c *Conditions) { c.Cut = true })
 		time.AfterFunc(3*time.Second, func() { p.Update(Outbound, func(c *Conditions) { c.Cut = false }) })
 		began = time.Now()
 		if p.AwaitArrival(t.Context(), Inbound); time.Since(began) != 50*time.Millisecond {
-			t.Errorf("back after %v", time.Since(began))
+			t.Errorf("inbound: arrived after %v", time.Since(began))
 		}
 		if p.AwaitArrival(t.Context(), Outbound); time.Since(began) != 3*time.Second {
-			t.Errorf("out after %v", time.Since(began))
+			t.Errorf("outbound: arrived after %v", time.Since(began))
 		}
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
 		p.Update(Outbound, func(c *Conditions) { c.Cut = true })
 		if err := p.AwaitArrival(ctx, Outbound); !errors.Is(err, context.DeadlineExceeded) {
-			t.Errorf("a cut without end: %v", err)
+			t.Errorf("cut that does not end: %v", err)
 		}
 	})
 }
@@ -50,11 +50,11 @@
 		}
 	}
 	if lost < 2850 || lost > 3150 || duplicated < 600 || duplicated > 800 {
-		t.Errorf("%d lost, %d twice of 10000", lost, duplicated)
+		t.Errorf("%d lost, %d duplicated of 10000", lost, duplicated)
 	}
 }
 
-// TestBlackhole connects to an address that others of its port serve, while it is a hole and afterwards.
+// TestBlackhole connects to an address of a port that Listen serves, while the address is a black hole and afterwards.
 func TestBlackhole(t *testing.T) {
 	l, err := Listen(0)
 	if err != nil {
@@ -82,16 +82,16 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	// Either of the dial's two timers may say so, the context's or the socket's, with errors of their own.
+	// Either of the dial's two timers may expire first, the context's or the socket's; their errors differ.
 	if err, ok := errors.AsType[net.Error](dial(1)); !ok || !err.Timeout() {
-		t.Errorf("a hole: %v", err)
+		t.Errorf("black hole: %v", err)
 	}
 	if err := dial(2); err != nil {
-		t.Errorf("beside a hole: %v", err)
+		t.Errorf("another address than the black hole: %v", err)
 	}
 	h.Close()
 	if err := dial(1); err != nil {
-		t.Errorf("after a hole: %v", err)
+		t.Errorf("closed black hole: %v", err)
 	}
 }
 
@@ -125,12 +125,12 @@
 	if _, err := io.ReadFull(c, got); err != nil || string(got) != "hello" {
 		t.Errorf("%q, %v", got, err)
 	}
-	// The way back alone is cut: what is said arrives, and the answer once the cut is over.
+	// Only the inbound direction is cut: the data reaches the target, and the answer arrives when the cut ends.
 	path.Update(Inbound, func(c *Conditions) { c.Cut = true })
 	c.Write([]byte("again"))
 	c.SetReadDeadline(time.Now().Add(50 * time.Millisecond))
 	if _, err := c.Read(got); !errors.Is(err, os.ErrDeadlineExceeded) {
-		t.Errorf("through a cut: %v", err)
+		t.Errorf("read during the cut: %v", err)
 	}
 	c.SetReadDeadline(time.Time{})
 	path.Update(Inbound, func(c *Conditions) { c.Cut = false })
@@ -168,7 +168,7 @@
 	defer c.Close()
 	c.Write([]byte("x"))
 	buf := make([]byte, 10)
-	for i := range 4 { // two copies either way
+	for i := range 4 { // two copies in each direction
 		c.SetReadDeadline(time.Now().Add(5 * time.Second))
 		if n, err := c.Read(buf); err != nil || string(buf[:n]) != "x" {
 			t.Fatalf("copy %d: %q, %v", i, buf[:n], err)
--- a/internal/testbed/network/path.go
+++ b/internal/testbed/network/path.go
@@ -1,7 +1,7 @@
-// Package network is the paths between the parties of a run, and what goes wrong on them. Every path is between two
-// parties and has two directions, each with conditions of its own, so that a cut may be one-way, and one pair may suffer
-// while all others don't. Nothing here needs special rights: the testbed's own parties wait on a Path before they read or
-// write, two processes speak through a Forwarder, and a listener that must seem unreachable is a Hole.
+// Package network emulates the network between the parties of a run, and its faults. A path connects two parties and has
+// two directions with separate conditions, so that a cut may be one-way or affect a single pair. Nothing here needs special
+// privileges: the testbed's own parties wait on a Path before they read or write, separate processes communicate through a
+// Forwarder, and a Blackhole makes a listener appear unreachable.
 package network
 
 import (
@@ -12,49 +12,49 @@
 	"time"
 )
 
-// Direction is one of a path's two.
+// Direction is a direction of a path.
 type Direction int
 
-// The directions. The side that opens connections is the near one.
+// The two directions. The near side is the one that opens connections.
 const (
 	Outbound Direction = iota // from the near side to the far one
 	Inbound                   // from the far side to the near one
 )
 
 const (
-	// retransmitTimeout is the first time after which TCP sends a lost segment again, doubled with each further loss; Linux's
-	// least.
+	// retransmitTimeout is the time after which TCP first sends a lost segment again, doubled with each further loss. It
+	// is the minimum of Linux.
 	retransmitTimeout = 200 * time.Millisecond
-	// maxRetransmits bounds how often a segment is lost in a row.
+	// maxRetransmits limits how often a segment is lost in a row.
 	maxRetransmits = 6
 )
 
-// Conditions are those of one direction of a path. The zero value is a perfect one.
+// Conditions are the conditions of one direction of a path. The zero value is a perfect network.
 type Conditions struct {
 	Delay     time.Duration // one way
-	Jitter    float64       // share by which the delay scatters
+	Jitter    float64       // standard deviation of the delay, relative to it
 	Loss      float64       // share of segments or datagrams that are lost
-	Duplicate float64       // share of datagrams that come twice
-	Reorder   float64       // share of datagrams that come a delay late
+	Duplicate float64       // share of datagrams that arrive twice
+	Reorder   float64       // share of datagrams that are delayed by one more Delay, at least 5 ms
 	Reset     float64       // share of calls whose connection is reset
-	Silent    float64       // share of answers that never come, while their connection stays
-	Cut       bool          // nothing arrives: TCP's is late until the cut is over, a datagram is gone
+	Silent    float64       // share of answers that never arrive although the connection stays open
+	Cut       bool          // nothing arrives: streams stall until the cut ends, datagrams are lost
 }
 
-// Path is one path.
+// Path is the path between two parties. It is safe for concurrent use.
 type Path struct {
 	mu         sync.Mutex
 	conditions [2]Conditions
-	changed    chan struct{} // closed with the next change
+	changed    chan struct{} // closed at the next update
 	rng        *rand.Rand
 }
 
-// NewPath returns a path with the same conditions either way.
+// NewPath returns a path with the same conditions in both directions.
 func NewPath(c Conditions, seed uint64) *Path {
 	return &Path{conditions: [2]Conditions{c, c}, changed: make(chan struct{}), rng: rand.New(rand.NewPCG(seed, 0x70617468))}
 }
 
-// Update changes the conditions of a direction.
+// Update calls f to change the conditions of a direction.
 func (p *Path) Update(d Direction, f func(*Conditions)) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -63,14 +63,14 @@
 	p.changed = make(chan struct{})
 }
 
-// Conditions are those of a direction now.
+// Conditions returns the current conditions of a direction.
 func (p *Path) Conditions(d Direction) Conditions {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.conditions[d]
 }
 
-// AwaitArrival waits until a segment of a stream that is sent now has arrived: its delay, with what losses add, and any cut.
+// AwaitArrival waits until a stream segment that is sent now has arrived: for its delay, its retransmissions and any cut.
 func (p *Path) AwaitArrival(ctx context.Context, d Direction) error {
 	p.mu.Lock()
 	c := p.conditions[d]
@@ -88,7 +88,7 @@
 	return p.awaitCutEnd(ctx, d)
 }
 
-// awaitCutEnd waits for the end of a cut.
+// awaitCutEnd waits until the direction is not cut.
 func (p *Path) awaitCutEnd(ctx context.Context, d Direction) error {
 	for {
 		p.mu.Lock()
@@ -105,21 +105,21 @@
 	}
 }
 
-// Resets draws whether a call in this direction has its connection reset.
+// Resets draws whether the connection of a call is reset.
 func (p *Path) Resets(d Direction) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.conditions[d].Reset > 0 && p.rng.Float64() < p.conditions[d].Reset
 }
 
-// DropsAnswer draws whether an answer in this direction never comes.
+// DropsAnswer draws whether an answer never arrives.
 func (p *Path) DropsAnswer(d Direction) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.conditions[d].Silent > 0 && p.rng.Float64() < p.conditions[d].Silent
 }
 
-// drawDatagram draws what becomes of a drawDatagram: when each copy of it arrives; none if it is lost.
+// drawDatagram draws the delay of each copy of a datagram that arrives; none if it is lost.
 func (p *Path) drawDatagram(d Direction) (copies []time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -138,12 +138,12 @@
 	return copies
 }
 
-// drawDelay draws a drawDelay; with mu held.
+// drawDelay draws a delay. The caller holds mu.
 func (p *Path) drawDelay(c Conditions) time.Duration {
 	return time.Duration(float64(c.Delay) * math.Max(0.2, 1+c.Jitter*p.rng.NormFloat64()))
 }
 
-// Sleep lets d pass; less, with its error, if ctx ends.
+// Sleep waits for d, or returns the error of ctx if that ends first.
 func Sleep(ctx context.Context, d time.Duration) error {
 	if d <= 0 {
 		return ctx.Err()
--- a/internal/testbed/platform/discovery.go
+++ b/internal/testbed/platform/discovery.go
@@ -19,19 +19,19 @@
 )
 
 const (
-	keepaliveInterval = 2 * time.Second         // a watch with nothing to tell gives an empty line so often
-	maxChangeDelay    = 6 * time.Second         // whatever there is to tell counts as told by then
-	oldAddressGrace   = 1500 * time.Millisecond // an address that was left closes its open connections after this
+	keepaliveInterval = 2 * time.Second         // between empty lines of a watch without changes
+	maxChangeDelay    = 6 * time.Second         // longest delay of a change that a fault may add
+	oldAddressGrace   = 1500 * time.Millisecond // after a move, the old address closes its open connections after this
 )
 
-// News of a change reaches an agent so long after it, drawn for each.
+// changeDelay is the range from which the delay is drawn with which a change reaches an agent.
 var changeDelay = map[string][2]time.Duration{
 	"ready":    {300 * time.Millisecond, 2100 * time.Millisecond},
 	"draining": {100 * time.Millisecond, 1000 * time.Millisecond},
 	"gone":     {1200 * time.Millisecond, 3600 * time.Millisecond},
 }
 
-// entry is one entry of the list.
+// entry is an endpoint in discovery's list.
 type entry struct {
 	ID      string  `json:"id"`
 	Addr    string  `json:"addr,omitempty"`
@@ -44,14 +44,14 @@
 	index   int
 }
 
-// List is discovery's list in its own form.
+// List is discovery's list of endpoints, or a change of it, as it is encoded for relays.
 type List struct {
 	Version int64   `json:"version"`
 	Full    bool    `json:"full"`
 	Servers []entry `json:"servers"`
 }
 
-// agent is discovery's agent on one relay's machine.
+// agent is the discovery agent on the machine of one relay.
 type agent struct {
 	platform *Platform
 	relay    int
@@ -62,11 +62,11 @@
 	servers     []*http.Server
 	entries     map[string]entry
 	version     int64
-	changes     []List // each change by itself
+	changes     []List // one list per change
 	changed     chan struct{}
 	silenced    bool
 	extraDelay  time.Duration
-	heldChanges []entry // news that did not come through yet
+	heldChanges []entry // changes that came while the agent was silenced
 }
 
 func newAgent(x *Platform, relay int) (*agent, error) {
@@ -90,16 +90,17 @@
 		index: i}
 }
 
-// serve opens the agent's address.
+// serve starts a server at the agent's current address.
 func (a *agent) serve() error {
 	l, err := net.Listen("tcp4", a.platform.ports.Agent(a.relay, a.moves))
 	if err != nil {
-		return fmt.Errorf("platform: agent: %w", err)
+		return fmt.Errorf("platform: listen as discovery agent: %w", err)
 	}
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /catalog/members", a.handleMembers)
 	mux.HandleFunc("POST /v2/finals", a.handleNotices)
-	s := &http.Server{Handler: mux, ReadHeaderTimeout: 5 * time.Second, BaseContext: func(net.Listener) context.Context { return a.platform.ctx }}
+	s := &http.Server{Handler: mux, ReadHeaderTimeout: 5 * time.Second,
+		BaseContext: func(net.Listener) context.Context { return a.platform.ctx }}
 	a.servers = append(a.servers, s)
 	a.platform.wg.Go(func() { s.Serve(l) })
 	return nil
@@ -113,7 +114,7 @@
 	}
 }
 
-// followPlan brings the news of the plan's changes to the agent.
+// followPlan passes the changes of the plan to the agent, each with its delay.
 func (a *agent) followPlan(offset time.Duration) {
 	type change struct {
 		at    time.Duration
@@ -141,7 +142,7 @@
 	}
 }
 
-// receive is one change that has come to the agent.
+// receive applies a change, or holds it back while the agent is silenced.
 func (a *agent) receive(e entry) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -152,7 +153,7 @@
 	a.apply(e)
 }
 
-// apply puts a change into the list; with mu held.
+// apply puts a change into the list and wakes the watches. The caller holds mu.
 func (a *agent) apply(e entry) {
 	if e.State == "gone" {
 		delete(a.entries, e.ID)
@@ -166,7 +167,7 @@
 	a.platform.ledger.Add(ledger.ListChange{Relay: a.relay, Endpoint: e.index, State: e.State, At: a.platform.ledger.Now()})
 }
 
-// setFault has discovery fall silent, or its news come late; "" ends that.
+// setFault silences the agent or delays its changes by size seconds; kind "" ends either.
 func (a *agent) setFault(kind string, size float64) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -182,8 +183,8 @@
 	}
 }
 
-// MoveAgent moves a relay's agent to another address: the old one takes no new connections, and closes its open ones after a
-// while. It returns the new one.
+// MoveAgent moves a relay's agent to another address and returns that. The old address accepts no new connections and
+// closes its open ones after oldAddressGrace.
 func (x *Platform) MoveAgent(relay int) (string, error) {
 	a := x.agents[relay]
 	a.mu.Lock()
@@ -202,7 +203,7 @@
 	return x.ports.Agent(relay, a.moves), nil
 }
 
-// AgentAddr is where a relay finds discovery now.
+// AgentAddr returns the current address of a relay's agent.
 func (x *Platform) AgentAddr(relay int) string {
 	a := x.agents[relay]
 	a.mu.Lock()
@@ -210,7 +211,7 @@
 	return x.ports.Agent(relay, a.moves)
 }
 
-// KnownList is the list as a relay's agent has it, for its configuration.
+// KnownList returns the list of a relay's agent, for the relay's configuration.
 func (x *Platform) KnownList(relay int) List {
 	a := x.agents[relay]
 	a.mu.Lock()
@@ -218,7 +219,7 @@
 	return a.fullList()
 }
 
-// fullList is the fullList list; with mu held.
+// fullList returns the full list. The caller holds mu.
 func (a *agent) fullList() List {
 	l := List{Version: a.version, Full: true, Servers: []entry{}}
 	for _, e := range a.entries {
@@ -228,7 +229,7 @@
 	return l
 }
 
-// awaitSilenceEnd waits for the end of a silence.
+// awaitSilenceEnd waits until the agent is not silenced. It returns false if ctx ended.
 func (a *agent) awaitSilenceEnd(ctx context.Context) bool {
 	for {
 		a.mu.Lock()
@@ -243,7 +244,7 @@
 	}
 }
 
-// handleMembers answers GET /catalog/handleMembers, with the list or as a watch.
+// handleMembers answers GET /catalog/members with the list, or with stream=1 as a watch.
 func (a *agent) handleMembers(w http.ResponseWriter, req *http.Request) {
 	if !a.awaitSilenceEnd(req.Context()) {
 		return
@@ -308,7 +309,7 @@
 	}
 }
 
-// handleNotices takes final notices, also while discovery is down.
+// handleNotices answers POST /v2/finals, which carries final notices. It does so while the agent is silenced, too.
 func (a *agent) handleNotices(w http.ResponseWriter, req *http.Request) {
 	var notices []ledger.Notice
 	lines := bufio.NewScanner(io.LimitReader(req.Body, 4<<20))
--- a/internal/testbed/platform/endpoint.go
+++ b/internal/testbed/platform/endpoint.go
@@ -20,7 +20,7 @@
 
 const (
 	maxBody        = 64 << 10
-	maxAttempts    = 12 // attempts for a message
+	maxAttempts    = 12 // per message
 	requestTimeout = 10 * time.Second
 )
 
@@ -32,10 +32,10 @@
 	mu          sync.Mutex
 	listener    net.Listener
 	conns       map[net.Conn]struct{}
-	atConnLimit bool // no listener, since it holds as many connections as it accepts
+	atConnLimit bool // no listener, since the limit of connections is reached
 }
 
-// open has the endpoint's machine come up.
+// open starts listening. It does nothing if the endpoint listens already or the platform is closed.
 func (s *server) open() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -86,7 +86,7 @@
 	return nil
 }
 
-// enforceConnLimit refuses further connections while the endpoint holds as many as it accepts; with mu held.
+// enforceConnLimit stops listening when the endpoint has as many connections as it accepts. The caller holds mu.
 func (s *server) enforceConnLimit() {
 	if limit := s.platform.plan.Endpoints[s.index].Conns; limit > 0 && len(s.conns) >= limit {
 		s.listener.Close()
@@ -94,7 +94,7 @@
 	}
 }
 
-// close has it end: its connections are reset, new ones refused.
+// close resets the endpoint's connections and stops listening, so that new ones are refused.
 func (s *server) close() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -116,7 +116,7 @@
 	reader       *bufio.Reader
 	relay        int
 	path         *network.Path
-	next         chan error // the next request's first byte has come, or the connection has ended
+	next         chan error // receives nil at the first byte of the next request, or the error that ended the connection
 	firstRequest bool
 }
 
@@ -149,7 +149,7 @@
 	}
 }
 
-// awaitNext looks out for the next request, or for the relay to leave, of which it tells left.
+// awaitNext waits in the background for the next request or the end of the connection; at the latter it calls onClose.
 func (x *session) awaitNext(onClose func()) {
 	go func() {
 		_, err := x.reader.Peek(1)
@@ -160,14 +160,14 @@
 	}()
 }
 
-// bundleItem is a message in a call.
+// bundleItem is one message of a call.
 type bundleItem struct {
 	ID   string `json:"id"`
 	Key  string `json:"key"`
 	Body []byte `json:"body"`
 }
 
-// handleRequest takes one request and answers it; false if the connection is of no further use.
+// handleRequest reads and answers one request. It returns false if the connection must be closed.
 func (x *session) handleRequest() bool {
 	led := x.platform.ledger
 	call := &ledger.Call{Relay: x.relay, Endpoint: x.index, FirstByte: led.Now(), LastByte: ledger.Never, Written: ledger.Never,
@@ -175,7 +175,7 @@
 	x.conn.SetReadDeadline(time.Now().Add(requestTimeout))
 	req, body, err := readRequest(x.reader)
 	if err != nil {
-		return false // it never came whole, and so never ran
+		return false // it did not arrive whole, and so did not run
 	}
 	x.conn.SetReadDeadline(time.Time{})
 	call.LastByte = led.Now()
@@ -185,7 +185,7 @@
 		release = x.acquireSlot()
 		defer release()
 	}
-	x.awaitNext(release) // a relay that gives up a call closes its connection, and has its slot back
+	x.awaitNext(release) // a relay that cancels a call closes its connection, which frees the slot
 	switch {
 	case status != 0:
 		return x.writeAnswer(call, status, nil, "", "") == nil
@@ -201,7 +201,7 @@
 	return true
 }
 
-// acquireSlot counts a call among those that its relay has out; the function returned ends that, once.
+// acquireSlot counts a call among the unanswered ones of its relay until release is called.
 func (x *session) acquireSlot() (release func()) {
 	x.platform.mu.Lock()
 	x.platform.inFlight[x.relay]++
@@ -222,7 +222,8 @@
 	return req, body, err
 }
 
-// parse reads what a call carries. status is that of its answer if it can be none.
+// parse reads the messages of a call and checks them against what clients submitted. status is the answer's status if the
+// call is invalid, and otherwise 0.
 func (x *session) parse(req *http.Request, body []byte, call *ledger.Call) (items []bundleItem, status int) {
 	e := &x.platform.plan.Endpoints[x.index]
 	kind := x.platform.plan.Experiment.Partners.Kinds[x.platform.plan.Partners[e.Partner].Kind]
@@ -249,13 +250,13 @@
 		reason := ""
 		switch {
 		case h == nil:
-			reason = "no client handed in " + strconv.Quote(it.ID)
+			reason = "no client submitted " + strconv.Quote(it.ID)
 		case h.Key != it.Key:
-			reason = "another key for " + it.ID
+			reason = "different key for " + it.ID
 		case x.platform.plan.Arrivals[h.Message].Partner != e.Partner:
 			reason = "wrong destination for " + it.ID
 		case string(MessageBody(it.ID, len(it.Body))) != string(it.Body) || len(it.Body) != x.platform.plan.Arrivals[h.Message].Body:
-			reason = "another body for " + it.ID
+			reason = "different body for " + it.ID
 		}
 		if reason != "" {
 			x.platform.ledger.Add(ledger.UnexplainedCall{Relay: x.relay, Endpoint: x.index, At: call.LastByte, Reason: reason})
@@ -269,11 +270,11 @@
 	return items, 0
 }
 
-// MessageBody is the body of so many bytes that a client sends with a trace.
+// MessageBody returns the body of n bytes that a client sends with a trace.
 func MessageBody(trace string, n int) []byte {
 	b := make([]byte, n)
 	for i := range b {
-		b[i] = trace[i%len(trace)] ^ byte(i>>4) // any bytes, not text alone
+		b[i] = trace[i%len(trace)] ^ byte(i>>4) // binary data, not only text
 	}
 	return b
 }
@@ -284,19 +285,19 @@
 		return err
 	}
 	if x.firstRequest {
-		// A new connection costs its first request round trips, as a handshake would.
+		// On a new connection, the first request waits for the round trips of a handshake.
 		roundTrip := x.path.Conditions(network.Outbound).Delay + x.path.Conditions(network.Inbound).Delay
 		return network.Sleep(x.platform.ctx, time.Duration(float64(roundTrip)*x.platform.plan.Handshakes))
 	}
 	return nil
 }
 
-// handleCall has a call take its course; false if the connection is to be reset.
+// handleCall executes a call and answers it. It returns false if the connection must be reset.
 func (x *session) handleCall(call *ledger.Call, items []bundleItem) bool {
 	p, led := x.platform, x.platform.ledger
 	resets := x.path.Resets(network.Outbound)
 	if resets && rand.IntN(2) == 0 {
-		return false // before it could run; nobody can tell
+		return false // before the call could run; the relay cannot tell
 	}
 	if x.awaitRequest() != nil {
 		return false
@@ -347,7 +348,7 @@
 	return x.writeAnswer(call, v.status, body, v.report, "") == nil
 }
 
-// awaitAnswer waits until an answer has reached the relay; false if it never does.
+// awaitAnswer waits until an answer has reached the relay. It returns false if the answer is lost.
 func (x *session) awaitAnswer() bool {
 	if x.path.AwaitArrival(x.platform.ctx, network.Inbound) != nil || x.path.Resets(network.Inbound) {
 		return false
@@ -359,20 +360,21 @@
 	return true
 }
 
-// endpointHangs tells whether the endpoint takes calls and answers none.
+// endpointHangs reports whether the endpoint accepts calls but answers none.
 func (x *session) endpointHangs() bool {
 	x.platform.partners.mu.Lock()
 	defer x.platform.partners.mu.Unlock()
 	return x.platform.partners.endpoints[x.index].hanging
 }
 
-// waitForClose waits until the relay has waitForClose, the trouble that over tells of is over, or the run is.
+// waitForClose waits until the relay closes the connection, done returns true, or the run ends.
 func (x *session) waitForClose(done func() bool) {
 	for len(x.next) == 0 && !done() && network.Sleep(x.platform.ctx, 20*time.Millisecond) == nil {
 	}
 }
 
-// countAttempts tells which messages of a call are countAttempts, withdrawn or out of attempts, and counts the others' attempt.
+// countAttempts returns the state of each message of a call: "gone" if it was delivered, ended or is past its deadline,
+// "exhausted" if it has no attempts left, and else "ok". It counts an attempt for each of the latter, which are unfinished.
 func (x *session) countAttempts(items []bundleItem) (states []string, unfinished int) {
 	p := x.platform
 	now := p.ledger.Now()
@@ -395,7 +397,7 @@
 	return states, unfinished
 }
 
-// markDelivered notes what is delivered with an answer.
+// markDelivered records the messages that a successful answer delivers.
 func (x *session) markDelivered(items []bundleItem, states []string, ok bool) {
 	x.platform.mu.Lock()
 	defer x.platform.mu.Unlock()
@@ -417,17 +419,17 @@
 	}
 	data, err := json.Marshal(out)
 	if err != nil {
-		panic(err) // strings alone: cannot fail
+		panic(err) // strings always encode
 	}
 	return data
 }
 
-// refuse writes an answer which proves that nothing of the call has run.
+// refuse writes an answer which proves that no message of the call was executed.
 func (x *session) refuse(call *ledger.Call, status int, headers string, v outcome) bool {
 	return x.awaitAnswer() && x.writeAnswer(call, status, nil, v.report, headers) == nil
 }
 
-// writeAnswer writes an answer in one go and notes it.
+// writeAnswer writes an answer with a single write and records it.
 func (x *session) writeAnswer(call *ledger.Call, status int, body []byte, report, headers string) error {
 	var b strings.Builder
 	fmt.Fprintf(&b, "HTTP/1.1 %d %s\r\nContent-Length: %d\r\n%s", status, http.StatusText(status), len(body), headers)
@@ -465,7 +467,7 @@
 	return states
 }
 
-// answerProbe answers GET /ping and /_load.
+// answerProbe answers GET /ping and GET /_load.
 func (x *session) answerProbe(path string, call *ledger.Call) bool {
 	x.platform.ledger.Add(call)
 	if x.awaitRequest() != nil {
--- a/internal/testbed/platform/partner.go
+++ b/internal/testbed/platform/partner.go
@@ -1,5 +1,5 @@
-// Package platform is everything that a relay meets besides its clients: destinations with their endpoints, discovery's
-// agents, and the taker of final notices. It is written from the platform's protocol alone.
+// Package platform emulates everything that a relay talks to besides its clients: destinations with their endpoints,
+// discovery agents, and the receiver of final notices. It is written from the platform's protocol alone.
 package platform
 
 import (
@@ -14,21 +14,21 @@
 )
 
 const (
-	burstSeconds     = 0.3  // seconds of a plain rate that may come at once
-	extraMessageCost = 0.15 // work of each further message in a call, in calls
-	drainGrace       = 2 * time.Second
+	burstSeconds     = 0.3             // seconds of a rate limit that may be used in one burst
+	extraMessageCost = 0.15            // cost of each further message in a call, relative to the first
+	drainGrace       = 2 * time.Second // a draining endpoint refuses calls after this
 	errorLatency     = 3 * time.Millisecond
 )
 
-// partners are the destinations' state. A scope is what shares a limit, a pace and outages: a destination, or one of its
-// endpoints where its kind has routes apart.
+// partners is the state of all destinations. A scope is what shares a limit, a warm-up and outages: a destination, or one
+// of its endpoints where its kind has separate routes.
 type partners struct {
 	plan   *plan.Plan
 	ledger *ledger.Ledger
 
 	mu        sync.Mutex
 	rng       *rand.Rand
-	offset    time.Duration // of the plan's times
+	offset    time.Duration // of the plan's times in the run
 	scopes    []*scope
 	endpoints []*endpoint
 	tail      plan.Fault // the running "tail" fault, if Size > 0
@@ -39,17 +39,17 @@
 	id          int
 	partner     int
 	kind        int
-	fullLimit   float64 // limit in calls a second at full size; 0: none
-	limitFactor float64 // of the limit now; 1: as ever
+	fullLimit   float64 // configured limit in calls a second; 0: none
+	limitFactor float64 // current share of fullLimit; 1: unchanged
 	window      time.Duration
-	tokens      float64 // of a plain rate
+	tokens      float64 // token bucket of a rate limit without a window
 	refilledAt  time.Duration
-	windowStart time.Duration // begin of the running span
+	windowStart time.Duration // start of the current window
 	windowCalls float64
 	reports     []report
-	outage      *ledger.Outage // the last one
-	recoveredAt time.Duration  // when it came back; Never: it was never away
-	recentCalls []arrival      // since it came back, within the span of a fall
+	outage      *ledger.Outage // the latest one
+	recoveredAt time.Duration  // end of the latest outage that has ended; Never: none has
+	recentCalls []arrival      // since recoveredAt, within the last FallSeconds
 	collapsed   bool
 	endpoints   []int
 }
@@ -64,13 +64,13 @@
 	relay int
 }
 
-// endpoint is one endpoint's state.
+// endpoint is the state of one endpoint.
 type endpoint struct {
 	scope       *scope
-	coldSince   time.Duration // when it came up cold; Never: it is warm from the start
-	busyUntil   time.Duration // when the work that is queued will be done, at its capacity
-	slowdown    float64       // times as long as usual
-	failureRate float64       // share of the calls that fail at once
+	coldSince   time.Duration // when it started cold; Never: warm from the start of the run
+	busyUntil   time.Duration // when the queued work will be done, at its capacity
+	slowdown    float64       // factor on the time of each call
+	failureRate float64       // share of calls that fail immediately
 	refusing    bool
 	hanging     bool
 	down        bool
@@ -86,7 +86,8 @@
 		d := &p.Partners[i]
 		k := kinds[d.Kind]
 		add := func(members ...int) {
-			sc := &scope{id: len(s.scopes), partner: i, kind: d.Kind, fullLimit: d.Limit, limitFactor: 1, recoveredAt: ledger.Never, endpoints: members}
+			sc := &scope{id: len(s.scopes), partner: i, kind: d.Kind, fullLimit: d.Limit, limitFactor: 1, recoveredAt: ledger.Never,
+				endpoints: members}
 			sc.window = time.Duration(k.Span * float64(time.Second))
 			sc.tokens = math.Max(1, d.Limit*burstSeconds)
 			s.scopes = append(s.scopes, sc)
@@ -106,30 +107,31 @@
 	return s
 }
 
-// setOffset tells the time from which the plan counts.
+// setOffset sets the time from which the times of the plan count.
 func (s *partners) setOffset(offset time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.offset = offset
 	for i, e := range s.plan.Endpoints {
 		if e.Added > 0 {
-			s.endpoints[i].coldSince = offset + e.Added // new machines begin cold
+			s.endpoints[i].coldSince = offset + e.Added // new endpoints start cold
 		}
 	}
 }
 
-// outcome is what an endpoint makes of a call.
+// outcome is how an endpoint answers a call.
 type outcome struct {
 	status     int
-	retryAfter time.Duration // told with a refusal
-	latency    time.Duration // until the answer
-	ran        bool          // it runs, and was counted
-	noAnswer   bool          // no answer is to come
+	retryAfter time.Duration // sent with a refusal
+	latency    time.Duration // time until the answer
+	ran        bool          // the call was executed
+	noAnswer   bool          // no answer will come
 	report     string
 	inOutage   bool
 }
 
-// warmShare is the part of its capacity that a scope's or an endpoint's machine has at a moment after it came back.
+// warmShare returns the share of its capacity that a scope or an endpoint has at now when its warm-up began at from. The
+// share rises linearly from Cold to 1.
 func (s *partners) warmShare(d *plan.Partner, from, now time.Duration) float64 {
 	if from == ledger.Never || now >= from+d.Warm {
 		return 1
@@ -137,7 +139,7 @@
 	return d.Cold + (1-d.Cold)*math.Max(0, float64(now-from))/float64(d.Warm)
 }
 
-// capacity is what an endpoint does now, in calls a second.
+// capacity returns the current capacity of endpoint i in calls a second.
 func (s *partners) capacity(i int, now time.Duration) float64 {
 	e := s.endpoints[i]
 	d := &s.plan.Partners[e.scope.partner]
@@ -145,8 +147,8 @@
 	return s.plan.Endpoints[i].Capacity * share / e.slowdown
 }
 
-// decide decides on a decide of so many messages from a relay that has reached an endpoint whole. work is what its messages
-// take at a partner of usual pace; class is theirs.
+// decide determines the outcome of a call with so many messages that has arrived whole from relay at endpoint i. work is the
+// time for one message at a destination of usual speed; class is the class of the messages.
 func (s *partners) decide(relay, i int, now time.Duration, work time.Duration, messages, class int) (v outcome) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -176,14 +178,14 @@
 	case !admitted:
 		return outcome{status: 503, latency: errorLatency, retryAfter: s.retryAfter(d)}
 	}
-	// The endpoint works at its capacity through a queue: a call begins once what was before it leaves room.
+	// The endpoint works through a queue at its capacity: a call starts when the calls before it are done.
 	rate := s.capacity(i, now)
 	cost := time.Duration((1 + extraMessageCost*float64(messages-1)) / rate * float64(time.Second))
 	start := max(e.busyUntil, now)
 	if wait := start - now; wait.Seconds() > math.Max(d.Depth, 1.5/rate) {
 		return outcome{status: 503, latency: errorLatency, retryAfter: s.retryAfter(d)}
 	}
-	wait := max(0, start-now-time.Duration(float64(time.Second)/rate)) // the call at work before it holds up nobody
+	wait := max(0, start-now-time.Duration(float64(time.Second)/rate)) // one call in progress delays nobody
 	e.busyUntil = start + cost
 	v.status, v.ran = 200, true
 	serviceTime := float64(work) * (1 + extraMessageCost*float64(messages-1)) / d.Speed * e.slowdown
@@ -194,10 +196,10 @@
 	return v
 }
 
-// retryAfter is the wait that a destination tells with a refusal.
+// retryAfter returns the wait that a destination sends with a refusal.
 func (s *partners) retryAfter(d *plan.Partner) time.Duration { return d.TellsWait }
 
-// admit counts a call against its scope's limit and tells whether it lies within.
+// admit counts a call against the limit of its scope and reports whether it is within the limit.
 func (s *partners) admit(sc *scope, now time.Duration) bool {
 	limit := sc.fullLimit * sc.limitFactor
 	if limit <= 0 {
@@ -236,7 +238,7 @@
 	sc.refilledAt = now
 }
 
-// remainingShare is the share of the limit that is remainingShare.
+// remainingShare returns the unused share of the limit.
 func (s *partners) remainingShare(sc *scope, now time.Duration) float64 {
 	s.refill(sc, now)
 	limit := sc.fullLimit * sc.limitFactor
@@ -246,8 +248,8 @@
 	return sc.tokens / math.Max(1, limit*burstSeconds)
 }
 
-// recordArrival counts what reaches a scope that is coming back, and has it fall over where that is too much. It is a budget:
-// whatever arrives within a span has to stay under a multiple of what the scope can do then.
+// recordArrival counts the calls that reach a scope while it warms up after an outage, and lets the scope collapse if they
+// exceed its budget: the calls within FallSeconds must stay below FallFactor times what the scope can do in that time.
 func (s *partners) recordArrival(sc *scope, relay int, now time.Duration) {
 	if sc.recoveredAt == ledger.Never || sc.collapsed || sc.outage == nil {
 		return
@@ -281,7 +283,8 @@
 	})
 }
 
-// maxCallsForBudget is how many calls a budget of so many allows, by the site's terms: what is beyond it by chance breaks no rule.
+// maxCallsForBudget returns how many calls a budget allows. The terms of the site grant a margin, so that calls beyond the
+// budget by mere chance break no rule.
 func maxCallsForBudget(budget float64) float64 {
 	const smallBudget = 30 // calls
 	deviations := 2.0
@@ -291,7 +294,7 @@
 	return budget + deviations*math.Sqrt(budget) + deviations
 }
 
-// beginFault has a trouble strike endpoints; end is its counterpart.
+// beginFault starts a fault of endpoints or destinations; endFault ends it.
 func (s *partners) beginFault(f *plan.Fault, now time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -325,7 +328,7 @@
 	if f.Kind == "slow" || f.Kind == "errors" && f.Size < 0.5 {
 		return
 	}
-	for _, sc := range s.scopes { // in their order
+	for _, sc := range s.scopes { // in a fixed order, unlike the map's
 		if affected[sc] < len(sc.endpoints) || sc.outage != nil && sc.outage.To == ledger.Never {
 			continue
 		}
@@ -357,7 +360,7 @@
 	}
 }
 
-// setLimitFactor sets what part of its setLimitFactor a destination takes.
+// setLimitFactor sets the limit of a destination to a share of its configured one.
 func (s *partners) setLimitFactor(partner int, factor float64, now time.Duration) {
 	for _, sc := range s.scopes {
 		if sc.partner == partner {
--- a/internal/testbed/platform/platform.go
+++ b/internal/testbed/platform/platform.go
@@ -15,20 +15,20 @@
 	"onyxroad.dev/onyxroad/internal/testbed/plan"
 )
 
-// MaxRelays and MaxEndpoints are how many the scheme of addresses has room for.
+// MaxRelays and MaxEndpoints are the limits of the address scheme.
 const (
 	MaxRelays    = 1000
 	MaxEndpoints = 180
 )
 
-// Ports are a run's ports, from a base that nobody else on the machine has. Every party has loopback addresses of its own;
-// an endpoint has another at each relay, which tells them apart.
+// Ports are the ports of a run, counted from a base that no other run on the machine uses. Every party has its own loopback
+// addresses. An endpoint has a different address for each relay, so that it can tell the relays apart.
 type Ports struct {
 	base        int
 	reservation net.Listener
 }
 
-// The ports over the base.
+// Offsets from the base port.
 const (
 	portRelay = iota + 1
 	portAdmin
@@ -37,10 +37,10 @@
 	portEndpoints = 16
 )
 
-// ReservePorts finds free ones. Two runs on a machine never have the same.
+// ReservePorts reserves a free range of ports. Concurrent runs on a machine never share one.
 func ReservePorts() (*Ports, error) {
 	var last error
-	for base := 10000; base < 31000; base += 300 { // under the ports that connections are given
+	for base := 10000; base < 31000; base += 300 { // below the range of ephemeral ports
 		l, err := net.Listen("tcp4", fmt.Sprintf("127.255.255.254:%d", base))
 		if err == nil {
 			return &Ports{base, l}, nil
@@ -50,38 +50,39 @@
 	return nil, fmt.Errorf("platform: no free ports: %w", last)
 }
 
-// Base is what the ports count from: those from 1 to 15 over it are a run's own.
+// Base returns the base port. The ports from 1 to 15 above it belong to the run, too.
 func (p *Ports) Base() int { return p.base }
 
-// Release gives them back.
+// Release gives up the reservation.
 func (p *Ports) Release() { p.reservation.Close() }
 
 func relayIP(r int, last byte) net.IP { return net.IPv4(127, byte(16+r/250), byte(1+r%250), last) }
 
 func hostPort(ip net.IP, port int) string { return fmt.Sprintf("%v:%d", ip, port) }
 
-// Relay is where clients find a relay.
+// Relay returns the address at which relay r serves clients.
 func (p *Ports) Relay(r int) string { return hostPort(relayIP(r, 1), p.base+portRelay) }
 
-// Gossip is where a relay finds others of its fleet, and they it.
+// Gossip returns the address at which relay r listens for gossip.
 func (p *Ports) Gossip(r int) string { return hostPort(relayIP(r, 1), p.base+portGossip) }
 
-// GossipForwarder is where the others find a relay's gossip: a forwarder, on whose paths faults lie.
+// GossipForwarder returns the address of the forwarder through which other relays reach the gossip of relay r, so that
+// faults can be injected between them.
 func (p *Ports) GossipForwarder(r int) string { return hostPort(relayIP(r, 3), p.base+portGossip) }
 
-// Admin is the second address of a relay's process, which is another for each that is started.
+// Admin returns the admin address of a relay's process. Successive processes have different ones.
 func (p *Ports) Admin(r, process int) string {
 	return hostPort(relayIP(r, byte(10+process%200)), p.base+portAdmin)
 }
 
-// Agent is where a relay finds discovery, which may move.
+// Agent returns the address of a relay's discovery agent after so many moves.
 func (p *Ports) Agent(r, moves int) string {
 	return hostPort(relayIP(r, byte(2+moves%2)), p.base+portAgent)
 }
 
 func endpointIP(e, r int) net.IP { return net.IPv4(127, byte(64+e), byte(r/250), byte(1+r%250)) }
 
-// relayOfAddr is the relay that knows an endpoint by an address.
+// relayOfAddr returns the relay to which an address of an endpoint was given.
 func relayOfAddr(a net.Addr) int {
 	ip := a.(*net.TCPAddr).IP.To4()
 	return int(ip[2])*250 + int(ip[3]) - 1
@@ -101,24 +102,24 @@
 	mu           sync.Mutex
 	activeFaults []*plan.Fault
 	paths        map[pair]*network.Path
-	links        map[link]*network.Path // between relays
+	links        map[link]*network.Path // between relays, for gossip
 	forwarders   []*network.Forwarder
 	blackholes   map[pair]*network.Blackhole
 	servers      []*server
-	inFlight     []int // calls out, by relay
+	inFlight     []int // unanswered calls, by relay
 	attempts     map[string]int
-	finished     map[string]bool // traces that are delivered or ended
+	finished     map[string]bool // traces of messages that were delivered or ended by a notice
 
-	// OnNotice is told of each notice, for the clients whose messages are handed back; set before Run.
+	// OnNotice, if not nil, is called with each notice, so that clients can submit a deferred message again; set before Run.
 	OnNotice func(ledger.Notice)
 }
 
 type pair struct{ relay, endpoint int }
 
-// link is the way from one relay to another.
+// link is a direction between two relays.
 type link struct{ from, to int }
 
-// New starts the platform. Its time is the ledger's.
+// New starts the platform. It takes its time from the ledger.
 func New(p *plan.Plan, led *ledger.Ledger, ports *Ports) (*Platform, error) {
 	if len(p.Relays) > MaxRelays || len(p.Endpoints) > MaxEndpoints {
 		return nil, fmt.Errorf("platform: %d relays and %d endpoints are more than %d and %d", len(p.Relays), len(p.Endpoints),
@@ -127,8 +128,8 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	x := &Platform{
 		plan: p, ledger: led, ports: ports, partners: newPartners(p, led), ctx: ctx, cancel: cancel,
-		paths: map[pair]*network.Path{}, links: map[link]*network.Path{}, blackholes: map[pair]*network.Blackhole{}, inFlight: make([]int, len(p.Relays)),
-		attempts: map[string]int{}, finished: map[string]bool{},
+		paths: map[pair]*network.Path{}, links: map[link]*network.Path{}, blackholes: map[pair]*network.Blackhole{},
+		inFlight: make([]int, len(p.Relays)), attempts: map[string]int{}, finished: map[string]bool{},
 	}
 	for i := range p.Endpoints {
 		s := &server{platform: x, index: i, conns: map[net.Conn]struct{}{}}
@@ -151,8 +152,7 @@
 	return x, nil
 }
 
-// Run has endpoints come and go as planned, until ctx ends. offset is when the first message was due, from which the plan
-// counts.
+// Run starts adding and removing endpoints as planned, until Close. The times of the plan count from offset.
 func (x *Platform) Run(offset time.Duration) {
 	x.partners.setOffset(offset)
 	for i, e := range x.plan.Endpoints {
@@ -174,7 +174,7 @@
 	}
 }
 
-// Close ends everything.
+// Close stops all endpoints, agents and forwarders and waits for their goroutines.
 func (x *Platform) Close() {
 	x.cancel()
 	for _, s := range x.servers {
@@ -196,7 +196,7 @@
 	x.wg.Wait()
 }
 
-// BeginFault has a trouble of partners, the network or discovery begin; false if it is none of them.
+// BeginFault starts a fault of partners, the network or discovery. It returns false if f is none of these.
 func (x *Platform) BeginFault(f *plan.Fault) (bool, error) {
 	switch f.Kind {
 	case "slow", "tail", "errors", "shut", "hang", "limits":
@@ -216,14 +216,14 @@
 			a.setFault(f.Kind, f.Size)
 		}
 	case "release", "burst", "hostile", "leave":
-		// Their parts are in the plan itself.
+		// These are part of the plan itself.
 	default:
 		return false, nil
 	}
 	return true, nil
 }
 
-// EndFault has it end.
+// EndFault ends a fault that BeginFault has started.
 func (x *Platform) EndFault(f *plan.Fault) error {
 	switch f.Kind {
 	case "slow", "tail", "errors", "shut", "hang", "limits":
@@ -253,7 +253,8 @@
 	return nil
 }
 
-// updatePaths brings the paths of a fault's relays to what all running faults make of them.
+// updatePaths sets the conditions of the paths of the relays of f, and of all links, to the combined effect of the active
+// faults.
 func (x *Platform) updatePaths(f *plan.Fault) error {
 	for _, r := range f.Relays {
 		for e := range x.plan.Endpoints {
@@ -297,7 +298,7 @@
 	return nil
 }
 
-// pairConditions are what the running faults make of a path; with mu held.
+// pairConditions returns the conditions of a path under all active faults. The caller holds mu.
 func (x *Platform) pairConditions(to pair) (c [2]network.Conditions) {
 	r, e := &x.plan.Relays[to.relay], &x.plan.Endpoints[to.endpoint]
 	base := network.Conditions{Delay: x.plan.Delays[r.Building][e.Building], Jitter: x.plan.Jitter}
@@ -317,7 +318,8 @@
 		crossBuilding := e.Building != r.Building
 		switch f.Kind {
 		case "cut":
-			c[network.Outbound].Cut, c[network.Inbound].Cut = c[network.Outbound].Cut || crossBuilding, c[network.Inbound].Cut || crossBuilding
+			c[network.Outbound].Cut, c[network.Inbound].Cut = c[network.Outbound].Cut || crossBuilding,
+				c[network.Inbound].Cut || crossBuilding
 		case "one-way":
 			c[network.Outbound].Cut = c[network.Outbound].Cut || crossBuilding
 		case "reset":
@@ -331,7 +333,8 @@
 	return c
 }
 
-// ForwardGossip puts a forwarder before every relay's gossip, so that what goes between two relays goes by a path of theirs.
+// ForwardGossip puts forwarders in front of every relay's gossip address, so that the traffic between two relays goes over
+// a path of its own.
 func (x *Platform) ForwardGossip() error {
 	for r := range x.plan.Relays {
 		pathFor := func(from netip.AddrPort) *network.Path {
@@ -356,7 +359,7 @@
 	return nil
 }
 
-// linkPath is the path from one relay to another.
+// linkPath returns the path from one relay to another.
 func (x *Platform) linkPath(to link) *network.Path {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -370,7 +373,7 @@
 	return p
 }
 
-// linkConditions are the conditions that the running faults make linkConditions two relays; with mu held.
+// linkConditions returns the conditions between two relays under all active faults. The caller holds mu.
 func (x *Platform) linkConditions(to link) (c [2]network.Conditions) {
 	base := network.Conditions{Delay: x.plan.Delays[x.plan.Relays[to.from].Building][x.plan.Relays[to.to].Building], Jitter: x.plan.Jitter}
 	c[network.Outbound], c[network.Inbound] = base, base
@@ -378,20 +381,22 @@
 		fromAffected, toAffected := slices.Contains(f.Relays, to.from), slices.Contains(f.Relays, to.to)
 		switch f.Kind {
 		case "cut":
-			c[network.Outbound].Cut, c[network.Inbound].Cut = c[network.Outbound].Cut || fromAffected != toAffected, c[network.Inbound].Cut || fromAffected != toAffected
-		case "one-way": // what those struck send elsewhere does not arrive
+			c[network.Outbound].Cut, c[network.Inbound].Cut = c[network.Outbound].Cut || fromAffected != toAffected,
+				c[network.Inbound].Cut || fromAffected != toAffected
+		case "one-way": // what the affected relays send to others does not arrive
 			c[network.Outbound].Cut = c[network.Outbound].Cut || fromAffected && !toAffected
 			c[network.Inbound].Cut = c[network.Inbound].Cut || toAffected && !fromAffected
 		case "loss":
 			if fromAffected || toAffected {
-				c[network.Outbound].Loss, c[network.Inbound].Loss = max(c[network.Outbound].Loss, f.Size), max(c[network.Inbound].Loss, f.Size)
+				c[network.Outbound].Loss, c[network.Inbound].Loss = max(c[network.Outbound].Loss, f.Size),
+					max(c[network.Inbound].Loss, f.Size)
 			}
 		}
 	}
 	return c
 }
 
-// pairPath is the pairPath from a relay to an endpoint.
+// pairPath returns the path from a relay to an endpoint.
 func (x *Platform) pairPath(to pair) *network.Path {
 	x.mu.Lock()
 	defer x.mu.Unlock()
--- a/internal/testbed/platform/platform_test.go
+++ b/internal/testbed/platform/platform_test.go
@@ -17,7 +17,8 @@
 	"onyxroad.dev/onyxroad/internal/testbed/plan"
 )
 
-// newTestPlatform is a platform whose relay is the test: one partner of the kind given with one endpoint, no delays.
+// newTestPlatform returns a platform for a test that takes the part of its only relay: two partners of the given kind with
+// one endpoint each, and no delays.
 func newTestPlatform(t *testing.T, kind int, change func(p *plan.Plan)) (*Platform, *ledger.Ledger, *Ports) {
 	t.Helper()
 	x := experiment.Default()
@@ -55,7 +56,7 @@
 
 func trace(i int) string { return fmt.Sprintf("%016x", i+1) }
 
-// post makes a call on a connection of its own, or on c.
+// post makes a call on c, or on a new connection if c is nil.
 func post(t *testing.T, c net.Conn, addr, path, id string, body []byte) *http.Response {
 	t.Helper()
 	if c == nil {
@@ -125,7 +126,8 @@
 	return data
 }
 
-// TestWindowLimit asks a partner with a count in each span for more than that. Refused calls count, too, but do no more harm.
+// TestWindowLimit makes more calls than a limit per window allows. Refused calls count as well, but the count starts anew
+// with the next window.
 func TestWindowLimit(t *testing.T) {
 	s := newPartners(&plan.Plan{Experiment: experiment.Default()}, ledger.New())
 	sc := &scope{kind: 2, fullLimit: 3, limitFactor: 1, window: 2 * time.Second}
@@ -138,21 +140,21 @@
 		return n
 	}
 	if a, b := admitted(0), admitted(2*time.Second); a != 6 || b != 6 {
-		t.Errorf("%d and %d calls taken in spans of six", a, b)
+		t.Errorf("%d and %d calls admitted in windows of six", a, b)
 	}
 	if left := s.remainingShare(sc, 3*time.Second); left != 0 {
-		t.Errorf("%v of the limit left", left)
+		t.Errorf("remaining share of the limit: %v", left)
 	}
 	sc.limitFactor = 0.5
 	if a := admitted(4 * time.Second); a != 3 {
-		t.Errorf("%d calls taken at half the limit", a)
+		t.Errorf("%d calls admitted at half the limit", a)
 	}
 }
 
 func TestRateLimit(t *testing.T) {
 	s := newPartners(&plan.Plan{Experiment: experiment.Default(), Partners: []plan.Partner{{Limit: 10, Capacity: 1e6, Depth: 1, Speed: 1}},
 		Endpoints: []plan.Endpoint{{Capacity: 1e6}}, Classes: []plan.Class{{}}}, ledger.New())
-	// Limits are per partner, of kind 0, a plain rate: 50 calls in a second take ten and what may come at once.
+	// Kind 0 has a rate limit: of 50 calls in a second it admits ten and a burst.
 	s.endpoints[0].scope = &scope{fullLimit: 10, limitFactor: 1, tokens: 3, endpoints: []int{0}, recoveredAt: ledger.Never}
 	taken := 0
 	for i := range 50 {
@@ -161,11 +163,12 @@
 		}
 	}
 	if taken < 12 || taken > 13 {
-		t.Errorf("%d of 50 calls in a second taken at 10 a second", taken)
+		t.Errorf("%d of 50 calls in a second admitted at 10 a second", taken)
 	}
 }
 
-// TestOverloadWhileWarmingUp has a partner come back from an outage: it takes what it can at the time, and falls over when pushed.
+// TestOverloadWhileWarmingUp ends a partner's outage: it starts with its cold capacity, and collapses only when the calls
+// exceed its budget.
 func TestOverloadWhileWarmingUp(t *testing.T) {
 	for _, overload := range []bool{false, true} {
 		led := ledger.New()
@@ -174,12 +177,12 @@
 		s := newPartners(p, led)
 		f := &plan.Fault{Kind: "shut", Partners: []int{0}, Endpoints: []int{0}}
 		s.beginFault(f, time.Second)
-		s.decide(3, 0, 2*time.Second, time.Millisecond, 1, 0) // relay 3 sees it refuse
+		s.decide(3, 0, 2*time.Second, time.Millisecond, 1, 0) // relay 3 witnesses the outage
 		s.endFault(f, 5*time.Second)
 		if got := s.capacity(0, 5*time.Second); got != 15 {
-			t.Errorf("capacity %v on its return", got)
+			t.Errorf("capacity %v after the outage", got)
 		}
-		gap := 50 * time.Millisecond // 20 a second at 15 of capacity
+		gap := 50 * time.Millisecond // 20 calls a second at a capacity of 15
 		if overload {
 			gap = 9 * time.Millisecond // 222 calls in the last 2 s, where 210 are allowed
 		}
@@ -187,7 +190,8 @@
 			s.decide(3, 0, at, time.Millisecond, 1, 0)
 		}
 		if o := led.Outages[0]; (o.Collapsed != ledger.Never) != overload || o.WitnessCalls != o.CollapseCalls {
-			t.Errorf("pushed %v: fell at %v, %d of %d by those who saw it fail", overload, o.Collapsed, o.WitnessCalls, o.CollapseCalls)
+			t.Errorf("overload %v: collapsed at %v, %d of %d calls by witnesses of the outage", overload, o.Collapsed, o.WitnessCalls,
+				o.CollapseCalls)
 		}
 	}
 }
@@ -211,7 +215,7 @@
 	}
 	defer watch.Body.Close()
 	lines := bufio.NewScanner(watch.Body)
-	lines.Scan() // nothing new yet
+	lines.Scan() // the empty line of a watch without changes
 	a := x.agents[0]
 	a.receive(a.newEntry(1, "draining"))
 	lines.Scan()
@@ -220,7 +224,7 @@
 		t.Errorf("%q, %v", lines.Bytes(), err)
 	}
 	if len(led.ListChanges) != 1 || led.ListChanges[0].Endpoint != 1 {
-		t.Errorf("told %+v", led.ListChanges)
+		t.Errorf("list changes: %+v", led.ListChanges)
 	}
 	for body, want := range map[string]int{
 		"{\"id\":\"" + trace(0) + "\",\"status\":\"deferred\",\"again_ms\":500}\n": 204,
@@ -236,7 +240,7 @@
 		}
 	}
 	if len(led.Notices) != 1 || led.Notices[0].RetryAfter != 500*time.Millisecond {
-		t.Errorf("notices %+v", led.Notices)
+		t.Errorf("notices: %+v", led.Notices)
 	}
 	moved, err := x.MoveAgent(0)
 	if err != nil {
@@ -248,7 +252,7 @@
 	res.Body.Close()
 }
 
-// The site's terms: N calls, 2 roots of N and 2; under 30 calls 3 roots of N and 3.
+// The terms of the site allow N + 2*sqrt(N) + 2 calls for a budget of N, and N + 3*sqrt(N) + 3 if N is under 30.
 func TestCallsAllowedByBudget(t *testing.T) {
 	for budget, want := range map[float64]float64{1: 7, 4: 13, 25: 43, 36: 50, 100: 122} {
 		if got := maxCallsForBudget(budget); got != want {
--- a/internal/testbed/platform/report.go
+++ b/internal/testbed/platform/report.go
@@ -6,12 +6,12 @@
 	"time"
 )
 
-// loadReport is what an endpoint tells of its scope's limit: as it stood at the last refresh that has been on its way for the
-// destination's delay, and a little off.
+// loadReport returns the load report of a scope's endpoints: the state of its limit, with noise, at the latest refresh that
+// is at least the destination's report delay old.
 func (s *partners) loadReport(sc *scope, now time.Duration) string {
 	d := &s.plan.Partners[sc.partner]
 	interval := max(d.Report, time.Millisecond)
-	// Refreshes come at fixed moments; what nobody asked for at the time is made up for with the state of now.
+	// Refreshes are due at fixed times. One that no call asked for in time is made up for with the present state.
 	refreshedAt := now - now%interval
 	if n := len(sc.reports); n == 0 || sc.reports[n-1].at < refreshedAt {
 		r := report{at: refreshedAt}
@@ -31,7 +31,7 @@
 	return fmt.Sprintf("TEXT x0=%.3f, x1=%.3f", r.remaining, r.limit)
 }
 
-// startedMS is the wall time at which a listed endpoint started, in milliseconds; 0: long ago.
+// startedMS returns the wall time at which an endpoint started, in milliseconds; 0 if it was there from the start of the run.
 func (s *partners) startedMS(added time.Duration) int64 {
 	if added == 0 {
 		return 0
--- a/internal/testbed/process/config.go
+++ b/internal/testbed/process/config.go
@@ -9,7 +9,7 @@
 	"onyxroad.dev/onyxroad/internal/testbed/experiment"
 )
 
-// writeConfig writes the configuration of a relay, as it is at this moment.
+// writeConfig writes the current configuration file of relay r.
 func (f *Fleet) writeConfig(r int) error {
 	p := f.plan
 	data, err := json.MarshalIndent(map[string]any{
@@ -20,15 +20,15 @@
 		"known": f.platform.KnownList(r), "settings": f.siteSettings(r),
 	}, "", " ")
 	if err != nil {
-		return fmt.Errorf("process: configuration: %w", err)
+		return fmt.Errorf("process: encode configuration: %w", err)
 	}
-	// Written beside and put in its place: a relay that reads it at this moment has one or the other.
+	// Write to a temporary file and rename it, so that a relay that reads it concurrently gets a whole configuration.
 	path := f.configPath(r)
 	if err := os.WriteFile(path+".new", data, 0o600); err != nil {
-		return fmt.Errorf("process: configuration: %w", err)
+		return fmt.Errorf("process: write configuration: %w", err)
 	}
 	if err := os.Rename(path+".new", path); err != nil {
-		return fmt.Errorf("process: configuration: %w", err)
+		return fmt.Errorf("process: write configuration: %w", err)
 	}
 	return nil
 }
@@ -37,7 +37,7 @@
 	return filepath.Join(f.dir, f.plan.Relays[r].Name, "config.json")
 }
 
-// siteSettings are what a relay is told of its site, in the platform's names and units.
+// siteSettings returns the settings of the site for relay r, with the names and units of the platform's protocol.
 func (f *Fleet) siteSettings(r int) map[string]any {
 	p := f.plan
 	exp := p.Experiment
--- a/internal/testbed/process/disk.go
+++ b/internal/testbed/process/disk.go
@@ -18,10 +18,11 @@
 	"onyxroad.dev/onyxroad/internal/testbed/plan"
 )
 
-// The relays' disks. Where an experiment has them fail, the relays are built to write down every change of their folders,
-// and what a loss of power leaves is worked out from that.
+// Experiments with disk faults run relays built with tracedisk, which records every change of their folders. What a power
+// loss leaves behind is derived from that trace.
 
-// relayEnv is the environment that the project's relayEnv settings and the testbed's disk ask for.
+// relayEnv writes the settings file of relay r and prepares the traced disk, and returns the environment variables that
+// point the relay to them.
 func (f *Fleet) relayEnv(r int, state string) ([]string, error) {
 	exp := f.plan.Experiment
 	member := exp.Fleet.Members && r < f.plan.Members()
@@ -56,7 +57,7 @@
 		text += fmt.Sprintf("[duties]\nstewards = [\"%s\"]\nfigures = true\n", strings.Join(f.Stewards, `", "`))
 	}
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
-		return nil, fmt.Errorf("process: settings: %w", err)
+		return nil, fmt.Errorf("process: write settings: %w", err)
 	}
 	env := []string{"IVYGAUGE_CONFIG=" + path}
 	if !exp.NeedsDisk() {
@@ -90,7 +91,7 @@
 	return append(env, tracedisk.EnvTrace+"="+f.tracePath(r)), nil
 }
 
-// baselineDiskFaults is how a relay's disk is while nothing is wrong with it.
+// baselineDiskFaults returns the content of the faults file of a healthy disk: its sync latency, drawn once per relay.
 func (f *Fleet) baselineDiskFaults(r int) string {
 	rng := rand.New(rand.NewPCG(f.plan.Relays[r].Seed, 0x6469736b))
 	return fmt.Sprintf("slow=%.1fms", f.plan.Experiment.Fleet.SyncMS.Draw(rng))
@@ -98,15 +99,15 @@
 
 func (f *Fleet) tracePath(r int) string { return filepath.Join(f.dir, f.plan.Relays[r].Name, "trace") }
 
-// backlogDir is the folder of a relay's backlogDir.
+// backlogDir returns the folder of a relay's backlog.
 func (f *Fleet) backlogDir(r int) string {
 	return filepath.Join(f.dir, f.plan.Relays[r].Name, "backlog")
 }
 
-// isBacklogFile tells whether a file of the backlog's folder is one that the trace tells of: all but the lock.
+// isBacklogFile reports whether the trace covers a file of the backlog's folder: all but the lock files.
 func isBacklogFile(name string) bool { return !strings.Contains(strings.ToLower(name), "lock") }
 
-// isLogFile tells whether a file of the state folder is the log's, which the trace tells of.
+// isLogFile reports whether a file of the state folder belongs to the write-ahead log, which the trace covers.
 func isLogFile(name string) bool {
 	for _, prefix := range []string{"seg-", "snap", "wal.", "damaged-"} {
 		if strings.HasPrefix(name, prefix) && name != "wal.lock" {
@@ -116,7 +117,7 @@
 	return false
 }
 
-// readImage reads the files of a folder that a trace tells of.
+// readImage reads the files of dir for which include returns true. The value of a folder is nil.
 func readImage(dir string, include func(string) bool) (map[string][]byte, error) {
 	d := disk.Dir(dir)
 	names, err := d.Names()
@@ -137,7 +138,8 @@
 	return image, nil
 }
 
-// losePower kills a relay, has its folder hold what a loss of power may have left, and starts it again.
+// losePower kills relay r, replaces its folders' content by what a power loss may have left, and starts the relay again
+// after pause.
 func (f *Fleet) losePower(r int, pause time.Duration) error {
 	x := f.relays[r]
 	x.mu.Lock()
@@ -171,7 +173,7 @@
 	return f.startRelay(f.ctx, r, false)
 }
 
-// writeImage puts a folder's files in the place of those that go.
+// writeImage removes the entries of dir for which remove returns true and writes the files of d in their place.
 func writeImage(dir string, d *crashdisk.Disk, remove func(name string) bool) error {
 	entries, err := os.ReadDir(dir)
 	if err != nil {
@@ -206,7 +208,7 @@
 	return nil
 }
 
-// failDisk has a relay's disk fail for a time.
+// failDisk makes the disk of relay r fail as the fault x says, for the duration of x.
 func (f *Fleet) failDisk(r int, x *plan.Fault) error {
 	modes := map[string]string{"disk-full": "full", "disk-sick": "broken", "disk-slow": fmt.Sprintf("slow=%.0fms", x.Size)}
 	writeFaults := func(word string) (err error) {
--- a/internal/testbed/process/fleet.go
+++ b/internal/testbed/process/fleet.go
@@ -24,30 +24,31 @@
 const (
 	readyPollInterval = 10 * time.Millisecond
 	readyTimeout      = 30 * time.Second
-	// A planned restart: SIGKILL comes this long after SIGTERM, and the next start this long after the process's end.
+	// In a planned restart SIGKILL follows SIGTERM after termTimeout, and the next process starts restartPause after the
+	// old one has exited.
 	termTimeout  = 3700 * time.Millisecond
 	restartPause = 600 * time.Millisecond
-	// Clients go on coming for so long after SIGTERM, 0.4 s at most.
+	// Clients keep sending to a relay for this long after SIGTERM; at most 0.4 s.
 	clientGrace        = 300 * time.Millisecond
-	signalInterval     = 40 * time.Millisecond // between signals in a series
-	replacementTimeout = 6 * time.Second       // that a process which takes another's place has for its yes
+	signalInterval     = 40 * time.Millisecond // between the signals of a series
+	replacementTimeout = 6 * time.Second       // for a replacement to report ready
 )
 
-// Fleet is the relays' processes.
+// Fleet runs the processes of the relays under test.
 type Fleet struct {
 	plan     *plan.Plan
 	ledger   *ledger.Ledger
 	ports    *platform.Ports
 	platform *platform.Platform
-	program  string // the relay's
-	dir      string // the run's
+	program  string // path of the relay program
+	dir      string // folder of the run
 	starter  *Starter
 	ctx      context.Context
 	cancel   context.CancelFunc
 	wg       sync.WaitGroup
 	http     *http.Client
 
-	// Stewards are the addresses of those at which members hold duties; set before Start.
+	// Stewards are the addresses of the stewards that grant duties to members; set before Start.
 	Stewards []string
 
 	closeOnce sync.Once
@@ -57,16 +58,16 @@
 	burners []*exec.Cmd
 }
 
-// relay is one relay over all its processes.
+// relay is the state of one relay across its processes.
 type relay struct {
-	mu         sync.Mutex        // held over a whole restart or replacement
-	starts     int               // processes so far
-	stateImage map[string][]byte // of its state folder when the last one began, on the testbed's disk
-	// and of its backlogImage's; nil without one
+	mu         sync.Mutex        // held for the whole of a restart or replacement
+	starts     int               // processes started so far
+	stateImage map[string][]byte // state folder at the start of the newest process, on a traced disk
+	// backlogImage is the same for the backlog's folder; nil without a backlog.
 	backlogImage map[string][]byte
 	faults       injectedFaults
-	running      []*process // that run; two while one takes the other's place
-	alive        bool       // clients may come: its process is ready
+	running      []*process // oldest first; two during a replacement
+	alive        bool       // clients may connect: its process is ready
 }
 
 // process is one process of a relay.
@@ -78,7 +79,7 @@
 	exited chan struct{}
 }
 
-// New returns a fleet whose files stand in dir. program is the relay's.
+// New returns a fleet that keeps its files in dir and runs program as the relay.
 func New(p *plan.Plan, led *ledger.Ledger, ports *platform.Ports, x *platform.Platform, program, dir string) *Fleet {
 	ctx, cancel := context.WithCancel(context.Background())
 	f := &Fleet{plan: p, ledger: led, ports: ports, platform: x, program: program, dir: dir, starter: NewStarter(), ctx: ctx, cancel: cancel,
@@ -89,11 +90,11 @@
 	return f
 }
 
-// Start starts every relay, and returns once all are ready.
+// Start starts every relay and waits until all are ready.
 func (f *Fleet) Start(ctx context.Context) error {
 	errs := make([]error, len(f.relays))
 	var wg sync.WaitGroup
-	slots := make(chan struct{}, 16) // starts at once: more would only share the cores
+	slots := make(chan struct{}, 16) // limits concurrent starts: more would only compete for the cores
 	for r := range f.relays {
 		wg.Go(func() {
 			slots <- struct{}{}
@@ -106,7 +107,7 @@
 	return errors.Join(errs...)
 }
 
-// Alive tells whether clients may come to a relay.
+// Alive reports whether clients may connect to relay r.
 func (f *Fleet) Alive(r int) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -119,7 +120,7 @@
 	f.relays[r].alive = alive
 }
 
-// startRelay starts a process of a relay and waits until it is ready.
+// startRelay starts a process of relay r and waits until it is ready. With emptyState its state folder is removed first.
 func (f *Fleet) startRelay(ctx context.Context, r int, emptyState bool) error {
 	p, err := f.startProcess(r, emptyState, false)
 	if err != nil {
@@ -135,7 +136,8 @@
 	return nil
 }
 
-// startProcess starts a process of a relay.
+// startProcess starts a process of relay r. With replacement it runs next to the relay's present process, whose temporary
+// files stay.
 func (f *Fleet) startProcess(r int, emptyState, replacement bool) (*process, error) {
 	home := filepath.Join(f.dir, f.plan.Relays[r].Name)
 	state, temp := filepath.Join(home, "state"), filepath.Join(home, "tmp")
@@ -168,14 +170,15 @@
 	}
 	p := &process{cmd: exec.Command(f.program), admin: f.ports.Admin(r, n), log: log, exited: make(chan struct{})}
 	p.cmd.Stdout, p.cmd.Stderr, p.cmd.Dir = log, log, home
-	p.cmd.Env = []string{"ROUTER_NAME=" + f.plan.Relays[r].Name, "ROUTER_LISTEN=" + f.ports.Relay(r), "ROUTER_DISCOVERY=" + f.platform.AgentAddr(r),
-		"ROUTER_STATE=" + state, "ROUTER_CONFIG=" + f.configPath(r), "ROUTER_ADMIN_ADDR=" + p.admin, "TMPDIR=" + temp}
+	p.cmd.Env = []string{"ROUTER_NAME=" + f.plan.Relays[r].Name, "ROUTER_LISTEN=" + f.ports.Relay(r),
+		"ROUTER_DISCOVERY=" + f.platform.AgentAddr(r), "ROUTER_STATE=" + state,
+		"ROUTER_CONFIG=" + f.configPath(r), "ROUTER_ADMIN_ADDR=" + p.admin, "TMPDIR=" + temp}
 	p.cmd.Env = append(p.cmd.Env, env...)
 	if f.plan.Experiment.NeedsFaults() {
 		p.cmd.Env = append(p.cmd.Env, faultfile.Env+"="+f.faultsPath(r))
 	}
-	p.record = &ledger.Process{Relay: r, Start: f.ledger.Now(), Ready: ledger.Never, StopSignaled: ledger.Never, End: ledger.Never, EmptyState: emptyState,
-		Replacement: replacement}
+	p.record = &ledger.Process{Relay: r, Start: f.ledger.Now(), Ready: ledger.Never, StopSignaled: ledger.Never, End: ledger.Never,
+		EmptyState: emptyState, Replacement: replacement}
 	if err := f.starter.Start(p.cmd); err != nil {
 		log.Close()
 		return nil, fmt.Errorf("process: start %s: %w", f.plan.Relays[r].Name, err)
@@ -189,7 +192,7 @@
 	return p, nil
 }
 
-// reap notes a process's end.
+// reap waits for a process to exit and records how it ended.
 func (f *Fleet) reap(r int, p *process) {
 	p.cmd.Wait()
 	p.log.Close()
@@ -211,7 +214,7 @@
 	close(p.exited)
 }
 
-// awaitReady asks until url says yes, the process ends, or the time is over.
+// awaitReady polls url until it answers 200, the process exits, or timeout has passed. It reports whether it got the 200.
 func (f *Fleet) awaitReady(ctx context.Context, p *process, url string, timeout time.Duration) bool {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
@@ -238,7 +241,7 @@
 	}
 }
 
-// newest is a relay's newest process; nil if none runs.
+// newest returns the newest running process of relay r, or nil.
 func (f *Fleet) newest(r int) *process {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -259,7 +262,7 @@
 	p.cmd.Process.Signal(s)
 }
 
-// BeginFault has a trouble of relays begin, away from the caller; false if it is none.
+// BeginFault starts a fault of relays in the background. It returns false if x is not a fault of relays.
 func (f *Fleet) BeginFault(x *plan.Fault) bool {
 	var start func(r int) error
 	switch x.Kind {
@@ -300,13 +303,13 @@
 	return true
 }
 
-// restart ends a relay's process and starts the next one.
+// restart stops the process of relay r with signal s and starts the next one after pause.
 func (f *Fleet) restart(r int, s syscall.Signal, pause time.Duration, emptyState bool) error {
 	x := f.relays[r]
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	if p := f.newest(r); p != nil {
-		// Clients go on coming for a while grace SIGTERM.
+		// Clients keep sending for a while after SIGTERM.
 		grace := time.Duration(0)
 		if s == syscall.SIGTERM {
 			grace = clientGrace
@@ -320,7 +323,7 @@
 	return f.startRelay(f.ctx, r, emptyState)
 }
 
-// stop ends a process and waits until it has.
+// stop sends a process a signal and waits until it has exited, sending SIGKILL after termTimeout.
 func (f *Fleet) stop(p *process, s syscall.Signal) {
 	f.signal(p, s)
 	timer := time.NewTimer(termTimeout)
@@ -334,7 +337,7 @@
 	}
 }
 
-// pause stops a relay's process for a time.
+// pause stops the process of relay r with SIGSTOP for d.
 func (f *Fleet) pause(r int, d time.Duration) error {
 	p := f.newest(r)
 	if p == nil {
@@ -348,7 +351,8 @@
 	return nil
 }
 
-// replace has a second process take a relay's place.
+// replace starts a second process of relay r next to the running one, and stops the old one once the new one is ready or
+// replacementTimeout has passed.
 func (f *Fleet) replace(r int) error {
 	x := f.relays[r]
 	x.mu.Lock()
@@ -363,16 +367,16 @@
 		f.stop(old, syscall.SIGTERM)
 	}
 	if !ready {
-		// It had its time; with the old one gone nothing is left that it could wait for.
+		// The new process had its time; with the old one gone it has nothing left to wait for.
 		if !f.awaitReady(f.ctx, next, "http://"+next.admin+"/api/ready", readyTimeout) && f.ctx.Err() == nil {
-			return errors.New("the new process never said yes")
+			return errors.New("the replacement process did not become ready")
 		}
 	}
 	f.setAlive(r, true)
 	return nil
 }
 
-// moveDiscovery has discovery moveDiscovery for a relay, and tells it by a new configuration and SIGHUP.
+// moveDiscovery moves the discovery agent of relay r to another address and announces it by a new configuration and SIGHUP.
 func (f *Fleet) moveDiscovery(r int) error {
 	f.relays[r].mu.Lock()
 	defer f.relays[r].mu.Unlock()
@@ -390,7 +394,7 @@
 	return nil
 }
 
-// signalSeries has signals come in quick succession, the last of them SIGKILL, and starts the next process.
+// signalSeries sends relay r signals in quick succession, at last SIGKILL if it has not exited, and starts the next process.
 func (f *Fleet) signalSeries(r int) error {
 	if err := f.moveDiscovery(r); err != nil {
 		return err
@@ -410,7 +414,7 @@
 	return f.restart(r, syscall.SIGTERM, restartPause, false)
 }
 
-// tornWrite has a relay's writes fail, kills it while they do, and starts the next process on what that left.
+// tornWrite makes the writes of relay r fail, kills it meanwhile, and starts the next process on the resulting files.
 func (f *Fleet) tornWrite(r int, x *plan.Fault) error {
 	failing := *x
 	failing.For = x.For + plan.TornTail
@@ -425,15 +429,15 @@
 	return f.restart(r, syscall.SIGKILL, restartPause, false)
 }
 
-// KeepLogs copies the processes' logs into a folder, which is emptied first.
+// KeepLogs copies the logs of all processes into dir, whose previous content is removed.
 func (f *Fleet) KeepLogs(dir string) error {
 	if err := os.RemoveAll(dir); err != nil {
-		return fmt.Errorf("process: keep logs: %w", err)
+		return fmt.Errorf("process: copy logs: %w", err)
 	}
 	for _, r := range f.plan.Relays {
 		logs, err := filepath.Glob(filepath.Join(f.dir, r.Name, "log.*"))
 		if err != nil {
-			return fmt.Errorf("process: keep logs: %w", err)
+			return fmt.Errorf("process: copy logs: %w", err)
 		}
 		for _, path := range logs {
 			data, err := os.ReadFile(path)
@@ -441,14 +445,14 @@
 				err = errors.Join(os.MkdirAll(dir, 0o700), os.WriteFile(filepath.Join(dir, r.Name+"-"+filepath.Base(path)), data, 0o600))
 			}
 			if err != nil {
-				return fmt.Errorf("process: keep logs: %w", err)
+				return fmt.Errorf("process: copy logs: %w", err)
 			}
 		}
 	}
 	return nil
 }
 
-// Close ends everything that was started.
+// Close kills every process that was started and waits for the fleet's goroutines.
 func (f *Fleet) Close() { f.closeOnce.Do(f.close) }
 
 func (f *Fleet) close() {
@@ -467,7 +471,7 @@
 	f.starter.Stop()
 }
 
-// crashReason are why a process ended by a panic; nothing if it did not.
+// crashReason returns the line of a log that tells why the process crashed or stopped itself; "" if there is none.
 func crashReason(path string) string {
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -481,7 +485,7 @@
 	return ""
 }
 
-// lastLine is the end of a log, for a message.
+// lastLine returns the last line of a log, for an error message.
 func lastLine(path string) string {
 	data, err := os.ReadFile(path)
 	if err != nil {
--- a/internal/testbed/process/inject.go
+++ b/internal/testbed/process/inject.go
@@ -12,7 +12,8 @@
 	"onyxroad.dev/onyxroad/internal/testbed/plan"
 )
 
-// injectedFaults is what is injected into a relay at a moment: into the process that runs, and into the next one from its first call on.
+// injectedFaults are the faults in effect for a relay. They apply to the running process, and to the next one from its
+// first call on.
 type injectedFaults struct {
 	mu         sync.Mutex
 	wallOffset int // seconds by which the wall clock is off
@@ -23,7 +24,7 @@
 	return filepath.Join(f.dir, f.plan.Relays[r].Name, "faults")
 }
 
-// inject has a relay's calls fail for a time, or its wall clock step for good.
+// inject makes system calls of relay r fail for the duration of x, or steps its wall clock permanently.
 func (f *Fleet) inject(r int, x *plan.Fault) error {
 	injected := &f.relays[r].faults
 	injected.mu.Lock()
@@ -31,7 +32,7 @@
 		step, err := strconv.Atoi(strings.TrimPrefix(x.Rules[0], "wall "))
 		if err != nil {
 			injected.mu.Unlock()
-			return fmt.Errorf("process: %w", err)
+			return fmt.Errorf("process: parse wall-clock step: %w", err)
 		}
 		injected.wallOffset += step
 	} else {
@@ -56,16 +57,16 @@
 	return f.writeFaults(r)
 }
 
-// writeFaults writes what is injected into a relay now; with its faults held.
+// writeFaults writes the faults file of relay r. The caller holds the mutex of its faults.
 func (f *Fleet) writeFaults(r int) error {
 	injected := &f.relays[r].faults
 	path := f.faultsPath(r)
 	text := fmt.Sprintf("wall %d\n%s\n", injected.wallOffset, strings.Join(injected.rules, "\n"))
 	if err := os.WriteFile(path+".new", []byte(text), 0o600); err != nil {
-		return fmt.Errorf("process: faults: %w", err)
+		return fmt.Errorf("process: write faults file: %w", err)
 	}
 	if err := os.Rename(path+".new", path); err != nil {
-		return fmt.Errorf("process: faults: %w", err)
+		return fmt.Errorf("process: write faults file: %w", err)
 	}
 	return nil
 }
--- a/internal/testbed/process/recovered.go
+++ b/internal/testbed/process/recovered.go
@@ -12,7 +12,7 @@
 	"onyxroad.dev/onyxroad/internal/testbed/ledger"
 )
 
-// lifecycleLine is a line of a relay's log on a change of a message's state.
+// lifecycleLine is a line of a relay's log about a state change of a message.
 type lifecycleLine struct {
 	Time     time.Time
 	Trace    string
@@ -21,17 +21,17 @@
 	Attempts int
 }
 
-// ReadRecoveries reads from the relays' logs what restarts told of the messages that they found, and the ends that relays learned of,
-// into the ledger.
+// ReadRecoveries reads from the relays' logs which messages restarts recovered and which ends relays learned of from
+// endpoints, and adds them to the ledger.
 func (f *Fleet) ReadRecoveries() error {
 	for r, relay := range f.plan.Relays {
 		logs, err := filepath.Glob(filepath.Join(f.dir, relay.Name, "log.*"))
 		if err != nil {
-			return fmt.Errorf("process: recovered: %w", err)
+			return fmt.Errorf("process: find logs: %w", err)
 		}
 		for _, path := range logs {
 			if err := f.readLog(r, path); err != nil {
-				return fmt.Errorf("process: recovered: %w", err)
+				return fmt.Errorf("process: read recovered messages from %s: %w", path, err)
 			}
 		}
 	}
@@ -56,7 +56,7 @@
 			continue
 		}
 		if err := json.Unmarshal(lines.Bytes(), &line); err != nil || line.LeftMS == nil {
-			continue // cut off by a kill, or of a version of before
+			continue // truncated by a kill, or written by an older version
 		}
 		f.ledger.Add(ledger.Recovery{Relay: r, Trace: line.Trace, At: f.ledger.Offset(line.Time),
 			Remaining: time.Duration(*line.LeftMS) * time.Millisecond, Attempts: line.Attempts})
--- a/internal/testbed/process/starter.go
+++ b/internal/testbed/process/starter.go
@@ -1,5 +1,5 @@
-// Package process runs the relays under test as real processes: it starts, kills, pauses, replaces and starves them,
-// watches what they hold, and leaves none behind, whatever becomes of the testbed itself.
+// Package process runs the relays under test as real processes: it starts, kills, pauses, replaces and starves them and
+// samples the resources they use. None outlives the testbed, even if the testbed crashes.
 package process
 
 import (
@@ -8,15 +8,15 @@
 	"syscall"
 )
 
-// Starter starts processes that the kernel kills when the testbed ends, by a crash or SIGKILL too. The kernel goes by the
-// thread that started them, so that one thread does it and stays.
+// Starter starts processes that the kernel kills when the testbed ends, even by a crash or SIGKILL. The parent-death signal
+// is tied to the thread that started the child, so a single long-lived thread starts them all.
 type Starter struct{ requests chan func() }
 
-// NewStarter returns one that is ready.
+// NewStarter returns a Starter with its thread running.
 func NewStarter() *Starter {
 	s := &Starter{requests: make(chan func())}
 	go func() {
-		runtime.LockOSThread() // never unlocked: the thread ends with the goroutine, when the run is over
+		runtime.LockOSThread() // never unlocked: the thread exits with the goroutine, after Stop
 		for f := range s.requests {
 			f()
 		}
@@ -24,7 +24,7 @@
 	return s
 }
 
-// Start starts a command as a process group of its own.
+// Start starts a command in its own process group.
 func (s *Starter) Start(cmd *exec.Cmd) error {
 	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL, Setpgid: true}
 	done := make(chan error)
@@ -32,5 +32,5 @@
 	return <-done
 }
 
-// Stop lets the thread go. Everything that it started has to have ended.
+// Stop ends the thread. Every process that it started must have exited.
 func (s *Starter) Stop() { close(s.requests) }
--- a/internal/testbed/process/views.go
+++ b/internal/testbed/process/views.go
@@ -18,7 +18,8 @@
 	"onyxroad.dev/onyxroad/internal/testbed/network"
 )
 
-// ReadViews reads from the relays' logs what each has seen of its fleet. The processes have ended.
+// ReadViews adds to the ledger the changes of each relay's view of its fleet, as its logs tell them. The processes must
+// have exited.
 func (f *Fleet) ReadViews() error {
 	if !f.plan.Experiment.Fleet.Members {
 		return nil
@@ -51,7 +52,7 @@
 	return nil
 }
 
-// MeasureTraffic measures what the members send from now on for a time, by their own count.
+// MeasureTraffic records how many bytes each member sends to its fleet within d, by the member's own counter.
 func (f *Fleet) MeasureTraffic(ctx context.Context, d time.Duration) {
 	type byteCount struct {
 		at    time.Duration
@@ -79,7 +80,7 @@
 	}
 }
 
-// sentBytes asks a relay at its second address.
+// sentBytes reads the bytes that a relay has sent to its fleet from the telemetry at its admin address.
 func (f *Fleet) sentBytes(ctx context.Context, admin string) (int64, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+admin+"/api/telemetry", nil)
 	if err != nil {
@@ -97,7 +98,7 @@
 	_, rest, ok := strings.Cut(string(text), "fleet.bytes:")
 	value, _, _ := strings.Cut(rest, "|")
 	if !ok {
-		return 0, fmt.Errorf("%s tells no bytes", admin)
+		return 0, fmt.Errorf("telemetry of %s has no fleet.bytes", admin)
 	}
 	return strconv.ParseInt(value, 10, 64)
 }
--- a/internal/testbed/process/watch.go
+++ b/internal/testbed/process/watch.go
@@ -18,10 +18,10 @@
 const (
 	sampleInterval      = 500 * time.Millisecond
 	diskBlock           = 512
-	clockTicksPerSecond = 100 // a second, of the kernel's count of processor time
+	clockTicksPerSecond = 100 // USER_HZ, the unit of processor time in /proc
 )
 
-// sampleResources samples what each process holds.
+// sampleResources records the memory, sockets, disk space and processor time of every process periodically.
 func (f *Fleet) sampleResources() {
 	for network.Sleep(f.ctx, sampleInterval) == nil {
 		for r, x := range f.relays {
@@ -43,7 +43,7 @@
 	}
 }
 
-// memoryMB is a process's own memory: what it shares, the program's text say, is counted to nobody.
+// memoryMB returns the anonymous and shared memory of a process. File-backed pages, such as the program's text, don't count.
 func memoryMB(pid int) float64 {
 	data, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
 	if err != nil {
@@ -60,13 +60,13 @@
 	return kb / 1024
 }
 
-// CPUTime is what a process has used of processors.
+// CPUTime returns the user and system time that a process has used; 0 if it cannot be read.
 func CPUTime(pid int) time.Duration {
 	data, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
 		return 0
 	}
-	_, rest, _ := strings.Cut(string(data), ") ") // the name before may hold spaces
+	_, rest, _ := strings.Cut(string(data), ") ") // the process name before it may contain spaces
 	fields := strings.Fields(rest)
 	if len(fields) < 13 {
 		return 0
@@ -76,7 +76,7 @@
 	return time.Duration(user+system) * time.Second / clockTicksPerSecond
 }
 
-// diskMB is what a folder takes, each file in whole blocks.
+// diskMB returns the size of the files of a folder, each rounded up to whole blocks.
 func diskMB(dir string) float64 {
 	entries, err := os.ReadDir(dir)
 	if err != nil {
@@ -91,7 +91,7 @@
 	return float64(sum) / (1 << 20)
 }
 
-// starve has a relay share one core with a process that takes all of it.
+// starve pins relay r to one core for d, together with a process that keeps that core busy.
 func (f *Fleet) starve(r int, d time.Duration) error {
 	p := f.newest(r)
 	if p == nil {
@@ -99,7 +99,7 @@
 	}
 	var allCPUs, oneCPU unix.CPUSet
 	if err := unix.SchedGetaffinity(p.record.PID, &allCPUs); err != nil {
-		return fmt.Errorf("process: affinity: %w", err)
+		return fmt.Errorf("process: get CPU affinity: %w", err)
 	}
 	n := 0
 	for cpu := range 1024 {
@@ -116,7 +116,7 @@
 	}
 	burner := exec.Command(self, "burn", "--for", d.String())
 	if err := f.starter.Start(burner); err != nil {
-		return fmt.Errorf("process: burn: %w", err)
+		return fmt.Errorf("process: start CPU burner: %w", err)
 	}
 	f.mu.Lock()
 	f.burners = append(f.burners, burner)
@@ -133,16 +133,16 @@
 	return setAffinity(p.record.PID, &allCPUs)
 }
 
-// setAffinity binds every thread of a process.
+// setAffinity sets the CPU affinity of every thread of a process.
 func setAffinity(pid int, set *unix.CPUSet) error {
 	threads, err := os.ReadDir(fmt.Sprintf("/proc/%d/task", pid))
 	if err != nil {
-		return nil // it has ended
+		return nil // the process has exited
 	}
 	for _, t := range threads {
 		tid, _ := strconv.Atoi(t.Name())
 		if err := unix.SchedSetaffinity(tid, set); err != nil && err != unix.ESRCH {
-			return fmt.Errorf("process: affinity: %w", err)
+			return fmt.Errorf("process: set CPU affinity: %w", err)
 		}
 	}
 	return nil
