--- a/internal/testbed/audit/views.go
+++ b/internal/testbed/audit/views.go
@@ -23,7 +23,7 @@
 // was there; and how many changes the busiest view had in 30 s.
 func Views(p *plan.Plan, l *ledger.Ledger, offset time.Duration, fig map[string]float64) {
 	by := map[int][]ledger.ViewChange{}
-	for _, v := range l.Views {
+	for _, v := range l.ViewChanges {
 		by[v.Relay] = append(by[v.Relay], v)
 	}
 	lives := map[int][]*ledger.Process{}
--- a/internal/testbed/audit/views_test.go
+++ b/internal/testbed/audit/views_test.go
@@ -19,7 +19,7 @@
 	l := &ledger.Ledger{Processes: []*ledger.Process{life(0, ledger.Never, ledger.Never, ""), life(1, ledger.Never, ledger.Never, ""),
 		life(2, 5*s, 5*s, "signal: killed")}}
 	see := func(r int, at time.Duration, present int, agreement string, came, gone []string) {
-		l.Views = append(l.Views, ledger.ViewChange{Relay: r, At: at, Present: present, Agreement: agreement, Joined: came, Left: gone})
+		l.ViewChanges = append(l.ViewChanges, ledger.ViewChange{Relay: r, At: at, Present: present, Agreement: agreement, Joined: came, Left: gone})
 	}
 	for r := range 3 {
 		see(r, 2*s, 3, "settling", []string{"a", "b", "c"}, nil)
--- a/internal/testbed/ledger/ledger.go
+++ b/internal/testbed/ledger/ledger.go
@@ -28,9 +28,9 @@
 	HostilePeers     []HostilePeer
 	Samples          []Sample
 	Outages          []*Outage
-	Limits           []LimitChange
+	LimitChanges     []LimitChange
 	UnexplainedCalls []UnexplainedCall
-	Views            []ViewChange
+	ViewChanges      []ViewChange
 	Traffic          []Traffic
 	// Recoveries are the messages that restarted relays recovered, if they log it.
 	Recoveries []Recovery
@@ -222,11 +222,11 @@
 }
 
 // AddSubmission adds a request that is about to be sent.
-func (l *Ledger) AddSubmission(h *Submission) {
+func (l *Ledger) AddSubmission(sub *Submission) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.Submissions = append(l.Submissions, h)
-	l.byTrace[h.Trace] = h
+	l.Submissions = append(l.Submissions, sub)
+	l.byTrace[sub.Trace] = sub
 }
 
 // Find returns the submission with a trace, or nil.
@@ -256,11 +256,11 @@
 	case *Outage:
 		l.Outages = append(l.Outages, x)
 	case LimitChange:
-		l.Limits = append(l.Limits, x)
+		l.LimitChanges = append(l.LimitChanges, x)
 	case UnexplainedCall:
 		l.UnexplainedCalls = append(l.UnexplainedCalls, x)
 	case ViewChange:
-		l.Views = append(l.Views, x)
+		l.ViewChanges = append(l.ViewChanges, x)
 	case Traffic:
 		l.Traffic = append(l.Traffic, x)
 	case Recovery:
--- a/internal/testbed/load/hostile.go
+++ b/internal/testbed/load/hostile.go
@@ -29,16 +29,16 @@
 }
 
 // runHostilePeer runs one peer that makes no valid request. The relay must answer with an error or close the connection.
-func (l *Load) runHostilePeer(ctx context.Context, h *plan.Hostile) {
-	rec := ledger.HostilePeer{Relay: h.Relay, Behavior: h.Way, At: l.ledger.Now(), Rejected: ledger.Never}
-	c, err := (&net.Dialer{Timeout: time.Second}).DialContext(ctx, "tcp4", l.addr(h.Relay))
+func (l *Load) runHostilePeer(ctx context.Context, peer *plan.Hostile) {
+	rec := ledger.HostilePeer{Relay: peer.Relay, Behavior: peer.Way, At: l.ledger.Now(), Rejected: ledger.Never}
+	c, err := (&net.Dialer{Timeout: time.Second}).DialContext(ctx, "tcp4", l.addr(peer.Relay))
 	if err != nil {
 		return // the relay is down
 	}
 	defer c.Close()
 	defer context.AfterFunc(ctx, func() { c.Close() })()
 	c.SetDeadline(time.Now().Add(hostileTimeout))
-	go l.sendInvalid(ctx, c, h)
+	go l.sendInvalid(ctx, c, peer)
 	res, err := http.ReadResponse(bufio.NewReader(c), nil)
 	switch {
 	case err == nil:
@@ -53,13 +53,13 @@
 			rec.Rejected = l.ledger.Now()
 		}
 	}
-	rec.RelayDown = !l.alive(h.Relay)
+	rec.RelayDown = !l.alive(peer.Relay)
 	l.ledger.Add(rec)
 }
 
 // sendInvalid sends what the peer's behavior prescribes. None of it is a request that a relay may accept.
-func (l *Load) sendInvalid(ctx context.Context, c net.Conn, h *plan.Hostile) {
-	rng := rand.New(rand.NewPCG(h.Draw, 0x686f7374))
+func (l *Load) sendInvalid(ctx context.Context, c net.Conn, peer *plan.Hostile) {
+	rng := rand.New(rand.NewPCG(peer.Draw, 0x686f7374))
 	class := l.plan.Classes[rng.IntN(len(l.plan.Classes))].Name
 	header := fmt.Sprintf("POST /%s HTTP/1.1\r\nHost: x\r\nX-Trace-Id: %016x\r\nX-Qos: %s\r\nX-Customer: %s\r\nX-Expires-In-Ms: 900\r\nIdempotency-Key: k\r\n",
 		class, rng.Uint64(), class, l.plan.Experiment.Load.Customers[0].Name)
@@ -68,7 +68,7 @@
 	for i := range noise {
 		noise[i] = byte(rng.UintN(256))
 	}
-	switch h.Way {
+	switch peer.Way {
 	case 0: // nothing
 	case 1: // a part of the header
 		c.Write([]byte(header[:20+rng.IntN(len(header)-20)]))
--- a/internal/testbed/load/load.go
+++ b/internal/testbed/load/load.go
@@ -126,25 +126,25 @@
 		l.lateness.RecordValue(max(1, int64((now-due)/time.Microsecond)))
 		l.mu.Unlock()
 	}
-	h := &ledger.Submission{Message: w.message, Try: w.try, Trace: l.traceID(w), Relay: w.relay, Due: due, Sent: ledger.Never,
+	sub := &ledger.Submission{Message: w.message, Try: w.try, Trace: l.traceID(w), Relay: w.relay, Due: due, Sent: ledger.Never,
 		Deadline: l.offset + a.At + class.Deadline.D(), Answered: ledger.Never}
 	if class.Effect == "keyed" {
-		h.Key = l.idempotencyKey(w.message)
+		sub.Key = l.idempotencyKey(w.message)
 	}
-	if h.Deadline-now < minTimeLeft {
+	if sub.Deadline-now < minTimeLeft {
 		return
 	}
-	l.ledger.AddSubmission(h)
+	l.ledger.AddSubmission(sub)
 	l.mu.Lock()
-	l.pending[h.Trace] = w
+	l.pending[sub.Trace] = w
 	l.mu.Unlock()
 	wait := l.plan.AnswerIn
 	abandons := a.Leaves > 0 && !w.abandoned
 	if abandons {
 		wait, w.abandoned = a.Leaves, true
 	}
-	status, retryAfter, err := l.request(h, a, secondTry, wait)
-	l.resubmit(h, a)
+	status, retryAfter, err := l.request(sub, a, secondTry, wait)
+	l.resubmit(sub, a)
 	switch {
 	case err == nil && status < 300:
 		return // accepted: the relay is responsible from here on
@@ -157,14 +157,14 @@
 	default:
 		// The relay was down, the connection broke, or no answer came in time. Submit again to a running relay, unless the
 		// message may have been executed and must not be repeated.
-		if class.Effect == "unsafe" && l.mayHaveRun(h.Trace) {
+		if class.Effect == "unsafe" && l.mayHaveRun(sub.Trace) {
 			return
 		}
 		if w.brokenTries++; w.brokenTries > maxBrokenRetries {
 			return
 		}
 		second := "again"
-		if h.Sent == ledger.Never {
+		if sub.Sent == ledger.Never {
 			second = ""
 		}
 		w.relay = l.runningRelay(w.relay, a.Draw+uint64(w.try))
@@ -233,15 +233,15 @@
 
 // request sends a request and reads its answer. If a reused connection fails, because the relay may have closed it before
 // it read the request, the request is sent again on a new connection.
-func (l *Load) request(h *ledger.Submission, a *plan.Arrival, secondTry string, wait time.Duration) (
+func (l *Load) request(sub *ledger.Submission, a *plan.Arrival, secondTry string, wait time.Duration) (
 	status int, retryAfter time.Duration, err error) {
 	deadline := time.Now().Add(wait)
 	for try := 0; ; try++ {
-		c, isNew, err := l.connect(h.Relay, deadline, try > 0)
+		c, isNew, err := l.connect(sub.Relay, deadline, try > 0)
 		if err != nil {
 			return 0, 0, err
 		}
-		status, retryAfter, err = l.exchange(c, h, a, secondTry, deadline)
+		status, retryAfter, err = l.exchange(c, sub, a, secondTry, deadline)
 		if err == nil || isNew || errors.Is(err, errAnswerTimeout) {
 			return status, retryAfter, err
 		}
@@ -279,7 +279,7 @@
 	return &conn{Conn: nc, r: bufio.NewReaderSize(nc, 1024)}, true, nil
 }
 
-func (l *Load) exchange(c *conn, h *ledger.Submission, a *plan.Arrival, secondTry string, deadline time.Time) (
+func (l *Load) exchange(c *conn, sub *ledger.Submission, a *plan.Arrival, secondTry string, deadline time.Time) (
 	status int, retryAfter time.Duration, err error) {
 	defer func() {
 		if err != nil {
@@ -287,30 +287,30 @@
 		}
 	}()
 	c.SetDeadline(deadline)
-	if _, err := c.Write(l.requestText(h, a, secondTry)); err != nil {
+	if _, err := c.Write(l.requestText(sub, a, secondTry)); err != nil {
 		return 0, 0, err
 	}
-	l.ledger.Update(func() { h.Sent = l.ledger.Now() })
+	l.ledger.Update(func() { sub.Sent = l.ledger.Now() })
 	res, err := http.ReadResponse(c.r, nil)
 	if err == nil {
 		_, err = io.Copy(io.Discard, io.LimitReader(res.Body, 64<<10))
 	}
 	var late net.Error
 	if errors.As(err, &late) && late.Timeout() {
-		l.ledger.Update(func() { h.Abandoned = true })
+		l.ledger.Update(func() { sub.Abandoned = true })
 		return 0, 0, errAnswerTimeout
 	}
 	if err != nil {
 		// Only a failure of a new connection counts: a relay may close an idle one just as a request is sent, which is then
 		// sent again.
-		l.ledger.Update(func() { h.ConnBroken = c.idleSince.IsZero() })
+		l.ledger.Update(func() { sub.ConnBroken = c.idleSince.IsZero() })
 		return 0, 0, err
 	}
 	if x, e := strconv.ParseFloat(res.Header.Get("Retry-After"), 64); e == nil {
 		retryAfter = time.Duration(x * float64(time.Second))
 	}
 	l.ledger.Update(func() {
-		h.Answered, h.Status, h.RetryAfter, h.ConnBroken = l.ledger.Now(), res.StatusCode, retryAfter, false
+		sub.Answered, sub.Status, sub.RetryAfter, sub.ConnBroken = l.ledger.Now(), res.StatusCode, retryAfter, false
 	})
 	if res.Close {
 		c.Close()
@@ -318,24 +318,24 @@
 		c.SetDeadline(time.Time{})
 		c.idleSince = time.Now()
 		l.mu.Lock()
-		l.pools[h.Relay] = append(l.pools[h.Relay], c)
+		l.pools[sub.Relay] = append(l.pools[sub.Relay], c)
 		l.mu.Unlock()
 	}
 	return res.StatusCode, retryAfter, nil
 }
 
 // requestText returns a request as it is sent.
-func (l *Load) requestText(h *ledger.Submission, a *plan.Arrival, secondTry string) []byte {
+func (l *Load) requestText(sub *ledger.Submission, a *plan.Arrival, secondTry string) []byte {
 	class := l.plan.Classes[a.Class].Name
 	b := fmt.Appendf(nil, "POST /%s HTTP/1.1\r\nHost: origin.svc\r\nX-Trace-Id: %s\r\nX-Qos: %s\r\nX-Customer: %s\r\nX-Expires-In-Ms: %d\r\n"+
-		"Content-Length: %d\r\nEnvelope: dest=%d\r\n", class, h.Trace, class, l.plan.Experiment.Load.Customers[a.Customer].Name,
-		max(1, (h.Deadline-l.ledger.Now()).Milliseconds()), a.Body, l.plan.Partners[a.Partner].ID)
-	if h.Key != "" {
-		b = fmt.Appendf(b, "Idempotency-Key: %s\r\n", h.Key)
+		"Content-Length: %d\r\nEnvelope: dest=%d\r\n", class, sub.Trace, class, l.plan.Experiment.Load.Customers[a.Customer].Name,
+		max(1, (sub.Deadline-l.ledger.Now()).Milliseconds()), a.Body, l.plan.Partners[a.Partner].ID)
+	if sub.Key != "" {
+		b = fmt.Appendf(b, "Idempotency-Key: %s\r\n", sub.Key)
 	}
 	if secondTry != "" {
 		b = fmt.Appendf(b, "X-Second-Try: %s\r\n", secondTry)
 	}
 	b = append(b, "\r\n"...)
-	return append(b, platform.MessageBody(h.Trace, a.Body)...)
+	return append(b, platform.MessageBody(sub.Trace, a.Body)...)
 }
--- a/internal/testbed/load/resubmit.go
+++ b/internal/testbed/load/resubmit.go
@@ -22,33 +22,33 @@
 
 // resubmit submits the id of a request again at random, as hostile clients do: on a new connection, with the full deadline
 // of its class, and regardless of the request's result.
-func (l *Load) resubmit(h *ledger.Submission, a *plan.Arrival) {
-	rng := rand.New(rand.NewPCG(a.Draw, resubmitSeed+uint64(h.Try)))
+func (l *Load) resubmit(sub *ledger.Submission, a *plan.Arrival) {
+	rng := rand.New(rand.NewPCG(a.Draw, resubmitSeed+uint64(sub.Try)))
 	if rng.Float64() >= l.plan.Experiment.Load.Resubmitted {
 		return
 	}
 	for range 1 + rng.IntN(maxResubmissions) {
 		after := minResubmitDelay + time.Duration(rng.Float64()*rng.Float64()*float64(resubmitWindow))
 		l.wg.Go(func() {
-			if network.Sleep(l.ctx, after) == nil && l.alive(h.Relay) {
-				l.resubmitOnce(h, a)
+			if network.Sleep(l.ctx, after) == nil && l.alive(sub.Relay) {
+				l.resubmitOnce(sub, a)
 			}
 		})
 	}
 }
 
-func (l *Load) resubmitOnce(h *ledger.Submission, a *plan.Arrival) {
-	c, err := (&net.Dialer{Timeout: resubmitTimeout}).DialContext(l.ctx, "tcp4", l.addr(h.Relay))
+func (l *Load) resubmitOnce(sub *ledger.Submission, a *plan.Arrival) {
+	c, err := (&net.Dialer{Timeout: resubmitTimeout}).DialContext(l.ctx, "tcp4", l.addr(sub.Relay))
 	if err != nil {
 		return
 	}
 	defer c.Close()
 	c.SetDeadline(time.Now().Add(resubmitTimeout))
-	fresh := *h
-	fresh.Deadline = l.ledger.Now() + l.plan.Classes[a.Class].Deadline.D()
-	r := &ledger.Resubmission{Relay: h.Relay, Trace: h.Trace, Sent: l.ledger.Now(), Deadline: fresh.Deadline, Answered: ledger.Never}
+	resubmitted := *sub
+	resubmitted.Deadline = l.ledger.Now() + l.plan.Classes[a.Class].Deadline.D()
+	r := &ledger.Resubmission{Relay: sub.Relay, Trace: sub.Trace, Sent: l.ledger.Now(), Deadline: resubmitted.Deadline, Answered: ledger.Never}
 	l.ledger.Add(r)
-	if _, err := c.Write(l.requestText(&fresh, a, "")); err != nil {
+	if _, err := c.Write(l.requestText(&resubmitted, a, "")); err != nil {
 		return
 	}
 	if res, err := http.ReadResponse(bufio.NewReader(c), nil); err == nil {
--- a/internal/testbed/platform/endpoint.go
+++ b/internal/testbed/platform/endpoint.go
@@ -125,7 +125,7 @@
 	if relay < 0 || relay >= len(s.platform.plan.Relays) {
 		return
 	}
-	x := &session{server: s, conn: c, reader: bufio.NewReaderSize(c, 4096), relay: relay, path: s.platform.pairPath(pair{relay, s.index}),
+	x := &session{server: s, conn: c, reader: bufio.NewReaderSize(c, 4096), relay: relay, path: s.platform.endpointPath(relayEndpoint{relay, s.index}),
 		firstRequest: true, next: make(chan error, 1)}
 	idle := time.Duration(s.platform.plan.Experiment.Partners.IdleSeconds * float64(time.Second))
 	x.awaitNext(func() {})
@@ -246,16 +246,16 @@
 	seen := map[string]bool{}
 	for _, it := range items {
 		call.Traces, call.Keys = append(call.Traces, it.ID), append(call.Keys, it.Key)
-		h := x.platform.ledger.Find(it.ID)
+		submission := x.platform.ledger.Find(it.ID)
 		reason := ""
 		switch {
-		case h == nil:
+		case submission == nil:
 			reason = "no client submitted " + strconv.Quote(it.ID)
-		case h.Key != it.Key:
+		case submission.Key != it.Key:
 			reason = "different key for " + it.ID
-		case x.platform.plan.Arrivals[h.Message].Partner != e.Partner:
+		case x.platform.plan.Arrivals[submission.Message].Partner != e.Partner:
 			reason = "wrong destination for " + it.ID
-		case string(MessageBody(it.ID, len(it.Body))) != string(it.Body) || len(it.Body) != x.platform.plan.Arrivals[h.Message].Body:
+		case string(MessageBody(it.ID, len(it.Body))) != string(it.Body) || len(it.Body) != x.platform.plan.Arrivals[submission.Message].Body:
 			reason = "different body for " + it.ID
 		}
 		if reason != "" {
@@ -302,36 +302,36 @@
 	if x.awaitRequest() != nil {
 		return false
 	}
-	h := led.Find(items[0].ID)
-	a := &p.plan.Arrivals[h.Message]
+	submission := led.Find(items[0].ID)
+	arrival := &p.plan.Arrivals[submission.Message]
 	states, unfinished := x.countAttempts(items)
 	p.mu.Lock()
 	slotsExceeded := p.inFlight[x.relay] > p.plan.Relays[x.relay].Slots
 	p.mu.Unlock()
-	var v outcome
+	var result outcome
 	switch {
 	case slotsExceeded:
 		return x.refuse(call, 503, "Slots-Taken: 1\r\n", outcome{})
 	case unfinished == 0 && len(items) == 1:
 		return x.refuse(call, map[string]int{"gone": 410, "exhausted": 504}[states[0]], "", outcome{})
 	default:
-		v = p.partners.decide(x.relay, x.index, led.Now(), a.Work, max(1, unfinished), a.Class)
+		result = p.partners.decide(x.relay, x.index, led.Now(), arrival.Work, max(1, unfinished), arrival.Class)
 	}
 	led.Update(func() {
-		call.InOutage, call.RetryAfter, call.Latency, call.Ran = v.inOutage, v.retryAfter, v.latency, v.ran
+		call.InOutage, call.RetryAfter, call.Latency, call.Ran = result.inOutage, result.retryAfter, result.latency, result.ran
 	})
-	if v.noAnswer {
+	if result.noAnswer {
 		x.waitForClose(func() bool { return !x.endpointHangs() })
 		return false
 	}
-	if network.Sleep(p.ctx, v.latency) != nil || resets {
+	if network.Sleep(p.ctx, result.latency) != nil || resets {
 		return false
 	}
 	switch {
-	case v.status == 503 && v.retryAfter > 0:
-		return x.refuse(call, 429, fmt.Sprintf("Retry-After: %.3f\r\n", v.retryAfter.Seconds()), v)
-	case v.status == 503:
-		return x.refuse(call, 503, "", v)
+	case result.status == 503 && result.retryAfter > 0:
+		return x.refuse(call, 429, fmt.Sprintf("Retry-After: %.3f\r\n", result.retryAfter.Seconds()), result)
+	case result.status == 503:
+		return x.refuse(call, 503, "", result)
 	}
 	if !x.awaitAnswer() {
 		return false
@@ -341,11 +341,11 @@
 		return false
 	}
 	var body []byte
-	if len(items) > 1 && v.status == 200 {
+	if len(items) > 1 && result.status == 200 {
 		body = encodeBundleAnswer(items, states)
 	}
-	x.markDelivered(items, states, v.status == 200)
-	return x.writeAnswer(call, v.status, body, v.report, "") == nil
+	x.markDelivered(items, states, result.status == 200)
+	return x.writeAnswer(call, result.status, body, result.report, "") == nil
 }
 
 // awaitAnswer waits until an answer has reached the relay. It returns false if the answer is lost.
@@ -381,10 +381,10 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, it := range items {
-		h := p.ledger.Find(it.ID)
+		submission := p.ledger.Find(it.ID)
 		state := "ok"
 		switch {
-		case p.finished[it.ID] || now > h.Deadline:
+		case p.finished[it.ID] || now > submission.Deadline:
 			state = "gone"
 		case p.attempts[it.ID] >= maxAttempts:
 			state = "exhausted"
--- a/internal/testbed/platform/partner.go
+++ b/internal/testbed/platform/partner.go
@@ -152,7 +152,7 @@
 func (s *partners) decide(relay, i int, now time.Duration, work time.Duration, messages, class int) (v outcome) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	e, at := s.endpoints[i], &s.plan.Endpoints[i]
+	e, planned := s.endpoints[i], &s.plan.Endpoints[i]
 	sc := e.scope
 	d := &s.plan.Partners[sc.partner]
 	s.recordArrival(sc, relay, now)
@@ -171,7 +171,7 @@
 		return outcome{noAnswer: true}
 	case e.refusing || sc.collapsed:
 		return outcome{status: 503, latency: errorLatency, retryAfter: s.retryAfter(d)}
-	case at.Drains > 0 && now > s.offset+at.Drains+drainGrace:
+	case planned.Drains > 0 && now > s.offset+planned.Drains+drainGrace:
 		return outcome{status: 503, latency: errorLatency}
 	case e.failureRate > 0 && s.rng.Float64() < e.failureRate, s.rng.Float64() < d.Errors:
 		return outcome{status: 500, latency: errorLatency}
@@ -258,9 +258,9 @@
 	if now > sc.recoveredAt+d.Warm {
 		return
 	}
-	span := time.Duration(exp.FallSeconds * float64(time.Second))
+	window := time.Duration(exp.FallSeconds * float64(time.Second))
 	sc.recentCalls = append(sc.recentCalls, arrival{now, relay})
-	sc.recentCalls = slices.DeleteFunc(sc.recentCalls, func(a arrival) bool { return a.at < now-span })
+	sc.recentCalls = slices.DeleteFunc(sc.recentCalls, func(a arrival) bool { return a.at < now-window })
 	capacity := 0.0
 	for _, e := range sc.endpoints {
 		if at := &s.plan.Endpoints[e]; at.Added <= now-s.offset && (at.Gone == 0 || at.Gone > now-s.offset) {
--- a/internal/testbed/platform/platform.go
+++ b/internal/testbed/platform/platform.go
@@ -99,25 +99,25 @@
 	cancel   context.CancelFunc
 	wg       sync.WaitGroup
 
-	mu           sync.Mutex
-	activeFaults []*plan.Fault
-	paths        map[pair]*network.Path
-	links        map[link]*network.Path // between relays, for gossip
-	forwarders   []*network.Forwarder
-	blackholes   map[pair]*network.Blackhole
-	servers      []*server
-	inFlight     []int // unanswered calls, by relay
-	attempts     map[string]int
-	finished     map[string]bool // traces of messages that were delivered or ended by a notice
+	mu            sync.Mutex
+	activeFaults  []*plan.Fault
+	endpointPaths map[relayEndpoint]*network.Path
+	gossipPaths   map[relayLink]*network.Path // between relays, for gossip
+	forwarders    []*network.Forwarder
+	blackholes    map[relayEndpoint]*network.Blackhole
+	servers       []*server
+	inFlight      []int // unanswered calls, by relay
+	attempts      map[string]int
+	finished      map[string]bool // traces of messages that were delivered or ended by a notice
 
 	// OnNotice, if not nil, is called with each notice, so that clients can submit a deferred message again; set before Run.
 	OnNotice func(ledger.Notice)
 }
 
-type pair struct{ relay, endpoint int }
+type relayEndpoint struct{ relay, endpoint int }
 
-// link is a direction between two relays.
-type link struct{ from, to int }
+// relayLink is a direction between two relays.
+type relayLink struct{ from, to int }
 
 // New starts the platform. It takes its time from the ledger.
 func New(p *plan.Plan, led *ledger.Ledger, ports *Ports) (*Platform, error) {
@@ -128,7 +128,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	x := &Platform{
 		plan: p, ledger: led, ports: ports, partners: newPartners(p, led), ctx: ctx, cancel: cancel,
-		paths: map[pair]*network.Path{}, links: map[link]*network.Path{}, blackholes: map[pair]*network.Blackhole{},
+		endpointPaths: map[relayEndpoint]*network.Path{}, gossipPaths: map[relayLink]*network.Path{}, blackholes: map[relayEndpoint]*network.Blackhole{},
 		inFlight: make([]int, len(p.Relays)), attempts: map[string]int{}, finished: map[string]bool{},
 	}
 	for i := range p.Endpoints {
@@ -187,7 +187,7 @@
 	for _, h := range x.blackholes {
 		h.Close()
 	}
-	x.blackholes = map[pair]*network.Blackhole{}
+	x.blackholes = map[relayEndpoint]*network.Blackhole{}
 	x.mu.Unlock()
 	for _, f := range x.forwarders {
 		f.Close()
@@ -258,15 +258,15 @@
 func (x *Platform) updatePaths(f *plan.Fault) error {
 	for _, r := range f.Relays {
 		for e := range x.plan.Endpoints {
-			if err := x.updatePair(pair{r, e}); err != nil {
+			if err := x.updateEndpointPath(relayEndpoint{r, e}); err != nil {
 				return err
 			}
 		}
 	}
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	for to, p := range x.links {
-		c := x.linkConditions(to)
+	for to, p := range x.gossipPaths {
+		c := x.gossipConditions(to)
 		for d := range c {
 			p.Update(network.Direction(d), func(old *network.Conditions) { *old = c[d] })
 		}
@@ -274,11 +274,11 @@
 	return nil
 }
 
-func (x *Platform) updatePair(to pair) error {
+func (x *Platform) updateEndpointPath(to relayEndpoint) error {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	c := x.pairConditions(to)
-	if p := x.paths[to]; p != nil {
+	c := x.endpointConditions(to)
+	if p := x.endpointPaths[to]; p != nil {
 		for d, now := range c {
 			p.Update(network.Direction(d), func(old *network.Conditions) { *old = now })
 		}
@@ -298,8 +298,8 @@
 	return nil
 }
 
-// pairConditions returns the conditions of a path under all active faults. The caller holds mu.
-func (x *Platform) pairConditions(to pair) (c [2]network.Conditions) {
+// endpointConditions returns the conditions of a path under all active faults. The caller holds mu.
+func (x *Platform) endpointConditions(to relayEndpoint) (c [2]network.Conditions) {
 	r, e := &x.plan.Relays[to.relay], &x.plan.Endpoints[to.endpoint]
 	base := network.Conditions{Delay: x.plan.Delays[r.Building][e.Building], Jitter: x.plan.Jitter}
 	c[network.Outbound], c[network.Inbound] = base, base
@@ -343,7 +343,7 @@
 			if sender < 0 || sender >= len(x.plan.Relays) {
 				return nil
 			}
-			return x.linkPath(link{sender, r})
+			return x.gossipPath(relayLink{sender, r})
 		}
 		tcp := &network.Forwarder{Target: x.ports.Gossip(r), PathFor: pathFor}
 		udp := &network.Forwarder{Target: x.ports.Gossip(r), PathFor: pathFor}
@@ -359,22 +359,22 @@
 	return nil
 }
 
-// linkPath returns the path from one relay to another.
-func (x *Platform) linkPath(to link) *network.Path {
+// gossipPath returns the path from one relay to another.
+func (x *Platform) gossipPath(to relayLink) *network.Path {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	p := x.links[to]
+	p := x.gossipPaths[to]
 	if p == nil {
-		c := x.linkConditions(to)
+		c := x.gossipConditions(to)
 		p = network.NewPath(c[network.Outbound], x.plan.Seed+uint64(to.from)<<32+uint64(to.to))
 		p.Update(network.Inbound, func(old *network.Conditions) { *old = c[network.Inbound] })
-		x.links[to] = p
+		x.gossipPaths[to] = p
 	}
 	return p
 }
 
-// linkConditions returns the conditions between two relays under all active faults. The caller holds mu.
-func (x *Platform) linkConditions(to link) (c [2]network.Conditions) {
+// gossipConditions returns the conditions between two relays under all active faults. The caller holds mu.
+func (x *Platform) gossipConditions(to relayLink) (c [2]network.Conditions) {
 	base := network.Conditions{Delay: x.plan.Delays[x.plan.Relays[to.from].Building][x.plan.Relays[to.to].Building], Jitter: x.plan.Jitter}
 	c[network.Outbound], c[network.Inbound] = base, base
 	for _, f := range x.activeFaults {
@@ -396,16 +396,16 @@
 	return c
 }
 
-// pairPath returns the path from a relay to an endpoint.
-func (x *Platform) pairPath(to pair) *network.Path {
+// endpointPath returns the path from a relay to an endpoint.
+func (x *Platform) endpointPath(to relayEndpoint) *network.Path {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	p := x.paths[to]
+	p := x.endpointPaths[to]
 	if p == nil {
-		c := x.pairConditions(to)
+		c := x.endpointConditions(to)
 		p = network.NewPath(c[network.Outbound], x.plan.Seed+uint64(to.relay)<<16+uint64(to.endpoint))
 		p.Update(network.Inbound, func(old *network.Conditions) { *old = c[network.Inbound] })
-		x.paths[to] = p
+		x.endpointPaths[to] = p
 	}
 	return p
 }
--- a/internal/testbed/platform/platform_test.go
+++ b/internal/testbed/platform/platform_test.go
@@ -156,14 +156,14 @@
 		Endpoints: []plan.Endpoint{{Capacity: 1e6}}, Classes: []plan.Class{{}}}, ledger.New())
 	// Kind 0 has a rate limit: of 50 calls in a second it admits ten and a burst.
 	s.endpoints[0].scope = &scope{fullLimit: 10, limitFactor: 1, tokens: 3, endpoints: []int{0}, recoveredAt: ledger.Never}
-	taken := 0
+	admitted := 0
 	for i := range 50 {
 		if s.decide(0, 0, time.Duration(i)*20*time.Millisecond, time.Millisecond, 1, 0).status == 200 {
-			taken++
+			admitted++
 		}
 	}
-	if taken < 12 || taken > 13 {
-		t.Errorf("%d of 50 calls in a second admitted at 10 a second", taken)
+	if admitted < 12 || admitted > 13 {
+		t.Errorf("%d of 50 calls in a second admitted at 10 a second", admitted)
 	}
 }
 
@@ -242,11 +242,11 @@
 	if len(led.Notices) != 1 || led.Notices[0].RetryAfter != 500*time.Millisecond {
 		t.Errorf("notices: %+v", led.Notices)
 	}
-	moved, err := x.MoveAgent(0)
+	newAddr, err := x.MoveAgent(0)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if res, err = http.Get("http://" + moved + "/catalog/members"); err != nil {
+	if res, err = http.Get("http://" + newAddr + "/catalog/members"); err != nil {
 		t.Fatal(err)
 	}
 	res.Body.Close()
--- a/internal/testbed/process/disk.go
+++ b/internal/testbed/process/disk.go
@@ -211,17 +211,17 @@
 // failDisk makes the disk of relay r fail as the fault x says, for the duration of x.
 func (f *Fleet) failDisk(r int, x *plan.Fault) error {
 	modes := map[string]string{"disk-full": "full", "disk-sick": "broken", "disk-slow": fmt.Sprintf("slow=%.0fms", x.Size)}
-	writeFaults := func(word string) (err error) {
+	setMode := func(word string) (err error) {
 		for _, trace := range []string{f.tracePath(r), f.tracePath(r) + tracedisk.BacklogSuffix} {
 			err = errors.Join(err, os.WriteFile(trace+".faults", []byte(word), 0o600))
 		}
 		return err
 	}
-	if err := writeFaults(modes[x.Kind]); err != nil {
+	if err := setMode(modes[x.Kind]); err != nil {
 		return fmt.Errorf("process: %w", err)
 	}
 	network.Sleep(f.ctx, x.For)
-	if err := writeFaults(f.baselineDiskFaults(r)); err != nil {
+	if err := setMode(f.baselineDiskFaults(r)); err != nil {
 		return fmt.Errorf("process: %w", err)
 	}
 	return nil
--- a/internal/testbed/run/series.go
+++ b/internal/testbed/run/series.go
@@ -63,7 +63,7 @@
 		p := PartnerSeries{ID: d.ID, Kind: c.plan.Experiment.Partners.Kinds[d.Kind].Name, Taken: make([]int, n), Refused: make([]int, n),
 			Failed: make([]int, n), Limit: make([]float64, n), Capacity: d.Capacity}
 		for k := range p.Limit {
-			for _, x := range c.book.Limits {
+			for _, x := range c.book.LimitChanges {
 				if x.Partner == i && x.At <= c.offset+time.Duration(k)*time.Second {
 					p.Limit[k] = x.Limit
 				}
