--- a/internal/testbed/platform/endpoint.go
+++ b/internal/testbed/platform/endpoint.go
@@ -125,8 +125,8 @@
 	if relay < 0 || relay >= len(s.platform.plan.Relays) {
 		return
 	}
-	x := &session{server: s, conn: c, reader: bufio.NewReaderSize(c, 4096), relay: relay, path: s.platform.endpointPath(relayEndpoint{relay, s.index}),
-		firstRequest: true, next: make(chan error, 1)}
+	x := &session{server: s, conn: c, reader: bufio.NewReaderSize(c, 4096), relay: relay,
+		path: s.platform.endpointPath(relayEndpoint{relay, s.index}), firstRequest: true, next: make(chan error, 1)}
 	idle := time.Duration(s.platform.plan.Experiment.Partners.IdleSeconds * float64(time.Second))
 	x.awaitNext(func() {})
 	for {
--- a/internal/testbed/platform/platform.go
+++ b/internal/testbed/platform/platform.go
@@ -128,8 +128,9 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	x := &Platform{
 		plan: p, ledger: led, ports: ports, partners: newPartners(p, led), ctx: ctx, cancel: cancel,
-		endpointPaths: map[relayEndpoint]*network.Path{}, gossipPaths: map[relayLink]*network.Path{}, blackholes: map[relayEndpoint]*network.Blackhole{},
-		inFlight: make([]int, len(p.Relays)), attempts: map[string]int{}, finished: map[string]bool{},
+		endpointPaths: map[relayEndpoint]*network.Path{}, gossipPaths: map[relayLink]*network.Path{},
+		blackholes: map[relayEndpoint]*network.Blackhole{}, inFlight: make([]int, len(p.Relays)),
+		attempts: map[string]int{}, finished: map[string]bool{},
 	}
 	for i := range p.Endpoints {
 		s := &server{platform: x, index: i, conns: map[net.Conn]struct{}{}}
