--- a/internal/testbed/audit/audit.go
+++ b/internal/testbed/audit/audit.go
@@ -59,9 +59,9 @@
 // Check returns the violations in a run, ordered by time. offset is when the first message was due. Nothing from end on
 // counts, because the testbed was shutting down.
 func Check(p *plan.Plan, l *ledger.Ledger, offset, end time.Duration) []Violation {
-	a := &auditor{plan: p, ledger: l, offset: offset, end: end, lives: map[int][]*ledger.Life{}, calls: map[string][]*ledger.Call{},
+	a := &auditor{plan: p, ledger: l, offset: offset, end: end, lives: map[int][]*ledger.Process{}, calls: map[string][]*ledger.Call{},
 		notices: map[string][]ledger.Notice{}}
-	for _, x := range l.Lives {
+	for _, x := range l.Processes {
 		a.lives[x.Relay] = append(a.lives[x.Relay], x)
 	}
 	slices.SortStableFunc(l.Calls, func(a, b *ledger.Call) int { return cmp.Compare(a.FirstByte, b.FirstByte) })
@@ -92,7 +92,7 @@
 	plan        *plan.Plan
 	ledger      *ledger.Ledger
 	offset, end time.Duration
-	lives       map[int][]*ledger.Life
+	lives       map[int][]*ledger.Process
 	calls       map[string][]*ledger.Call
 	notices     map[string][]ledger.Notice
 	violations  []Violation
@@ -134,12 +134,12 @@
 	until = a.reachableFrom(relay, at)
 	lives := a.lives[relay]
 	for i, x := range lives {
-		for _, p := range x.Paused {
+		for _, p := range x.Pauses {
 			if p.From <= until && until <= p.To+restartGrace {
 				until = p.To + restartGrace
 			}
 		}
-		if x.Asked == ledger.Never || x.Asked > until {
+		if x.StopSignaled == ledger.Never || x.StopSignaled > until {
 			continue
 		}
 		// The next process that became ready ends the gap; a replacement was ready before the old process ended.
@@ -150,7 +150,7 @@
 				break
 			}
 		}
-		if next < len(lives) && lives[next].Emptied && since <= x.Asked {
+		if next < len(lives) && lives[next].EmptyState && since <= x.StopSignaled {
 			return until, true
 		}
 		switch {
@@ -214,8 +214,8 @@
 
 // checkFinals checks that each accepted message has exactly one final answer, in time.
 func (a *auditor) checkFinals() {
-	for _, h := range a.ledger.HandIns {
-		if h.Broken && !a.unavailable(h.Relay, h.Sent) && !a.clientsCutOff(h.Relay, h.Sent) {
+	for _, h := range a.ledger.Submissions {
+		if h.ConnBroken && !a.unavailable(h.Relay, h.Sent) && !a.clientsCutOff(h.Relay, h.Sent) {
 			a.report(RuleLost, h.Sent, h.Relay, "%s: the connection closed without an answer after the request was written", h.Trace)
 		}
 		if h.Answered == ledger.Never || h.Status >= 300 {
@@ -258,11 +258,11 @@
 		if i+1 < len(lives) && lives[i+1].Ready != ledger.Never {
 			to = lives[i+1].Ready
 		}
-		killed := x.Asked != ledger.Never && x.End != ledger.Never && x.End-x.Asked < margin // SIGKILL, or an exit without a drain
-		if killed && x.Asked-margin <= at && at <= to {
+		killed := x.StopSignaled != ledger.Never && x.End != ledger.Never && x.End-x.StopSignaled < margin // SIGKILL, or an exit without a drain
+		if killed && x.StopSignaled-margin <= at && at <= to {
 			return true
 		}
-		for _, p := range x.Paused {
+		for _, p := range x.Pauses {
 			if p.From-margin <= at && at <= p.To {
 				return true
 			}
@@ -318,14 +318,14 @@
 			return false
 		}
 	}
-	return c.MayRun
+	return c.MayHaveRun
 }
 
 // checkDrains checks that a relay sends no new calls to an endpoint that discovery reported as draining or gone.
 func (a *auditor) checkDrains() {
 	type key struct{ relay, endpoint int }
 	told := map[key]time.Duration{}
-	for _, t := range a.ledger.Told {
+	for _, t := range a.ledger.ListChanges {
 		k := key{t.Relay, t.Endpoint}
 		if at, ok := told[k]; t.State != "ready" && (!ok || t.At < at) {
 			told[k] = t.At
@@ -339,10 +339,10 @@
 		at = a.reachableFrom(c.Relay, at) // a change counts as delivered once discovery can be reached
 		// A process that was started or paused since then learned of the change only afterwards.
 		for _, x := range a.lives[c.Relay] {
-			if x.Start <= c.FirstByte && x.Start > at && !x.Replaces {
+			if x.Start <= c.FirstByte && x.Start > at && !x.Replacement {
 				at = x.Start
 			}
-			for _, p := range x.Paused {
+			for _, p := range x.Pauses {
 				if p.From <= c.FirstByte && p.To > at {
 					at = p.To
 				}
@@ -366,22 +366,22 @@
 	}
 	told := map[key][]*ledger.Call{}
 	for _, c := range a.ledger.Calls {
-		if c.Status == 429 && c.Wait > 0 {
+		if c.Status == 429 && c.RetryAfter > 0 {
 			k := key{c.Relay, scope(c.Endpoint)}
 			told[k] = append(told[k], c)
 		}
 	}
 	for _, c := range a.ledger.Calls {
 		for _, w := range told[key{c.Relay, scope(c.Endpoint)}] {
-			if c.LastByte <= w.Written+waitGrace || c.FirstByte >= w.Written+w.Wait-limitTolerance/10 {
+			if c.LastByte <= w.Written+waitGrace || c.FirstByte >= w.Written+w.RetryAfter-limitTolerance/10 {
 				continue
 			}
-			restarted := slices.ContainsFunc(a.lives[c.Relay], func(x *ledger.Life) bool {
-				return !x.Replaces && x.Start > w.Written && x.Start <= c.FirstByte
+			restarted := slices.ContainsFunc(a.lives[c.Relay], func(x *ledger.Process) bool {
+				return !x.Replacement && x.Start > w.Written && x.Start <= c.FirstByte
 			})
 			if !restarted {
 				a.report(RuleWait, c.FirstByte, c.Relay, "call to %s %v after it asked to wait %v", a.plan.Endpoints[c.Endpoint].ID,
-					c.FirstByte-w.Written, w.Wait)
+					c.FirstByte-w.Written, w.RetryAfter)
 				break
 			}
 		}
@@ -391,37 +391,37 @@
 // checkCold checks that no recovering partner was overloaded mostly by relays that had seen it fail.
 func (a *auditor) checkCold() {
 	for _, o := range a.ledger.Outages {
-		if o.Fell != ledger.Never && float64(o.ByThose) >= witnessShare*float64(o.Pushed) {
+		if o.Collapsed != ledger.Never && float64(o.WitnessCalls) >= witnessShare*float64(o.CollapseCalls) {
 			relay := 0 // any of the witnesses, to name one in the report
-			for r := range o.Witness {
+			for r := range o.Witnesses {
 				relay = r
 				break
 			}
-			a.report(RuleCold, o.Fell, relay, "partner %d recovered at %v and was overloaded again: %d calls, %d of them from relays that had seen it fail",
-				a.plan.Partners[o.Partner].ID, o.To, o.Pushed, o.ByThose)
+			a.report(RuleCold, o.Collapsed, relay, "partner %d recovered at %v and was overloaded again: %d calls, %d of them from relays that had seen it fail",
+				a.plan.Partners[o.Partner].ID, o.To, o.CollapseCalls, o.WitnessCalls)
 		}
 	}
 }
 
 // checkSingleRecords checks the rules that a single record can violate: unknown messages, hostile peers, crashes, limits.
 func (a *auditor) checkSingleRecords() {
-	for _, u := range a.ledger.Unknowns {
-		a.report(RuleWrong, u.At, u.Relay, "%s at %s", u.What, a.plan.Endpoints[u.Endpoint].ID)
+	for _, u := range a.ledger.UnexplainedCalls {
+		a.report(RuleWrong, u.At, u.Relay, "%s at %s", u.Reason, a.plan.Endpoints[u.Endpoint].ID)
 	}
-	for _, p := range a.ledger.Peers {
+	for _, p := range a.ledger.HostilePeers {
 		switch {
-		case p.Excuse || p.At+hostileTimeout+limitTolerance > a.end || a.unavailable(p.Relay, p.At) || a.unavailable(p.Relay, p.At+hostileTimeout):
-		case p.Ended == ledger.Never || p.Ended > p.At+hostileTimeout+limitTolerance:
-			a.report(RuleHostile, p.At, p.Relay, "a hostile peer of kind %d was not disconnected in time (status %d)", p.Way, p.Status)
+		case p.RelayDown || p.At+hostileTimeout+limitTolerance > a.end || a.unavailable(p.Relay, p.At) || a.unavailable(p.Relay, p.At+hostileTimeout):
+		case p.Rejected == ledger.Never || p.Rejected > p.At+hostileTimeout+limitTolerance:
+			a.report(RuleHostile, p.At, p.Relay, "a hostile peer of kind %d was not disconnected in time (status %d)", p.Behavior, p.Status)
 		}
 	}
 	for _, lives := range a.lives {
 		for i, x := range lives {
-			if x.End == ledger.Never || x.Asked != ledger.Never && x.Asked <= x.End || x.End >= a.end {
+			if x.End == ledger.Never || x.StopSignaled != ledger.Never && x.StopSignaled <= x.End || x.End >= a.end {
 				continue
 			}
 			// A process may exit by itself once its replacement has started.
-			if i+1 < len(lives) && lives[i+1].Replaces && lives[i+1].Start < x.End {
+			if i+1 < len(lives) && lives[i+1].Replacement && lives[i+1].Start < x.End {
 				continue
 			}
 			a.report(RuleCrash, x.End, x.Relay, "process %d exited: %s", x.PID, x.Exit)
--- a/internal/testbed/audit/audit_test.go
+++ b/internal/testbed/audit/audit_test.go
@@ -37,13 +37,13 @@
 	w := &fixture{p, ledger.New()}
 	for class := range p.Classes {
 		p.Arrivals = append(p.Arrivals, plan.Arrival{At: second, Class: class})
-		w.l.HandIn(&ledger.HandIn{Message: class, Trace: trace(class), Due: second, Sent: second, Deadline: second + p.Classes[class].Deadline.D(),
+		w.l.AddSubmission(&ledger.Submission{Message: class, Trace: trace(class), Due: second, Sent: second, Deadline: second + p.Classes[class].Deadline.D(),
 			Answered: second + 1e6, Status: 202})
 		w.l.Add(&ledger.Call{Endpoint: 1, Traces: []string{trace(class)}, FirstByte: 2 * second, LastByte: 2 * second, Written: 2*second + 2e8,
-			Status: 200, MayRun: true, Ran: true})
+			Status: 200, MayHaveRun: true, Ran: true})
 	}
 	for r := range 2 {
-		w.l.Add(&ledger.Life{Relay: r, Start: 0, Ready: 1e8, Asked: ledger.Never, End: ledger.Never})
+		w.l.Add(&ledger.Process{Relay: r, Start: 0, Ready: 1e8, StopSignaled: ledger.Never, End: ledger.Never})
 	}
 	return w
 }
@@ -54,22 +54,22 @@
 
 // repeatCall adds another call of a message.
 func (w *fixture) repeatCall(class, endpoint int, at time.Duration) *ledger.Call {
-	c := &ledger.Call{Endpoint: endpoint, Traces: []string{trace(class)}, FirstByte: at, LastByte: at, Written: at + 1e8, Status: 200, MayRun: true}
+	c := &ledger.Call{Endpoint: endpoint, Traces: []string{trace(class)}, FirstByte: at, LastByte: at, Written: at + 1e8, Status: 200, MayHaveRun: true}
 	w.l.Add(c)
 	return c
 }
 
 // killRelay has the first relay killed and started again.
 func (w *fixture) killRelay(at time.Duration) {
-	w.l.Lives[0].Asked, w.l.Lives[0].End = at, at
-	w.l.Add(&ledger.Life{Relay: 0, Start: 8 * second, Ready: 8 * second, Asked: ledger.Never, End: ledger.Never})
+	w.l.Processes[0].StopSignaled, w.l.Processes[0].End = at, at
+	w.l.Add(&ledger.Process{Relay: 0, Start: 8 * second, Ready: 8 * second, StopSignaled: ledger.Never, End: ledger.Never})
 }
 
 // refuseOnFailingDisk has the first relay refuse a message while its files fail for the given time, be killed 2 s later, and
 // send the message when its id is submitted again.
 func (w *fixture) refuseOnFailingDisk(failing time.Duration) {
 	w.dropAnswer(safe)
-	w.l.HandIns[safe].Status, w.l.HandIns[safe].Answered = 500, 2500*time.Millisecond
+	w.l.Submissions[safe].Status, w.l.Submissions[safe].Answered = 500, 2500*time.Millisecond
 	w.p.Faults = []plan.Fault{{Kind: "files", At: 2 * second, For: failing, Relays: []int{0}}}
 	w.killRelay(4500 * time.Millisecond)
 	w.l.Add(&ledger.Resubmission{Trace: "status", Sent: 8900 * time.Millisecond, Deadline: 20 * second, Answered: 8900 * time.Millisecond, Status: 202})
@@ -104,34 +104,34 @@
 		}, ""},
 		"late, but its relay was down": {func(w *fixture) {
 			w.dropAnswer(safe)
-			w.l.Lives[0].Asked, w.l.Lives[0].End = 5*second, 5*second
-			w.l.Add(&ledger.Life{Relay: 0, Start: 8 * second, Ready: 8 * second, Asked: ledger.Never, End: ledger.Never})
+			w.l.Processes[0].StopSignaled, w.l.Processes[0].End = 5*second, 5*second
+			w.l.Add(&ledger.Process{Relay: 0, Start: 8 * second, Ready: 8 * second, StopSignaled: ledger.Never, End: ledger.Never})
 			w.l.Add(ledger.Notice{Trace: "status", Status: "deferred", At: 9 * second})
 		}, ""},
 		"late even for a restarted relay": {func(w *fixture) {
 			w.dropAnswer(safe)
-			w.l.Lives[0].Asked, w.l.Lives[0].End = 5*second, 5*second
-			w.l.Add(&ledger.Life{Relay: 0, Start: 8 * second, Ready: 8 * second, Asked: ledger.Never, End: ledger.Never})
+			w.l.Processes[0].StopSignaled, w.l.Processes[0].End = 5*second, 5*second
+			w.l.Add(&ledger.Process{Relay: 0, Start: 8 * second, Ready: 8 * second, StopSignaled: ledger.Never, End: ledger.Never})
 			w.l.Add(ledger.Notice{Trace: "status", Status: "deferred", At: 9*second + 600e6})
 		}, RuleLateFinal},
 		"lost with its machine": {func(w *fixture) {
 			w.dropAnswer(unsafe)
-			w.l.Lives[0].Asked, w.l.Lives[0].End = 5*second, 5*second
-			w.l.Add(&ledger.Life{Relay: 0, Start: 8 * second, Ready: 8 * second, Emptied: true, Asked: ledger.Never, End: ledger.Never})
+			w.l.Processes[0].StopSignaled, w.l.Processes[0].End = 5*second, 5*second
+			w.l.Add(&ledger.Process{Relay: 0, Start: 8 * second, Ready: 8 * second, EmptyState: true, StopSignaled: ledger.Never, End: ledger.Never})
 		}, ""},
 		"lost by a restart": {func(w *fixture) {
 			w.dropAnswer(unsafe)
-			w.l.Lives[0].Asked, w.l.Lives[0].End = 5*second, 5*second
-			w.l.Add(&ledger.Life{Relay: 0, Start: 8 * second, Ready: 8 * second, Asked: ledger.Never, End: ledger.Never})
+			w.l.Processes[0].StopSignaled, w.l.Processes[0].End = 5*second, 5*second
+			w.l.Add(&ledger.Process{Relay: 0, Start: 8 * second, Ready: 8 * second, StopSignaled: ledger.Never, End: ledger.Never})
 		}, RuleLost},
 		"a connection without an answer": {func(w *fixture) {
-			h := w.l.HandIns[safe]
-			h.Broken, h.Answered, h.Status = true, ledger.Never, 0
+			h := w.l.Submissions[safe]
+			h.ConnBroken, h.Answered, h.Status = true, ledger.Never, 0
 		}, RuleLost},
 		"a connection without an answer after SIGKILL": {func(w *fixture) {
-			h := w.l.HandIns[safe]
-			h.Broken, h.Answered, h.Status = true, ledger.Never, 0
-			w.l.Lives[0].Asked, w.l.Lives[0].End = second+1e6, second+2e6
+			h := w.l.Submissions[safe]
+			h.ConnBroken, h.Answered, h.Status = true, ledger.Never, 0
+			w.l.Processes[0].StopSignaled, w.l.Processes[0].End = second+1e6, second+2e6
 		}, ""},
 		"two different notices": {func(w *fixture) {
 			w.dropAnswer(safe)
@@ -150,7 +150,7 @@
 		}, RuleSecondFinal},
 		"sent after a 500": {func(w *fixture) {
 			w.dropAnswer(safe)
-			w.l.HandIns[safe].Status, w.l.HandIns[safe].Answered = 500, 2500*time.Millisecond
+			w.l.Submissions[safe].Status, w.l.Submissions[safe].Answered = 500, 2500*time.Millisecond
 			w.repeatCall(safe, 1, 3*second)
 		}, RuleEndedSent},
 		"sent after a resubmission was refused": {func(w *fixture) {
@@ -162,28 +162,28 @@
 			w.repeatCall(safe, 1, 4*second)
 		}, ""},
 		"sent after it was delivered": {func(w *fixture) {
-			w.l.Add(ledger.Learned{Trace: "status", At: 2300 * time.Millisecond})
+			w.l.Add(ledger.LearnedEnd{Trace: "status", At: 2300 * time.Millisecond})
 			w.repeatCall(safe, 1, 4*second)
 		}, RuleEndedSent},
 		"sent by the next process after it was delivered": {func(w *fixture) {
-			w.l.Add(ledger.Learned{Trace: "status", At: 2300 * time.Millisecond})
+			w.l.Add(ledger.LearnedEnd{Trace: "status", At: 2300 * time.Millisecond})
 			w.killRelay(second * 3)
 			w.repeatCall(safe, 1, 9*second)
 		}, RuleEndedSent},
 		"delivered right before a kill": {func(w *fixture) {
-			w.l.Add(ledger.Learned{Trace: "status", At: 2300 * time.Millisecond})
+			w.l.Add(ledger.LearnedEnd{Trace: "status", At: 2300 * time.Millisecond})
 			w.killRelay(2310 * time.Millisecond)
 			w.repeatCall(safe, 1, 9*second)
 		}, ""},
 		"delivered while the disk failed": {func(w *fixture) {
-			w.l.Add(ledger.Learned{Trace: "status", At: 2300 * time.Millisecond})
+			w.l.Add(ledger.LearnedEnd{Trace: "status", At: 2300 * time.Millisecond})
 			w.p.Faults = []plan.Fault{{Kind: "files", At: 2 * second, For: 2 * second, Relays: []int{0}}}
 			w.killRelay(3 * second)
 			w.repeatCall(safe, 1, 9*second)
 		}, ""},
 		"refused, and sent by the next process": {func(w *fixture) {
 			w.dropAnswer(safe)
-			w.l.HandIns[safe].Status, w.l.HandIns[safe].Answered = 500, 2500*time.Millisecond
+			w.l.Submissions[safe].Status, w.l.Submissions[safe].Answered = 500, 2500*time.Millisecond
 			w.killRelay(2501 * time.Millisecond)
 			w.repeatCall(safe, 1, 9*second)
 		}, RuleEndedSent},
@@ -191,11 +191,11 @@
 		"the same, but the disk worked again before the kill":             {func(w *fixture) { w.refuseOnFailingDisk(second) }, RuleEndedSent},
 		"the same, but the next process found it": {func(w *fixture) {
 			w.refuseOnFailingDisk(3 * second)
-			w.l.Add(ledger.Recovered{Trace: "status", At: 8500 * time.Millisecond, Left: w.l.HandIns[safe].Deadline - 8500*time.Millisecond})
+			w.l.Add(ledger.Recovery{Trace: "status", At: 8500 * time.Millisecond, Remaining: w.l.Submissions[safe].Deadline - 8500*time.Millisecond})
 		}, RuleEndedSent},
 		"the same, and a third process found what the second accepted": {func(w *fixture) {
 			w.refuseOnFailingDisk(3 * second)
-			w.l.Add(ledger.Recovered{Trace: "status", At: 8950 * time.Millisecond, Left: 20*second - 8950*time.Millisecond})
+			w.l.Add(ledger.Recovery{Trace: "status", At: 8950 * time.Millisecond, Remaining: 20*second - 8950*time.Millisecond})
 		}, ""},
 		"the same, but without a resubmission": {func(w *fixture) {
 			w.refuseOnFailingDisk(3 * second)
@@ -203,21 +203,21 @@
 		}, RuleEndedSent},
 		"refused, and sent after the relay lost its state": {func(w *fixture) {
 			w.dropAnswer(safe)
-			w.l.HandIns[safe].Status, w.l.HandIns[safe].Answered = 503, 2500*time.Millisecond
+			w.l.Submissions[safe].Status, w.l.Submissions[safe].Answered = 503, 2500*time.Millisecond
 			w.killRelay(3 * second)
-			w.l.Lives[len(w.l.Lives)-1].Emptied = true
+			w.l.Processes[len(w.l.Processes)-1].EmptyState = true
 			w.repeatCall(safe, 1, 9*second)
 		}, ""},
 		"a restart that computes too much remaining time": {func(w *fixture) {
-			w.l.Add(ledger.Recovered{Trace: "status", At: 3 * second, Left: 5 * second}) // 3 s remain
+			w.l.Add(ledger.Recovery{Trace: "status", At: 3 * second, Remaining: 5 * second}) // 3 s remain
 		}, RuleDeadlineMoved},
 		"a restart that uses the deadline of a resubmission": {func(w *fixture) {
 			w.l.Add(&ledger.Resubmission{Trace: "status", Sent: 2 * second, Deadline: 8 * second, Answered: 2 * second, Status: 202})
-			w.l.Add(ledger.Recovered{Trace: "status", At: 3 * second, Left: 5 * second})
+			w.l.Add(ledger.Recovery{Trace: "status", At: 3 * second, Remaining: 5 * second})
 		}, ""},
 		"a restart that uses neither deadline": {func(w *fixture) {
 			w.l.Add(&ledger.Resubmission{Trace: "status", Sent: 2 * second, Deadline: 20 * second, Answered: 2 * second, Status: 202})
-			w.l.Add(ledger.Recovered{Trace: "status", At: 3 * second, Left: 5 * second})
+			w.l.Add(ledger.Recovery{Trace: "status", At: 3 * second, Remaining: 5 * second})
 		}, RuleDeadlineMoved},
 		"a payment twice": {func(w *fixture) { w.dropAnswer(unsafe); w.repeatCall(unsafe, 1, 4*second) }, RuleDuplicate},
 		"a payment twice, by the next process": {func(w *fixture) {
@@ -228,17 +228,17 @@
 		"a payment submitted again after the relay lost its state": {func(w *fixture) {
 			w.dropAnswer(unsafe)
 			w.killRelay(3 * second)
-			w.l.Lives[len(w.l.Lives)-1].Emptied = true
+			w.l.Processes[len(w.l.Processes)-1].EmptyState = true
 			w.repeatCall(unsafe, 1, 9*second)
 		}, ""},
 		"a payment after a refusal": {func(w *fixture) {
 			c := w.call(unsafe)
-			c.Status, c.MayRun = 503, false
+			c.Status, c.MayHaveRun = 503, false
 			w.repeatCall(unsafe, 1, 4*second)
 		}, ""},
 		"a payment sent again before the refusal": {func(w *fixture) {
 			c := w.call(unsafe)
-			c.Status, c.MayRun, c.Written = 503, false, 5*second
+			c.Status, c.MayHaveRun, c.Written = 503, false, 5*second
 			w.repeatCall(unsafe, 1, 4*second)
 		}, RuleDuplicate},
 		"a status twice":                  {func(w *fixture) { w.dropAnswer(safe); w.repeatCall(safe, 0, 4*second) }, ""},
@@ -249,23 +249,23 @@
 		"a call 540 ms after a drain":     {func(w *fixture) { w.tellDrain(2*second - 540e6) }, ""},
 		"a drain reported to a paused relay": {func(w *fixture) {
 			w.tellDrain(second)
-			w.l.Lives[0].Paused = []ledger.Pause{{From: second / 2, To: 1800e6}}
+			w.l.Processes[0].Pauses = []ledger.Pause{{From: second / 2, To: 1800e6}}
 		}, ""},
 		"a call during a wait":                                {func(w *fixture) { w.tellWait(second+850e6, 500*time.Millisecond) }, RuleWait},
 		"a call at the same time as the answer with the wait": {func(w *fixture) { w.tellWait(second+950e6, 500*time.Millisecond) }, ""},
 		"a call after the wait":                               {func(w *fixture) { w.tellWait(second, second) }, ""},
-		"a wait forgotten by a restart":                       {func(w *fixture) { w.tellWait(second, 5*second); w.l.Lives[0].Start = second + 500e6 }, ""},
+		"a wait forgotten by a restart":                       {func(w *fixture) { w.tellWait(second, 5*second); w.l.Processes[0].Start = second + 500e6 }, ""},
 		"overloaded by relays that saw the outage":            {func(w *fixture) { w.overload(20, 30) }, RuleCold},
 		"overloaded by other relays":                          {func(w *fixture) { w.overload(19, 30) }, ""},
-		"an unknown message":                                  {func(w *fixture) { w.l.Add(ledger.Unknown{What: "x"}) }, RuleWrong},
-		"a hostile peer disconnected too late":                {func(w *fixture) { w.l.Add(ledger.Peer{At: second, Ended: 4*second + 100e6}) }, RuleHostile},
-		"a hostile peer never disconnected":                   {func(w *fixture) { w.l.Add(ledger.Peer{At: second, Ended: ledger.Never, Status: 202}) }, RuleHostile},
-		"a hostile peer disconnected in time":                 {func(w *fixture) { w.l.Add(ledger.Peer{At: second, Ended: 3 * second}) }, ""},
-		"a crash":                                             {func(w *fixture) { w.l.Lives[1].End = 9 * second }, RuleCrash},
-		"a requested exit":                                    {func(w *fixture) { w.l.Lives[1].Asked, w.l.Lives[1].End = 8*second, 9*second }, ""},
+		"an unknown message":                                  {func(w *fixture) { w.l.Add(ledger.UnexplainedCall{Reason: "x"}) }, RuleWrong},
+		"a hostile peer disconnected too late":                {func(w *fixture) { w.l.Add(ledger.HostilePeer{At: second, Rejected: 4*second + 100e6}) }, RuleHostile},
+		"a hostile peer never disconnected":                   {func(w *fixture) { w.l.Add(ledger.HostilePeer{At: second, Rejected: ledger.Never, Status: 202}) }, RuleHostile},
+		"a hostile peer disconnected in time":                 {func(w *fixture) { w.l.Add(ledger.HostilePeer{At: second, Rejected: 3 * second}) }, ""},
+		"a crash":                                             {func(w *fixture) { w.l.Processes[1].End = 9 * second }, RuleCrash},
+		"a requested exit":                                    {func(w *fixture) { w.l.Processes[1].StopSignaled, w.l.Processes[1].End = 8*second, 9*second }, ""},
 		"the exit of an old process after a hand-over": {func(w *fixture) {
-			w.l.Lives[1].End = 9 * second
-			w.l.Add(&ledger.Life{Relay: 1, Replaces: true, Start: 8 * second, Ready: 8 * second, Asked: ledger.Never, End: ledger.Never})
+			w.l.Processes[1].End = 9 * second
+			w.l.Add(&ledger.Process{Relay: 1, Replacement: true, Start: 8 * second, Ready: 8 * second, StopSignaled: ledger.Never, End: ledger.Never})
 		}, ""},
 		"too much memory": {func(w *fixture) { w.l.Add(ledger.Sample{At: second, MemoryMB: 95, DiskMB: 2}) }, RuleOverLimit},
 		"too many sockets of two processes together": {func(w *fixture) {
@@ -288,17 +288,17 @@
 
 // tellDrain has discovery tell the first relay that the second endpoint drains.
 func (w *fixture) tellDrain(at time.Duration) {
-	w.l.Add(ledger.Told{Relay: 0, Endpoint: 1, State: "draining", At: at})
+	w.l.Add(ledger.ListChange{Relay: 0, Endpoint: 1, State: "draining", At: at})
 }
 
 // tellWait has the partner ask for a wait before the calls that come at 2 s.
 func (w *fixture) tellWait(at, d time.Duration) {
-	w.l.Add(&ledger.Call{Endpoint: 0, Traces: []string{"status"}, FirstByte: at, LastByte: at, Written: at, Status: 429, Wait: d})
+	w.l.Add(&ledger.Call{Endpoint: 0, Traces: []string{"status"}, FirstByte: at, LastByte: at, Written: at, Status: 429, RetryAfter: d})
 }
 
 // overload has the partner overloaded again after an outage, by so many calls, some of them from witnesses.
 func (w *fixture) overload(byThose, pushed int) {
-	w.l.Add(&ledger.Outage{From: second, To: 4 * second, Fell: 5 * second, Pushed: pushed, ByThose: byThose, Witness: map[int]bool{0: true}})
+	w.l.Add(&ledger.Outage{From: second, To: 4 * second, Collapsed: 5 * second, CollapseCalls: pushed, WitnessCalls: byThose, Witnesses: map[int]bool{0: true}})
 }
 
 func TestWorth(t *testing.T) {
--- a/internal/testbed/audit/ended.go
+++ b/internal/testbed/audit/ended.go
@@ -33,7 +33,7 @@
 func (a *auditor) collectEndings() endings {
 	all := endings{}
 	add := func(trace string, e ending) { all[trace] = append(all[trace], e) }
-	for _, h := range a.ledger.HandIns {
+	for _, h := range a.ledger.Submissions {
 		if h.Answered != ledger.Never && h.Status >= http.StatusMultipleChoices {
 			add(h.Trace, ending{relay: h.Relay, at: h.Answered, cause: http.StatusText(h.Status)})
 		}
@@ -46,7 +46,7 @@
 	for trace, ns := range a.notices {
 		add(trace, ending{relay: ns[0].Relay, at: ns[0].At, cause: ns[0].Status})
 	}
-	for _, x := range a.ledger.Learned {
+	for _, x := range a.ledger.LearnedEnds {
 		add(x.Trace, ending{relay: x.Relay, at: x.At, cause: "reported by an endpoint", fromEndpoint: true})
 	}
 	return all
@@ -91,11 +91,11 @@
 		return false
 	}
 	found := func(until time.Duration) bool {
-		return slices.ContainsFunc(a.ledger.Recovered, func(x ledger.Recovered) bool {
+		return slices.ContainsFunc(a.ledger.Recoveries, func(x ledger.Recovery) bool {
 			return x.Relay == relay && x.Trace == trace && at < x.At && x.At <= until
 		})
 	}
-	return slices.ContainsFunc(a.lives[relay], func(x *ledger.Life) bool {
+	return slices.ContainsFunc(a.lives[relay], func(x *ledger.Process) bool {
 		return x.End != ledger.Never && at < x.End && x.End < by && a.diskFailed(relay, x.End-diskCatchUp, x.End) &&
 			slices.ContainsFunc(a.ledger.Resubmissions, func(r *ledger.Resubmission) bool {
 				return r.Relay == relay && r.Trace == trace && x.End < r.Sent && r.Sent <= by && r.Status == http.StatusAccepted && !found(r.Sent)
@@ -105,7 +105,7 @@
 
 // lostState reports whether a relay restarted with an empty folder between two times.
 func (a *auditor) lostState(relay int, from, to time.Duration) bool {
-	return slices.ContainsFunc(a.lives[relay], func(x *ledger.Life) bool { return x.Emptied && from < x.Start && x.Start < to })
+	return slices.ContainsFunc(a.lives[relay], func(x *ledger.Process) bool { return x.EmptyState && from < x.Start && x.Start < to })
 }
 
 // diskFailed reports whether a fault made a relay's files fail at any time between two times.
--- a/internal/testbed/audit/givenup.go
+++ b/internal/testbed/audit/givenup.go
@@ -18,7 +18,7 @@
 func (a *auditor) checkGivenUp() {
 	untried, givenUp := 0, 0
 	var last Violation
-	for _, h := range a.ledger.HandIns {
+	for _, h := range a.ledger.Submissions {
 		recovered := a.recoveredAt(h)
 		calls, notices := a.calls[h.Trace], a.notices[h.Trace]
 		if recovered == ledger.Never || len(calls) > 0 && calls[0].FirstByte < recovered || len(notices) > 0 && notices[0].At < recovered {
@@ -40,19 +40,19 @@
 
 // attempted reports whether the relay's own log has attempts for a recovered message. Refused connections reach no endpoint,
 // so the endpoints' records do not show them.
-func (a *auditor) attempted(h *ledger.HandIn) bool {
-	return slices.ContainsFunc(a.ledger.Recovered, func(x ledger.Recovered) bool {
+func (a *auditor) attempted(h *ledger.Submission) bool {
+	return slices.ContainsFunc(a.ledger.Recoveries, func(x ledger.Recovery) bool {
 		return x.Relay == h.Relay && x.Trace == h.Trace && x.Attempts > 0
 	})
 }
 
 // recoveredAt returns when the process became ready that recovered a message accepted by an earlier process, or Never.
-func (a *auditor) recoveredAt(h *ledger.HandIn) time.Duration {
+func (a *auditor) recoveredAt(h *ledger.Submission) time.Duration {
 	if h.Answered == ledger.Never || h.Status >= 300 {
 		return ledger.Never
 	}
 	for _, x := range a.lives[h.Relay] {
-		if x.Start > h.Answered && x.Ready != ledger.Never && !x.Replaces && !x.Emptied {
+		if x.Start > h.Answered && x.Ready != ledger.Never && !x.Replacement && !x.EmptyState {
 			return x.Ready
 		}
 	}
--- a/internal/testbed/audit/givenup_test.go
+++ b/internal/testbed/audit/givenup_test.go
@@ -15,8 +15,8 @@
 		w.killRelay(8 * second / 2)
 		for i := range minUntried {
 			id := fmt.Sprint("m", i)
-			w.l.HandIn(&ledger.HandIn{Message: safe, Trace: id, Sent: 3 * second, Deadline: 30 * second, Answered: 3 * second, Status: 202})
-			w.l.Add(ledger.Recovered{Trace: id, At: 8 * second, Left: 22 * second, Attempts: attempts})
+			w.l.AddSubmission(&ledger.Submission{Message: safe, Trace: id, Sent: 3 * second, Deadline: 30 * second, Answered: 3 * second, Status: 202})
+			w.l.Add(ledger.Recovery{Trace: id, At: 8 * second, Remaining: 22 * second, Attempts: attempts})
 			w.l.Add(ledger.Notice{Trace: id, Status: "deferred", At: 9 * second})
 		}
 		if found := CountByRule(Check(w.p, w.l, 0, 60*second))[RuleGivenUp]; (found > 0) != (attempts == 0) {
--- a/internal/testbed/audit/restarts.go
+++ b/internal/testbed/audit/restarts.go
@@ -11,7 +11,7 @@
 
 // checkRefused checks that refused messages, which their clients may submit again, are not sent.
 func (a *auditor) checkRefused() {
-	for _, h := range a.ledger.HandIns {
+	for _, h := range a.ledger.Submissions {
 		if h.Status != http.StatusTooManyRequests && h.Status != http.StatusServiceUnavailable {
 			continue
 		}
@@ -27,19 +27,19 @@
 
 // checkDeadlines checks the remaining time that restarts log for the messages that they recover.
 func (a *auditor) checkDeadlines() {
-	for _, x := range a.ledger.Recovered {
+	for _, x := range a.ledger.Recoveries {
 		h := a.ledger.Find(x.Trace)
 		if h == nil {
 			continue
 		}
-		deviation := x.Left - (h.Deadline - x.At)
+		deviation := x.Remaining - (h.Deadline - x.At)
 		for _, r := range a.ledger.Resubmissions { // the relay accepts it as new if the first never arrived or its client had left
-			if o := x.Left - (r.Deadline - x.At); r.Trace == x.Trace && r.Sent < x.At && o.Abs() < deviation.Abs() {
+			if o := x.Remaining - (r.Deadline - x.At); r.Trace == x.Trace && r.Sent < x.At && o.Abs() < deviation.Abs() {
 				deviation = o
 			}
 		}
 		if deviation.Abs() > deadlineTolerance {
-			a.report(RuleDeadlineMoved, x.At, x.Relay, "%s: a restart computed %v as the remaining time, off by %v", x.Trace, x.Left, deviation)
+			a.report(RuleDeadlineMoved, x.At, x.Relay, "%s: a restart computed %v as the remaining time, off by %v", x.Trace, x.Remaining, deviation)
 		}
 	}
 }
--- a/internal/testbed/audit/worth.go
+++ b/internal/testbed/audit/worth.go
@@ -48,8 +48,8 @@
 
 // MessageResults returns the results of the plan's messages, in their order.
 func MessageResults(p *plan.Plan, l *ledger.Ledger, offset time.Duration) []MessageResult {
-	attempts := make([][]*ledger.HandIn, len(p.Arrivals))
-	for _, h := range l.HandIns {
+	attempts := make([][]*ledger.Submission, len(p.Arrivals))
+	for _, h := range l.Submissions {
 		attempts[h.Message] = append(attempts[h.Message], h)
 	}
 	calls := map[string][]*ledger.Call{}
@@ -173,7 +173,7 @@
 		fig["served_worst_customer"] = math.Min(fig["served_worst_customer"], c.ratio())
 	}
 	fig["back_s"] = recoverySeconds(p, seconds)
-	fig["starts"] = float64(len(l.Lives))
+	fig["starts"] = float64(len(l.Processes))
 	addCallFigures(p, l, n, fig)
 	fig["goal"] = weightTotal*fig["served"] + weightWindow*fig["served_worst_10s"] + weightClass*fig["served_worst_class"] +
 		weightCustomer*fig["served_worst_customer"] - penaltyHandshake*fig["handshakes"] - penaltyWaste*fig["wasted"] -
@@ -223,7 +223,7 @@
 func addCallFigures(p *plan.Plan, l *ledger.Ledger, n float64, fig map[string]float64) {
 	var calls, fresh, probes, crossed, refused, wasted, work, down float64
 	for _, c := range l.Calls {
-		if c.Fresh {
+		if c.FirstOnConn {
 			fresh++
 		}
 		if c.Probe {
@@ -237,12 +237,12 @@
 		if c.Status == 503 || c.Status == 429 {
 			refused++
 		}
-		if c.Outage {
+		if c.InOutage {
 			down++
 		}
-		work += c.Work.Seconds()
+		work += c.Latency.Seconds()
 		if c.Ran && c.Status != 200 {
-			wasted += c.Work.Seconds()
+			wasted += c.Latency.Seconds()
 		}
 	}
 	fig["calls"], fig["handshakes"], fig["probes"], fig["crossed"] = calls/n, fresh/n, probes/n, crossed/n
@@ -289,7 +289,7 @@
 	}
 	fig["cpu_ms_per_message"] = total.Seconds() * 1000 / math.Max(1, fig["messages"])
 	var ready []float64
-	for _, x := range l.Lives {
+	for _, x := range l.Processes {
 		if x.Ready != ledger.Never {
 			ready = append(ready, (x.Ready-x.Start).Seconds()*1000)
 		}
--- a/internal/testbed/ledger/ledger.go
+++ b/internal/testbed/ledger/ledger.go
@@ -1,9 +1,9 @@
-// Package ledger is what the testbed's own parties saw in a run: every request and its answer, every call that reached an
-// endpoint, every notice, what was told, and how each process fared. It holds facts as they stood on the emulator's side
-// of the sockets, and judges nothing; package audit does. Neither shares code with the relay, so that an error there is
-// not repeated here.
+// Package ledger records what the testbed's own parties observed in a run: every request and its answer, every call that
+// reached an endpoint, every notice, every change of discovery's list, and the start and end of each process. It holds the
+// facts as seen on the testbed's side of the sockets; package audit evaluates them. Neither shares code with the relay, so
+// that an error there is not repeated here.
 //
-// Times are from the start of the run, by its monotonic clock.
+// Times count from the start of the run, by the monotonic clock.
 package ledger
 
 import (
@@ -12,224 +12,225 @@
 	"time"
 )
 
-// Never is a time that has not come.
+// Never is the time of an event that has not happened.
 const Never = time.Duration(-1)
 
-// Ledger collects records. It is safe for concurrent use; the slices are to be read once the run is over.
+// Ledger collects records. Its methods are safe for concurrent use; its slices may be read once the run is over.
 type Ledger struct {
-	began time.Time
+	start time.Time
 
-	mu       sync.Mutex
-	HandIns  []*HandIn
-	Calls    []*Call
-	Notices  []Notice
-	Told     []Told
-	Lives    []*Life
-	Peers    []Peer
-	Samples  []Sample
-	Outages  []*Outage
-	Limits   []LimitChange
-	Unknowns []Unknown
-	Views    []ViewChange
-	Traffic  []Traffic
-	// Recovered is what restarts told of the messages that they found, where relays log it.
-	Recovered []Recovered
-	// Learned are the ends that relays have learned of from endpoints, where they log them.
-	Learned []Learned
-	// Resubmissions are ids that were handed in again.
+	mu               sync.Mutex
+	Submissions      []*Submission
+	Calls            []*Call
+	Notices          []Notice
+	ListChanges      []ListChange
+	Processes        []*Process
+	HostilePeers     []HostilePeer
+	Samples          []Sample
+	Outages          []*Outage
+	LimitChanges     []LimitChange
+	UnexplainedCalls []UnexplainedCall
+	ViewChanges      []ViewChange
+	Traffic          []Traffic
+	// Recoveries are the messages that restarted relays recovered, if they log it.
+	Recoveries []Recovery
+	// LearnedEnds are the ends of messages that relays learned of from endpoints, if they log it.
+	LearnedEnds []LearnedEnd
+	// Resubmissions are requests that reused the id of an earlier one.
 	Resubmissions []*Resubmission
 
-	byTrace map[string]*HandIn
+	byTrace map[string]*Submission
 }
 
-// At is a moment of the wall clock, as the ledger counts.
-func (l *Ledger) At(t time.Time) time.Duration { return t.Sub(l.began) }
+// Offset converts a wall-clock time to the time of the run.
+func (l *Ledger) Offset(t time.Time) time.Duration { return t.Sub(l.start) }
 
-// HandIn is one request that a client made. A message may be handed in several times, under a fresh trace each.
-type HandIn struct {
-	Message  int // index among the plan's arrivals
-	Try      int // 0: the first
-	Trace    string
-	Key      string
-	Relay    int
-	Due      time.Duration // when it was to be sent
-	Sent     time.Duration // its last byte; Never if it was not written whole
-	Deadline time.Duration // the message's
-	Answered time.Duration // Never if no answer came
-	Status   int
-	Again    time.Duration // told with a refusal
-	Left     bool          // its client went away before an answer
-	Broken   bool          // the connection ended with no answer once the request was written
+// Submission is one request of a client. A message may be submitted several times, each time with a new trace.
+type Submission struct {
+	Message    int // index among the plan's arrivals
+	Try        int // 0: the first submission of the message
+	Trace      string
+	Key        string
+	Relay      int
+	Due        time.Duration // when the client meant to send it
+	Sent       time.Duration // when its last byte was written; Never if it was not written whole
+	Deadline   time.Duration // of the message
+	Answered   time.Duration // Never if no answer came
+	Status     int
+	RetryAfter time.Duration // sent with a refusal
+	Abandoned  bool          // the client stopped waiting before an answer came
+	ConnBroken bool          // the connection ended without an answer after the request was written
 }
 
 // Call is one call as it reached an endpoint.
 type Call struct {
-	Relay     int
-	Endpoint  int
-	Traces    []string
-	Keys      []string
-	FirstByte time.Duration
-	LastByte  time.Duration // Never if it did not come whole
-	Fresh     bool          // the first on its connection
-	Probe     bool
-	Status    int           // of the answer; 0: none was written
-	States    []string      // of a bundle's answer
-	Written   time.Duration // the answer's; Never
-	Wait      time.Duration // told with it
-	MayRun    bool          // what became of it does not prove that it never ran
-	Ran       bool
-	Work      time.Duration
-	Outage    bool // the endpoint was in an outage that had not ended
+	Relay       int
+	Endpoint    int
+	Traces      []string
+	Keys        []string
+	FirstByte   time.Duration
+	LastByte    time.Duration // Never if the call did not arrive whole
+	FirstOnConn bool          // the first call on its connection
+	Probe       bool
+	Status      int           // of the answer; 0: no answer was written
+	States      []string      // of the messages, from the answer to a bundle
+	Written     time.Duration // when the answer was written, or Never
+	RetryAfter  time.Duration // sent with the answer
+	MayHaveRun  bool          // the result does not prove that the call was not executed
+	Ran         bool
+	Latency     time.Duration
+	InOutage    bool // the endpoint was in an outage
 }
 
-// Notice is a line of a POST to /v2/finals.
+// Notice is a final notice: a line of a POST to /v2/finals.
 type Notice struct {
-	Relay  int
-	Trace  string
-	Status string
-	Again  time.Duration
-	At     time.Duration
+	Relay      int
+	Trace      string
+	Status     string
+	RetryAfter time.Duration
+	At         time.Duration
 }
 
-// Told is a change of the list that a relay's agent had, and so counts as told to it.
-type Told struct {
+// ListChange is a change of the list of a relay's discovery agent. From then on, the relay counts as informed of it.
+type ListChange struct {
 	Relay    int
 	Endpoint int
 	State    string // "ready", "draining" or "gone"
 	At       time.Duration
 }
 
-// Life is one process of a relay.
-type Life struct {
-	Relay    int
-	PID      int
-	Start    time.Duration
-	Ready    time.Duration // its first 200 to /_health; Never
-	Asked    time.Duration // SIGTERM or SIGKILL by the testbed; Never
-	End      time.Duration // Never while it runs
-	Exit     string        // how it ended
-	Emptied  bool          // it began with an empty folder
-	Paused   []Pause
-	Replaces bool // a process beside which it was started
+// Process is one process of a relay.
+type Process struct {
+	Relay        int
+	PID          int
+	Start        time.Duration
+	Ready        time.Duration // when it first reported ready, or Never
+	StopSignaled time.Duration // when the testbed first sent SIGTERM or SIGKILL, or Never
+	End          time.Duration // Never while it runs
+	Exit         string        // how it ended
+	EmptyState   bool          // it started with an empty state folder
+	Pauses       []Pause
+	Replacement  bool // it was started to replace a running process
 }
 
-// ViewChange is a change of what a relay sees of its fleet, by its own log.
+// ViewChange is a change of a relay's view of its fleet, from its log.
 type ViewChange struct {
-	Relay, PID int
-	At         time.Duration
-	Present    int
-	Agreement  string
-	Came, Gone []string // names
+	Relay, PID   int
+	At           time.Duration
+	Present      int
+	Agreement    string
+	Joined, Left []string // names of relays
 }
 
-// Traffic is what a member's part in its fleet cost the network between two moments.
+// Traffic is the number of bytes that a member sent to its fleet between two times.
 type Traffic struct {
 	Relay    int
 	From, To time.Duration
 	Bytes    int64
 }
 
-// Recovered is a message that a restart found, with the time that it took it to have left.
-type Recovered struct {
-	Relay int
-	Trace string
-	At    time.Duration
-	Left  time.Duration
-	// Attempts are those that its relay has on record, those among them that could not connect and reached no endpoint.
+// Recovery is a message that a restarted relay recovered, with the time that the relay took it to have left.
+type Recovery struct {
+	Relay     int
+	Trace     string
+	At        time.Duration
+	Remaining time.Duration
+	// Attempts counts the attempts on record at the relay, including those that failed to connect and reached no endpoint.
 	Attempts int
 }
 
-// Learned is the end of a message that a relay has learned of from an endpoint.
-type Learned struct {
+// LearnedEnd is the end of a message that a relay learned of from an endpoint.
+type LearnedEnd struct {
 	Relay int
 	Trace string
 	At    time.Duration
 }
 
-// Resubmission is one request under the id of an earlier one. It counts for no worth.
+// Resubmission is a request that reuses the id of an earlier one. It yields no worth.
 type Resubmission struct {
 	Relay    int
 	Trace    string
 	Sent     time.Duration
-	Deadline time.Duration // that it states
+	Deadline time.Duration // as stated in the request
 	Answered time.Duration // Never if no answer came
 	Status   int
 }
 
-// Pause is a time for which a process stood still.
+// Pause is a period for which a process was stopped.
 type Pause struct{ From, To time.Duration }
 
-// Peer is a hostile peer.
-type Peer struct {
-	Relay  int
-	Way    int
-	At     time.Duration // it connected
-	Ended  time.Duration // an error or a close came; Never
-	Status int           // of an error; 0: a close
-	Excuse bool          // its relay was not there, or died, meanwhile
+// HostilePeer is a connection of a peer that makes no valid request.
+type HostilePeer struct {
+	Relay     int
+	Behavior  int
+	At        time.Duration // when it connected
+	Rejected  time.Duration // when it got an error or the connection was closed, or Never
+	Status    int           // of the answer; 0: no answer
+	RelayDown bool          // the relay was down at the end
 }
 
-// Sample is what a process held at a moment.
+// Sample is the resource usage of a process at a time.
 type Sample struct {
 	Relay, PID int
 	At         time.Duration
 	MemoryMB   float64
 	Sockets    int
 	DiskMB     float64
-	CPU        time.Duration // used so far
+	CPU        time.Duration // processor time used so far
 }
 
-// Outage is a time for which a scope, a destination or one endpoint of separate routes, failed or refused most calls.
+// Outage is a period in which a scope failed or refused most calls. A scope is a destination, or one endpoint where the
+// destination has separate routes.
 type Outage struct {
-	Scope    int // the testbed's number for it
-	Partner  int
-	From, To time.Duration // To: Never until it is over
-	Witness  map[int]bool  // relays whose calls failed there, or were refused, meanwhile
-	Fell     time.Duration // pushed over after it; Never
-	Pushed   int           // calls in the span that pushed it over
-	ByThose  int           // and those of them from witnesses
+	Scope         int // its number in the testbed
+	Partner       int
+	From, To      time.Duration // To is Never while the outage lasts
+	Witnesses     map[int]bool  // relays whose calls failed or were refused meanwhile
+	Collapsed     time.Duration // when calls overloaded the scope after the outage, or Never
+	CollapseCalls int           // calls in the period that caused the collapse
+	WitnessCalls  int           // those of CollapseCalls that came from witnesses
 }
 
-// LimitChange is a limit from a moment on.
+// LimitChange is the limit of a destination from a time on.
 type LimitChange struct {
 	Partner int
 	At      time.Duration
 	Limit   float64
 }
 
-// Unknown is a call that no client's request explains.
-type Unknown struct {
+// UnexplainedCall is a call that no request of a client explains.
+type UnexplainedCall struct {
 	Relay, Endpoint int
 	At              time.Duration
-	What            string
+	Reason          string
 }
 
-// New returns a ledger that begins now.
-func New() *Ledger { return &Ledger{began: time.Now(), byTrace: map[string]*HandIn{}} }
+// New returns an empty ledger of a run that starts now.
+func New() *Ledger { return &Ledger{start: time.Now(), byTrace: map[string]*Submission{}} }
 
-// Now is the time of the run.
-func (l *Ledger) Now() time.Duration { return time.Since(l.began) }
+// Now returns the time of the run.
+func (l *Ledger) Now() time.Duration { return time.Since(l.start) }
 
-// Began is when the run began.
-func (l *Ledger) Began() time.Time { return l.began }
+// StartTime returns the wall-clock time at which the run started.
+func (l *Ledger) StartTime() time.Time { return l.start }
 
-// Do changes records that were added before.
-func (l *Ledger) Do(f func()) {
+// Update calls f with the ledger locked, to change records that were added before.
+func (l *Ledger) Update(f func()) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	f()
 }
 
-// HandIn adds a request that is about to be made.
-func (l *Ledger) HandIn(h *HandIn) {
+// AddSubmission adds a request that is about to be sent.
+func (l *Ledger) AddSubmission(sub *Submission) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.HandIns = append(l.HandIns, h)
-	l.byTrace[h.Trace] = h
+	l.Submissions = append(l.Submissions, sub)
+	l.byTrace[sub.Trace] = sub
 }
 
-// Find returns the request with a trace; nil if there is none.
-func (l *Ledger) Find(trace string) *HandIn {
+// Find returns the submission with a trace, or nil.
+func (l *Ledger) Find(trace string) *Submission {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.byTrace[trace]
@@ -244,31 +245,31 @@
 		l.Calls = append(l.Calls, x)
 	case Notice:
 		l.Notices = append(l.Notices, x)
-	case Told:
-		l.Told = append(l.Told, x)
-	case *Life:
-		l.Lives = append(l.Lives, x)
-	case Peer:
-		l.Peers = append(l.Peers, x)
+	case ListChange:
+		l.ListChanges = append(l.ListChanges, x)
+	case *Process:
+		l.Processes = append(l.Processes, x)
+	case HostilePeer:
+		l.HostilePeers = append(l.HostilePeers, x)
 	case Sample:
 		l.Samples = append(l.Samples, x)
 	case *Outage:
 		l.Outages = append(l.Outages, x)
 	case LimitChange:
-		l.Limits = append(l.Limits, x)
-	case Unknown:
-		l.Unknowns = append(l.Unknowns, x)
+		l.LimitChanges = append(l.LimitChanges, x)
+	case UnexplainedCall:
+		l.UnexplainedCalls = append(l.UnexplainedCalls, x)
 	case ViewChange:
-		l.Views = append(l.Views, x)
+		l.ViewChanges = append(l.ViewChanges, x)
 	case Traffic:
 		l.Traffic = append(l.Traffic, x)
-	case Recovered:
-		l.Recovered = append(l.Recovered, x)
-	case Learned:
-		l.Learned = append(l.Learned, x)
+	case Recovery:
+		l.Recoveries = append(l.Recoveries, x)
+	case LearnedEnd:
+		l.LearnedEnds = append(l.LearnedEnds, x)
 	case *Resubmission:
 		l.Resubmissions = append(l.Resubmissions, x)
 	default:
-		panic(fmt.Sprintf("ledger: no place for %T", x))
+		panic(fmt.Sprintf("ledger: unknown record type %T", x))
 	}
 }
--- a/internal/testbed/process/inject.go
+++ b/internal/testbed/process/inject.go
@@ -12,43 +12,44 @@
 	"onyxroad.dev/onyxroad/internal/testbed/plan"
 )
 
-// faults is what is injected into a relay at a moment: into the process that runs, and into the next one from its first call on.
-type faults struct {
-	mu   sync.Mutex
-	wall int // seconds by which the wall clock is off
-	now  []string
+// injectedFaults are the faults in effect for a relay. They apply to the running process, and to the next one from its
+// first call on.
+type injectedFaults struct {
+	mu         sync.Mutex
+	wallOffset int // seconds by which the wall clock is off
+	rules      []string
 }
 
 func (f *Fleet) faultsPath(r int) string {
 	return filepath.Join(f.dir, f.plan.Relays[r].Name, "faults")
 }
 
-// inject has a relay's calls fail for a time, or its wall clock step for good.
+// inject makes system calls of relay r fail for the duration of x, or steps its wall clock permanently.
 func (f *Fleet) inject(r int, x *plan.Fault) error {
-	of := &f.relays[r].faults
-	of.mu.Lock()
+	injected := &f.relays[r].faults
+	injected.mu.Lock()
 	if x.Kind == "wall-step" {
 		step, err := strconv.Atoi(strings.TrimPrefix(x.Rules[0], "wall "))
 		if err != nil {
-			of.mu.Unlock()
-			return fmt.Errorf("process: %w", err)
+			injected.mu.Unlock()
+			return fmt.Errorf("process: parse wall-clock step: %w", err)
 		}
-		of.wall += step
+		injected.wallOffset += step
 	} else {
-		of.now = append(of.now, x.Rules...)
+		injected.rules = append(injected.rules, x.Rules...)
 	}
 	err := f.writeFaults(r)
-	of.mu.Unlock()
+	injected.mu.Unlock()
 	if err != nil || x.Kind == "wall-step" {
 		return err
 	}
 	network.Sleep(f.ctx, x.For)
-	of.mu.Lock()
-	defer of.mu.Unlock()
+	injected.mu.Lock()
+	defer injected.mu.Unlock()
 	for _, rule := range x.Rules {
-		for i := range of.now {
-			if of.now[i] == rule {
-				of.now = append(of.now[:i], of.now[i+1:]...)
+		for i := range injected.rules {
+			if injected.rules[i] == rule {
+				injected.rules = append(injected.rules[:i], injected.rules[i+1:]...)
 				break
 			}
 		}
@@ -56,16 +57,16 @@
 	return f.writeFaults(r)
 }
 
-// writeFaults writes what is injected into a relay now; with its faults held.
+// writeFaults writes the faults file of relay r. The caller holds the mutex of its faults.
 func (f *Fleet) writeFaults(r int) error {
-	of := &f.relays[r].faults
+	injected := &f.relays[r].faults
 	path := f.faultsPath(r)
-	text := fmt.Sprintf("wall %d\n%s\n", of.wall, strings.Join(of.now, "\n"))
+	text := fmt.Sprintf("wall %d\n%s\n", injected.wallOffset, strings.Join(injected.rules, "\n"))
 	if err := os.WriteFile(path+".new", []byte(text), 0o600); err != nil {
-		return fmt.Errorf("process: faults: %w", err)
+		return fmt.Errorf("process: write faults file: %w", err)
 	}
 	if err := os.Rename(path+".new", path); err != nil {
-		return fmt.Errorf("process: faults: %w", err)
+		return fmt.Errorf("process: write faults file: %w", err)
 	}
 	return nil
 }
--- a/internal/testbed/process/recovered.go
+++ b/internal/testbed/process/recovered.go
@@ -12,7 +12,7 @@
 	"onyxroad.dev/onyxroad/internal/testbed/ledger"
 )
 
-// lifecycleLine is a line of a relay's log on a change of a message's state.
+// lifecycleLine is a line of a relay's log about a state change of a message.
 type lifecycleLine struct {
 	Time     time.Time
 	Trace    string
@@ -21,24 +21,24 @@
 	Attempts int
 }
 
-// Recovered reads from the relays' logs what restarts told of the messages that they found, and the ends that relays learned of,
-// into the ledger.
-func (f *Fleet) Recovered() error {
+// ReadRecoveries reads from the relays' logs which messages restarts recovered and which ends relays learned of from
+// endpoints, and adds them to the ledger.
+func (f *Fleet) ReadRecoveries() error {
 	for r, relay := range f.plan.Relays {
 		logs, err := filepath.Glob(filepath.Join(f.dir, relay.Name, "log.*"))
 		if err != nil {
-			return fmt.Errorf("process: recovered: %w", err)
+			return fmt.Errorf("process: find logs: %w", err)
 		}
 		for _, path := range logs {
-			if err := f.recovered(r, path); err != nil {
-				return fmt.Errorf("process: recovered: %w", err)
+			if err := f.readLog(r, path); err != nil {
+				return fmt.Errorf("process: read recovered messages from %s: %w", path, err)
 			}
 		}
 	}
 	return nil
 }
 
-func (f *Fleet) recovered(r int, path string) error {
+func (f *Fleet) readLog(r int, path string) error {
 	file, err := os.Open(path)
 	if err != nil {
 		return err
@@ -52,14 +52,14 @@
 		}
 		var line lifecycleLine
 		if json.Unmarshal(lines.Bytes(), &line) == nil && line.From == "out" && (line.To == "delivered" || line.To == "gone") {
-			f.book.Add(ledger.Learned{Relay: r, Trace: line.Trace, At: f.book.At(line.Time)})
+			f.ledger.Add(ledger.LearnedEnd{Relay: r, Trace: line.Trace, At: f.ledger.Offset(line.Time)})
 			continue
 		}
 		if err := json.Unmarshal(lines.Bytes(), &line); err != nil || line.LeftMS == nil {
-			continue // cut off by a kill, or of a version of before
+			continue // truncated by a kill, or written by an older version
 		}
-		f.book.Add(ledger.Recovered{Relay: r, Trace: line.Trace, At: f.book.At(line.Time),
-			Left: time.Duration(*line.LeftMS) * time.Millisecond, Attempts: line.Attempts})
+		f.ledger.Add(ledger.Recovery{Relay: r, Trace: line.Trace, At: f.ledger.Offset(line.Time),
+			Remaining: time.Duration(*line.LeftMS) * time.Millisecond, Attempts: line.Attempts})
 	}
 	return lines.Err()
 }
--- a/internal/testbed/run/run.go
+++ b/internal/testbed/run/run.go
@@ -101,7 +101,7 @@
 		return nil, fmt.Errorf("run: %w", err)
 	}
 	defer os.RemoveAll(tempDir)
-	ports, err := platform.TakePorts()
+	ports, err := platform.ReservePorts()
 	if err != nil {
 		return nil, err
 	}
@@ -112,13 +112,13 @@
 	}
 	defer rn.platform.Close()
 	if o.Experiment.DisruptsGossip() {
-		if err := rn.platform.OpenGossip(); err != nil {
+		if err := rn.platform.ForwardGossip(); err != nil {
 			return nil, err
 		}
 	}
 	if n := o.Experiment.Fleet.Stewards; n > 0 {
 		starter := process.NewStarter()
-		defer starter.End()
+		defer starter.Stop()
 		rn.stewards, err = duties.StartBeside(ctx, n, filepath.Join(filepath.Dir(o.Program), build.Steward), tempDir, ports.Base(), starter)
 		if err != nil {
 			return nil, err
@@ -131,7 +131,7 @@
 		rn.fleet.Stewards = rn.stewards.APIs()
 	}
 	rn.load = load.New(p, rn.ledger, ports.Relay, rn.fleet.Alive)
-	rn.platform.Ended = rn.load.Ended
+	rn.platform.OnNotice = rn.load.HandleNotice
 	if err := rn.fleet.Start(ctx); err != nil {
 		return nil, err
 	}
@@ -172,15 +172,15 @@
 	rn.offset = rn.ledger.Now() + max(settleTime, rn.plan.Experiment.Fleet.Settle.D())
 	rn.platform.Run(rn.offset)
 	var workers sync.WaitGroup
-	workers.Go(func() { rn.load.RunHostile(ctx, rn.offset) })
-	workers.Go(func() { rn.load.RunCrowd(ctx, rn.offset) })
+	workers.Go(func() { rn.load.RunHostilePeers(ctx, rn.offset) })
+	workers.Go(func() { rn.load.RunIdleClients(ctx, rn.offset) })
 	for i := range rn.plan.Faults {
 		workers.Go(func() { rn.injectFault(ctx, &rn.plan.Faults[i]) })
 	}
 	if rn.plan.Experiment.Fleet.NonMembers > 0 {
 		workers.Go(func() {
 			if network.Sleep(ctx, rn.offset+rn.plan.Length/2-rn.ledger.Now()) == nil {
-				rn.fleet.Traffic(ctx, rn.plan.Length*2/5)
+				rn.fleet.MeasureTraffic(ctx, rn.plan.Length*2/5)
 			}
 		})
 	}
@@ -207,7 +207,7 @@
 		return false
 	}
 	done := true
-	rn.ledger.Do(func() {
+	rn.ledger.Update(func() {
 		ended := map[string]bool{}
 		for _, x := range rn.ledger.Calls {
 			if x.Status == 200 {
@@ -219,7 +219,7 @@
 		for _, n := range rn.ledger.Notices {
 			ended[n.Trace] = true
 		}
-		for _, h := range rn.ledger.HandIns {
+		for _, h := range rn.ledger.Submissions {
 			if h.Answered != ledger.Never && h.Status < 300 && !ended[h.Trace] {
 				done = false
 				return
@@ -231,7 +231,7 @@
 
 // injectFault starts a fault at its time and ends it after its duration.
 func (rn *runner) injectFault(ctx context.Context, f *plan.Fault) {
-	if network.Sleep(ctx, rn.offset+f.At-rn.ledger.Now()) != nil || rn.fleet.Begin(f) {
+	if network.Sleep(ctx, rn.offset+f.At-rn.ledger.Now()) != nil || rn.fleet.BeginFault(f) {
 		return
 	}
 	if f.Kind == "stewards" {
@@ -240,11 +240,11 @@
 		}
 		return
 	}
-	if _, err := rn.platform.Begin(f); err != nil {
+	if _, err := rn.platform.BeginFault(f); err != nil {
 		fmt.Fprintf(os.Stderr, "testbed: %s: %v\n", f.Kind, err)
 	}
 	network.Sleep(ctx, f.For)
-	if err := rn.platform.End(f); err != nil {
+	if err := rn.platform.EndFault(f); err != nil {
 		fmt.Fprintf(os.Stderr, "testbed: ending %s: %v\n", f.Kind, err)
 	}
 }
@@ -256,7 +256,7 @@
 	}
 	for network.Sleep(ctx, time.Second) == nil {
 		var handed, calls int
-		rn.ledger.Do(func() { handed, calls = len(rn.ledger.HandIns), len(rn.ledger.Calls) })
+		rn.ledger.Update(func() { handed, calls = len(rn.ledger.Submissions), len(rn.ledger.Calls) })
 		fmt.Fprintf(rn.options.Progress, "\r%s seed %d: %3.0f of %.0f s, %d of %d messages submitted, %d calls   ", rn.options.Experiment.Name, rn.options.Seed,
 			(rn.ledger.Now() - rn.offset).Seconds(), rn.plan.Length.Seconds(), handed, len(rn.plan.Arrivals), calls)
 	}
@@ -268,11 +268,11 @@
 	// Nothing may write to the ledger while it is evaluated.
 	rn.fleet.Close()
 	rn.platform.Close()
-	if err := rn.fleet.Views(); err != nil {
+	if err := rn.fleet.ReadViews(); err != nil {
 		return nil, err
 	}
 	if rn.plan.Experiment.Fleet.Debug {
-		if err := rn.fleet.Recovered(); err != nil {
+		if err := rn.fleet.ReadRecoveries(); err != nil {
 			return nil, err
 		}
 	}
--- a/internal/testbed/run/series.go
+++ b/internal/testbed/run/series.go
@@ -63,7 +63,7 @@
 		p := PartnerSeries{ID: d.ID, Kind: rn.plan.Experiment.Partners.Kinds[d.Kind].Name, Taken: make([]int, n), Refused: make([]int, n),
 			Failed: make([]int, n), Limit: make([]float64, n), Capacity: d.Capacity}
 		for k := range p.Limit {
-			for _, x := range rn.ledger.Limits {
+			for _, x := range rn.ledger.LimitChanges {
 				if x.Partner == i && x.At <= rn.offset+time.Duration(k)*time.Second {
 					p.Limit[k] = x.Limit
 				}
@@ -85,7 +85,7 @@
 	for k := range s.Alive {
 		t := rn.offset + time.Duration(k)*time.Second
 		up := map[int]bool{}
-		for _, x := range rn.ledger.Lives {
+		for _, x := range rn.ledger.Processes {
 			if x.Ready != ledger.Never && x.Ready <= t && (x.End == ledger.Never || x.End > t) {
 				up[x.Relay] = true
 			}
