--- a/internal/membership/view.go
+++ b/internal/membership/view.go
@@ -52,7 +52,7 @@
 	Since time.Time // when it came, or was last replaced
 	// Away tells why a member that did not leave is not heard any more; empty while it is present.
 	Away Away
-	Gone time.Time // since when
+	Gone time.Time `json:"Gone"` // since when
 }
 
 // Config is a relay's part in its fleet.
@@ -116,13 +116,13 @@
 	Members []Member // by name: those present, and those away that are not forgotten yet
 	Agreement
 	Since    time.Time // of the agreement
-	Moved    time.Time // when its members changed last
-	Differ   []string  // members that were heard lately and see another view
+	Moved    time.Time `json:"Moved"`  // when its members changed last
+	Differ   []string  `json:"Differ"` // members that were heard lately and see another view
 	Present  int       // members present, this one with them
-	Careful  int       // how many may serve: never less than Present. What shares something goes by it
-	Other    int       // members that may serve beyond a split
+	Careful  int       `json:"Careful"` // how many may serve: never less than Present. What shares something goes by it
+	Other    int       `json:"Other"`   // members that may serve beyond a split
 	Digest   uint64    // of the members present with their incarnations
-	Replaced bool      // this process has been superseded by a newer one of its name
+	Replaced bool      `json:"Replaced"` // this process has been superseded by a newer one of its name
 }
 
 // Changes are the names of the members that are present now, as another process perhaps, and were not in an earlier view,
