--- a/cmd/cherrytrestle-fleet/main.go
+++ b/cmd/cherrytrestle-fleet/main.go
@@ -15,7 +15,7 @@
 	program.Main(program.Parts{
 		Join: gossip.Join,
 		Duties: func(c program.DutyConfig) relay.Duties {
-			return figures.New(figures.Config{Stewards: c.Stewards, Lease: c.Lease, Sum: c.Figures, Name: c.Name, Admin: c.Admin, Log: c.Log})
+			return figures.New(figures.Config{Stewards: c.Stewards, Lease: c.Lease, MayHold: c.Figures, Name: c.Name, Admin: c.Admin, Log: c.Log})
 		},
 		Backlog: func(c program.BacklogConfig) relay.Backlog {
 			o := backlog.Options{Dir: c.Dir, Limit: int64(c.DiskMB * 1e6), Power: c.Power, Name: c.Name, FS: c.FS, Log: c.Log}
--- a/cmd/cherrytrestle-steward/main.go
+++ b/cmd/cherrytrestle-steward/main.go
@@ -108,7 +108,7 @@
 	if err != nil {
 		return err
 	}
-	fmt.Print(found.Words())
+	fmt.Print(found.Summary())
 	if !c.Confirm {
 		fmt.Println("Nothing was changed. With --confirm this is done.")
 		return errBroken
--- a/cmd/cherrytrestle/ended_requests_test.go
+++ b/cmd/cherrytrestle/ended_requests_test.go
@@ -14,24 +14,24 @@
 // requestEnd is a way in which a request ends, and what its id is answered when it comes again.
 type requestEnd struct {
 	name   string
-	taken  bool // it is taken on, and ends later
+	accepted  bool // it is taken on, and ends later
 	notice bool // by a notice
-	again  int  // 0: as the notice says
+	repeatStatus  int  // 0: as the notice says
 }
 
 var requestEnds = []requestEnd{
-	{name: "delivered", taken: true, again: http.StatusAccepted},
-	{name: "gone", taken: true, again: http.StatusInternalServerError},
-	{name: "failed", taken: true, notice: true},
-	{name: "deferred", taken: true, notice: true},
-	{name: "refused", again: http.StatusServiceUnavailable},
+	{name: "delivered", accepted: true, repeatStatus: http.StatusAccepted},
+	{name: "gone", accepted: true, repeatStatus: http.StatusInternalServerError},
+	{name: "failed", accepted: true, notice: true},
+	{name: "deferred", accepted: true, notice: true},
+	{name: "refused", repeatStatus: http.StatusServiceUnavailable},
 }
 
 // statusOfNotice is what an id is answered that comes again after a notice.
 var statusOfNotice = map[any]int{"deferred": http.StatusServiceUnavailable, "undeliverable": http.StatusInternalServerError}
 
-// endpointAnswer has an endpoint answer by the ways that the ids of a call name.
-func endpointAnswer(w http.ResponseWriter, _ *http.Request, ids []string) {
+// answerByID has an endpoint answer by the ways that the ids of a call name.
+func answerByID(w http.ResponseWriter, _ *http.Request, ids []string) {
 	switch way, _, _ := strings.Cut(ids[0], "-"); way {
 	case "gone":
 		w.WriteHeader(http.StatusGone)
@@ -54,12 +54,12 @@
 		settings["services"] = services
 		settings["extra"].(map[string]any)["per_call"] = []int{1, 1}
 	}
-	succeed := map[string]func(r *relayProcess, p *platform){
-		"same process": func(*relayProcess, *platform) {},
-		"SIGTERM":      func(r *relayProcess, p *platform) { must(r.t, r.terminate()); r.start(p) },
-		"SIGKILL":      func(r *relayProcess, p *platform) { r.kill(); r.start(p) },
-		"hand-over": func(r *relayProcess, p *platform) {
-			old, _ := r.beside(p)
+	succeed := map[string]func(r *relayProcess, p *fakeAgent){
+		"same process": func(*relayProcess, *fakeAgent) {},
+		"SIGTERM":      func(r *relayProcess, p *fakeAgent) { must(r.t, r.terminate()); r.start(p) },
+		"SIGKILL":      func(r *relayProcess, p *fakeAgent) { r.kill(); r.start(p) },
+		"hand-over": func(r *relayProcess, p *fakeAgent) {
+			old, _ := r.startSuccessor(p)
 			must(r.t, old.Process.Signal(syscall.SIGTERM))
 			old.Wait()
 		},
@@ -68,7 +68,7 @@
 		for how, follow := range succeed {
 			t.Run(strings.TrimSpace(how+" "+format), func(t *testing.T) {
 				t.Parallel()
-				p, h := newPlatform(t), newHost(t, endpointAnswer)
+				p, h := newFakeAgent(t), newHost(t, answerByID)
 				var env []string
 				if format != "" {
 					own := filepath.Join(t.TempDir(), "own.toml")
@@ -76,11 +76,11 @@
 					env = append(env, "IVYGAUGE_CONFIG="+own)
 				}
 				var cases []endedRequest
-				known := []member{listed("s-1", h.addr(), "a", "gateway", "ready")}
+				known := []listEntry{newEntry("s-1", h.addr(), "a", "gateway", "ready")}
 				for _, end := range requestEnds {
 					for _, effect := range effects {
 						c := endedRequest{requestEnd: end, id: end.name + "-" + effect, class: effect, destination: 100 + len(cases)}
-						entry := listed("s-"+c.id, h.addr(), "a", "gateway", "ready")
+						entry := newEntry("s-"+c.id, h.addr(), "a", "gateway", "ready")
 						entry["cell"] = c.destination
 						cases, known = append(cases, c), append(known, entry)
 					}
@@ -88,20 +88,20 @@
 				r := newRelay(t, p, known, threeClasses, env...)
 				sent := map[string]int{}
 				for _, c := range cases {
-					r.comeToEnd(p, h, c)
+					r.runToEnd(p, h, c)
 					sent[c.id] = h.count(c.id)
 				}
 				follow(r, p)
 				for _, c := range cases {
-					want := c.again
+					want := c.repeatStatus
 					if c.notice {
-						want = statusOfNotice[p.final(c.id)["status"]]
+						want = statusOfNotice[p.notice(c.id)["status"]]
 					}
-					if status, _ := r.handIn(c.id, 5*time.Second, c.address); status != want {
+					if status, _ := r.submit(c.id, 5*time.Second, c.address); status != want {
 						t.Errorf("%s again: status %d, want %d", c.id, status, want)
 					}
 				}
-				r.take("last", 5*time.Second, func(q *http.Request) { q.URL.Path, q.Header["X-Qos"] = "/read_like", []string{"read_like"} })
+				r.mustAccept("last", 5*time.Second, func(q *http.Request) { q.URL.Path, q.Header["X-Qos"] = "/read_like", []string{"read_like"} })
 				eventually(t, "the last one is delivered", func() bool { return h.count("last") == 1 })
 				time.Sleep(200 * time.Millisecond) // what was taken on again would leave with it, or soon after
 				for _, c := range cases {
@@ -128,21 +128,21 @@
 	q.Header.Set("Envelope", fmt.Sprintf("dest=%d", c.destination))
 }
 
-// comeToEnd hands a request in and waits until it has ended.
-func (r *relayProcess) comeToEnd(p *platform, h *host, c endedRequest) {
+// runToEnd hands a request in and waits until it has ended.
+func (r *relayProcess) runToEnd(p *fakeAgent, h *host, c endedRequest) {
 	r.t.Helper()
 	expires := 700 * time.Millisecond
-	if !c.taken {
+	if !c.accepted {
 		expires = 0 // no time is left to deliver it in
 	}
-	status, _ := r.handIn(c.id, expires, c.address)
-	if c.taken != (status == http.StatusAccepted) {
+	status, _ := r.submit(c.id, expires, c.address)
+	if c.accepted != (status == http.StatusAccepted) {
 		r.t.Fatalf("%s: status %d", c.id, status)
 	}
 	switch {
 	case c.notice:
-		eventually(r.t, "the notice of "+c.id, func() bool { return p.final(c.id) != nil })
-	case c.taken:
+		eventually(r.t, "the notice of "+c.id, func() bool { return p.notice(c.id) != nil })
+	case c.accepted:
 		eventually(r.t, "the call of "+c.id, func() bool { return h.count(c.id) > 0 })
 		time.Sleep(20 * time.Millisecond) // its answer is read
 	}
--- a/cmd/cherrytrestle/main_test.go
+++ b/cmd/cherrytrestle/main_test.go
@@ -33,11 +33,11 @@
 	os.Exit(m.Run())
 }
 
-const patience = 15 * time.Second // longer than any condition takes
+const eventuallyTimeout = 15 * time.Second // longer than any condition takes
 
 func eventually(t *testing.T, what string, ok func() bool) {
 	t.Helper()
-	for end := time.Now().Add(patience); !ok(); time.Sleep(2 * time.Millisecond) {
+	for end := time.Now().Add(eventuallyTimeout); !ok(); time.Sleep(2 * time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatalf("never: %s", what)
 		}
@@ -51,33 +51,33 @@
 	}
 }
 
-// member is an entry of the list.
-type member map[string]any
+// listEntry is an entry of the list.
+type listEntry map[string]any
 
-func listed(id, addr, zone, kind string, state string) member {
-	return member{"id": id, "addr": addr, "zone": zone, "kind": kind, "cell": 7, "state": state, "weight": 500.0}
+func newEntry(id, addr, zone, kind string, state string) listEntry {
+	return listEntry{"id": id, "addr": addr, "zone": zone, "kind": kind, "cell": 7, "state": state, "weight": 500.0}
 }
 
-// platform is discovery's agent.
-type platform struct {
+// fakeAgent is discovery's agent.
+type fakeAgent struct {
 	*httptest.Server
 	mu      sync.Mutex
 	version int
 	lines   chan string // to the watch
 	indexes []string    // that watches came with
-	finals  []map[string]any
-	refuse  int // so many requests with notices fail first
-	whole   []member
+	notices  []map[string]any
+	refuseNotices  int // so many requests with notices fail first
+	fullList   []listEntry
 }
 
-func newPlatform(t *testing.T) *platform {
-	p := &platform{version: 1, lines: make(chan string, 16)}
+func newFakeAgent(t *testing.T) *fakeAgent {
+	p := &fakeAgent{version: 1, lines: make(chan string, 16)}
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /catalog/members", func(w http.ResponseWriter, r *http.Request) {
 		p.mu.Lock()
 		if r.URL.Query().Get("stream") == "" {
 			defer p.mu.Unlock()
-			json.NewEncoder(w).Encode(map[string]any{"version": p.version, "full": true, "servers": p.whole})
+			json.NewEncoder(w).Encode(map[string]any{"version": p.version, "full": true, "servers": p.fullList})
 			return
 		}
 		p.indexes = append(p.indexes, r.URL.Query().Get("index"))
@@ -97,8 +97,8 @@
 	mux.HandleFunc("POST /v2/finals", func(w http.ResponseWriter, r *http.Request) {
 		p.mu.Lock()
 		defer p.mu.Unlock()
-		if p.refuse > 0 {
-			p.refuse--
+		if p.refuseNotices > 0 {
+			p.refuseNotices--
 			w.WriteHeader(http.StatusInternalServerError)
 			return
 		}
@@ -111,7 +111,7 @@
 				break
 			}
 			f["told_at"] = time.Now()
-			p.finals = append(p.finals, f)
+			p.notices = append(p.notices, f)
 		}
 		w.WriteHeader(http.StatusNoContent)
 	})
@@ -120,8 +120,8 @@
 	return p
 }
 
-// tell writes a change of the list to the watch.
-func (p *platform) tell(full bool, members ...member) {
+// sendChange writes a change of the list to the watch.
+func (p *fakeAgent) sendChange(full bool, members ...listEntry) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.version++
@@ -129,11 +129,11 @@
 	p.lines <- string(line)
 }
 
-// final returns the notice for a message, or nil.
-func (p *platform) final(id string) map[string]any {
+// notice returns the notice for a message, or nil.
+func (p *fakeAgent) notice(id string) map[string]any {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for _, f := range p.finals {
+	for _, f := range p.notices {
 		if f["id"] == id {
 			return f
 		}
@@ -141,8 +141,8 @@
 	return nil
 }
 
-// toldAt is when a message's notice came.
-func (p *platform) toldAt(id string) time.Time { return p.final(id)["told_at"].(time.Time) }
+// noticeTime is when a message's notice came.
+func (p *fakeAgent) noticeTime(id string) time.Time { return p.notice(id)["told_at"].(time.Time) }
 
 // host is one endpoint.
 type host struct {
@@ -212,7 +212,7 @@
 }
 
 // newRelay writes the configuration; change may alter the settings.
-func newRelay(t *testing.T, p *platform, known []member, change func(settings map[string]any), env ...string) *relayProcess {
+func newRelay(t *testing.T, p *fakeAgent, known []listEntry, change func(settings map[string]any), env ...string) *relayProcess {
 	settings := map[string]any{
 		"bounds": map[string]any{"cancel": true, "connect_timeout_ms": 1000, "keepalive_ms": 15000, "max_retry_after_ms": 3000,
 			"may_duplicate": true, "open_cap": 50, "retry_after": true, "send_cap": 8},
@@ -258,14 +258,14 @@
 	must(r.t, os.WriteFile(filepath.Join(r.dir, "config.json"), config, 0o600))
 }
 
-func (r *relayProcess) start(p *platform) {
+func (r *relayProcess) start(p *fakeAgent) {
 	r.t.Helper()
 	r.launch(p)
-	eventually(r.t, "ready", func() bool { return r.says("http://" + r.addr + "/_health") })
+	eventually(r.t, "ready", func() bool { return r.returnsOK("http://" + r.addr + "/_health") })
 }
 
 // launch starts the process.
-func (r *relayProcess) launch(p *platform, env ...string) {
+func (r *relayProcess) launch(p *fakeAgent, env ...string) {
 	r.t.Helper()
 	log, err := os.OpenFile(filepath.Join(r.dir, "log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	must(r.t, err)
@@ -279,8 +279,8 @@
 	must(r.t, r.cmd.Start())
 }
 
-// says tells whether a GET is answered with 200.
-func (r *relayProcess) says(url string) bool {
+// returnsOK tells whether a GET is answered with 200.
+func (r *relayProcess) returnsOK(url string) bool {
 	res, err := r.client.Get(url)
 	if err == nil {
 		res.Body.Close()
@@ -288,9 +288,9 @@
 	return err == nil && res.StatusCode == http.StatusOK
 }
 
-// beside starts a second process beside the one that serves, waits until it serves, and returns the old one and the
+// startSuccessor starts a second process startSuccessor the one that serves, waits until it serves, and returns the old one and the
 // new one's second address.
-func (r *relayProcess) beside(p *platform) (old *exec.Cmd, admin string) {
+func (r *relayProcess) startSuccessor(p *fakeAgent) (old *exec.Cmd, admin string) {
 	r.t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	must(r.t, err)
@@ -299,7 +299,7 @@
 	old = r.cmd
 	r.t.Cleanup(func() { old.Process.Kill(); old.Wait() })
 	r.launch(p, "ROUTER_ADMIN_ADDR="+admin)
-	eventually(r.t, "the new process serves", func() bool { return r.says("http://" + admin + "/api/ready") })
+	eventually(r.t, "the new process serves", func() bool { return r.returnsOK("http://" + admin + "/api/ready") })
 	return old, "http://" + admin
 }
 
@@ -326,8 +326,8 @@
 	return req
 }
 
-// handIn hands a message in and returns the answer's status and advice.
-func (r *relayProcess) handIn(id string, expires time.Duration, edit func(*http.Request)) (int, string) {
+// submit hands a message in and returns the answer's status and advice.
+func (r *relayProcess) submit(id string, expires time.Duration, edit func(*http.Request)) (int, string) {
 	r.t.Helper()
 	res, err := r.client.Do(r.request(id, expires, edit))
 	must(r.t, err)
@@ -336,29 +336,29 @@
 	return res.StatusCode, res.Header.Get("Retry-After")
 }
 
-func (r *relayProcess) take(id string, expires time.Duration, edit ...func(*http.Request)) {
+func (r *relayProcess) mustAccept(id string, expires time.Duration, edit ...func(*http.Request)) {
 	r.t.Helper()
 	each := func(q *http.Request) {
 		for _, f := range edit {
 			f(q)
 		}
 	}
-	if status, _ := r.handIn(id, expires, each); status != http.StatusAccepted {
+	if status, _ := r.submit(id, expires, each); status != http.StatusAccepted {
 		r.t.Fatalf("%s: status %d", id, status)
 	}
 }
 
-func TestTakesAndDelivers(t *testing.T) {
-	p, h := newPlatform(t), newHost(t, nil)
-	r := newRelay(t, p, []member{listed("s-1", h.addr(), "a", "platform", "ready")}, nil)
-	r.take("m1", 10*time.Second)
-	r.take("m2", 10*time.Second)
+func TestAcceptsAndDelivers(t *testing.T) {
+	p, h := newFakeAgent(t), newHost(t, nil)
+	r := newRelay(t, p, []listEntry{newEntry("s-1", h.addr(), "a", "platform", "ready")}, nil)
+	r.mustAccept("m1", 10*time.Second)
+	r.mustAccept("m2", 10*time.Second)
 	eventually(t, "both delivered", func() bool { return h.count("m1") == 1 && h.count("m2") == 1 })
 }
 
-func TestMalformedRequestsEndAtTheDoor(t *testing.T) {
-	p, h := newPlatform(t), newHost(t, nil)
-	r := newRelay(t, p, []member{listed("s-1", h.addr(), "a", "platform", "ready")}, nil)
+func TestMalformedRequestsAreRejected(t *testing.T) {
+	p, h := newFakeAgent(t), newHost(t, nil)
+	r := newRelay(t, p, []listEntry{newEntry("s-1", h.addr(), "a", "platform", "ready")}, nil)
 	set := func(k, v string) func(*http.Request) { return func(q *http.Request) { q.Header.Set(k, v) } }
 	for i, c := range []struct {
 		edit func(*http.Request)
@@ -388,7 +388,7 @@
 		{func(q *http.Request) { q.Method = http.MethodPut }, 405},
 	} {
 		id := fmt.Sprint("bad", i)
-		if status, _ := r.handIn(id, 10*time.Second, c.edit); status != c.want {
+		if status, _ := r.submit(id, 10*time.Second, c.edit); status != c.want {
 			t.Errorf("request %d: status %d, want %d", i, status, c.want)
 		}
 	}
@@ -396,7 +396,7 @@
 		q.Body = io.NopCloser(bytes.NewReader(make([]byte, 64<<10)))
 		q.ContentLength = 64 << 10
 	}
-	if status, _ := r.handIn("big", 10*time.Second, big); status != http.StatusAccepted {
+	if status, _ := r.submit("big", 10*time.Second, big); status != http.StatusAccepted {
 		t.Errorf("64 KiB: status %d", status)
 	}
 	eventually(t, "the good one delivered", func() bool { return h.count("big") == 1 })
@@ -405,23 +405,23 @@
 	}
 }
 
-func TestNoMoreIsHeldThanTheCap(t *testing.T) {
+func TestOpenCapLimitsHeldMessages(t *testing.T) {
 	const held = 5
 	wait := make(chan struct{})
-	p, h := newPlatform(t), newHost(t, func(_ http.ResponseWriter, r *http.Request, _ []string) {
+	p, h := newFakeAgent(t), newHost(t, func(_ http.ResponseWriter, r *http.Request, _ []string) {
 		select {
 		case <-wait:
 		case <-r.Context().Done():
 		}
 	})
-	r := newRelay(t, p, []member{listed("s-1", h.addr(), "a", "gateway", "ready")}, func(s map[string]any) {
+	r := newRelay(t, p, []listEntry{newEntry("s-1", h.addr(), "a", "gateway", "ready")}, func(s map[string]any) {
 		s["bounds"].(map[string]any)["open_cap"] = held
 		s["extra"].(map[string]any)["call_slots"] = 0 // no limit: all go out, and none can be refused for another
 	})
 	defer close(wait)
 	taken := 0
 	for i := range 3 * held {
-		status, again := r.handIn(fmt.Sprint("m", i), 10*time.Second, nil)
+		status, again := r.submit(fmt.Sprint("m", i), 10*time.Second, nil)
 		switch {
 		case status == http.StatusAccepted:
 			taken++
@@ -435,22 +435,22 @@
 }
 
 // What the module gives up on gets its answer by a notice, and the notice goes on until it is taken.
-func TestNoticesGoUntilTheyAreTaken(t *testing.T) {
-	p := newPlatform(t)
-	p.refuse = 3
+func TestNoticesAreRetriedUntilAccepted(t *testing.T) {
+	p := newFakeAgent(t)
+	p.refuseNotices = 3
 	h := newHost(t, func(w http.ResponseWriter, _ *http.Request, _ []string) { w.WriteHeader(http.StatusServiceUnavailable) })
-	r := newRelay(t, p, []member{listed("s-1", h.addr(), "a", "platform", "ready")}, nil)
-	r.take("m1", 700*time.Millisecond)
-	eventually(t, "a notice", func() bool { return p.final("m1") != nil })
-	if f := p.final("m1"); f["status"] != "deferred" || f["again_ms"] == nil {
+	r := newRelay(t, p, []listEntry{newEntry("s-1", h.addr(), "a", "platform", "ready")}, nil)
+	r.mustAccept("m1", 700*time.Millisecond)
+	eventually(t, "a notice", func() bool { return p.notice("m1") != nil })
+	if f := p.notice("m1"); f["status"] != "deferred" || f["again_ms"] == nil {
 		t.Errorf("notice %v", f)
 	}
 }
 
 // A call that was out when the process was killed may have run. The message is made good by the next process, and
 // only where repeats are dropped: in the same zone.
-func TestKilledWithACallOut(t *testing.T) {
-	p := newPlatform(t)
+func TestMessageWithOpenCallIsRepeatedAfterKill(t *testing.T) {
+	p := newFakeAgent(t)
 	first := true
 	var one *host
 	one = newHost(t, func(_ http.ResponseWriter, r *http.Request, _ []string) {
@@ -463,32 +463,32 @@
 		}
 	})
 	other := newHost(t, nil)
-	r := newRelay(t, p, []member{listed("s-1", one.addr(), "a", "gateway", "ready")}, nil)
-	r.take("m1", 10*time.Second)
-	r.take("late", 600*time.Millisecond)
+	r := newRelay(t, p, []listEntry{newEntry("s-1", one.addr(), "a", "gateway", "ready")}, nil)
+	r.mustAccept("m1", 10*time.Second)
+	r.mustAccept("late", 600*time.Millisecond)
 	eventually(t, "the call", func() bool { return one.count("m1") == 1 })
 	r.kill()
 	time.Sleep(700 * time.Millisecond) // the second message's time runs out while no relay is there
 
 	// Back it comes with a list whose first host, by its weight, stands in the other zone.
-	better := listed("s-0", other.addr(), "b", "gateway", "ready")
+	better := newEntry("s-0", other.addr(), "b", "gateway", "ready")
 	better["weight"] = 900.0
 	r.start(p)
-	p.tell(false, better)
+	p.sendChange(false, better)
 	eventually(t, "delivered again", func() bool { return one.count("m1") == 2 })
-	r.take("m2", 10*time.Second)
+	r.mustAccept("m2", 10*time.Second)
 	eventually(t, "a new message goes to the better host", func() bool { return other.count("m2") == 1 })
 	if other.count("m1") != 0 {
 		t.Error("repeated in another zone")
 	}
 	if one.count("late") == 0 { // it may have been delivered before the kill
-		eventually(t, "a notice for the overdue one", func() bool { return p.final("late") != nil })
+		eventually(t, "a notice for the overdue one", func() bool { return p.notice("late") != nil })
 	}
 
 	// Delivered and ended messages stay ended.
 	eventually(t, "an empty log after a planned end", func() bool { return r.terminate() == nil })
 	r.start(p)
-	r.take("m3", 10*time.Second)
+	r.mustAccept("m3", 10*time.Second)
 	eventually(t, "m3", func() bool { return one.count("m3")+other.count("m3") == 1 })
 	if one.count("m1") != 2 {
 		t.Errorf("m1 went %d times", one.count("m1"))
@@ -504,15 +504,15 @@
 	return err
 }
 
-func TestAPlannedEnd(t *testing.T) {
-	p := newPlatform(t)
+func TestGracefulShutdown(t *testing.T) {
+	p := newFakeAgent(t)
 	began := make(chan struct{}, 10)
 	h := newHost(t, func(http.ResponseWriter, *http.Request, []string) {
 		began <- struct{}{}
 		time.Sleep(time.Second) // a call that takes its time
 	})
-	r := newRelay(t, p, []member{listed("s-1", h.addr(), "a", "gateway", "ready")}, nil)
-	r.take("running", 10*time.Second)
+	r := newRelay(t, p, []listEntry{newEntry("s-1", h.addr(), "a", "gateway", "ready")}, nil)
+	r.mustAccept("running", 10*time.Second)
 	<-began
 	must(t, r.cmd.Process.Signal(syscall.SIGTERM))
 	start := time.Now()
@@ -524,7 +524,7 @@
 		return err == nil && res.StatusCode == http.StatusServiceUnavailable
 	})
 	if time.Since(start) < 200*time.Millisecond { // else the machine is too slow to tell
-		r.take("after", 10*time.Second) // new work is still taken
+		r.mustAccept("after", 10*time.Second) // new work is still taken
 	}
 	err := r.terminate()
 	if took := time.Since(start); err != nil || took > 3700*time.Millisecond {
@@ -534,7 +534,7 @@
 		t.Errorf("the running call: %d", h.count("running"))
 	}
 	r.start(p)
-	r.take("next", 10*time.Second)
+	r.mustAccept("next", 10*time.Second)
 	eventually(t, "the next message", func() bool { return h.count("next") == 1 })
 	if h.count("running") != 1 {
 		t.Error("a delivered message went again")
@@ -543,9 +543,9 @@
 
 // Clients that go on through a planned end, and through a kill, lose nothing that they were told is taken on.
 func TestRestartsUnderLoadLoseNothing(t *testing.T) {
-	p := newPlatform(t)
+	p := newFakeAgent(t)
 	h := newHost(t, func(http.ResponseWriter, *http.Request, []string) { time.Sleep(30 * time.Millisecond) })
-	r := newRelay(t, p, []member{listed("s-1", h.addr(), "a", "gateway", "ready")}, nil)
+	r := newRelay(t, p, []listEntry{newEntry("s-1", h.addr(), "a", "gateway", "ready")}, nil)
 	var mu sync.Mutex
 	var taken []string
 	var unanswered int
@@ -607,7 +607,7 @@
 	r.cmd.Wait()
 	r.start(p)
 	for _, id := range taken {
-		eventually(t, id+" delivered or ended", func() bool { return h.count(id) > 0 || p.final(id) != nil })
+		eventually(t, id+" delivered or ended", func() bool { return h.count(id) > 0 || p.notice(id) != nil })
 	}
 	if len(taken) < 20 {
 		t.Errorf("only %d taken on: the test shows little", len(taken))
@@ -619,22 +619,22 @@
 	}
 }
 
-func TestDrainsAreHeededAndTheWatchResumes(t *testing.T) {
-	p, one, two := newPlatform(t), newHost(t, nil), newHost(t, nil)
-	better := listed("s-1", one.addr(), "a", "gateway", "ready")
+func TestDrainingHostsAreAvoidedAndTheWatchResumes(t *testing.T) {
+	p, one, two := newFakeAgent(t), newHost(t, nil), newHost(t, nil)
+	better := newEntry("s-1", one.addr(), "a", "gateway", "ready")
 	better["weight"] = 900.0
-	r := newRelay(t, p, []member{better, listed("s-2", two.addr(), "a", "gateway", "ready")}, nil)
-	r.take("m1", 10*time.Second)
+	r := newRelay(t, p, []listEntry{better, newEntry("s-2", two.addr(), "a", "gateway", "ready")}, nil)
+	r.mustAccept("m1", 10*time.Second)
 	eventually(t, "the better host", func() bool { return one.count("m1") == 1 })
 	better["state"] = "draining"
-	p.tell(false, better, member{"id": 17}, member{"id": "s-9", "state": "asleep"}) // the others cannot be read
+	p.sendChange(false, better, listEntry{"id": 17}, listEntry{"id": "s-9", "state": "asleep"}) // the others cannot be read
 	eventually(t, "a message to the other host", func() bool {
 		id := fmt.Sprint("m", time.Now().UnixNano())
-		r.take(id, 10*time.Second)
+		r.mustAccept(id, 10*time.Second)
 		eventually(t, id, func() bool { return one.count(id)+two.count(id) == 1 })
 		return two.count(id) == 1
 	})
-	r.take("m2", 10*time.Second)
+	r.mustAccept("m2", 10*time.Second)
 	eventually(t, "m2", func() bool { return two.count("m2") == 1 })
 
 	p.CloseClientConnections()
@@ -643,18 +643,18 @@
 		t.Errorf("watches from %v", p.indexes)
 	}
 	better["state"] = "ready"
-	p.tell(true, better) // the other is missing: it is gone
+	p.sendChange(true, better) // the other is missing: it is gone
 	eventually(t, "back at the first host", func() bool {
 		id := fmt.Sprint("n", time.Now().UnixNano())
-		r.take(id, 10*time.Second)
+		r.mustAccept(id, 10*time.Second)
 		eventually(t, id, func() bool { return one.count(id)+two.count(id) == 1 })
 		return one.count(id) == 1
 	})
 }
 
-func TestToldWaitsAreHeeded(t *testing.T) {
+func TestRetryAfterIsObeyed(t *testing.T) {
 	const wait = 600 * time.Millisecond
-	p := newPlatform(t)
+	p := newFakeAgent(t)
 	var mu sync.Mutex
 	var told time.Time
 	h := newHost(t, func(w http.ResponseWriter, _ *http.Request, _ []string) {
@@ -666,11 +666,11 @@
 			w.WriteHeader(http.StatusTooManyRequests)
 		}
 	})
-	r := newRelay(t, p, []member{listed("s-1", h.addr(), "a", "platform", "ready")}, nil)
-	r.take("m1", 10*time.Second)
+	r := newRelay(t, p, []listEntry{newEntry("s-1", h.addr(), "a", "platform", "ready")}, nil)
+	r.mustAccept("m1", 10*time.Second)
 	eventually(t, "the wait", func() bool { return h.count("m1") == 1 })
 	for i := range 5 {
-		r.take(fmt.Sprint("w", i), 10*time.Second)
+		r.mustAccept(fmt.Sprint("w", i), 10*time.Second)
 	}
 	eventually(t, "all delivered", func() bool { return h.count("m1") == 2 && h.count("w4") == 1 })
 	h.mu.Lock()
@@ -683,8 +683,8 @@
 }
 
 // What waits for one route when it opens goes as one call.
-func TestMessagesTravelTogether(t *testing.T) {
-	p := newPlatform(t)
+func TestWaitingMessagesShareACall(t *testing.T) {
+	p := newFakeAgent(t)
 	var mu sync.Mutex
 	var most, calls int
 	h := newHost(t, func(w http.ResponseWriter, _ *http.Request, ids []string) {
@@ -703,11 +703,11 @@
 			fmt.Fprintf(w, "[%s]", strings.Join(states, ","))
 		}
 	})
-	r := newRelay(t, p, []member{listed("s-1", h.addr(), "a", "platform", "ready")}, nil)
-	r.take("m0", 10*time.Second)
+	r := newRelay(t, p, []listEntry{newEntry("s-1", h.addr(), "a", "platform", "ready")}, nil)
+	r.mustAccept("m0", 10*time.Second)
 	eventually(t, "the wait", func() bool { return h.count("m0") == 1 })
 	for i := range 8 {
-		r.take(fmt.Sprint("b", i), 10*time.Second)
+		r.mustAccept(fmt.Sprint("b", i), 10*time.Second)
 	}
 	eventually(t, "a bundle", func() bool { mu.Lock(); defer mu.Unlock(); return most > 1 })
 	if most > 10 {
@@ -716,9 +716,9 @@
 }
 
 // Requests that stop half-way and connections that say nothing hold nobody up.
-func TestHalfARequestHoldsNobodyUp(t *testing.T) {
-	p, h := newPlatform(t), newHost(t, nil)
-	r := newRelay(t, p, []member{listed("s-1", h.addr(), "a", "platform", "ready")}, nil)
+func TestIncompleteRequestsBlockNobody(t *testing.T) {
+	p, h := newFakeAgent(t), newHost(t, nil)
+	r := newRelay(t, p, []listEntry{newEntry("s-1", h.addr(), "a", "platform", "ready")}, nil)
 	for _, part := range []string{"", "POST /ord", "POST /order HTTP/1.1\r\nHost: x\r\nContent-Length: 10\r\n\r\nabc"} {
 		conn, err := net.Dial("tcp", r.addr)
 		must(t, err)
@@ -732,7 +732,7 @@
 	if line, err := bufio.NewReader(bad).ReadString('\n'); err != nil || !strings.Contains(line, "400") {
 		t.Errorf("%q, %v", line, err)
 	}
-	r.take("m1", 10*time.Second)
+	r.mustAccept("m1", 10*time.Second)
 	eventually(t, "delivered", func() bool { return h.count("m1") == 1 })
 	if err := r.terminate(); err != nil {
 		t.Errorf("with half a request open: %v", err)
@@ -741,48 +741,48 @@
 
 // SIGHUP moves the relay to the discovery that the file names, again and again. Versions may go back, the notices
 // follow, the old list serves until the new discovery speaks, and an unreadable file changes nothing.
-func TestSIGHUPMovesDiscovery(t *testing.T) {
+func TestSIGHUPSwitchesDiscovery(t *testing.T) {
 	one, two := newHost(t, nil), newHost(t, nil)
 	shut := newHost(t, func(w http.ResponseWriter, _ *http.Request, _ []string) { w.WriteHeader(http.StatusServiceUnavailable) })
-	first, second := newPlatform(t), newPlatform(t)
+	first, second := newFakeAgent(t), newFakeAgent(t)
 	first.version = 40
-	r := newRelay(t, first, []member{listed("s-1", one.addr(), "a", "gateway", "ready")}, nil)
-	r.take("m1", 10*time.Second)
+	r := newRelay(t, first, []listEntry{newEntry("s-1", one.addr(), "a", "gateway", "ready")}, nil)
+	r.mustAccept("m1", 10*time.Second)
 	eventually(t, "the first host", func() bool { return one.count("m1") == 1 })
 	const many = 1 << 30
-	first.refuse = many // its notices are stuck there
-	first.tell(true, listed("s-3", shut.addr(), "a", "gateway", "ready"))
+	first.refuseNotices = many // its notices are stuck there
+	first.sendChange(true, newEntry("s-3", shut.addr(), "a", "gateway", "ready"))
 	eventually(t, "a message turned away", func() bool {
 		id := fmt.Sprint("full", time.Now().UnixNano())
-		r.take(id, 500*time.Millisecond)
+		r.mustAccept(id, 500*time.Millisecond)
 		eventually(t, id, func() bool { return one.count(id)+shut.count(id) > 0 })
 		return shut.count(id) > 0
 	})
-	eventually(t, "a notice under way", func() bool { first.mu.Lock(); defer first.mu.Unlock(); return first.refuse < many })
+	eventually(t, "a notice under way", func() bool { first.mu.Lock(); defer first.mu.Unlock(); return first.refuseNotices < many })
 
-	hup := func(p *platform) {
+	hup := func(p *fakeAgent) {
 		t.Helper()
 		r.config["discovery"] = p.Listener.Addr().String()
 		r.writeConfig()
 		must(t, r.cmd.Process.Signal(syscall.SIGHUP))
 	}
-	second.whole = []member{listed("s-2", two.addr(), "a", "gateway", "ready")}
+	second.fullList = []listEntry{newEntry("s-2", two.addr(), "a", "gateway", "ready")}
 	hup(second)
-	r.take("m2", 10*time.Second)
+	r.mustAccept("m2", 10*time.Second)
 	eventually(t, "the host of the new list", func() bool { return two.count("m2") == 1 })
-	eventually(t, "the notice that was under way", func() bool { second.mu.Lock(); defer second.mu.Unlock(); return len(second.finals) > 0 })
+	eventually(t, "the notice that was under way", func() bool { second.mu.Lock(); defer second.mu.Unlock(); return len(second.notices) > 0 })
 
 	must(t, os.WriteFile(filepath.Join(r.dir, "config.json"), []byte("{"), 0o600))
 	must(t, r.cmd.Process.Signal(syscall.SIGHUP))
-	second.tell(false, listed("s-2", two.addr(), "a", "gateway", "draining"), listed("s-1", one.addr(), "a", "gateway", "ready"))
-	r.take("m3", 10*time.Second)
+	second.sendChange(false, newEntry("s-2", two.addr(), "a", "gateway", "draining"), newEntry("s-1", one.addr(), "a", "gateway", "ready"))
+	r.mustAccept("m3", 10*time.Second)
 	eventually(t, "still heard after an unreadable file", func() bool { return one.count("m3")+two.count("m3") == 1 })
 
-	first.whole = []member{listed("s-2", two.addr(), "a", "gateway", "ready")}
+	first.fullList = []listEntry{newEntry("s-2", two.addr(), "a", "gateway", "ready")}
 	hup(first)
 	eventually(t, "back at the first", func() bool {
 		id := fmt.Sprint("back", time.Now().UnixNano())
-		r.take(id, 10*time.Second)
+		r.mustAccept(id, 10*time.Second)
 		eventually(t, id, func() bool { return one.count(id)+two.count(id) == 1 })
 		return two.count(id) == 1
 	})
@@ -791,8 +791,8 @@
 	}
 }
 
-// withheld answers all but the message "held", which waits for release.
-func withheld(release <-chan struct{}) func(http.ResponseWriter, *http.Request, []string) {
+// blockHeldMessage answers all but the message "held", which waits for release.
+func blockHeldMessage(release <-chan struct{}) func(http.ResponseWriter, *http.Request, []string) {
 	return func(w http.ResponseWriter, r *http.Request, ids []string) {
 		if ids[0] == "held" {
 			select {
@@ -803,8 +803,8 @@
 	}
 }
 
-// figures returns what the second address tells.
-func (r *relayProcess) figures(admin string) string {
+// telemetry returns what the second address tells.
+func (r *relayProcess) telemetry(admin string) string {
 	res, err := r.client.Get(admin + "/api/telemetry")
 	must(r.t, err)
 	defer res.Body.Close()
@@ -815,14 +815,14 @@
 
 func TestANewProcessTakesOver(t *testing.T) {
 	release := make(chan struct{})
-	p, h := newPlatform(t), newHost(t, withheld(release))
-	r := newRelay(t, p, []member{listed("s-1", h.addr(), "a", "gateway", "ready")}, nil)
-	r.take("held", 10*time.Second)
+	p, h := newFakeAgent(t), newHost(t, blockHeldMessage(release))
+	r := newRelay(t, p, []listEntry{newEntry("s-1", h.addr(), "a", "gateway", "ready")}, nil)
+	r.mustAccept("held", 10*time.Second)
 	eventually(t, "its call is out", func() bool { return h.count("held") == 1 })
-	old, admin := r.beside(p)
+	old, admin := r.startSuccessor(p)
 
-	r.take("kept", 10*time.Second) // on a connection that the old process holds
-	fresh := &http.Client{Timeout: patience, Transport: &http.Transport{}}
+	r.mustAccept("kept", 10*time.Second) // on a connection that the old process holds
+	fresh := &http.Client{Timeout: eventuallyTimeout, Transport: &http.Transport{}}
 	defer fresh.CloseIdleConnections()
 	for _, id := range []string{"held", "new"} {
 		res, err := fresh.Do(r.request(id, 10*time.Second, nil))
@@ -834,51 +834,51 @@
 	}
 	eventually(t, "both delivered", func() bool { return h.count("kept") == 1 && h.count("new") == 1 })
 	eventually(t, "only the call that is out is held", func() bool {
-		text := r.figures(admin)
+		text := r.telemetry(admin)
 		return strings.Contains(text, "relay.answered.order:2|c") && strings.Contains(text, "relay.current:1|g")
 	})
 	close(release)
-	eventually(t, "its outcome is told", func() bool { return strings.Contains(r.figures(admin), "relay.current:0|g") })
+	eventually(t, "its outcome is told", func() bool { return strings.Contains(r.telemetry(admin), "relay.current:0|g") })
 	must(t, old.Process.Signal(syscall.SIGTERM))
 	if err := old.Wait(); err != nil {
 		t.Errorf("the old process: %v", err)
 	}
-	r.take("after", 10*time.Second)
+	r.mustAccept("after", 10*time.Second)
 	eventually(t, "delivered after all", func() bool { return h.count("after") == 1 })
-	if n := h.count("held"); n != 1 || p.final("held") != nil {
-		t.Errorf("the call that was out: sent %d times, notice %v", n, p.final("held"))
+	if n := h.count("held"); n != 1 || p.notice("held") != nil {
+		t.Errorf("the call that was out: sent %d times, notice %v", n, p.notice("held"))
 	}
 }
 
 // What a process had out when it was killed may have run. Its message is the new one's, and must not run twice.
-func TestTheOldProcessIsKilledAfterTheHandover(t *testing.T) {
+func TestOldProcessKilledAfterHandover(t *testing.T) {
 	release := make(chan struct{})
 	defer close(release)
-	p, h := newPlatform(t), newHost(t, withheld(release))
-	r := newRelay(t, p, []member{listed("s-1", h.addr(), "a", "gateway", "ready")}, func(settings map[string]any) {
+	p, h := newFakeAgent(t), newHost(t, blockHeldMessage(release))
+	r := newRelay(t, p, []listEntry{newEntry("s-1", h.addr(), "a", "gateway", "ready")}, func(settings map[string]any) {
 		service := settings["services"].([]map[string]any)[0]
 		service["semantics"] = "at_most_once"
 		delete(service, "group")
 		delete(service, "repeat_window_ms")
 	})
-	r.take("held", 10*time.Second)
+	r.mustAccept("held", 10*time.Second)
 	eventually(t, "its call is out", func() bool { return h.count("held") == 1 })
-	old, _ := r.beside(p)
+	old, _ := r.startSuccessor(p)
 	must(t, old.Process.Kill())
-	eventually(t, "the notice", func() bool { return p.final("held") != nil })
-	if got := p.final("held")["status"]; got != "undeliverable" || h.count("held") != 1 {
+	eventually(t, "the notice", func() bool { return p.notice("held") != nil })
+	if got := p.notice("held")["status"]; got != "undeliverable" || h.count("held") != 1 {
 		t.Errorf("ended as %v after %d sends", got, h.count("held"))
 	}
-	r.take("after", 10*time.Second)
+	r.mustAccept("after", 10*time.Second)
 	eventually(t, "delivered", func() bool { return h.count("after") == 1 })
 }
 
 // A process that asks for the relay's place and dies before it has the log changes nothing.
-func TestANewProcessThatDiesChangesNothing(t *testing.T) {
+func TestNewProcessDyingBeforeHandoverChangesNothing(t *testing.T) {
 	release := make(chan struct{})
-	p, h := newPlatform(t), newHost(t, withheld(release))
-	r := newRelay(t, p, []member{listed("s-1", h.addr(), "a", "gateway", "ready")}, nil)
-	r.take("held", 10*time.Second)
+	p, h := newFakeAgent(t), newHost(t, blockHeldMessage(release))
+	r := newRelay(t, p, []listEntry{newEntry("s-1", h.addr(), "a", "gateway", "ready")}, nil)
+	r.mustAccept("held", 10*time.Second)
 	eventually(t, "its call is out", func() bool { return h.count("held") == 1 })
 	state := filepath.Join(r.dir, "state")
 	c, err := net.Dial("unix", filepath.Join(state, "handover.sock"))
@@ -886,20 +886,20 @@
 	_, err = io.ReadFull(c, make([]byte, 10)) // some of what is handed over
 	must(t, err)
 	c.Close()
-	r.take("m1", 10*time.Second)
+	r.mustAccept("m1", 10*time.Second)
 	eventually(t, "delivered", func() bool { return h.count("m1") == 1 })
 	if lock, err := wal.Lock(state); !errors.Is(err, wal.ErrLocked) {
 		t.Errorf("the log is free: %v, %v", lock, err)
 	}
 	close(release)
 	must(t, r.terminate())
-	if h.count("held") != 1 || p.final("held") != nil {
-		t.Errorf("the call that was out: sent %d times, notice %v", h.count("held"), p.final("held"))
+	if h.count("held") != 1 || p.notice("held") != nil {
+		t.Errorf("the call that was out: sent %d times, notice %v", h.count("held"), p.notice("held"))
 	}
 }
 
-// byHand takes an endpoint out or puts it back.
-func (r *relayProcess) byHand(admin, call, id string) int {
+// postExclusion takes an endpoint out or puts it back.
+func (r *relayProcess) postExclusion(admin, call, id string) int {
 	r.t.Helper()
 	res, err := r.client.Post(admin+"/api/"+call, "application/json", strings.NewReader(`{"host":"`+id+`"}`))
 	must(r.t, err)
@@ -908,39 +908,39 @@
 }
 
 // An endpoint that is out by hand stays out over a SIGKILL, a hand-over and a new listing, until one call puts it back.
-func TestAnEndpointStaysOutByHand(t *testing.T) {
-	p, first, second := newPlatform(t), newHost(t, nil), newHost(t, nil)
-	entries := []member{listed("s-1", first.addr(), "a", "gateway", "ready"), listed("s-2", second.addr(), "a", "gateway", "ready")}
+func TestExclusionSurvivesRestarts(t *testing.T) {
+	p, first, second := newFakeAgent(t), newHost(t, nil), newHost(t, nil)
+	entries := []listEntry{newEntry("s-1", first.addr(), "a", "gateway", "ready"), newEntry("s-2", second.addr(), "a", "gateway", "ready")}
 	r := newRelay(t, p, entries, nil)
-	r.take("m0", 10*time.Second)
+	r.mustAccept("m0", 10*time.Second)
 	eventually(t, "the first of two takes it", func() bool { return first.count("m0") == 1 })
-	_, admin := r.beside(p)
-	if got := r.byHand(admin, "exclude", "s-1"); got != http.StatusOK {
+	_, admin := r.startSuccessor(p)
+	if got := r.postExclusion(admin, "exclude", "s-1"); got != http.StatusOK {
 		t.Fatalf("exclude: %d", got)
 	}
-	eventually(t, "it is avoided", func() bool { return strings.Contains(r.figures(admin), "relay.cluster_unhealthy:1|g") })
+	eventually(t, "it is avoided", func() bool { return strings.Contains(r.telemetry(admin), "relay.cluster_unhealthy:1|g") })
 	goesToSecond := func(id string) {
 		t.Helper()
-		r.take(id, 10*time.Second)
+		r.mustAccept(id, 10*time.Second)
 		eventually(t, id+" delivered", func() bool { return second.count(id) == 1 })
 	}
 	goesToSecond("m1")
 	r.kill()
 	r.start(p)
 	goesToSecond("m2")
-	p.tell(true, entries[1])
-	p.tell(true, entries...)
-	_, admin = r.beside(p)
+	p.sendChange(true, entries[1])
+	p.sendChange(true, entries...)
+	_, admin = r.startSuccessor(p)
 	goesToSecond("m3")
-	_, next := r.beside(p)
+	_, next := r.startSuccessor(p)
 	// The process before passes calls on.
-	if got := r.byHand(admin, "exclude", "s-9"); got != http.StatusNotFound {
+	if got := r.postExclusion(admin, "exclude", "s-9"); got != http.StatusNotFound {
 		t.Errorf("one that was never listed: %d", got)
 	}
-	if got := r.byHand(admin, "include", "s-1"); got != http.StatusOK {
+	if got := r.postExclusion(admin, "include", "s-1"); got != http.StatusOK {
 		t.Errorf("include: %d", got)
 	}
-	eventually(t, "none is avoided", func() bool { return strings.Contains(r.figures(next), "relay.cluster_unhealthy:0|g") })
+	eventually(t, "none is avoided", func() bool { return strings.Contains(r.telemetry(next), "relay.cluster_unhealthy:0|g") })
 	first.mu.Lock()
 	if first.calls != 1 {
 		t.Errorf("%d calls while it was out", first.calls-1)
@@ -949,7 +949,7 @@
 	n := 0
 	eventually(t, "it takes messages again", func() bool {
 		n++
-		r.take(fmt.Sprint("back-", n), 10*time.Second)
+		r.mustAccept(fmt.Sprint("back-", n), 10*time.Second)
 		first.mu.Lock()
 		defer first.mu.Unlock()
 		return first.calls > 1
--- a/cmd/cherrytrestle/resubmission_storm_test.go
+++ b/cmd/cherrytrestle/resubmission_storm_test.go
@@ -16,17 +16,17 @@
 	stormSeed = flag.Uint64("storm.seed", 1, "seed of what is drawn")
 )
 
-// sendsMost is how many calls of an id may have run.
-const sendsMost = 1
+// maxRuns is how many calls of an id may have run.
+const maxRuns = 1
 
-// ranLog is which ids' calls may have run, and when.
-type ranLog struct {
+// runLog is which ids' calls may have run, and when.
+type runLog struct {
 	mu   sync.Mutex
 	runs map[string][]time.Time
 }
 
 // answer has an endpoint fail now and then, and notes what may have run.
-func (l *ranLog) answer(w http.ResponseWriter, _ *http.Request, ids []string) {
+func (l *runLog) answer(w http.ResponseWriter, _ *http.Request, ids []string) {
 	switch draw := rand.IntN(20); {
 	case draw < 2:
 		w.WriteHeader(http.StatusServiceUnavailable) // never ran
@@ -42,11 +42,11 @@
 }
 
 func TestAnUnsafeRequestWhoseIDComesAgainRunsOnce(t *testing.T) {
-	log := &ranLog{runs: map[string][]time.Time{}}
-	p := newPlatform(t)
-	var known []member
+	log := &runLog{runs: map[string][]time.Time{}}
+	p := newFakeAgent(t)
+	var known []listEntry
 	for i := range 8 {
-		entry := listed(fmt.Sprint("s-", i), newHost(t, log.answer).addr(), "a", "platform", "ready")
+		entry := newEntry(fmt.Sprint("s-", i), newHost(t, log.answer).addr(), "a", "platform", "ready")
 		entry["cell"] = 100 + i
 		known = append(known, entry)
 	}
@@ -63,7 +63,7 @@
 		clients.Go(func() {
 			for i := range work {
 				for range 2 + rng.IntN(3) {
-					r.handInWhileRestarting(fmt.Sprint("m", i), 100+i%8)
+					r.submitWhileRestarting(fmt.Sprint("m", i), 100+i%8)
 					time.Sleep(time.Duration(rng.IntN(40)) * time.Millisecond)
 				}
 				done.Add(1)
@@ -90,10 +90,10 @@
 	defer log.mu.Unlock()
 	twice, afterNotice := 0, 0
 	for id, at := range log.runs {
-		if len(at) > sendsMost {
+		if len(at) > maxRuns {
 			twice++
 		}
-		if f := p.final(id); f != nil && at[len(at)-1].After(p.toldAt(id).Add(50*time.Millisecond)) {
+		if f := p.notice(id); f != nil && at[len(at)-1].After(p.noticeTime(id).Add(50*time.Millisecond)) {
 			afterNotice++
 		}
 	}
@@ -103,8 +103,8 @@
 	}
 }
 
-// handInWhileRestarting hands a message in; the relay may be away.
-func (r *relayProcess) handInWhileRestarting(id string, destination int) {
+// submitWhileRestarting hands a message in; the relay may be away.
+func (r *relayProcess) submitWhileRestarting(id string, destination int) {
 	res, err := r.client.Do(r.request(id, 10*time.Second, func(q *http.Request) {
 		q.Header.Set("Envelope", fmt.Sprintf("dest=%d", destination))
 	}))
--- a/cmd/cherrytrestlectl/duties.go
+++ b/cmd/cherrytrestlectl/duties.go
@@ -14,25 +14,25 @@
 	"onyxroad.dev/onyxroad/internal/duty/figures"
 )
 
-// stewardsFor is how long the stewards have to agree on something, a new leader's election included.
-const stewardsFor = 10 * time.Second
+// stewardTimeout is how long the stewards have to agree on something, a new leader's election included.
+const stewardTimeout = 10 * time.Second
 
-// atStewards are the stewards to speak with.
-type atStewards struct {
+// stewardFlags are the stewards to speak with.
+type stewardFlags struct {
 	Stewards []string `required:"" env:"IVYGAUGE_STEWARDS" help:"Addresses of the stewards' APIs, hosts and ports; one that is up is enough."`
 }
 
 // do asks whichever steward leads.
-func (a *atStewards) do(path string, in, out any, wait time.Duration) error {
+func (a *stewardFlags) do(path string, in, out any, wait time.Duration) error {
 	client := call.NewClient(a.Stewards, nil)
 	defer client.Close()
-	ctx, cancel := context.WithTimeout(context.Background(), wait+stewardsFor)
+	ctx, cancel := context.WithTimeout(context.Background(), wait+stewardTimeout)
 	defer cancel()
 	return client.Do(ctx, path, in, out, wait)
 }
 
 type dutiesCmd struct {
-	atStewards
+	stewardFlags
 }
 
 func (c *dutiesCmd) Run(all *cli, out io.Writer) error {
@@ -67,7 +67,7 @@
 }
 
 type stepDownCmd struct {
-	atStewards
+	stewardFlags
 	Duty string        `arg:"" help:"The duty."`
 	To   string        `help:"Who is to have it next, by its name as a holder; none: whoever waits longest."`
 	Bar  time.Duration `default:"1m" help:"For how long the holder does not get it back, at most an hour."`
@@ -76,7 +76,7 @@
 func (c *stepDownCmd) Run(all *cli, out io.Writer) error {
 	began := time.Now()
 	var d call.Duty
-	if err := c.do(call.PathStepDown, call.StepDownIn{Duty: c.Duty, To: c.To, BarMS: c.Bar.Milliseconds()}, &d, call.WaitMost); err != nil {
+	if err := c.do(call.PathStepDown, call.StepDownIn{Duty: c.Duty, To: c.To, BarMS: c.Bar.Milliseconds()}, &d, call.MaxWait); err != nil {
 		return err
 	}
 	if all.JSON {
@@ -87,19 +87,19 @@
 }
 
 type stewardsCmd struct {
-	atStewards
+	stewardFlags
 }
 
 func (c *stewardsCmd) Run(all *cli, out io.Writer) error {
 	client := call.NewClient(c.Stewards, nil)
 	defer client.Close()
-	ctx, cancel := context.WithTimeout(context.Background(), stewardsFor)
+	ctx, cancel := context.WithTimeout(context.Background(), stewardTimeout)
 	defer cancel()
 	var known call.StewardsOut
 	var err error
 	for _, a := range c.Stewards {
 		var one call.StewardsOut
-		if _, e := client.One(ctx, a, call.PathStewards, nil, &one, 0); e != nil {
+		if _, e := client.DoAt(ctx, a, call.PathStewards, nil, &one, 0); e != nil {
 			err = e
 		} else if one.Applied >= known.Applied && len(one.Stewards) >= len(known.Stewards) {
 			known = one
@@ -123,7 +123,7 @@
 	for _, s := range known.Stewards {
 		var one call.StewardsOut
 		note := ""
-		if _, err := client.One(ctx, s.API, call.PathStewards, nil, &one, 0); err != nil {
+		if _, err := client.DoAt(ctx, s.API, call.PathStewards, nil, &one, 0); err != nil {
 			note, silent = "does not answer", true
 		} else if s.Leader {
 			note, led = "leads", true
@@ -136,7 +136,7 @@
 		return err
 	}
 	if !led || silent {
-		return errBroken
+		return errCheckFailed
 	}
 	return nil
 }
@@ -149,7 +149,7 @@
 	client := call.NewClient(nil, nil)
 	defer client.Close()
 	var x call.JoinOut
-	if _, err := client.One(context.Background(), c.Addr, call.PathBegin, call.Done{}, &x, stewardsFor); err != nil {
+	if _, err := client.DoAt(context.Background(), c.Addr, call.PathBegin, call.Empty{}, &x, stewardTimeout); err != nil {
 		return err
 	}
 	fmt.Fprintf(out, "cluster %s has begun\n", x.Cluster)
@@ -157,12 +157,12 @@
 }
 
 type removeCmd struct {
-	atStewards
+	stewardFlags
 	Name string `arg:"" help:"The steward's name."`
 }
 
 func (c *removeCmd) Run(_ *cli, out io.Writer) error {
-	if err := c.do(call.PathRemove, call.RemoveIn{ID: c.Name}, &call.Done{}, stewardsFor); err != nil {
+	if err := c.do(call.PathRemove, call.RemoveIn{ID: c.Name}, &call.Empty{}, stewardTimeout); err != nil {
 		return err
 	}
 	fmt.Fprintln(out, c.Name, "is no steward any more")
@@ -170,7 +170,7 @@
 }
 
 type fleetCmd struct {
-	atStewards
+	stewardFlags
 }
 
 func (c *fleetCmd) Run(_ *cli, out io.Writer) error {
@@ -182,7 +182,7 @@
 		if x.Duty != figures.Duty || x.Holder == "" {
 			continue
 		}
-		client := &http.Client{Timeout: askFor}
+		client := &http.Client{Timeout: relayTimeout}
 		res, err := client.Get("http://" + x.Addr + "/api/fleet")
 		if err != nil {
 			return fmt.Errorf("ask %s: %w", x.Holder, err)
--- a/cmd/cherrytrestlectl/main.go
+++ b/cmd/cherrytrestlectl/main.go
@@ -16,8 +16,8 @@
 	"onyxroad.dev/onyxroad/internal/settings"
 )
 
-// errBroken ends the command with 1; what is broken has been said.
-var errBroken = errors.New("broken")
+// errCheckFailed ends the command with 1; what is broken has been said.
+var errCheckFailed = errors.New("broken")
 
 type cli struct {
 	JSON  bool `help:"Answer in JSON."`
@@ -42,17 +42,17 @@
 	} `cmd:"" help:"The settings file."`
 }
 
-func main() { os.Exit(command(os.Args[1:], os.Stdout, os.Stderr)) }
+func main() { os.Exit(run(os.Args[1:], os.Stdout, os.Stderr)) }
 
-// command runs one command line and returns its exit code: 0 done, 1 something is broken, 2 wrong use or not done.
-func command(args []string, out, errOut io.Writer) (code int) {
+// run runs one run line and returns its exit code: 0 done, 1 something is broken, 2 wrong use or not done.
+func run(args []string, out, errOut io.Writer) (code int) {
 	var c cli
 	exited := -1
 	parser := kong.Must(&c, kong.Name("cherrytrestlectl"), kong.Description("The operators' command of the relay fleet."),
-		kong.Writers(out, errOut), kong.Exit(func(code int) { exited = code; panic(stop{}) }))
+		kong.Writers(out, errOut), kong.Exit(func(code int) { exited = code; panic(parserExit{}) }))
 	defer func() {
 		if x := recover(); x != nil {
-			if _, ok := x.(stop); !ok {
+			if _, ok := x.(parserExit); !ok {
 				panic(x)
 			}
 			if code = exited; code != 0 {
@@ -67,7 +67,7 @@
 	}
 	cmd.BindTo(out, (*io.Writer)(nil))
 	switch err := cmd.Run(&c); {
-	case errors.Is(err, errBroken):
+	case errors.Is(err, errCheckFailed):
 		return 1
 	case err != nil:
 		fmt.Fprintln(errOut, "cherrytrestlectl:", err)
@@ -76,8 +76,8 @@
 	return 0
 }
 
-// stop ends the parser where --help has been answered.
-type stop struct{}
+// parserExit ends the parser where --help has been answered.
+type parserExit struct{}
 
 type checkCmd struct {
 	Dir string `arg:"" help:"The folder, ROUTER_STATE of the relay."`
@@ -93,15 +93,15 @@
 			return err
 		}
 	} else {
-		summary(out, f)
+		printSummary(out, f)
 	}
 	if !f.Log.Intact() {
-		return errBroken
+		return errCheckFailed
 	}
 	return nil
 }
 
-func summary(out io.Writer, f *recovery.Folder) {
+func printSummary(out io.Writer, f *recovery.Folder) {
 	fmt.Fprint(out, f.Log.Summary())
 	counts := map[string]int{}
 	for _, m := range f.Messages {
@@ -151,7 +151,7 @@
 	before, err := recovery.Repair(c.Dir, c.Format, c.Adopt, int64(c.DiskMB*1e6))
 	if before != nil {
 		fmt.Fprintln(out, "Before:")
-		summary(out, before)
+		printSummary(out, before)
 	}
 	if err != nil {
 		return err
@@ -161,7 +161,7 @@
 		return err
 	}
 	fmt.Fprintln(out, "\nNow:")
-	summary(out, after)
+	printSummary(out, after)
 	return nil
 }
 
@@ -176,7 +176,7 @@
 	}
 	if _, err := settings.Parse(c.File, data); err != nil {
 		fmt.Fprintln(out, err)
-		return errBroken
+		return errCheckFailed
 	}
 	fmt.Fprintln(out, c.File, "is in order")
 	return nil
--- a/cmd/cherrytrestlectl/main_test.go
+++ b/cmd/cherrytrestlectl/main_test.go
@@ -17,15 +17,15 @@
 	"onyxroad.dev/onyxroad/internal/wal"
 )
 
-// ctl runs a command line.
-func ctl(args ...string) (code int, out string) {
+// runCommand runs a command line.
+func runCommand(args ...string) (code int, out string) {
 	var b bytes.Buffer
-	code = command(args, &b, &b)
+	code = run(args, &b, &b)
 	return code, b.String()
 }
 
-// folder is a stopped relay's folder with two messages, one of which may have run.
-func folder(t *testing.T, format int) (dir string) {
+// newStateFolder is a stopped relay's newStateFolder with two messages, one of which may have run.
+func newStateFolder(t *testing.T, format int) (dir string) {
 	t.Helper()
 	dir = t.TempDir()
 	lock, err := wal.Lock(dir)
@@ -51,8 +51,8 @@
 	return dir
 }
 
-// content is every file of a folder.
-func content(t *testing.T, dir string) (all []string) {
+// fileContents is every file of a folder.
+func fileContents(t *testing.T, dir string) (all []string) {
 	t.Helper()
 	names, err := disk.Dir(dir).Names()
 	if err != nil {
@@ -67,13 +67,13 @@
 
 func TestCheckAndShowChangeNothing(t *testing.T) {
 	for _, format := range []int{1, wal.SegmentFormat} {
-		dir := folder(t, format)
-		before := content(t, dir)
-		code, out := ctl("state", "check", dir)
+		dir := newStateFolder(t, format)
+		before := fileContents(t, dir)
+		code, out := runCommand("state", "check", dir)
 		if code != 0 || !strings.Contains(out, "Nothing that was promised is lost") || !strings.Contains(out, "2 messages: 2 held") {
 			t.Errorf("format %d: %d, %s", format, code, out)
 		}
-		code, out = ctl("--json", "state", "show", dir)
+		code, out = runCommand("--json", "state", "show", dir)
 		var ms []struct {
 			Trace  string
 			MayRun int
@@ -81,26 +81,26 @@
 		if err := json.Unmarshal([]byte(out), &ms); err != nil || code != 0 || len(ms) != 2 || ms[0].MayRun != 1 || ms[1].Trace != "two" {
 			t.Errorf("format %d: %d, %s, %v", format, code, out, err)
 		}
-		if !slices.Equal(content(t, dir), before) {
+		if !slices.Equal(fileContents(t, dir), before) {
 			t.Errorf("format %d: changed", format)
 		}
 	}
 }
 
 func TestRepairIntoEitherFormat(t *testing.T) {
-	dir := folder(t, wal.SegmentFormat)
+	dir := newStateFolder(t, wal.SegmentFormat)
 	for _, format := range []string{"1", "2", "0"} {
-		if code, out := ctl("state", "repair", "--format", format, dir); code != 0 || strings.Count(out, "2 messages: 2 held") != 2 {
+		if code, out := runCommand("state", "repair", "--format", format, dir); code != 0 || strings.Count(out, "2 messages: 2 held") != 2 {
 			t.Fatalf("to format %s: %d, %s", format, code, out)
 		}
 	}
-	if code, out := ctl("state", "repair", "--adopt", "n4", dir); code != 0 || !strings.Contains(out, `by relay "n4"`) {
+	if code, out := runCommand("state", "repair", "--adopt", "n4", dir); code != 0 || !strings.Contains(out, `by relay "n4"`) {
 		t.Errorf("adopt: %d, %s", code, out)
 	}
 }
 
-func TestDamageIsToldAndMended(t *testing.T) {
-	dir := folder(t, wal.SegmentFormat)
+func TestDamageIsReportedAndRepaired(t *testing.T) {
+	dir := newStateFolder(t, wal.SegmentFormat)
 	seg := filepath.Join(dir, "seg-00000001")
 	data, err := os.ReadFile(seg)
 	if err != nil {
@@ -110,49 +110,49 @@
 	if err := os.WriteFile(seg, data, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if code, out := ctl("state", "check", dir); code != 1 || !strings.Contains(out, "can't be read") {
+	if code, out := runCommand("state", "check", dir); code != 1 || !strings.Contains(out, "can't be read") {
 		t.Errorf("check: %d, %s", code, out)
 	}
-	ctl("state", "repair", dir)
-	if code, out := ctl("state", "check", dir); code != 0 {
+	runCommand("state", "repair", dir)
+	if code, out := runCommand("state", "check", dir); code != 0 {
 		t.Errorf("after a repair: %d, %s", code, out)
 	}
 }
 
-func TestAServingRelaysFolderIsLeftAlone(t *testing.T) {
-	dir := folder(t, wal.SegmentFormat)
+func TestFolderOfRunningRelayIsRefused(t *testing.T) {
+	dir := newStateFolder(t, wal.SegmentFormat)
 	lock, err := wal.Lock(dir)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer lock.Close()
 	for _, args := range [][]string{{"state", "check", dir}, {"state", "repair", dir}} {
-		if code, out := ctl(args...); code != 2 || !strings.Contains(out, "stop it first") {
+		if code, out := runCommand(args...); code != 2 || !strings.Contains(out, "stop it first") {
 			t.Errorf("%v: %d, %s", args, code, out)
 		}
 	}
 }
 
-func TestWrongUse(t *testing.T) {
+func TestUsageErrors(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "x.toml")
 	if err := os.WriteFile(file, []byte("[state]\ndurabilty = 1\n"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if code, out := ctl("config", "check", file); code != 1 || !strings.Contains(out, "x.toml:2") {
+	if code, out := runCommand("config", "check", file); code != 1 || !strings.Contains(out, "x.toml:2") {
 		t.Errorf("%d, %s", code, out)
 	}
 	for _, args := range [][]string{{}, {"state"}, {"state", "check"}, {"state", "check", "/nowhere/at/all"}, {"what"}} {
-		if code, _ := ctl(args...); code != 2 {
+		if code, _ := runCommand(args...); code != 2 {
 			t.Errorf("%v: exit code %d", args, code)
 		}
 	}
-	if code, out := ctl("--help"); code != 0 || !strings.Contains(out, "state") {
+	if code, out := runCommand("--help"); code != 0 || !strings.Contains(out, "state") {
 		t.Errorf("--help: %d, %s", code, out)
 	}
 }
 
 func TestMembers(t *testing.T) {
-	v := membership.View{Version: 7, Agreement: membership.Agreed, Present: 1, Careful: 1,
+	v := membership.View{Version: 7, Agreement: membership.Agreed, Present: 1, MayServe: 1,
 		Members: []membership.Member{{Process: membership.Process{Name: "n3", Building: "north", State: membership.Serving, Version: "abc"}},
 			{Process: membership.Process{Name: "n4"}, Away: membership.Dead}}}
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -164,15 +164,15 @@
 	}))
 	defer s.Close()
 	addr := strings.TrimPrefix(s.URL, "http://")
-	code, out := ctl("members", "--addr", addr)
+	code, out := runCommand("members", "--addr", addr)
 	if code != 0 || !strings.Contains(out, "view 7, agreed") || !strings.Contains(out, "serving") || !strings.Contains(out, "dead") {
 		t.Errorf("%d, %s", code, out)
 	}
 	v.Agreement = membership.Split
-	if code, out := ctl("--json", "members", "--addr", addr); code != 1 || !strings.Contains(out, `"split"`) {
+	if code, out := runCommand("--json", "members", "--addr", addr); code != 1 || !strings.Contains(out, `"split"`) {
 		t.Errorf("%d, %s", code, out)
 	}
-	if code, _ := ctl("members", "--addr", "127.0.0.1:1"); code != 2 {
+	if code, _ := runCommand("members", "--addr", "127.0.0.1:1"); code != 2 {
 		t.Errorf("nobody there: %d", code)
 	}
 }
--- a/cmd/cherrytrestlectl/members.go
+++ b/cmd/cherrytrestlectl/members.go
@@ -12,8 +12,8 @@
 	"onyxroad.dev/onyxroad/internal/membership"
 )
 
-// askFor is how long a relay has for its answer.
-const askFor = 3 * time.Second
+// relayTimeout is how long a relay has for its answer.
+const relayTimeout = 3 * time.Second
 
 type membersCmd struct {
 	Addr  string        `required:"" help:"A relay's second address, host and port."`
@@ -30,13 +30,13 @@
 		}
 		if v.Version != last {
 			last = v.Version
-			if err := showView(all.JSON, out, v); err != nil {
+			if err := printView(all.JSON, out, v); err != nil {
 				return err
 			}
 		}
 		if !c.Watch {
 			if v.Agreement != membership.Agreed {
-				return errBroken
+				return errCheckFailed
 			}
 			return nil
 		}
@@ -45,7 +45,7 @@
 }
 
 func (c *membersCmd) view() (v membership.View, err error) {
-	client := &http.Client{Timeout: askFor}
+	client := &http.Client{Timeout: relayTimeout}
 	res, err := client.Get("http://" + c.Addr + "/api/members")
 	if err != nil {
 		return v, fmt.Errorf("ask %s: %w", c.Addr, err)
@@ -63,17 +63,17 @@
 	return v, nil
 }
 
-func showView(asJSON bool, out io.Writer, v membership.View) error {
+func printView(asJSON bool, out io.Writer, v membership.View) error {
 	if asJSON {
 		return json.NewEncoder(out).Encode(v)
 	}
 	now := time.Now()
 	fmt.Fprintf(out, "view %d, %s for %v: %d present, %d unreachable; shares are reckoned with %d\n", v.Version, v.Agreement,
-		now.Sub(v.Since).Round(time.Second), v.Present, v.Other, v.Careful)
-	if len(v.Differ) > 0 {
-		fmt.Fprintf(out, "see another view: %v\n", v.Differ)
+		now.Sub(v.Since).Round(time.Second), v.Present, v.Unreachable, v.MayServe)
+	if len(v.Disagreeing) > 0 {
+		fmt.Fprintf(out, "see another view: %v\n", v.Disagreeing)
 	}
-	if v.Replaced {
+	if v.Superseded {
 		fmt.Fprintln(out, "a newer process has this relay's name")
 	}
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
@@ -81,7 +81,7 @@
 	for _, m := range v.Members {
 		state, since := string(m.State), m.Since
 		if m.Away != membership.Present {
-			state, since = string(m.Away), m.Gone
+			state, since = string(m.Away), m.AwaySince
 		}
 		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%v\t%s\t%x\n", m.Name, m.Building, m.Addr, state, now.Sub(since).Round(time.Second), m.Version,
 			m.Incarnation)
--- a/internal/duty/call/call.go
+++ b/internal/duty/call/call.go
@@ -42,9 +42,9 @@
 	HeaderEra     = "Steward-Era"
 
 	// The bounds of a request.
-	BodyMost   = 64 << 10
-	WishesMost = 128
-	WaitMost   = 20 * time.Second
+	MaxBodyBytes   = 64 << 10
+	MaxWishes = 128
+	MaxWait   = 20 * time.Second
 )
 
 // Wish is a duty that a process wants to hold.
@@ -115,8 +115,8 @@
 	BarMS int64  `json:"bar_ms"`
 }
 
-// Done is an answer with nothing in it.
-type Done struct{}
+// Empty is an answer with nothing in it.
+type Empty struct{}
 
 // Duty is a duty as the leader knows it.
 type Duty struct {
@@ -184,10 +184,10 @@
 }
 
 const (
-	oneFor    = time.Second // for an answer, beyond what is to wait
-	pauseMin  = 20 * time.Millisecond
-	pauseMost = 500 * time.Millisecond
-	answerBig = 1 << 20
+	requestTimeout    = time.Second // for an answer, beyond what is to wait
+	minPause  = 20 * time.Millisecond
+	maxPause = 500 * time.Millisecond
+	maxAnswerBytes = 1 << 20
 )
 
 // Client speaks with the stewards, whichever of them leads. Its methods may be called from any goroutine.
@@ -203,7 +203,7 @@
 
 // NewClient returns a client of the stewards with these addresses. local, if given, is the address that its connections come from.
 func NewClient(stewards []string, local net.IP) *Client {
-	d := &net.Dialer{Timeout: oneFor}
+	d := &net.Dialer{Timeout: requestTimeout}
 	if local != nil {
 		d.LocalAddr = &net.TCPAddr{IP: local}
 	}
@@ -213,25 +213,25 @@
 		if err != nil {
 			return nil, err
 		}
-		return counted{conn, &c.bytes}, nil
+		return countingConn{conn, &c.bytes}, nil
 	}
 	c.http = &http.Client{Transport: &http.Transport{DialContext: dial, MaxIdleConnsPerHost: 4, IdleConnTimeout: 30 * time.Second}}
 	return c
 }
 
-// counted is a connection whose bytes count.
-type counted struct {
+// countingConn is a connection whose bytes count.
+type countingConn struct {
 	net.Conn
 	bytes *atomic.Int64
 }
 
-func (c counted) Read(p []byte) (int, error) {
+func (c countingConn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
 	c.bytes.Add(int64(n))
 	return n, err
 }
 
-func (c counted) Write(p []byte) (int, error) {
+func (c countingConn) Write(p []byte) (int, error) {
 	n, err := c.Conn.Write(p)
 	c.bytes.Add(int64(n))
 	return n, err
@@ -247,11 +247,11 @@
 // A Refusal is an answer.
 func (c *Client) Do(ctx context.Context, path string, in, out any, wait time.Duration) error {
 	var last error
-	for pause := pauseMin; ; pause = min(2*pause, pauseMost) {
-		for _, addr := range c.order() {
-			err := c.ask(ctx, addr, path, in, out, wait)
-			var no *Refusal
-			if err == nil || errors.As(err, &no) {
+	for pause := minPause; ; pause = min(2*pause, maxPause) {
+		for _, addr := range c.candidates() {
+			err := c.doWithRedirect(ctx, addr, path, in, out, wait)
+			var refusal *Refusal
+			if err == nil || errors.As(err, &refusal) {
 				return err
 			}
 			if last = err; ctx.Err() != nil {
@@ -266,23 +266,23 @@
 	}
 }
 
-// Leads tells whether the steward that led last still answers that it does.
-func (c *Client) Leads(ctx context.Context) bool {
+// LeaderAnswers tells whether the steward that led last still answers that it does.
+func (c *Client) LeaderAnswers(ctx context.Context) bool {
 	c.mu.Lock()
 	addr := c.leader
 	c.mu.Unlock()
 	if addr == "" {
 		return false
 	}
-	_, err := c.One(ctx, addr, PathLeads, nil, &Done{}, 0)
+	_, err := c.DoAt(ctx, addr, PathLeads, nil, &Empty{}, 0)
 	if err != nil {
-		c.set(addr, "")
+		c.updateLeader(addr, "")
 	}
 	return err == nil
 }
 
-// order is the stewards in the order to try: the leader as it was last known, then the others, from any on.
-func (c *Client) order() []string {
+// candidates is the stewards in the candidates to try: the leader as it was last known, then the others, from any on.
+func (c *Client) candidates() []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	all := slices.Clone(c.stewards)
@@ -293,24 +293,24 @@
 	return all
 }
 
-// ask asks one steward, and the leader that it names.
-func (c *Client) ask(ctx context.Context, addr, path string, in, out any, wait time.Duration) error {
-	c.set("", addr) // whoever keeps a request waiting leads
-	leader, err := c.One(ctx, addr, path, in, out, wait)
+// doWithRedirect asks one steward, and the leader that it names.
+func (c *Client) doWithRedirect(ctx context.Context, addr, path string, in, out any, wait time.Duration) error {
+	c.updateLeader("", addr) // whoever keeps a request waiting leads
+	leader, err := c.DoAt(ctx, addr, path, in, out, wait)
 	if leader != "" && leader != addr {
-		c.set(addr, leader)
+		c.updateLeader(addr, leader)
 		addr = leader
-		_, err = c.One(ctx, addr, path, in, out, wait)
+		_, err = c.DoAt(ctx, addr, path, in, out, wait)
 	}
-	var no *Refusal
-	if err != nil && !errors.As(err, &no) {
-		c.set(addr, "")
+	var refusal *Refusal
+	if err != nil && !errors.As(err, &refusal) {
+		c.updateLeader(addr, "")
 	}
 	return err
 }
 
-// set notes who leads, unless that has been found out to be another than it was meanwhile.
-func (c *Client) set(was, is string) {
+// updateLeader notes who leads, unless that has been found out to be another than it was meanwhile.
+func (c *Client) updateLeader(was, is string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.leader == was {
@@ -318,9 +318,9 @@
 	}
 }
 
-// One asks one steward alone. Where it does not lead, it returns the leader's address, if that is known, and an error.
-func (c *Client) One(ctx context.Context, addr, path string, in, out any, wait time.Duration) (leader string, err error) {
-	ctx, cancel := context.WithTimeout(ctx, wait+oneFor)
+// DoAt asks one steward alone. Where it does not lead, it returns the leader's address, if that is known, and an error.
+func (c *Client) DoAt(ctx context.Context, addr, path string, in, out any, wait time.Duration) (leader string, err error) {
+	ctx, cancel := context.WithTimeout(ctx, wait+requestTimeout)
 	defer cancel()
 	method, body := http.MethodGet, io.Reader(nil)
 	if in != nil {
@@ -339,11 +339,11 @@
 		return "", err
 	}
 	defer res.Body.Close()
-	data, err := io.ReadAll(io.LimitReader(res.Body, answerBig))
+	data, err := io.ReadAll(io.LimitReader(res.Body, maxAnswerBytes))
 	if err != nil {
 		return "", err
 	}
-	if err := c.newest(addr, res.Header.Get(HeaderEra)); err != nil {
+	if err := c.checkEra(addr, res.Header.Get(HeaderEra)); err != nil {
 		return "", err
 	}
 	if res.StatusCode == http.StatusOK {
@@ -362,8 +362,8 @@
 	return "", &Refusal{res.StatusCode, f.Error}
 }
 
-// newest turns away answers of stewards that have been given up.
-func (c *Client) newest(addr, text string) error {
+// checkEra turns away answers of stewards that have been given up.
+func (c *Client) checkEra(addr, text string) error {
 	era, err := strconv.ParseUint(text, 10, 64)
 	if err != nil {
 		return fmt.Errorf("%s is no steward", addr)
--- a/internal/duty/call/call_test.go
+++ b/internal/duty/call/call_test.go
@@ -9,28 +9,28 @@
 	"testing"
 )
 
-// through is a listener whose connections count what goes through them, at the other end from the client.
-type through struct {
+// countingListener is a listener whose connections count what goes countingListener them, at the other end from the client.
+type countingListener struct {
 	net.Listener
 	bytes *atomic.Int64
 }
 
-func (l through) Accept() (net.Conn, error) {
+func (l countingListener) Accept() (net.Conn, error) {
 	c, err := l.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
-	return counted{c, l.bytes}, nil
+	return countingConn{c, l.bytes}, nil
 }
 
-func TestACallersBytesAreThoseThatItsStewardSees(t *testing.T) {
+func TestBytesMatchWhatTheStewardSees(t *testing.T) {
 	var seen atomic.Int64
 	s := httptest.NewUnstartedServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		io.Copy(io.Discard, r.Body)
 		w.Header().Set(HeaderEra, "1")
 		w.Write([]byte(`{"held":[]}`))
 	}))
-	s.Listener = through{s.Listener, &seen}
+	s.Listener = countingListener{s.Listener, &seen}
 	s.Start()
 	c := NewClient([]string{s.Listener.Addr().String()}, nil)
 	for range 3 {
--- a/internal/duty/duty_test.go
+++ b/internal/duty/duty_test.go
@@ -24,32 +24,32 @@
 	t *testing.T
 }
 
-func lead(t *testing.T) leader { return leader{NewLeases(NewTable(), 1, noon), t} }
+func newLeader(t *testing.T) leader { return leader{NewLeases(NewTable(), 1, noon), t} }
 
 // claim has a wish fulfilled; the epoch, or 0.
 func (l leader) claim(holder, id string, now time.Time) uint64 {
-	c, i := l.Pick(wish(holder, id), now)
+	c, i := l.PickClaim(wish(holder, id), now)
 	switch {
 	case i < 0:
 		return 0
 	case c.Op == "":
 		return l.table.Get("d").Epoch
 	}
-	return l.carry(c, now).Grant.Epoch
+	return l.apply(c, now).Grant.Epoch
 }
 
-func (l leader) carry(c Command, now time.Time) Result {
+func (l leader) apply(c Command, now time.Time) Result {
 	l.t.Helper()
-	if !l.Begun(c) {
+	if !l.Begin(c) {
 		l.t.Fatal("busy")
 	}
 	res := l.table.Apply(c, l.Term)
-	l.Done(c, res, now)
+	l.Finish(c, res, now)
 	return res
 }
 
-func TestALeaseRunsOutAndTheNextEpochIsHigher(t *testing.T) {
-	l := lead(t)
+func TestExpiredLeaseGetsAHigherEpoch(t *testing.T) {
+	l := newLeader(t)
 	one := l.claim("a", "1", noon)
 	if one == 0 || l.claim("b", "2", noon) != 0 {
 		t.Fatalf("%d; or granted to two", one)
@@ -61,7 +61,7 @@
 	if !l.Renew("d", one, "a", at) || l.Renew("d", one, "b", at) || l.Renew("d", one+1, "a", at) {
 		t.Error("renewed wrongly")
 	}
-	if got := l.Next(wish("b", "2"), at); !got.Equal(at.Add(lease)) {
+	if got := l.NextChange(wish("b", "2"), at); !got.Equal(at.Add(lease)) {
 		t.Errorf("next at %v", got)
 	}
 	if l.claim("b", "2", at.Add(lease-1)) != 0 {
@@ -76,13 +76,13 @@
 	}
 	// A claim that is over is not granted once more, however late its repeat comes.
 	c := Command{Op: Claim, Term: 1, Duty: "d", After: two, Holder: "a", ID: "1", Lease: lease}
-	if res := l.table.Apply(c, 1); !errors.Is(res.Err, ErrOver) {
+	if res := l.table.Apply(c, 1); !errors.Is(res.Err, ErrClaimEnded) {
 		t.Errorf("late repeat: %v", res.Err)
 	}
 }
 
-func TestANewLeaderBeginsLeasesAnew(t *testing.T) {
-	l := lead(t)
+func TestNewLeaderRestartsLeases(t *testing.T) {
+	l := newLeader(t)
 	one := l.claim("a", "1", noon)
 	l.Renew("d", one, "a", noon.Add(time.Second))
 	next := leader{NewLeases(l.table, 2, noon.Add(2*time.Second)), t}
@@ -91,7 +91,7 @@
 	}
 	// What the old leader had decided on does nothing.
 	res := l.table.Apply(Command{Op: Claim, Term: 1, Duty: "d", After: one, Holder: "c", ID: "3", Lease: lease}, 2)
-	if !errors.Is(res.Err, ErrStale) {
+	if !errors.Is(res.Err, ErrStaleTerm) {
 		t.Errorf("%v", res.Err)
 	}
 	if next.claim("b", "2", noon.Add(5*time.Second)) == 0 {
@@ -99,10 +99,10 @@
 	}
 }
 
-func TestSteppingDown(t *testing.T) {
-	l := lead(t)
+func TestStepDown(t *testing.T) {
+	l := newLeader(t)
 	one := l.claim("a", "1", noon)
-	if !l.Ask("d", Ask{To: "c", Bar: time.Minute, At: noon}) || !l.Asked("d", one) {
+	if !l.RequestStepDown("d", StepDownRequest{To: "c", Bar: time.Minute, At: noon}) || !l.StepDownRequested("d", one) {
 		t.Fatal("not asked")
 	}
 	// It keeps the duty until it has given it up, for a lease at most.
@@ -112,7 +112,7 @@
 	if l.Renew("d", one, "a", noon.Add(lease)) {
 		t.Error("renewed although its time to step down is over")
 	}
-	if res := l.carry(l.End("d", one, "a", ""), noon.Add(time.Second)); res.Err != nil || res.Grant.To != "c" {
+	if res := l.apply(l.EndCommand("d", one, "a", ""), noon.Add(time.Second)); res.Err != nil || res.Grant.To != "c" {
 		t.Fatalf("%+v", res)
 	}
 	at := noon.Add(time.Second)
@@ -122,26 +122,26 @@
 	if two := l.claim("c", "4", at); two <= one {
 		t.Errorf("handed on: epoch %d", two)
 	}
-	l.carry(l.End("d", l.table.Get("d").Epoch, "c", ""), at)
+	l.apply(l.EndCommand("d", l.table.Get("d").Epoch, "c", ""), at)
 	if l.claim("a", "5", noon.Add(59*time.Second)) != 0 || l.claim("a", "5", noon.Add(62*time.Second)) == 0 {
 		t.Error("the bar does not hold for its time")
 	}
 	// One that was handed to nobody who comes is anybody's after a while.
 	e := l.table.Get("d").Epoch
-	l.carry(l.End("d", e, "a", "gone"), noon.Add(70*time.Second))
-	if l.claim("b", "6", noon.Add(70*time.Second)) != 0 || l.claim("b", "6", noon.Add(70*time.Second+handOnFor)) == 0 {
+	l.apply(l.EndCommand("d", e, "a", "gone"), noon.Add(70*time.Second))
+	if l.claim("b", "6", noon.Add(70*time.Second)) != 0 || l.claim("b", "6", noon.Add(70*time.Second+handoverGrace)) == 0 {
 		t.Error("waits for who never comes")
 	}
 }
 
-func TestADutyThatKillsItsHoldersPauses(t *testing.T) {
-	l := lead(t)
+func TestDutyThatKillsItsHoldersPauses(t *testing.T) {
+	l := newLeader(t)
 	now := noon
 	var waits []time.Duration
 	for i := range 6 {
 		began := now
 		for l.claim(fmt.Sprint("h", i), fmt.Sprint("c", i), now) == 0 {
-			now = l.Next(wish("x", "x"), now)
+			now = l.NextChange(wish("x", "x"), now)
 		}
 		waits = append(waits, now.Sub(began))
 	}
@@ -150,13 +150,13 @@
 	}
 	// One that holds it for long, and lets it go in order, ends that.
 	e := l.table.Get("d").Epoch
-	l.carry(l.End("d", e, "h5", ""), now)
+	l.apply(l.EndCommand("d", e, "h5", ""), now)
 	if got := l.table.Get("d").Quick; got != 0 {
 		t.Errorf("still %d", got)
 	}
 }
 
-func TestEpochsAreNeverUsedAgain(t *testing.T) {
+func TestEpochsAreNeverReused(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		table := NewTable()
 		holders := map[uint64]string{}
@@ -168,8 +168,8 @@
 			if rapid.IntRange(0, 5).Draw(t, "stale") == 0 {
 				after /= 2
 			}
-			op := rapid.SampledFrom([]Op{Claim, Claim, Release, StepDown, Raise}).Draw(t, "op")
-			if op == Raise {
+			op := rapid.SampledFrom([]Op{Claim, Claim, Release, StepDown, RaiseEpochs}).Draw(t, "op")
+			if op == RaiseEpochs {
 				after = last + uint64(rapid.IntRange(0, 9).Draw(t, "by"))
 			}
 			res := table.Apply(Command{Op: op, Term: 1, Duty: d, After: after, Holder: h, ID: fmt.Sprint(rapid.IntRange(0, 40).Draw(t, "id")),
@@ -183,7 +183,7 @@
 				}
 				holders[e], last = d+h, max(last, e)
 			}
-			last = max(last, table.Last())
+			last = max(last, table.LastEpoch())
 			if rapid.IntRange(0, 9).Draw(t, "snapshot") == 0 {
 				data, err := table.Encode()
 				if err != nil {
@@ -197,9 +197,9 @@
 	})
 }
 
-func TestNothingMakesTheTableGrow(t *testing.T) {
+func TestTableSizeIsBounded(t *testing.T) {
 	table := NewTable()
-	for i := range 2 * DutiesMost {
+	for i := range 2 * MaxDuties {
 		d := fmt.Sprint("d", i)
 		if res := table.Apply(Command{Op: Claim, Duty: d, Holder: "a", ID: "1", Lease: lease}, 0); res.Err != nil {
 			t.Fatal(res.Err)
@@ -211,7 +211,7 @@
 			table.Apply(Command{Op: Release, Duty: d, After: e, Holder: "a"}, 0)
 		}
 	}
-	if n := len(table.All()); n != DutiesMost {
+	if n := len(table.All()); n != MaxDuties {
 		t.Errorf("%d duties", n)
 	}
 	for i := range 100 {
@@ -219,7 +219,7 @@
 		table.Apply(Command{Op: Claim, Duty: "x", After: g.Epoch, Holder: fmt.Sprint(i), ID: fmt.Sprint(i), Lease: lease}, 0)
 		table.Apply(Command{Op: StepDown, Duty: "x", After: table.Get("x").Epoch, Bar: time.Second}, 0)
 	}
-	if g := table.Get("x"); len(g.Bars) > barsMost || len(g.Ended) > endedMost {
+	if g := table.Get("x"); len(g.Bars) > maxBars || len(g.Ended) > maxEndedClaims {
 		t.Errorf("%d bars, %d ended claims", len(g.Bars), len(g.Ended))
 	}
 }
@@ -230,31 +230,31 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := errors.Join(f.Pass("d", 5), f.Pass("d", 5), f.Pass("other", 2)); err != nil {
+	if err := errors.Join(f.Admit("d", 5), f.Admit("d", 5), f.Admit("other", 2)); err != nil {
 		t.Fatal(err)
 	}
-	if err := f.Pass("d", 4); !errors.Is(err, ErrFenced) {
+	if err := f.Admit("d", 4); !errors.Is(err, ErrFenced) {
 		t.Errorf("an older epoch: %v", err)
 	}
-	if f, err = OpenFence(dir); err != nil || f.Seen("d") != 5 {
-		t.Fatalf("after a restart: %d, %v", f.Seen("d"), err)
+	if f, err = OpenFence(dir); err != nil || f.HighestEpoch("d") != 5 {
+		t.Fatalf("after a restart: %d, %v", f.HighestEpoch("d"), err)
 	}
-	if err := f.Pass("d", 4); !errors.Is(err, ErrFenced) {
+	if err := f.Admit("d", 4); !errors.Is(err, ErrFenced) {
 		t.Errorf("an older epoch after a restart: %v", err)
 	}
-	for i := range FenceMost {
-		f.Pass(fmt.Sprint(i), 1)
+	for i := range MaxFencedDuties {
+		f.Admit(fmt.Sprint(i), 1)
 	}
-	if err := f.Pass("one more", 1); err == nil || errors.Is(err, ErrFenced) {
+	if err := f.Admit("one more", 1); err == nil || errors.Is(err, ErrFenced) {
 		t.Errorf("one duty too many: %v", err)
 	}
 	// What can't be kept is not taken.
 	os.RemoveAll(dir)
-	if err := f.Pass("d", 6); err == nil || f.Seen("d") != 5 {
-		t.Errorf("taken without being kept: %v, %d", err, f.Seen("d"))
+	if err := f.Admit("d", 6); err == nil || f.HighestEpoch("d") != 5 {
+		t.Errorf("taken without being kept: %v, %d", err, f.HighestEpoch("d"))
 	}
 	os.MkdirAll(dir, 0o700)
-	os.WriteFile(filepath.Join(dir, fenceName), []byte("{torn"), 0o600)
+	os.WriteFile(filepath.Join(dir, fenceFile), []byte("{torn"), 0o600)
 	if _, err := OpenFence(dir); err == nil {
 		t.Error("a file that can't be read is no error")
 	}
@@ -266,7 +266,7 @@
 			t.Errorf("%q: %v", ok, err)
 		}
 	}
-	for _, bad := range []string{"", "a b", "a\nb", strings.Repeat("x", NameMost+1), "\x7f"} {
+	for _, bad := range []string{"", "a b", "a\nb", strings.Repeat("x", MaxNameBytes+1), "\x7f"} {
 		if CheckName(bad) == nil {
 			t.Errorf("%q is a name", bad)
 		}
--- a/internal/duty/fence.go
+++ b/internal/duty/fence.go
@@ -13,9 +13,9 @@
 )
 
 const (
-	fenceName = "epochs.json"
-	// FenceMost bounds the duties that a Fence keeps epochs of.
-	FenceMost = 64
+	fenceFile = "epochs.json"
+	// MaxFencedDuties bounds the duties that a Fence keeps epochs of.
+	MaxFencedDuties = 64
 )
 
 // ErrFenced refuses an effect whose epoch is older than one that was seen.
@@ -37,7 +37,7 @@
 	if dir == "" {
 		return f, nil
 	}
-	data, err := os.ReadFile(filepath.Join(dir, fenceName))
+	data, err := os.ReadFile(filepath.Join(dir, fenceFile))
 	if errors.Is(err, fs.ErrNotExist) {
 		return f, nil
 	}
@@ -50,9 +50,9 @@
 	return f, nil
 }
 
-// Pass tells whether an effect of a duty's holder may be taken, and from then on none with an older epoch is: that it was seen
+// Admit tells whether an effect of a duty's holder may be taken, and from then on none with an older epoch is: that it was seen
 // is on disk first. ErrFenced: an older one. Anything else: it could not be kept, and the effect must not be taken.
-func (f *Fence) Pass(duty string, epoch uint64) error {
+func (f *Fence) Admit(duty string, epoch uint64) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	seen, known := f.epochs[duty]
@@ -61,11 +61,11 @@
 		return fmt.Errorf("%w: %s has %d, this is %d", ErrFenced, duty, seen, epoch)
 	case epoch == seen:
 		return nil
-	case !known && len(f.epochs) >= FenceMost:
-		return fmt.Errorf("duty: fence: epochs of %d duties are kept, %s is one more", FenceMost, duty)
+	case !known && len(f.epochs) >= MaxFencedDuties:
+		return fmt.Errorf("duty: fence: epochs of %d duties are kept, %s is one more", MaxFencedDuties, duty)
 	}
 	f.epochs[duty] = epoch
-	if err := f.keep(); err != nil {
+	if err := f.save(); err != nil {
 		f.epochs[duty] = seen
 		if !known {
 			delete(f.epochs, duty)
@@ -75,14 +75,14 @@
 	return nil
 }
 
-// Seen is the highest epoch of a duty that came here.
-func (f *Fence) Seen(duty string) uint64 {
+// HighestEpoch is the highest epoch of a duty that came here.
+func (f *Fence) HighestEpoch(duty string) uint64 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.epochs[duty]
 }
 
-func (f *Fence) keep() error {
+func (f *Fence) save() error {
 	if f.dir == "" {
 		return nil
 	}
@@ -90,5 +90,5 @@
 	if err != nil {
 		return err
 	}
-	return disk.Replace(disk.Dir(f.dir), fenceName, data)
+	return disk.Replace(disk.Dir(f.dir), fenceFile, data)
 }
--- a/internal/duty/figures/figures.go
+++ b/internal/duty/figures/figures.go
@@ -28,18 +28,18 @@
 const Duty = "fleet-figures"
 
 const (
-	every    = 2 * time.Second
-	askFor   = time.Second
-	askMost  = 16 // relays at once
-	textMost = 64 << 10
-	oldFor   = 3 * every // after which a sum is no answer any more
+	sumInterval    = 2 * time.Second
+	requestTimeout   = time.Second
+	maxConcurrentRequests  = 16 // relays at once
+	maxTextBytes = 64 << 10
+	maxAge   = 3 * sumInterval // after which a sum is no answer any more
 )
 
 // Config is a relay's part.
 type Config struct {
 	Stewards []string
 	Lease    time.Duration
-	Sum      bool // it may add up the fleet's figures
+	MayHold      bool // it may add up the fleet's figures
 	Name     string
 	Admin    string
 	Log      *slog.Logger
@@ -54,7 +54,7 @@
 
 	mu    sync.Mutex
 	text  string
-	since time.Time
+	storedAt time.Time
 }
 
 // New returns a part that has not begun.
@@ -63,7 +63,7 @@
 	if host, _, err := net.SplitHostPort(cfg.Admin); err == nil {
 		local = net.ParseIP(host)
 	}
-	f := &Figures{cfg: cfg, client: call.NewClient(cfg.Stewards, local), http: &http.Client{Timeout: askFor,
+	f := &Figures{cfg: cfg, client: call.NewClient(cfg.Stewards, local), http: &http.Client{Timeout: requestTimeout,
 		Transport: &http.Transport{DisableKeepAlives: true, DialContext: (&net.Dialer{LocalAddr: &net.TCPAddr{IP: local}}).DialContext}}}
 	// Two processes of a relay may run side by side, while one takes the other's place: they are two holders.
 	f.holder = holder.New(holder.Config{Client: f.client, Name: fmt.Sprintf("%s.%d", cfg.Name, os.Getpid()), Addr: cfg.Admin, Lease: cfg.Lease,
@@ -74,16 +74,16 @@
 // Run claims the duty and does it while it is held, until ctx ends.
 func (f *Figures) Run(ctx context.Context, members func() []membership.Process) {
 	defer f.client.Close()
-	if f.cfg.Sum {
-		f.holder.Want(Duty, func(ctx context.Context, t *holder.Term) error {
-			defer f.keep("")
+	if f.cfg.MayHold {
+		f.holder.Register(Duty, func(ctx context.Context, t *holder.Term) error {
+			defer f.store("")
 			for ctx.Err() == nil {
 				if text := f.sum(ctx, members(), t.Epoch); t.Valid() {
-					f.keep(text)
+					f.store(text)
 				}
 				select {
 				case <-ctx.Done():
-				case <-time.After(every):
+				case <-time.After(sumInterval):
 				}
 			}
 			return nil
@@ -92,18 +92,18 @@
 	f.holder.Run(ctx)
 }
 
-func (f *Figures) keep(text string) {
+func (f *Figures) store(text string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.text, f.since = text, time.Now()
+	f.text, f.storedAt = text, time.Now()
 }
 
 // Figures are the fleet's, if this relay holds the duty.
 func (f *Figures) Figures() (text string, held bool) {
-	t := f.holder.Holds(Duty)
+	t := f.holder.CurrentTerm(Duty)
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if t == nil || f.text == "" || time.Since(f.since) > oldFor {
+	if t == nil || f.text == "" || time.Since(f.storedAt) > maxAge {
 		return "another relay adds the figures up, or none: cherrytrestlectl duties tells", false
 	}
 	return f.text, true
@@ -116,7 +116,7 @@
 	heard, asked := 0, 0
 	total := map[string]float64{}
 	kind := map[string]string{}
-	room := make(chan struct{}, askMost)
+	room := make(chan struct{}, maxConcurrentRequests)
 	for _, m := range members {
 		if m.Admin == "" {
 			continue
@@ -125,7 +125,7 @@
 		all.Go(func() {
 			room <- struct{}{}
 			defer func() { <-room }()
-			values, kinds, err := f.ask(ctx, m.Admin)
+			values, kinds, err := f.fetch(ctx, m.Admin)
 			if err != nil {
 				return
 			}
@@ -147,8 +147,8 @@
 	return b.String()
 }
 
-// ask reads one relay's figures. Those of the fleet, which each relay tells alike, are nothing to add up.
-func (f *Figures) ask(ctx context.Context, addr string) (values map[string]float64, kinds map[string]string, err error) {
+// fetch reads one relay's figures. Those of the fleet, which each relay tells alike, are nothing to add up.
+func (f *Figures) fetch(ctx context.Context, addr string) (values map[string]float64, kinds map[string]string, err error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+addr+"/api/telemetry", nil)
 	if err != nil {
 		return nil, nil, err
@@ -162,7 +162,7 @@
 		return nil, nil, fmt.Errorf("%s answers %s", addr, res.Status)
 	}
 	values, kinds = map[string]float64{}, map[string]string{}
-	in := bufio.NewScanner(io.LimitReader(res.Body, textMost))
+	in := bufio.NewScanner(io.LimitReader(res.Body, maxTextBytes))
 	for in.Scan() {
 		name, rest, ok := strings.Cut(in.Text(), ":")
 		value, k, ok2 := strings.Cut(rest, "|")
--- a/internal/duty/holder/holder.go
+++ b/internal/duty/holder/holder.go
@@ -17,23 +17,23 @@
 const (
 	// A lease is renewed six times in its length, so that a leader's end, which takes up to two seconds to get over, costs no
 	// duty of three seconds.
-	renewals = 6
-	// marginShare of a lease is given up for the sake of clocks that do not run alike, 10% and more apart.
-	marginShare = 10
+	renewalsPerLease = 6
+	// marginDivisor of a lease is given up for the sake of clocks that do not run alike, 10% and more apart.
+	marginDivisor = 10
 	// A steward that stands still says nothing at all: what waits for it waits no longer than so.
 	// A claim is long, and is made as seldom as may be; whether its steward still stands is asked in between.
 	claimWait  = 15 * time.Second
-	aliveEvery = 3 * time.Second
+	leaderCheckInterval = 3 * time.Second
 	watchWait  = 2 * time.Second
-	pauseFirst = time.Second // after work that failed, doubling
-	pauseMost  = time.Minute
-	endFor     = 500 * time.Millisecond // for the word that a duty is given up
+	minPause = time.Second // after work that failed, doubling
+	maxPause  = time.Minute
+	releaseTimeout     = 500 * time.Millisecond // for the word that a duty is given up
 )
 
 // The causes for which a Term's context ends.
 var (
-	ErrLost  = errors.New("the duty's lease is over")
-	ErrAsked = errors.New("asked to step down")
+	ErrLeaseExpired  = errors.New("the duty's lease is over")
+	ErrStepDownRequested = errors.New("asked to step down")
 )
 
 // Work is what a holder does. It returns when ctx ends, soon: nil if it has done all there is, so that the duty is given up, or an
@@ -62,24 +62,24 @@
 type candidate struct {
 	name   string
 	work   Work
-	id     string // of the claim; empty: nothing is claimed for now
-	wished time.Time
+	claimID     string // of the claim; empty: nothing is claimed for now
+	claimedAt time.Time
 	term   *Term // nil: not held
-	failed int   // in a row
+	failures int   // in a row
 }
 
 // Term is the time for which a duty is held.
 type Term struct {
 	Duty   string
 	Epoch  uint64
-	Wished time.Time // when the claim was made that was granted
+	ClaimedAt time.Time // when the claim was made that was granted
 
 	cancel context.CancelCauseFunc
 	timer  *time.Timer
 
 	mu    sync.Mutex
-	until time.Time
-	to    string
+	validUntil time.Time
+	handOverTo    string
 }
 
 // Valid tells whether the lease still runs: to be asked right before each effect. It does not make a fence needless: the process
@@ -87,14 +87,14 @@
 func (t *Term) Valid() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return time.Now().Before(t.until)
+	return time.Now().Before(t.validUntil)
 }
 
-// HandTo names who is to have the duty next, once Work has returned.
-func (t *Term) HandTo(holder string) {
+// HandOverTo names who is to have the duty next, once Work has returned.
+func (t *Term) HandOverTo(holder string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.to = holder
+	t.handOverTo = holder
 }
 
 // extend has the lease run until a moment; false if it is over already.
@@ -102,11 +102,11 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := time.Now()
-	if !now.Before(t.until) {
+	if !now.Before(t.validUntil) {
 		return false
 	}
-	if until.After(t.until) { // answers may come in another order
-		t.until = until
+	if until.After(t.validUntil) { // answers may come in another order
+		t.validUntil = until
 		t.timer.Reset(until.Sub(now))
 	}
 	return true
@@ -117,16 +117,16 @@
 	return &Holder{cfg: cfg, duties: map[string]*candidate{}, wake: make(chan struct{})}
 }
 
-// Want has the holder claim a duty, and do work whenever it holds it, from then on.
-func (h *Holder) Want(duty string, work Work) {
+// Register has the holder claim a duty, and do work whenever it holds it, from then on.
+func (h *Holder) Register(duty string, work Work) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.duties[duty] = &candidate{name: duty, work: work, id: newID(), wished: time.Now()}
-	h.changed()
+	h.duties[duty] = &candidate{name: duty, work: work, claimID: newID(), claimedAt: time.Now()}
+	h.notifyChanged()
 }
 
-// Forget has the holder want a duty no more: it gives it up in order if it holds it.
-func (h *Holder) Forget(duty string) {
+// Unregister has the holder want a duty no more: it gives it up in order if it holds it.
+func (h *Holder) Unregister(duty string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if c := h.duties[duty]; c != nil {
@@ -134,12 +134,12 @@
 		if c.term != nil {
 			c.term.cancel(context.Canceled)
 		}
-		h.changed()
+		h.notifyChanged()
 	}
 }
 
-// Holds is the term of a duty that this process holds now; nil if it does not.
-func (h *Holder) Holds(duty string) *Term {
+// CurrentTerm is the term of a duty that this process holds now; nil if it does not.
+func (h *Holder) CurrentTerm(duty string) *Term {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if c := h.duties[duty]; c != nil && c.term != nil && c.term.Valid() {
@@ -150,8 +150,8 @@
 
 func newID() string { return rand.Text() }
 
-// changed has the loops look again; with mu held.
-func (h *Holder) changed() {
+// notifyChanged has the loops look again; with mu held.
+func (h *Holder) notifyChanged() {
 	close(h.wake)
 	h.wake = make(chan struct{})
 }
@@ -174,8 +174,8 @@
 		h.mu.Lock()
 		in := call.ClaimIn{Holder: h.cfg.Name, Addr: h.cfg.Addr, WaitMS: claimWait.Milliseconds()}
 		for _, c := range h.duties {
-			if c.term == nil && c.id != "" && len(in.Wishes) < call.WishesMost {
-				in.Wishes = append(in.Wishes, call.Wish{Duty: c.name, ID: c.id, LeaseMS: h.cfg.Lease.Milliseconds()})
+			if c.term == nil && c.claimID != "" && len(in.Wishes) < call.MaxWishes {
+				in.Wishes = append(in.Wishes, call.Wish{Duty: c.name, ID: c.claimID, LeaseMS: h.cfg.Lease.Milliseconds()})
 			}
 		}
 		wake := h.wake
@@ -187,28 +187,28 @@
 			}
 			continue
 		}
-		one, cancel := context.WithCancel(ctx)
-		go h.attend(one, cancel, wake)
+		claimCtx, cancel := context.WithCancel(ctx)
+		go h.superviseClaim(claimCtx, cancel, wake)
 		var out call.ClaimOut
-		err := h.cfg.Client.Do(one, call.PathClaim, in, &out, claimWait)
+		err := h.cfg.Client.Do(claimCtx, call.PathClaim, in, &out, claimWait)
 		cancel()
 		for _, g := range out.Granted {
-			h.granted(ctx, g, works)
+			h.handleGrant(ctx, g, works)
 		}
-		if err != nil && one.Err() == nil {
+		if err != nil && claimCtx.Err() == nil {
 			h.cfg.Log.Warn("claims are refused", "err", err)
 			select {
 			case <-ctx.Done():
-			case <-time.After(pauseFirst):
+			case <-time.After(minPause):
 			}
 		}
 	}
 }
 
-// attend ends a claim that waits when something has changed, which is claimed at once then, or when its steward stands still.
-func (h *Holder) attend(ctx context.Context, end context.CancelFunc, wake <-chan struct{}) {
+// superviseClaim ends a claim that waits when something has changed, which is claimed at once then, or when its steward stands still.
+func (h *Holder) superviseClaim(ctx context.Context, end context.CancelFunc, wake <-chan struct{}) {
 	defer end()
-	look := time.NewTicker(aliveEvery)
+	look := time.NewTicker(leaderCheckInterval)
 	defer look.Stop()
 	for {
 		select {
@@ -217,18 +217,18 @@
 		case <-ctx.Done():
 			return
 		case <-look.C:
-			if !h.cfg.Client.Leads(ctx) {
+			if !h.cfg.Client.LeaderAnswers(ctx) {
 				return
 			}
 		}
 	}
 }
 
-// granted takes a grant. It counts from when a renewal was asked for: how old the grant is nobody knows.
-func (h *Holder) granted(ctx context.Context, g call.Granted, works *sync.WaitGroup) {
+// handleGrant takes a grant. It counts from when a renewal was asked for: how old the grant is nobody knows.
+func (h *Holder) handleGrant(ctx context.Context, g call.Granted, works *sync.WaitGroup) {
 	h.mu.Lock()
 	c := h.duties[g.Duty]
-	if c == nil || c.id != g.ID || c.term != nil {
+	if c == nil || c.claimID != g.ID || c.term != nil {
 		h.mu.Unlock()
 		if g.Epoch > 0 {
 			h.release(ctx, g.Duty, g.Epoch, "")
@@ -237,18 +237,18 @@
 	}
 	if g.Refused != "" {
 		h.cfg.Log.Info("claim refused", "duty", g.Duty, "why", g.Refused)
-		c.id = ""
+		c.claimID = ""
 		h.mu.Unlock()
-		h.later(ctx, c, pauseFirst)
+		h.claimAfter(ctx, c, minPause)
 		return
 	}
 	h.mu.Unlock()
-	asked := time.Now()
-	until := asked.Add(h.cfg.Lease - h.cfg.Lease/marginShare)
+	requestedAt := time.Now()
+	until := requestedAt.Add(h.cfg.Lease - h.cfg.Lease/marginDivisor)
 	var out call.RenewOut
 	in := call.RenewIn{Holder: h.cfg.Name, Held: []call.Held{{Duty: g.Duty, Epoch: g.Epoch}}}
-	one, cancel := context.WithDeadline(ctx, until)
-	err := h.cfg.Client.Do(one, call.PathRenew, in, &out, 0)
+	renewCtx, cancel := context.WithDeadline(ctx, until)
+	err := h.cfg.Client.Do(renewCtx, call.PathRenew, in, &out, 0)
 	cancel()
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -257,20 +257,20 @@
 		return
 	}
 	if err != nil || len(out.Held) != 1 || !out.Held[0].OK || !time.Now().Before(until) {
-		c.id, c.wished = newID(), time.Now() // that grant is lost
+		c.claimID, c.claimedAt = newID(), time.Now() // that grant is lost
 		return
 	}
 	ctx, end := context.WithCancelCause(ctx)
-	t := &Term{Duty: g.Duty, Epoch: g.Epoch, Wished: c.wished, cancel: end, until: until}
-	t.timer = time.AfterFunc(time.Until(until), func() { end(ErrLost) })
-	c.term, c.id = t, ""
+	t := &Term{Duty: g.Duty, Epoch: g.Epoch, ClaimedAt: c.claimedAt, cancel: end, validUntil: until}
+	t.timer = time.AfterFunc(time.Until(until), func() { end(ErrLeaseExpired) })
+	c.term, c.claimID = t, ""
 	h.cfg.Log.Info("holds a duty", "duty", t.Duty, "epoch", t.Epoch)
-	works.Go(func() { h.do(ctx, c, t) })
-	h.changed()
+	works.Go(func() { h.runWork(ctx, c, t) })
+	h.notifyChanged()
 }
 
-// do works for a term, and ends it.
-func (h *Holder) do(ctx context.Context, c *candidate, t *Term) {
+// runWork works for a term, and ends it.
+func (h *Holder) runWork(ctx context.Context, c *candidate, t *Term) {
 	began := time.Now()
 	err := c.work(ctx, t)
 	cause := context.Cause(ctx)
@@ -279,56 +279,56 @@
 	held := t.Valid()
 	if held {
 		t.mu.Lock()
-		to := t.to
+		to := t.handOverTo
 		t.mu.Unlock()
 		h.release(context.WithoutCancel(ctx), t.Duty, t.Epoch, to)
 	}
 	h.mu.Lock()
 	c.term = nil
-	h.changed()
+	h.notifyChanged()
 	switch {
 	case err == nil || cause != nil: // it ended as it was told to
-		if cause == nil || time.Since(began) > pauseMost {
-			c.failed = 0
+		if cause == nil || time.Since(began) > maxPause {
+			c.failures = 0
 		}
 	default:
-		c.failed++
+		c.failures++
 	}
 	pause := time.Duration(0)
 	if err != nil && cause == nil {
-		pause = min(pauseFirst<<min(c.failed-1, 10), pauseMost)
+		pause = min(minPause<<min(c.failures-1, 10), maxPause)
 	}
 	h.mu.Unlock()
 	h.cfg.Log.Info("holds a duty no more", "duty", t.Duty, "epoch", t.Epoch, "in_order", held, "cause", fmt.Sprint(cause), "err", err)
 	if cause == nil && err == nil {
-		pause = pauseFirst // it is done, for now
+		pause = minPause // it is done, for now
 	}
-	h.later(ctx, c, pause)
+	h.claimAfter(ctx, c, pause)
 }
 
-// later has a duty claimed again after a pause.
-func (h *Holder) later(ctx context.Context, c *candidate, pause time.Duration) {
+// claimAfter has a duty claimed again after a pause.
+func (h *Holder) claimAfter(ctx context.Context, c *candidate, pause time.Duration) {
 	time.AfterFunc(pause, func() {
 		h.mu.Lock()
 		defer h.mu.Unlock()
 		if h.duties[c.name] == c && c.term == nil {
-			c.id, c.wished = newID(), time.Now()
-			h.changed()
+			c.claimID, c.claimedAt = newID(), time.Now()
+			h.notifyChanged()
 		}
 	})
 }
 
 func (h *Holder) release(ctx context.Context, duty string, epoch uint64, to string) {
-	ctx, cancel := context.WithTimeout(ctx, endFor)
+	ctx, cancel := context.WithTimeout(ctx, releaseTimeout)
 	defer cancel()
 	in := call.ReleaseIn{Holder: h.cfg.Name, Duty: duty, Epoch: epoch, To: to}
-	if err := h.cfg.Client.Do(ctx, call.PathRelease, in, &call.Done{}, 0); err != nil {
+	if err := h.cfg.Client.Do(ctx, call.PathRelease, in, &call.Empty{}, 0); err != nil {
 		h.cfg.Log.Warn("a duty is not given up in order: its lease has to run out", "duty", duty, "epoch", epoch, "err", err)
 	}
 }
 
-// terms are the terms that run.
-func (h *Holder) terms() (all []*Term, wake chan struct{}) {
+// activeTerms are the activeTerms that run.
+func (h *Holder) activeTerms() (all []*Term, wake chan struct{}) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for _, c := range h.duties {
@@ -341,11 +341,11 @@
 
 // renewLoop keeps leases alive: until work ends, and for those that still end then.
 func (h *Holder) renewLoop(ctx, work context.Context) {
-	every := h.cfg.Lease / renewals
+	every := h.cfg.Lease / renewalsPerLease
 	var out sync.WaitGroup
 	defer out.Wait()
 	for {
-		terms, wake := h.terms()
+		terms, wake := h.activeTerms()
 		if len(terms) == 0 {
 			select {
 			case <-work.Done():
@@ -364,7 +364,7 @@
 }
 
 func (h *Holder) renew(ctx context.Context, terms []*Term) {
-	asked := time.Now()
+	requestedAt := time.Now()
 	ctx, cancel := context.WithTimeout(ctx, h.cfg.Lease)
 	defer cancel()
 	in := call.RenewIn{Holder: h.cfg.Name}
@@ -375,16 +375,16 @@
 	if err := h.cfg.Client.Do(ctx, call.PathRenew, in, &out, 0); err != nil {
 		return // the timers end what is not renewed
 	}
-	until := asked.Add(h.cfg.Lease - h.cfg.Lease/marginShare)
+	until := requestedAt.Add(h.cfg.Lease - h.cfg.Lease/marginDivisor)
 	for i, x := range out.Held {
 		if i >= len(terms) || x.Duty != terms[i].Duty {
 			return
 		}
 		switch t := terms[i]; {
 		case !x.OK:
-			t.cancel(ErrLost)
+			t.cancel(ErrLeaseExpired)
 		case x.Asked:
-			t.cancel(ErrAsked)
+			t.cancel(ErrStepDownRequested)
 			fallthrough
 		default:
 			t.extend(until)
@@ -395,7 +395,7 @@
 // watchLoop hears at once that a duty is asked back.
 func (h *Holder) watchLoop(ctx context.Context) {
 	for ctx.Err() == nil {
-		terms, wake := h.terms()
+		terms, wake := h.activeTerms()
 		if len(terms) == 0 {
 			select {
 			case <-ctx.Done():
@@ -405,12 +405,12 @@
 		}
 		in := call.WatchIn{Holder: h.cfg.Name, WaitMS: watchWait.Milliseconds()}
 		began := time.Now()
-		if err := h.cfg.Client.Do(ctx, call.PathWatch, in, &call.Done{}, watchWait); err == nil && time.Since(began) < watchWait {
+		if err := h.cfg.Client.Do(ctx, call.PathWatch, in, &call.Empty{}, watchWait); err == nil && time.Since(began) < watchWait {
 			h.renew(ctx, terms) // tells of which
 		}
 		select { // a stewards' answer that comes at once, again and again, is no reason to ask without end
 		case <-ctx.Done():
-		case <-time.After(h.cfg.Lease / renewals / 4):
+		case <-time.After(h.cfg.Lease / renewalsPerLease / 4):
 		}
 	}
 }
--- a/internal/duty/model_test.go
+++ b/internal/duty/model_test.go
@@ -44,7 +44,7 @@
 	msgs    []modelMsg
 	highest uint64 // at the receiver
 	epochs  map[uint64]int
-	broken  string
+	violation  string
 }
 
 var modelBegin = time.Unix(1000, 0)
@@ -99,50 +99,50 @@
 		w.holders[i].claim = fmt.Sprintf("%d-%d", i, w.holders[i].n)
 	case "pick":
 		h := w.holders[i]
-		c, k := w.leases.Pick([]Wish{{Duty: modelDuty, Holder: fmt.Sprint(i), ID: h.claim, Lease: modelLease * time.Second}}, w.at(w.now))
+		c, k := w.leases.PickClaim([]Wish{{Duty: modelDuty, Holder: fmt.Sprint(i), ID: h.claim, Lease: modelLease * time.Second}}, w.at(w.now))
 		switch {
 		case k < 0:
 		case c.Op == "":
 			w.send(modelMsg{kind: "granted", holder: i, epoch: w.table.Get(modelDuty).Epoch})
-		case w.leases.Begun(c):
+		case w.leases.Begin(c):
 			w.pending = &c
 		}
 	case "commit":
 		c := *w.pending
 		w.pending = nil
 		res := w.table.Apply(c, w.term)
-		w.leases.Done(c, res, w.at(w.now))
+		w.leases.Finish(c, res, w.at(w.now))
 		if c.Op == Claim && res.Err == nil {
 			var by int
 			fmt.Sscan(c.Holder, &by)
 			if was, ok := w.epochs[res.Grant.Epoch]; ok && was != by {
-				w.broken = "an epoch has two holders"
+				w.violation = "an epoch has two holders"
 			}
 			w.epochs[res.Grant.Epoch] = by
 			w.send(modelMsg{kind: "granted", holder: by, epoch: res.Grant.Epoch})
 		}
 	case "abort":
-		w.leases.Done(*w.pending, Result{Err: ErrStale}, w.at(w.now))
+		w.leases.Finish(*w.pending, Result{Err: ErrStaleTerm}, w.at(w.now))
 		w.pending = nil
 	case "renew":
 		w.send(modelMsg{kind: "renew", holder: i, epoch: w.holders[i].epoch, sent: w.now})
 	case "effect":
 		w.send(modelMsg{kind: "effect", holder: i, epoch: w.holders[i].epoch})
 	case "release":
-		c := w.leases.End(modelDuty, w.holders[i].epoch, fmt.Sprint(i), "")
-		if w.leases.Begun(c) {
+		c := w.leases.EndCommand(modelDuty, w.holders[i].epoch, fmt.Sprint(i), "")
+		if w.leases.Begin(c) {
 			w.pending = &c
 		}
 		w.holders[i].epoch, w.holders[i].until = 0, 0
 	case "ask":
-		w.leases.Ask(modelDuty, Ask{At: w.at(w.now), Bar: time.Second})
-		if c, due := w.leases.Overdue(modelDuty, w.at(w.now)); due && w.leases.Begun(c) {
+		w.leases.RequestStepDown(modelDuty, StepDownRequest{At: w.at(w.now), Bar: time.Second})
+		if c, due := w.leases.RevokeCommand(modelDuty, w.at(w.now)); due && w.leases.Begin(c) {
 			w.pending = &c
 		}
 	case "deliver":
 		m := w.msgs[i]
 		w.msgs = append(append([]modelMsg(nil), w.msgs[:i]...), w.msgs[i+1:]...)
-		w.take(m)
+		w.receive(m)
 	case "lose":
 		w.msgs = append(append([]modelMsg(nil), w.msgs[:i]...), w.msgs[i+1:]...)
 	}
@@ -154,7 +154,7 @@
 	} // more are lost
 }
 
-func (w *world) take(m modelMsg) {
+func (w *world) receive(m modelMsg) {
 	h := &w.holders[m.holder]
 	switch m.kind {
 	case "renew": // the leader has made sure that it leads: that is, this is the present one
@@ -173,7 +173,7 @@
 	case "effect":
 		if m.epoch < w.highest {
 			if w.now < h.until && h.epoch == m.epoch {
-				w.broken = "an effect of a valid holder is refused"
+				w.violation = "an effect of a valid holder is refused"
 			}
 			return
 		}
@@ -192,7 +192,7 @@
 	if valid > 1 {
 		return "two holders believe that their lease runs"
 	}
-	return w.broken
+	return w.violation
 }
 
 // key tells states apart, by times from now on.
@@ -205,15 +205,15 @@
 		fmt.Fprint(&b, m.kind, m.holder, m.epoch, max(-modelLease, m.sent-w.now), m.ok, ";")
 	}
 	g := w.table.Get(modelDuty)
-	fmt.Fprint(&b, w.highest, w.term, w.pending, g, w.leases.busy, max(-3, min(0, w.leases.began.Unix()-w.at(w.now).Unix())))
-	if c := w.leases.clocks[modelDuty]; c != nil {
+	fmt.Fprint(&b, w.highest, w.term, w.pending, g, w.leases.inFlight, max(-3, min(0, w.leases.termBegan.Unix()-w.at(w.now).Unix())))
+	if c := w.leases.timings[modelDuty]; c != nil {
 		since := func(t time.Time) int64 { return max(-9, t.Unix()-w.at(w.now).Unix()) }
-		fmt.Fprint(&b, "c", c.epoch, since(c.ends), since(c.since), since(c.ended))
+		fmt.Fprint(&b, "c", c.epoch, since(c.expiresAt), since(c.grantedAt), since(c.endedAt))
 		for h, t := range c.bars {
 			fmt.Fprint(&b, h, since(t))
 		}
 	}
-	if a, ok := w.leases.asked[modelDuty]; ok {
+	if a, ok := w.leases.stepDowns[modelDuty]; ok {
 		fmt.Fprint(&b, "a", a.Epoch, max(-3, a.At.Unix()-w.at(w.now).Unix()))
 	}
 	return b.String()
--- a/internal/duty/steward/api.go
+++ b/internal/duty/steward/api.go
@@ -19,25 +19,25 @@
 )
 
 const (
-	connsMost  = 2048
-	headFor    = 2 * time.Second // a caller has for its request's head
-	bodyFor    = 3 * time.Second // and for all of it
-	idleFor    = time.Minute
-	headMost   = 4 << 10
-	electFor   = 700 * time.Millisecond // a caller waits for a leader, under what the client waits for an answer
-	electEvery = 10 * time.Millisecond
-	answerMost = 5 * time.Second // beyond the time that a caller asks to wait
+	maxConns  = 2048
+	headerTimeout    = 2 * time.Second // a caller has for its request's head
+	readTimeout    = 3 * time.Second // and for all of it
+	idleTimeout    = time.Minute
+	maxHeaderBytes   = 4 << 10
+	leaderWait   = 700 * time.Millisecond // a caller waits for a leader, under what the client waits for an answer
+	leaderPollInterval = 10 * time.Millisecond
+	writeSlack = 5 * time.Second // beyond the time that a caller asks to wait
 )
 
 type heldDuty = call.Held
 
 // Serve answers relays, tools and operators at the API's address until ctx ends.
 func (s *Steward) Serve(ctx context.Context, l net.Listener) error {
-	server := &http.Server{Handler: s.handler(), ReadHeaderTimeout: headFor, ReadTimeout: bodyFor, IdleTimeout: idleFor, MaxHeaderBytes: headMost,
-		WriteTimeout: call.WaitMost + answerMost, BaseContext: func(net.Listener) context.Context { return ctx }}
+	server := &http.Server{Handler: s.handler(), ReadHeaderTimeout: headerTimeout, ReadTimeout: readTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: maxHeaderBytes,
+		WriteTimeout: call.MaxWait + writeSlack, BaseContext: func(net.Listener) context.Context { return ctx }}
 	stop := context.AfterFunc(ctx, func() { server.Close() })
 	defer stop()
-	if err := server.Serve(netutil.LimitListener(l, connsMost)); !errors.Is(err, http.ErrServerClosed) {
+	if err := server.Serve(netutil.LimitListener(l, maxConns)); !errors.Is(err, http.ErrServerClosed) {
 		return fmt.Errorf("steward: %w", err)
 	}
 	return nil
@@ -45,17 +45,17 @@
 
 func (s *Steward) handler() http.Handler {
 	m := http.NewServeMux()
-	m.HandleFunc("POST "+call.PathClaim, serve(s, s.onClaim))
-	m.HandleFunc("POST "+call.PathRenew, serve(s, s.onRenew))
-	m.HandleFunc("POST "+call.PathRelease, serve(s, s.onRelease))
-	m.HandleFunc("POST "+call.PathWatch, serve(s, s.onWatch))
-	m.HandleFunc("POST "+call.PathStepDown, serve(s, s.onStepDown))
-	m.HandleFunc("POST "+call.PathJoin, serve(s, s.onJoin))
-	m.HandleFunc("POST "+call.PathRemove, serve(s, s.onRemove))
-	m.HandleFunc("POST "+call.PathBegin, serve(s, s.onBegin))
-	m.HandleFunc("GET "+call.PathLeads, serve(s, s.onLeads))
-	m.HandleFunc("GET "+call.PathDuties, serve(s, s.onDuties))
-	m.HandleFunc("GET "+call.PathStewards, serve(s, s.onStewards))
+	m.HandleFunc("POST "+call.PathClaim, handle(s, s.handleClaim))
+	m.HandleFunc("POST "+call.PathRenew, handle(s, s.handleRenew))
+	m.HandleFunc("POST "+call.PathRelease, handle(s, s.handleRelease))
+	m.HandleFunc("POST "+call.PathWatch, handle(s, s.handleWatch))
+	m.HandleFunc("POST "+call.PathStepDown, handle(s, s.handleStepDown))
+	m.HandleFunc("POST "+call.PathJoin, handle(s, s.handleJoin))
+	m.HandleFunc("POST "+call.PathRemove, handle(s, s.handleRemove))
+	m.HandleFunc("POST "+call.PathBegin, handle(s, s.handleBegin))
+	m.HandleFunc("GET "+call.PathLeads, handle(s, s.handleLeads))
+	m.HandleFunc("GET "+call.PathDuties, handle(s, s.handleDuties))
+	m.HandleFunc("GET "+call.PathStewards, handle(s, s.handleStewards))
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if path.Clean(r.URL.Path) != r.URL.Path { // the library would send the caller elsewhere
 			http.NotFound(w, r)
@@ -65,20 +65,20 @@
 	})
 }
 
-// refused is a request that is answered with a status of its own.
-type refused struct {
+// statusError is a request that is answered with a status of its own.
+type statusError struct {
 	status int
 	err    error
 }
 
-func (r refused) Error() string { return r.err.Error() }
+func (r statusError) Error() string { return r.err.Error() }
 
-func bad(format string, args ...any) error {
-	return refused{http.StatusBadRequest, fmt.Errorf(format, args...)}
+func badRequest(format string, args ...any) error {
+	return statusError{http.StatusBadRequest, fmt.Errorf(format, args...)}
 }
 
-// serve reads a request strictly, and writes its answer.
-func serve[In, Out any](s *Steward, f func(context.Context, In) (Out, error)) http.HandlerFunc {
+// handle reads a request strictly, and writes its answer.
+func handle[In, Out any](s *Steward, f func(context.Context, In) (Out, error)) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		var in In
 		var out Out
@@ -87,8 +87,8 @@
 			err = readBody(w, r, &in)
 		}
 		// While nobody leads, or this one has only just been elected, a caller waits here and not in a loop of its own.
-		for by := time.Now().Add(electFor); err == nil; {
-			if out, err = f(r.Context(), in); !errors.Is(err, ErrElsewhere) || time.Now().After(by) {
+		for deadline := time.Now().Add(leaderWait); err == nil; {
+			if out, err = f(r.Context(), in); !errors.Is(err, ErrNotLeader) || time.Now().After(deadline) {
 				break
 			}
 			if api := s.leaderAPI(); api != "" && api != s.cfg.AdvertiseAPI {
@@ -96,7 +96,7 @@
 			}
 			select {
 			case <-r.Context().Done():
-			case <-time.After(electEvery):
+			case <-time.After(leaderPollInterval):
 				err = nil
 			}
 		}
@@ -108,29 +108,29 @@
 			json.NewEncoder(w).Encode(out)
 			return
 		}
-		x := call.Failure{Error: err.Error()}
+		failure := call.Failure{Error: err.Error()}
 		status := http.StatusInternalServerError
-		var own refused
+		var statusErr statusError
 		switch {
-		case errors.As(err, &own):
-			status = own.status
-		case errors.Is(err, ErrElsewhere):
+		case errors.As(err, &statusErr):
+			status = statusErr.status
+		case errors.Is(err, ErrNotLeader):
 			status = http.StatusMisdirectedRequest
-			if x.Leader = s.leaderAPI(); x.Leader == s.cfg.AdvertiseAPI {
-				x.Leader = "" // not yet
+			if failure.Leader = s.leaderAPI(); failure.Leader == s.cfg.AdvertiseAPI {
+				failure.Leader = "" // not yet
 			}
-			if x.Leader == "" {
+			if failure.Leader == "" {
 				status = http.StatusServiceUnavailable
 			}
-		case errors.Is(err, errCrowded):
+		case errors.Is(err, errTooManyWaiting):
 			status = http.StatusTooManyRequests
-		case errors.Is(err, errUnknown):
+		case errors.Is(err, errOutcomeUnknown):
 			status = http.StatusGatewayTimeout
-		case errors.Is(err, errNotHeld), errors.Is(err, errNobody), errors.Is(err, duty.ErrMoved), errors.Is(err, duty.ErrStale):
+		case errors.Is(err, errNotHeld), errors.Is(err, errNoHolder), errors.Is(err, duty.ErrConflict), errors.Is(err, duty.ErrStaleTerm):
 			status = http.StatusConflict
 		}
 		w.WriteHeader(status)
-		json.NewEncoder(w).Encode(x)
+		json.NewEncoder(w).Encode(failure)
 	}
 }
 
@@ -143,7 +143,7 @@
 	}
 	for _, x := range all {
 		if x.ID == leader {
-			_, _, api := parts(x.Address)
+			_, _, api := splitAddress(x.Address)
 			return api
 		}
 	}
@@ -151,17 +151,17 @@
 }
 
 func readBody(w http.ResponseWriter, r *http.Request, into any) error {
-	d := json.NewDecoder(http.MaxBytesReader(w, r.Body, call.BodyMost))
+	d := json.NewDecoder(http.MaxBytesReader(w, r.Body, call.MaxBodyBytes))
 	d.DisallowUnknownFields()
 	if err := d.Decode(into); err != nil {
-		var most *http.MaxBytesError
-		if errors.As(err, &most) {
-			return refused{http.StatusRequestEntityTooLarge, err}
+		var tooLarge *http.MaxBytesError
+		if errors.As(err, &tooLarge) {
+			return statusError{http.StatusRequestEntityTooLarge, err}
 		}
-		return bad("can't be read: %v", err)
+		return badRequest("can't be read: %v", err)
 	}
 	if _, err := d.Token(); err != io.EOF {
-		return bad("more than one value")
+		return badRequest("more than one value")
 	}
 	return nil
 }
@@ -169,30 +169,30 @@
 func checkNames(names ...string) error {
 	for _, n := range names {
 		if err := duty.CheckName(n); err != nil {
-			return bad("%v", err)
+			return badRequest("%v", err)
 		}
 	}
 	return nil
 }
 
-func waitFor(ms int64) (time.Duration, error) {
+func parseWait(ms int64) (time.Duration, error) {
 	d := time.Duration(ms) * time.Millisecond
-	if ms < 0 || ms > call.WaitMost.Milliseconds() {
-		return 0, bad("wait_ms: 0 to %d", call.WaitMost.Milliseconds())
+	if ms < 0 || ms > call.MaxWait.Milliseconds() {
+		return 0, badRequest("wait_ms: 0 to %d", call.MaxWait.Milliseconds())
 	}
 	return d, nil
 }
 
-func (s *Steward) onClaim(ctx context.Context, in call.ClaimIn) (out call.ClaimOut, err error) {
+func (s *Steward) handleClaim(ctx context.Context, in call.ClaimIn) (out call.ClaimOut, err error) {
 	if err := checkNames(in.Holder); err != nil {
 		return out, err
 	}
-	wait, err := waitFor(in.WaitMS)
+	wait, err := parseWait(in.WaitMS)
 	if err != nil {
 		return out, err
 	}
-	if len(in.Wishes) == 0 || len(in.Wishes) > call.WishesMost || len(in.Addr) > duty.NameMost {
-		return out, bad("1 to %d wishes", call.WishesMost)
+	if len(in.Wishes) == 0 || len(in.Wishes) > call.MaxWishes || len(in.Addr) > duty.MaxNameBytes {
+		return out, badRequest("1 to %d wishes", call.MaxWishes)
 	}
 	var wishes []duty.Wish
 	once := map[string]bool{}
@@ -201,11 +201,11 @@
 			return out, err
 		}
 		lease := time.Duration(w.LeaseMS) * time.Millisecond
-		if w.LeaseMS < duty.LeaseLeast.Milliseconds() || w.LeaseMS > duty.LeaseMost.Milliseconds() {
-			return out, bad("lease_ms: %d to %d", duty.LeaseLeast.Milliseconds(), duty.LeaseMost.Milliseconds())
+		if w.LeaseMS < duty.MinLease.Milliseconds() || w.LeaseMS > duty.MaxLease.Milliseconds() {
+			return out, badRequest("lease_ms: %d to %d", duty.MinLease.Milliseconds(), duty.MaxLease.Milliseconds())
 		}
 		if once[w.Duty] {
-			return out, bad("%s is wished for twice", w.Duty)
+			return out, badRequest("%s is wished for twice", w.Duty)
 		}
 		once[w.Duty] = true
 		wishes = append(wishes, duty.Wish{Duty: w.Duty, Holder: in.Holder, Addr: in.Addr, ID: w.ID, Lease: lease})
@@ -223,18 +223,18 @@
 	return out, err
 }
 
-func (s *Steward) onRenew(ctx context.Context, in call.RenewIn) (out call.RenewOut, err error) {
+func (s *Steward) handleRenew(ctx context.Context, in call.RenewIn) (out call.RenewOut, err error) {
 	if err := checkNames(in.Holder); err != nil {
 		return out, err
 	}
-	if len(in.Held) > call.WishesMost {
-		return out, bad("%d duties at most", call.WishesMost)
+	if len(in.Held) > call.MaxWishes {
+		return out, badRequest("%d duties at most", call.MaxWishes)
 	}
 	out.Held, err = s.renew(ctx, in.Holder, in.Held)
 	return out, err
 }
 
-func (s *Steward) onRelease(_ context.Context, in call.ReleaseIn) (out call.Done, err error) {
+func (s *Steward) handleRelease(_ context.Context, in call.ReleaseIn) (out call.Empty, err error) {
 	if err := checkNames(in.Holder, in.Duty); err != nil {
 		return out, err
 	}
@@ -243,23 +243,23 @@
 			return out, err
 		}
 	}
-	return out, s.end(in.Holder, in.Duty, in.Epoch, in.To)
+	return out, s.release(in.Holder, in.Duty, in.Epoch, in.To)
 }
 
-func (s *Steward) onWatch(ctx context.Context, in call.WatchIn) (out call.Done, err error) {
+func (s *Steward) handleWatch(ctx context.Context, in call.WatchIn) (out call.Empty, err error) {
 	if err := checkNames(in.Holder); err != nil {
 		return out, err
 	}
-	wait, err := waitFor(in.WaitMS)
+	wait, err := parseWait(in.WaitMS)
 	if err != nil {
 		return out, err
 	}
 	ctx, cancel := context.WithTimeout(ctx, wait)
 	defer cancel()
-	return out, s.listenFor(ctx, in.Holder)
+	return out, s.watchStepDown(ctx, in.Holder)
 }
 
-func (s *Steward) onStepDown(ctx context.Context, in call.StepDownIn) (out call.Duty, err error) {
+func (s *Steward) handleStepDown(ctx context.Context, in call.StepDownIn) (out call.Duty, err error) {
 	if err := checkNames(in.Duty); err != nil {
 		return out, err
 	}
@@ -269,43 +269,43 @@
 		}
 	}
 	bar := time.Duration(in.BarMS) * time.Millisecond
-	if in.BarMS < 0 || bar > duty.BarMost {
-		return out, bad("bar_ms: 0 to %d", duty.BarMost.Milliseconds())
+	if in.BarMS < 0 || bar > duty.MaxBar {
+		return out, badRequest("bar_ms: 0 to %d", duty.MaxBar.Milliseconds())
 	}
-	ctx, cancel := context.WithTimeout(ctx, call.WaitMost)
+	ctx, cancel := context.WithTimeout(ctx, call.MaxWait)
 	defer cancel()
 	g, err := s.stepDown(ctx, in.Duty, in.To, bar)
 	return call.Duty{Grant: g}, err
 }
 
-// onLeads tells whether this steward leads as far as it knows, at next to no cost.
-func (s *Steward) onLeads(context.Context, struct{}) (out call.Done, err error) {
+// handleLeads tells whether this steward leads as far as it knows, at next to no cost.
+func (s *Steward) handleLeads(context.Context, struct{}) (out call.Empty, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.current() == nil {
-		return out, ErrElsewhere
+	if s.currentLeadership() == nil {
+		return out, ErrNotLeader
 	}
 	return out, nil
 }
 
-// onDuties lists the duties as the leader knows them, at a moment after the question.
-func (s *Steward) onDuties(ctx context.Context, _ struct{}) (out call.DutiesOut, err error) {
-	if err := s.verify.leads(ctx); err != nil {
-		return out, ErrElsewhere
+// handleDuties lists the duties as the leader knows them, at a moment after the question.
+func (s *Steward) handleDuties(ctx context.Context, _ struct{}) (out call.DutiesOut, err error) {
+	if err := s.verify.confirmLeader(ctx); err != nil {
+		return out, ErrNotLeader
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	r := s.current()
+	r := s.currentLeadership()
 	if r == nil {
-		return out, ErrElsewhere
+		return out, ErrNotLeader
 	}
 	now := time.Now()
-	out.Last = s.table.Last()
+	out.Last = s.table.LastEpoch()
 	for _, g := range s.table.All() {
-		out.Duties = append(out.Duties, call.Duty{Grant: g, Left: r.Left(g.Duty, now), Asked: r.Asked(g.Duty, g.Epoch), Waiting: len(r.waiters[g.Duty])})
+		out.Duties = append(out.Duties, call.Duty{Grant: g, Left: r.Remaining(g.Duty, now), Asked: r.StepDownRequested(g.Duty, g.Epoch), Waiting: len(r.waiters[g.Duty])})
 	}
 	return out, nil
 }
 
-// trim is an error's text without what is long.
-func trim(err error) string { return strings.SplitN(err.Error(), "\n", 2)[0] }
+// firstLine is an error's text without what is long.
+func firstLine(err error) string { return strings.SplitN(err.Error(), "\n", 2)[0] }
--- a/internal/duty/steward/identity.go
+++ b/internal/duty/steward/identity.go
@@ -14,9 +14,9 @@
 )
 
 const (
-	identityName = "steward.json"
-	peersName    = "peers.json"
-	peersMost    = 64
+	identityFile = "steward.json"
+	peersFile    = "peers.json"
+	maxPeers    = 64
 )
 
 // identity is what outlasts a steward's process. A steward is its folder: votes that were given and entries that were
@@ -26,13 +26,13 @@
 	dir string
 
 	mu   sync.Mutex // guards what follows
-	kept kept
+	saved savedIdentity
 	boot string           // of this process
 	seen map[string]start // other stewards, by id
 	// What others have acknowledged to this process: the highest term of each, and the last entry that was agreed on by then.
 	// Not on disk: it finds a folder that was put back, as long as one that led since has not ended as well.
 	acked map[string]progress
-	own   func() (progress, error) // what this steward's folder holds
+	ownProgress   func() (progress, error) // what this steward's folder holds
 }
 
 // progress is how far a steward has come.
@@ -41,7 +41,7 @@
 	Last uint64 `json:"last"`
 }
 
-type kept struct {
+type savedIdentity struct {
 	Name    string
 	Folder  string // drawn when the folder was new
 	Starts  uint64 // of a process on the folder
@@ -56,28 +56,28 @@
 	Boot   string
 }
 
-func identify(dir, name string) (*identity, error) {
+func openIdentity(dir, name string) (*identity, error) {
 	x := &identity{dir: dir, boot: rand.Text()[:12], seen: map[string]start{}, acked: map[string]progress{}}
-	if err := read(dir, identityName, &x.kept); err != nil {
+	if err := readJSON(dir, identityFile, &x.saved); err != nil {
 		return nil, err
 	}
-	if err := read(dir, peersName, &x.seen); err != nil {
+	if err := readJSON(dir, peersFile, &x.seen); err != nil {
 		return nil, err
 	}
-	if x.kept.Folder == "" {
-		if _, err := os.Stat(filepath.Join(dir, logName)); err == nil {
-			return nil, fmt.Errorf("steward: %s has a log, but no %s: is part of the folder missing? Give the steward an empty one", dir, identityName)
+	if x.saved.Folder == "" {
+		if _, err := os.Stat(filepath.Join(dir, logFile)); err == nil {
+			return nil, fmt.Errorf("steward: %s has a log, but no %s: is part of the folder missing? Give the steward an empty one", dir, identityFile)
 		}
-		x.kept.Name, x.kept.Folder = name, rand.Text()[:12]
+		x.saved.Name, x.saved.Folder = name, rand.Text()[:12]
 	}
-	if x.kept.Name != name {
-		return nil, fmt.Errorf("steward: %s is the folder of %q, not of %q", dir, x.kept.Name, name)
+	if x.saved.Name != name {
+		return nil, fmt.Errorf("steward: %s is the folder of %q, not of %q", dir, x.saved.Name, name)
 	}
-	x.kept.Starts++
-	return x, x.keep()
+	x.saved.Starts++
+	return x, x.save()
 }
 
-func read(dir, name string, into any) error {
+func readJSON(dir, name string, into any) error {
 	data, err := os.ReadFile(filepath.Join(dir, name))
 	if errors.Is(err, fs.ErrNotExist) {
 		return nil
@@ -91,9 +91,9 @@
 	return nil
 }
 
-func (x *identity) keep() error { return x.write(identityName, x.kept) }
+func (x *identity) save() error { return x.writeJSON(identityFile, x.saved) }
 
-func (x *identity) write(name string, v any) error {
+func (x *identity) writeJSON(name string, v any) error {
 	data, err := json.Marshal(v)
 	if err != nil {
 		return fmt.Errorf("steward: %w", err)
@@ -105,21 +105,21 @@
 }
 
 // ID is the steward's among the others.
-func (x *identity) ID() string { return x.kept.Name + "/" + x.kept.Folder }
+func (x *identity) ID() string { return x.saved.Name + "/" + x.saved.Folder }
 
 func (x *identity) hello() (hello, error) {
-	p, err := x.own()
+	p, err := x.ownProgress()
 	if err != nil {
 		return hello{}, fmt.Errorf("steward: how far the folder is: %w", err)
 	}
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	return hello{From: x.ID(), Cluster: x.kept.Cluster, Era: x.kept.Era, start: start{x.kept.Starts, x.boot},
+	return hello{From: x.ID(), Cluster: x.saved.Cluster, Era: x.saved.Era, start: start{x.saved.Starts, x.boot},
 		progress: p}, nil
 }
 
-// heard notes how far another steward has come, by what it answered.
-func (x *identity) heard(id string, p progress) {
+// recordAck notes how far another steward has come, by what it answered.
+func (x *identity) recordAck(id string, p progress) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	old := x.acked[id]
@@ -129,61 +129,61 @@
 func (x *identity) cluster() (id string, era uint64) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	return x.kept.Cluster, x.kept.Era
+	return x.saved.Cluster, x.saved.Era
 }
 
-// belong has this steward belong to a cluster from now on.
-func (x *identity) belong(cluster string, era uint64) error {
+// setCluster has this steward setCluster to a cluster from now on.
+func (x *identity) setCluster(cluster string, era uint64) error {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	if x.kept.Cluster == cluster {
+	if x.saved.Cluster == cluster {
 		return nil
 	}
-	if x.kept.Cluster != "" {
-		return fmt.Errorf("steward: this one belongs to cluster %s, not to %s", x.kept.Cluster, cluster)
+	if x.saved.Cluster != "" {
+		return fmt.Errorf("steward: this one belongs to cluster %s, not to %s", x.saved.Cluster, cluster)
 	}
-	x.kept.Cluster, x.kept.Era = cluster, era
-	return x.keep()
+	x.saved.Cluster, x.saved.Era = cluster, era
+	return x.save()
 }
 
-func (x *identity) raise() uint64 {
+func (x *identity) pendingRaise() uint64 {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	return x.kept.Raise
+	return x.saved.Raise
 }
 
-func (x *identity) raised() error {
+func (x *identity) clearRaise() error {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	x.kept.Raise = 0
-	return x.keep()
+	x.saved.Raise = 0
+	return x.save()
 }
 
-// meet takes what another steward says of itself; an error if it may not take part.
-func (x *identity) meet(h hello) error {
+// checkPeer takes what another steward says of itself; an error if it may not take part.
+func (x *identity) checkPeer(h hello) error {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	if h.Cluster != x.kept.Cluster || h.Cluster == "" {
-		return fmt.Errorf("it belongs to cluster %q, this one to %q", h.Cluster, x.kept.Cluster)
+	if h.Cluster != x.saved.Cluster || h.Cluster == "" {
+		return fmt.Errorf("it belongs to cluster %q, this one to %q", h.Cluster, x.saved.Cluster)
 	}
 	last := x.seen[h.From]
 	switch {
 	case h.Starts < last.Starts || h.Starts == last.Starts && h.Boot != last.Boot:
-		return fmt.Errorf("%w: it was started %d times, and was seen after %d", errOlder, h.Starts, last.Starts)
+		return fmt.Errorf("%w: it was started %d times, and was seen after %d", errOutdatedFolder, h.Starts, last.Starts)
 	case h.Term < x.acked[h.From].Term || h.Last < x.acked[h.From].Last:
-		return fmt.Errorf("%w: it holds term %d and entry %d, and has acknowledged %d and %d", errOlder, h.Term, h.Last,
+		return fmt.Errorf("%w: it holds term %d and entry %d, and has acknowledged %d and %d", errOutdatedFolder, h.Term, h.Last,
 			x.acked[h.From].Term, x.acked[h.From].Last)
 	case h.start == last:
 		return nil
-	case len(x.seen) >= peersMost && last == start{}:
+	case len(x.seen) >= maxPeers && last == start{}:
 		return errors.New("too many stewards were seen")
 	}
 	x.seen[h.From] = h.start
-	return x.write(peersName, x.seen)
+	return x.writeJSON(peersFile, x.seen)
 }
 
-// forget forgets stewards that are none any more.
-func (x *identity) forget(keep func(id string) bool) error {
+// retainPeers forgets stewards that are none any more.
+func (x *identity) retainPeers(keep func(id string) bool) error {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	for id := range x.acked {
@@ -200,9 +200,9 @@
 	if len(x.seen) == n {
 		return nil
 	}
-	return x.write(peersName, x.seen)
+	return x.writeJSON(peersFile, x.seen)
 }
 
-// errOlder refuses a steward whose folder was put back to an earlier state, or copied: it may have forgotten what it voted and
+// errOutdatedFolder refuses a steward whose folder was put back to an earlier state, or copied: it may have forgotten what it voted and
 // acknowledged.
-var errOlder = errors.New("its folder is an older one, or a copy")
+var errOutdatedFolder = errors.New("its folder is an older one, or a copy")
--- a/internal/duty/steward/node.go
+++ b/internal/duty/steward/node.go
@@ -31,20 +31,20 @@
 	// answered for leaderFor steps down. The longest round trip between buildings is 0.22 s, and as long is it from one
 	// heartbeat to the next then.
 	heartbeat = 400 * time.Millisecond
-	leaderFor = 400 * time.Millisecond
-	commitIn  = 200 * time.Millisecond
+	leaderLease = 400 * time.Millisecond
+	commitTimeout  = 200 * time.Millisecond
 
-	applyFor      = 2 * time.Second
-	snapshotEvery = 30 * time.Second
-	snapshotAfter = 4096 // entries of the log
-	trailing      = 1024 // entries that are kept for a follower that is behind
+	applyTimeout      = 2 * time.Second
+	snapshotInterval = 30 * time.Second
+	snapshotThreshold = 4096 // entries of the log
+	trailingEntries      = 1024 // entries that are kept for a follower that is behind
 	snapshotsKept = 2
-	poolMost      = 3 // idle connections to another steward
-	rpcFor        = 2 * time.Second
+	maxPooledConns      = 3 // idle connections to another steward
+	rpcTimeout        = 2 * time.Second
 
-	logName = "raft.db"
-	// raiseBy is how far epochs jump where grants may be lost with a majority: further than a lost one can have gone.
-	raiseBy = 1 << 32
+	logFile = "raft.db"
+	// epochJump is how far epochs jump where grants may be lost with a majority: further than a lost one can have gone.
+	epochJump = 1 << 32
 )
 
 // Config is one steward.
@@ -64,28 +64,28 @@
 type Steward struct {
 	cfg    Config
 	id     *identity
-	stream *stream
+	stream *streamLayer
 	raft   *raft.Raft
 	trans  transport
 	store  *raftboltdb.BoltStore
-	leads  chan bool
-	verify verifier
-	kicked chan struct{} // holds one: the scheduler has something to do
+	leaderChanges  chan bool
+	verify leaderVerifier
+	schedulerWake chan struct{} // holds one: the scheduler has something to do
 
 	mu    sync.Mutex // guards what follows
 	table *duty.Table
-	reign *reign // nil: this one does not lead, or does not yet
+	leadership *leadership // nil: this one does not lead, or does not yet
 }
 
-// reign is one time of leading.
-type reign struct {
+// leadership is one time of leading.
+type leadership struct {
 	*duty.Leases
-	over    chan struct{} // closed at its end
-	waiters map[string][]waiting
+	ended    chan struct{} // closed at its end
+	waiters map[string][]waitingWish
 	dirty   map[string]bool
-	due     map[string]time.Time
+	nextCheck     map[string]time.Time
 	watches map[*watch]struct{}
-	wishes  int
+	waitingWishes  int
 }
 
 // Open starts a steward on its folder. It takes no part before it has joined others, or was told to begin.
@@ -93,11 +93,11 @@
 	if err := os.MkdirAll(cfg.Dir, 0o700); err != nil {
 		return nil, fmt.Errorf("steward: %w", err)
 	}
-	id, err := identify(cfg.Dir, cfg.Name)
+	id, err := openIdentity(cfg.Dir, cfg.Name)
 	if err != nil {
 		return nil, err
 	}
-	s := &Steward{cfg: cfg, id: id, table: duty.NewTable(), leads: make(chan bool, 64), kicked: make(chan struct{}, 1)}
+	s := &Steward{cfg: cfg, id: id, table: duty.NewTable(), leaderChanges: make(chan bool, 64), schedulerWake: make(chan struct{}, 1)}
 	if s.stream, err = listen(cfg, id); err != nil {
 		return nil, err
 	}
@@ -110,12 +110,12 @@
 	if err := s.start(); err != nil {
 		return nil, errors.Join(err, s.stream.Close(), s.store.Close())
 	}
-	s.verify.ask = func() error { return s.raft.VerifyLeader().Error() }
+	s.verify.check = func() error { return s.raft.VerifyLeader().Error() }
 	return s, nil
 }
 
 func openStore(dir string) (*raftboltdb.BoltStore, error) {
-	store, err := raftboltdb.New(raftboltdb.Options{Path: filepath.Join(dir, logName), BoltOptions: boltOptions()})
+	store, err := raftboltdb.New(raftboltdb.Options{Path: filepath.Join(dir, logFile), BoltOptions: boltOptions()})
 	if err != nil {
 		return nil, fmt.Errorf("steward: open the log: %w", err)
 	}
@@ -123,23 +123,23 @@
 }
 
 func (s *Steward) start() error {
-	logger := libraryLog(s.cfg.Log)
+	logger := newRaftLogger(s.cfg.Log)
 	snaps, err := raft.NewFileSnapshotStoreWithLogger(s.cfg.Dir, snapshotsKept, logger)
 	if err != nil {
 		return fmt.Errorf("steward: %w", err)
 	}
-	s.id.own = func() (progress, error) { return far(s.store, snaps) }
+	s.id.ownProgress = func() (progress, error) { return folderProgress(s.store, snaps) }
 	go s.stream.run()
-	s.trans = transport{raft.NewNetworkTransportWithConfig(&raft.NetworkTransportConfig{Stream: s.stream, MaxPool: poolMost, Timeout: rpcFor,
+	s.trans = transport{raft.NewNetworkTransportWithConfig(&raft.NetworkTransportConfig{Stream: s.stream, MaxPool: maxPooledConns, Timeout: rpcTimeout,
 		Logger: logger}), s.id}
-	if s.raft, err = raft.NewRaft(s.raftConfig(logger), (*machine)(s), s.store, s.store, snaps, s.trans); err != nil {
+	if s.raft, err = raft.NewRaft(s.raftConfig(logger), (*stateMachine)(s), s.store, s.store, snaps, s.trans); err != nil {
 		return errors.Join(fmt.Errorf("steward: %w", err), s.trans.Close())
 	}
 	return nil
 }
 
-// far is how far a folder is: its term, and its last entry, in the log or in a snapshot.
-func far(store *raftboltdb.BoltStore, snaps raft.SnapshotStore) (p progress, err error) {
+// folderProgress is how folderProgress a folder is: its term, and its last entry, in the log or in a snapshot.
+func folderProgress(store *raftboltdb.BoltStore, snaps raft.SnapshotStore) (p progress, err error) {
 	p.Term, err = store.GetUint64([]byte("CurrentTerm")) // the library's name for it
 	if err != nil && !errors.Is(err, raftboltdb.ErrKeyNotFound) {
 		return p, err
@@ -157,9 +157,9 @@
 func (s *Steward) raftConfig(logger hclog.Logger) *raft.Config {
 	c := raft.DefaultConfig()
 	c.LocalID, c.Logger = raft.ServerID(s.id.ID()), logger
-	c.HeartbeatTimeout, c.ElectionTimeout, c.LeaderLeaseTimeout, c.CommitTimeout = heartbeat, heartbeat, leaderFor, commitIn
-	c.SnapshotInterval, c.SnapshotThreshold, c.TrailingLogs = snapshotEvery, snapshotAfter, trailing
-	c.NotifyCh = s.leads
+	c.HeartbeatTimeout, c.ElectionTimeout, c.LeaderLeaseTimeout, c.CommitTimeout = heartbeat, heartbeat, leaderLease, commitTimeout
+	c.SnapshotInterval, c.SnapshotThreshold, c.TrailingLogs = snapshotInterval, snapshotThreshold, trailingEntries
+	c.NotifyCh = s.leaderChanges
 	return c
 }
 
@@ -168,8 +168,8 @@
 	return raft.ServerAddress(strings.Join([]string{s.id.ID(), s.cfg.Advertise, s.cfg.AdvertiseAPI}, ","))
 }
 
-// parts are those of an address: id, address for stewards, API.
-func parts(a raft.ServerAddress) (id, listen, api string) {
+// splitAddress are those of an address: id, address for stewards, API.
+func splitAddress(a raft.ServerAddress) (id, listen, api string) {
 	p := strings.SplitN(string(a), ",", 3)
 	if len(p) != 3 {
 		return "", string(a), ""
@@ -183,7 +183,7 @@
 	defer cancel()
 	var work sync.WaitGroup
 	work.Go(func() { s.schedule(ctx) })
-	work.Go(func() { s.rule(ctx) })
+	work.Go(func() { s.leadershipLoop(ctx) })
 	work.Go(func() { s.join(ctx) })
 	removed := make(chan struct{})
 	work.Go(func() {
@@ -204,64 +204,64 @@
 	err = errors.Join(err, s.raft.Shutdown().Error())
 	s.trans.CloseStreams()
 	work.Wait()
-	s.endReign()
+	s.endLeadership()
 	return errors.Join(err, s.stream.Close(), s.store.Close())
 }
 
-// rule begins and ends reigns.
-func (s *Steward) rule(ctx context.Context) {
+// leadershipLoop begins and ends reigns.
+func (s *Steward) leadershipLoop(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case leads := <-s.leads:
-			s.endReign()
+		case leads := <-s.leaderChanges:
+			s.endLeadership()
 			if leads {
-				s.beginReign(ctx)
+				s.beginLeadership(ctx)
 			}
 		}
 	}
 }
 
-// beginReign has a leader begin. Its first entry tells its term, and that everything before it is in the table.
-func (s *Steward) beginReign(ctx context.Context) {
+// beginLeadership has a leader begin. Its first entry tells its term, and that everything before it is in the table.
+func (s *Steward) beginLeadership(ctx context.Context) {
 	for ctx.Err() == nil && s.raft.State() == raft.Leader {
-		res, err := s.apply(duty.Command{Op: duty.Reign})
+		res, err := s.apply(duty.Command{Op: duty.BeginTerm})
 		if err != nil {
 			s.cfg.Log.Warn("no reign yet", "err", err)
 			continue
 		}
-		if to := s.id.raise(); to > 0 {
-			if _, err := s.apply(duty.Command{Op: duty.Raise, After: to}); err != nil {
+		if to := s.id.pendingRaise(); to > 0 {
+			if _, err := s.apply(duty.Command{Op: duty.RaiseEpochs, After: to}); err != nil {
 				continue
 			}
-			if err := s.id.raised(); err != nil {
+			if err := s.id.clearRaise(); err != nil {
 				s.cfg.Log.Error("epochs are raised once more at the next start", "err", err)
 			}
 		}
 		s.mu.Lock()
-		s.reign = &reign{Leases: duty.NewLeases(s.table, res.Term, time.Now()), over: make(chan struct{}),
-			waiters: map[string][]waiting{}, dirty: map[string]bool{}, due: map[string]time.Time{}, watches: map[*watch]struct{}{}}
+		s.leadership = &leadership{Leases: duty.NewLeases(s.table, res.Term, time.Now()), ended: make(chan struct{}),
+			waiters: map[string][]waitingWish{}, dirty: map[string]bool{}, nextCheck: map[string]time.Time{}, watches: map[*watch]struct{}{}}
 		s.mu.Unlock()
 		s.cfg.Log.Info("leads", "term", res.Term)
 		return
 	}
 }
 
-func (s *Steward) endReign() {
+func (s *Steward) endLeadership() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.reign != nil {
-		close(s.reign.over)
-		s.reign = nil
+	if s.leadership != nil {
+		close(s.leadership.ended)
+		s.leadership = nil
 		s.cfg.Log.Info("leads no more")
 	}
 }
 
-// current is the reign, if it still is one; with mu held.
-func (s *Steward) current() *reign {
-	if s.reign != nil && s.raft.State() == raft.Leader && s.raft.CurrentTerm() == s.reign.Term {
-		return s.reign
+// currentLeadership is the reign, if it still is one; with mu held.
+func (s *Steward) currentLeadership() *leadership {
+	if s.leadership != nil && s.raft.State() == raft.Leader && s.raft.CurrentTerm() == s.leadership.Term {
+		return s.leadership
 	}
 	return nil
 }
@@ -272,17 +272,17 @@
 	if err != nil {
 		return duty.Result{}, fmt.Errorf("steward: %w", err)
 	}
-	f := s.raft.Apply(data, applyFor)
+	f := s.raft.Apply(data, applyTimeout)
 	if err := f.Error(); err != nil {
 		return duty.Result{}, fmt.Errorf("steward: agree on %s of %s: %w", c.Op, c.Duty, err)
 	}
 	return f.Response().(duty.Result), nil
 }
 
-// machine is the Steward as raft's state machine.
-type machine Steward
+// stateMachine is the Steward as raft's state stateMachine.
+type stateMachine Steward
 
-func (m *machine) Apply(l *raft.Log) any {
+func (m *stateMachine) Apply(l *raft.Log) any {
 	var c duty.Command
 	if err := json.Unmarshal(l.Data, &c); err != nil {
 		return duty.Result{Err: err}
@@ -292,14 +292,14 @@
 	return m.table.Apply(c, l.Term)
 }
 
-func (m *machine) Snapshot() (raft.FSMSnapshot, error) {
+func (m *stateMachine) Snapshot() (raft.FSMSnapshot, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	data, err := m.table.Encode()
 	return snapshot(data), err
 }
 
-func (m *machine) Restore(r io.ReadCloser) error {
+func (m *stateMachine) Restore(r io.ReadCloser) error {
 	defer r.Close()
 	data, err := io.ReadAll(r)
 	if err != nil {
@@ -326,25 +326,25 @@
 
 func (snapshot) Release() {}
 
-// verifier asks whether this steward still leads, once for all that ask while a question is out.
-type verifier struct {
-	ask func() error
+// leaderVerifier asks whether this steward still leads, once for all that ask while a question is out.
+type leaderVerifier struct {
+	check func() error
 
 	mu      sync.Mutex
-	next    *verdict
+	next    *verification
 	running bool
 }
 
-type verdict struct {
+type verification struct {
 	done chan struct{}
 	err  error
 }
 
-// leads returns nil if this steward was the leader at a moment after the call began.
-func (v *verifier) leads(ctx context.Context) error {
+// confirmLeader returns nil if this steward was the leader at a moment after the call began.
+func (v *leaderVerifier) confirmLeader(ctx context.Context) error {
 	v.mu.Lock()
 	if v.next == nil {
-		v.next = &verdict{done: make(chan struct{})}
+		v.next = &verification{done: make(chan struct{})}
 	}
 	mine := v.next
 	if !v.running {
@@ -360,7 +360,7 @@
 	}
 }
 
-func (v *verifier) run() {
+func (v *leaderVerifier) run() {
 	for {
 		v.mu.Lock()
 		x := v.next
@@ -371,25 +371,25 @@
 			return
 		}
 		v.mu.Unlock()
-		x.err = v.ask()
+		x.err = v.check()
 		close(x.done)
 	}
 }
 
-// libraryLog has what the library says at the level that it deserves.
-func libraryLog(l *slog.Logger) hclog.Logger {
-	return hclog.New(&hclog.LoggerOptions{Name: "raft", Level: hclog.Warn, Output: lines{l}, DisableTime: true})
+// newRaftLogger has what the library says at the level that it deserves.
+func newRaftLogger(l *slog.Logger) hclog.Logger {
+	return hclog.New(&hclog.LoggerOptions{Name: "raft", Level: hclog.Warn, Output: logWriter{l}, DisableTime: true})
 }
 
-type lines struct{ log *slog.Logger }
+type logWriter struct{ log *slog.Logger }
 
-func (l lines) Write(p []byte) (int, error) {
+func (l logWriter) Write(p []byte) (int, error) {
 	l.log.Info("raft", "says", strings.TrimSpace(string(p)))
 	return len(p), nil
 }
 
-// host is an address's, without its port.
-func host(addr string) string {
+// hostOf is an address's, without its port.
+func hostOf(addr string) string {
 	h, _, err := net.SplitHostPort(addr)
 	if err != nil {
 		return addr
--- a/internal/duty/steward/recover.go
+++ b/internal/duty/steward/recover.go
@@ -13,8 +13,8 @@
 	"onyxroad.dev/onyxroad/internal/duty"
 )
 
-// Found is what a stopped steward's folder holds.
-type Found struct {
+// FolderState is what a stopped steward's folder holds.
+type FolderState struct {
 	ID       string
 	Cluster  string
 	Era      uint64
@@ -24,15 +24,15 @@
 	Index    uint64 // last entry of the log
 }
 
-// Words say what the folder holds and what going on with it alone means.
-func (f *Found) Words() string {
+// Summary say what the folder holds and what going on with it alone means.
+func (f *FolderState) Summary() string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "Folder of steward %s, cluster %s, era %d, with %d entries.\n", f.ID, f.Cluster, f.Era, f.Index)
 	fmt.Fprintf(&b, "It knows %d stewards: %s.\n", len(f.Stewards), strings.Join(f.Stewards, ", "))
 	fmt.Fprintf(&b, "It knows of %d duties and of epochs up to %d.\n", len(f.Duties), f.Last)
 	b.WriteString("Going on with it alone means:\n")
 	fmt.Fprintf(&b, "- What the others agreed on and this folder has not heard is lost: grants, hand-overs, stewards that came or went.\n")
-	fmt.Fprintf(&b, "- Epochs go on above %d, so that no effect of a lost grant is taken after one of a new grant.\n", f.Last+raiseBy)
+	fmt.Fprintf(&b, "- Epochs go on above %d, so that no effect of a lost grant is taken after one of a new grant.\n", f.Last+epochJump)
 	b.WriteString("- Holders lose their duties, and get them, or others do, once the stewards are there again.\n")
 	b.WriteString("- The other stewards are no part of it: stop them first, empty their folders, and start them again to join.\n")
 	b.WriteString("  One that runs on keeps to the cluster that is given up; relays that have heard of the new one ignore it.\n")
@@ -40,17 +40,17 @@
 }
 
 // Inspect reads a stopped steward's folder. It changes nothing but the count of starts.
-func Inspect(cfg Config) (*Found, error) { return look(cfg, false) }
+func Inspect(cfg Config) (*FolderState, error) { return readFolder(cfg, false) }
 
 // Recover makes a stopped steward's folder the only one of a cluster of a new era: the way back from a lost majority.
-func Recover(cfg Config) (*Found, error) { return look(cfg, true) }
+func Recover(cfg Config) (*FolderState, error) { return readFolder(cfg, true) }
 
-func look(cfg Config, change bool) (found *Found, err error) {
-	id, err := identify(cfg.Dir, cfg.Name)
+func readFolder(cfg Config, change bool) (found *FolderState, err error) {
+	id, err := openIdentity(cfg.Dir, cfg.Name)
 	if err != nil {
 		return nil, err
 	}
-	if id.kept.Cluster == "" {
+	if id.saved.Cluster == "" {
 		return nil, errors.New("steward: this folder never belonged to a cluster")
 	}
 	store, err := openStore(cfg.Dir)
@@ -58,21 +58,21 @@
 		return nil, err
 	}
 	defer func() { err = errors.Join(err, store.Close()) }()
-	log := libraryLog(slog.New(slog.DiscardHandler))
+	log := newRaftLogger(slog.New(slog.DiscardHandler))
 	snaps, err := raft.NewFileSnapshotStoreWithLogger(cfg.Dir, snapshotsKept, log)
 	if err != nil {
 		return nil, fmt.Errorf("steward: %w", err)
 	}
 	_, trans := raft.NewInmemTransport("")
 	defer trans.Close()
-	s := &Steward{cfg: cfg, id: id, table: duty.NewTable(), leads: make(chan bool, 1), store: store}
+	s := &Steward{cfg: cfg, id: id, table: duty.NewTable(), leaderChanges: make(chan bool, 1), store: store}
 	c := s.raftConfig(log)
 	c.LocalID = raft.ServerID(id.ID())
-	now, err := raft.GetConfiguration(c, (*machine)(s), store, store, snaps, trans)
+	now, err := raft.GetConfiguration(c, (*stateMachine)(s), store, store, snaps, trans)
 	if err != nil {
 		return nil, fmt.Errorf("steward: %w", err)
 	}
-	found = &Found{ID: id.ID(), Cluster: id.kept.Cluster, Era: id.kept.Era}
+	found = &FolderState{ID: id.ID(), Cluster: id.saved.Cluster, Era: id.saved.Era}
 	for _, x := range now.Servers {
 		found.Stewards = append(found.Stewards, string(x.ID))
 	}
@@ -82,7 +82,7 @@
 	if err := s.replay(snaps); err != nil {
 		return nil, err
 	}
-	found.Last, found.Duties = s.table.Last(), s.table.All()
+	found.Last, found.Duties = s.table.LastEpoch(), s.table.All()
 	if !change {
 		return found, nil
 	}
@@ -90,17 +90,17 @@
 		return nil, errors.New("steward: its addresses have to be known")
 	}
 	// The new identity first: a stop in between leaves a folder that only this can go on with.
-	id.kept.Cluster, id.kept.Era, id.kept.Raise = crand.Text()[:12], id.kept.Era+1, found.Last+raiseBy
-	if err := id.keep(); err != nil {
+	id.saved.Cluster, id.saved.Era, id.saved.Raise = crand.Text()[:12], id.saved.Era+1, found.Last+epochJump
+	if err := id.save(); err != nil {
 		return nil, err
 	}
 	s.table = duty.NewTable()
-	err = raft.RecoverCluster(c, (*machine)(s), store, store, snaps, trans,
+	err = raft.RecoverCluster(c, (*stateMachine)(s), store, store, snaps, trans,
 		raft.Configuration{Servers: []raft.Server{{ID: raft.ServerID(id.ID()), Address: s.address()}}})
 	if err != nil {
 		return nil, fmt.Errorf("steward: %w", err)
 	}
-	return found, id.forget(func(string) bool { return false })
+	return found, id.retainPeers(func(string) bool { return false })
 }
 
 // replay works out the table from the last snapshot and every entry of the log: what was not agreed on yet counts too, since
@@ -116,7 +116,7 @@
 		if err != nil {
 			return fmt.Errorf("steward: %w", err)
 		}
-		if err := (*machine)(s).Restore(r); err != nil {
+		if err := (*stateMachine)(s).Restore(r); err != nil {
 			return err
 		}
 		from = meta.Index + 1
@@ -135,7 +135,7 @@
 			return fmt.Errorf("steward: entry %d: %w", i, err)
 		}
 		if l.Type == raft.LogCommand {
-			(*machine)(s).Apply(&l)
+			(*stateMachine)(s).Apply(&l)
 		}
 	}
 	return nil
--- a/internal/duty/steward/schedule.go
+++ b/internal/duty/steward/schedule.go
@@ -11,88 +11,88 @@
 )
 
 const (
-	wishesMost  = 32768 // that wait at once
-	watchesMost = 1024
+	maxWaitingWishes  = 32768 // that wait at once
+	maxWatches = 1024
 )
 
 // The refusals of a request.
 var (
-	// ErrElsewhere: this steward does not lead.
-	ErrElsewhere = errors.New("this steward does not lead")
+	// ErrNotLeader: this steward does not lead.
+	ErrNotLeader = errors.New("this steward does not lead")
 	// ErrRemoved: the others have removed this steward.
 	ErrRemoved = errors.New("the other stewards have removed this one")
-	errCrowded = errors.New("too many wait already")
+	errTooManyWaiting = errors.New("too many wait already")
 	errNotHeld = errors.New("not the holder")
-	errNobody  = errors.New("nobody holds it")
-	errUnknown = errors.New("what becomes of it is not known; ask again")
+	errNoHolder  = errors.New("nobody holds it")
+	errOutcomeUnknown = errors.New("what becomes of it is not known; ask again")
 )
 
 // waiter is a process that wishes for duties and waits.
 type waiter struct {
-	told chan answered // room for one a wish
+	results chan claimResult // room for one a wish
 }
 
-// waiting is one of its wishes.
-type waiting struct {
+// waitingWish is one of its wishes.
+type waitingWish struct {
 	*waiter
 	wish duty.Wish
 }
 
-// answered is what became of a wish.
-type answered struct {
+// claimResult is what became of a wish.
+type claimResult struct {
 	wish  duty.Wish
 	epoch uint64
 	err   error
 }
 
 // claim waits for the first of wishes to be granted, and returns what has become of any by then: nothing, if the time is over.
-func (s *Steward) claim(ctx context.Context, wishes []duty.Wish) (all []answered, err error) {
-	w := &waiter{make(chan answered, len(wishes))}
+func (s *Steward) claim(ctx context.Context, wishes []duty.Wish) (all []claimResult, err error) {
+	w := &waiter{make(chan claimResult, len(wishes))}
 	s.mu.Lock()
-	r := s.current()
+	r := s.currentLeadership()
 	if r == nil {
 		s.mu.Unlock()
-		return nil, ErrElsewhere
+		return nil, ErrNotLeader
 	}
-	if r.wishes+len(wishes) > wishesMost {
+	if r.waitingWishes+len(wishes) > maxWaitingWishes {
 		s.mu.Unlock()
-		return nil, errCrowded
+		return nil, errTooManyWaiting
 	}
-	r.wishes += len(wishes)
+	r.waitingWishes += len(wishes)
 	// Only what this wish may change is looked at: hundreds may wait for the same.
 	kick, now := false, time.Now()
 	for _, x := range wishes {
-		r.waiters[x.Duty] = append(r.waiters[x.Duty], waiting{w, x})
+		r.waiters[x.Duty] = append(r.waiters[x.Duty], waitingWish{w, x})
 		own := []duty.Wish{x}
-		if _, i := r.Pick(own, now); i >= 0 {
+		if _, i := r.PickClaim(own, now); i >= 0 {
 			r.dirty[x.Duty], kick = true, true
-		} else if at, due := r.Next(own, now), r.due[x.Duty]; !at.IsZero() && (due.IsZero() || at.Before(due)) {
-			r.due[x.Duty], kick = at, true
+		} else if at, due := r.NextChange(own, now), r.nextCheck[x.Duty]; !at.IsZero() && (due.IsZero() || at.Before(due)) {
+			r.nextCheck[x.Duty], kick = at, true
 		}
 	}
 	s.mu.Unlock()
 	if kick {
-		s.kick()
+		s.wakeScheduler()
 	}
 	defer func() {
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		r.wishes -= len(wishes)
+		r.waitingWishes -= len(wishes)
 		for _, x := range wishes {
-			r.drop(x.Duty, w)
+			r.removeWaiter(x.Duty, w)
 		}
 	}()
 	select {
-	case a := <-w.told:
+	case a := <-w.results:
 		all = append(all, a)
 	case <-ctx.Done():
 		return nil, nil
-	case <-r.over:
-		return nil, ErrElsewhere
+	case <-r.ended:
+		return nil, ErrNotLeader
 	}
 	for {
 		select {
-		case a := <-w.told:
+		case a := <-w.results:
 			all = append(all, a)
 		default:
 			return all, nil
@@ -100,9 +100,9 @@
 	}
 }
 
-func (s *Steward) kick() {
+func (s *Steward) wakeScheduler() {
 	select {
-	case s.kicked <- struct{}{}:
+	case s.schedulerWake <- struct{}{}:
 	default:
 	}
 }
@@ -115,7 +115,7 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-s.kicked:
+		case <-s.schedulerWake:
 		case <-timer.C:
 		}
 		if next := s.grant(ctx, time.Now()); !next.IsZero() {
@@ -128,58 +128,58 @@
 func (s *Steward) grant(ctx context.Context, now time.Time) (next time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	r := s.current()
+	r := s.currentLeadership()
 	if r == nil {
 		return next
 	}
-	for name, at := range r.due {
+	for name, at := range r.nextCheck {
 		if !now.Before(at) {
 			r.dirty[name] = true
 		}
 	}
 	for name := range r.dirty {
 		delete(r.dirty, name)
-		delete(r.due, name)
-		if c, due := r.Overdue(name, now); due {
-			r.Begun(c)
-			go s.carryOut(r, c, nil)
+		delete(r.nextCheck, name)
+		if c, due := r.RevokeCommand(name, now); due {
+			r.Begin(c)
+			go s.execute(r, c, nil)
 			continue
 		}
 		ws := r.wishesFor(name)
-		c, i := r.Pick(ws, now)
+		c, i := r.PickClaim(ws, now)
 		switch {
 		case i < 0:
-			at := r.Next(ws, now)
-			if left := r.Left(name, now); left > 0 && r.Asked(name, s.table.Get(name).Epoch) && (at.IsZero() || now.Add(left).Before(at)) {
+			at := r.NextChange(ws, now)
+			if left := r.Remaining(name, now); left > 0 && r.StepDownRequested(name, s.table.Get(name).Epoch) && (at.IsZero() || now.Add(left).Before(at)) {
 				at = now.Add(left)
 			}
 			if !at.IsZero() {
-				r.due[name] = at
+				r.nextCheck[name] = at
 			}
 		case c.Op == "": // granted already
 			w := r.waiters[name][i].waiter
-			w.told <- answered{ws[i], s.table.Get(name).Epoch, nil}
-			r.drop(name, w)
+			w.results <- claimResult{ws[i], s.table.Get(name).Epoch, nil}
+			r.removeWaiter(name, w)
 			r.dirty[name] = true // for the others
 		default:
-			r.Begun(c)
+			r.Begin(c)
 			w := r.waiters[name][i].waiter
-			go s.carryOut(r, c, func(res duty.Result) {
-				if !slices.ContainsFunc(r.waiters[name], func(o waiting) bool { return o.waiter == w }) {
+			go s.execute(r, c, func(res duty.Result) {
+				if !slices.ContainsFunc(r.waiters[name], func(o waitingWish) bool { return o.waiter == w }) {
 					return // gone; its claim stands until its lease is over
 				}
-				if errors.Is(res.Err, duty.ErrMoved) || errors.Is(res.Err, duty.ErrStale) {
+				if errors.Is(res.Err, duty.ErrConflict) || errors.Is(res.Err, duty.ErrStaleTerm) {
 					return // it waits on
 				}
-				w.told <- answered{ws[i], res.Grant.Epoch, res.Err}
-				r.drop(name, w)
+				w.results <- claimResult{ws[i], res.Grant.Epoch, res.Err}
+				r.removeWaiter(name, w)
 			})
 		}
 	}
 	for name := range r.dirty { // told that it is granted: somebody else may be next
-		r.due[name] = now
+		r.nextCheck[name] = now
 	}
-	for _, at := range r.due {
+	for _, at := range r.nextCheck {
 		if next.IsZero() || at.Before(next) {
 			next = at
 		}
@@ -188,7 +188,7 @@
 }
 
 // wishesFor are the wishes that wait for a duty, in their order.
-func (r *reign) wishesFor(name string) []duty.Wish {
+func (r *leadership) wishesFor(name string) []duty.Wish {
 	ws := make([]duty.Wish, 0, len(r.waiters[name]))
 	for _, w := range r.waiters[name] {
 		ws = append(ws, w.wish)
@@ -196,73 +196,73 @@
 	return ws
 }
 
-// drop has a waiter wait for a duty no more.
-func (r *reign) drop(name string, w *waiter) {
-	if r.waiters[name] = slices.DeleteFunc(r.waiters[name], func(o waiting) bool { return o.waiter == w }); len(r.waiters[name]) == 0 {
+// removeWaiter has a waiter wait for a duty no more.
+func (r *leadership) removeWaiter(name string, w *waiter) {
+	if r.waiters[name] = slices.DeleteFunc(r.waiters[name], func(o waitingWish) bool { return o.waiter == w }); len(r.waiters[name]) == 0 {
 		delete(r.waiters, name)
 	}
 }
 
-// carryOut has the stewards agree on a command that has begun. then is told of its result, with mu held.
-func (s *Steward) carryOut(r *reign, c duty.Command, then func(duty.Result)) (duty.Result, error) {
+// execute has the stewards agree on a command that has begun. then is told of its result, with mu held.
+func (s *Steward) execute(r *leadership, c duty.Command, then func(duty.Result)) (duty.Result, error) {
 	res, err := s.apply(c)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := time.Now()
 	if err != nil {
 		// Whether it comes into effect is not known. If it does in this reign, the table says so; see duty.Command.After.
-		res.Err = fmt.Errorf("%w: %w", errUnknown, err)
+		res.Err = fmt.Errorf("%w: %w", errOutcomeUnknown, err)
 	}
-	r.Done(c, res, now)
+	r.Finish(c, res, now)
 	r.dirty[c.Duty] = true
 	if err == nil && then != nil {
 		then(res)
 	}
-	s.kick()
+	s.wakeScheduler()
 	return res, res.Err
 }
 
 // renew extends leases, and tells of each whether it still holds, and whether its holder is asked to step down.
 func (s *Steward) renew(ctx context.Context, holder string, held []heldDuty) ([]heldDuty, error) {
 	// First that this one leads, at a moment after the holder asked: a leader that comes later begins all leases later.
-	if err := s.verify.leads(ctx); err != nil {
-		return nil, ErrElsewhere
+	if err := s.verify.confirmLeader(ctx); err != nil {
+		return nil, ErrNotLeader
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	r := s.current()
+	r := s.currentLeadership()
 	if r == nil {
-		return nil, ErrElsewhere
+		return nil, ErrNotLeader
 	}
 	now := time.Now()
 	for i := range held {
 		h := &held[i]
 		h.OK = r.Renew(h.Duty, h.Epoch, holder, now)
-		h.Asked = h.OK && r.Asked(h.Duty, h.Epoch)
+		h.Asked = h.OK && r.StepDownRequested(h.Duty, h.Epoch)
 	}
 	return held, nil
 }
 
-// end ends a grant in its holder's name.
-func (s *Steward) end(holder, name string, epoch uint64, to string) error {
+// release ends a grant in its holder's name.
+func (s *Steward) release(holder, name string, epoch uint64, to string) error {
 	s.mu.Lock()
-	r := s.current()
+	r := s.currentLeadership()
 	if r == nil {
 		s.mu.Unlock()
-		return ErrElsewhere
+		return ErrNotLeader
 	}
 	g := s.table.Get(name)
 	if g.Epoch != epoch || g.Holder != holder {
 		s.mu.Unlock()
 		return errNotHeld
 	}
-	c := r.End(name, epoch, holder, to)
-	if !r.Begun(c) {
+	c := r.EndCommand(name, epoch, holder, to)
+	if !r.Begin(c) {
 		s.mu.Unlock()
-		return errUnknown
+		return errOutcomeUnknown
 	}
 	s.mu.Unlock()
-	_, err := s.carryOut(r, c, nil)
+	_, err := s.execute(r, c, nil)
 	return err
 }
 
@@ -275,15 +275,15 @@
 // stepDown asks a duty's holder to step down, and waits until it has, or has lost its lease.
 func (s *Steward) stepDown(ctx context.Context, name, to string, bar time.Duration) (duty.Grant, error) {
 	s.mu.Lock()
-	r := s.current()
+	r := s.currentLeadership()
 	if r == nil {
 		s.mu.Unlock()
-		return duty.Grant{}, ErrElsewhere
+		return duty.Grant{}, ErrNotLeader
 	}
 	g := s.table.Get(name)
-	if !r.Ask(name, duty.Ask{To: to, Bar: bar, At: time.Now()}) {
+	if !r.RequestStepDown(name, duty.StepDownRequest{To: to, Bar: bar, At: time.Now()}) {
 		s.mu.Unlock()
-		return g, errNobody
+		return g, errNoHolder
 	}
 	for w := range r.watches {
 		if w.holder == g.Holder {
@@ -295,7 +295,7 @@
 	}
 	r.dirty[name] = true
 	s.mu.Unlock()
-	s.kick()
+	s.wakeScheduler()
 	tick := time.NewTicker(10 * time.Millisecond)
 	defer tick.Stop()
 	for {
@@ -308,29 +308,29 @@
 		select {
 		case <-tick.C:
 		case <-ctx.Done():
-			return now, errUnknown
-		case <-r.over:
-			return now, errUnknown
+			return now, errOutcomeUnknown
+		case <-r.ended:
+			return now, errOutcomeUnknown
 		}
 	}
 }
 
-// listenFor waits until a holder is asked to step down from something, or the time is over.
-func (s *Steward) listenFor(ctx context.Context, holder string) error {
+// watchStepDown waits until a holder is asked to step down from something, or the time is over.
+func (s *Steward) watchStepDown(ctx context.Context, holder string) error {
 	w := &watch{holder, make(chan struct{}, 1)}
 	s.mu.Lock()
-	r := s.current()
+	r := s.currentLeadership()
 	switch {
 	case r == nil:
 		s.mu.Unlock()
-		return ErrElsewhere
-	case len(r.watches) >= watchesMost:
+		return ErrNotLeader
+	case len(r.watches) >= maxWatches:
 		s.mu.Unlock()
-		return errCrowded
+		return errTooManyWaiting
 	}
 	r.watches[w] = struct{}{}
 	for _, g := range s.table.All() {
-		if g.Holder == holder && r.Asked(g.Duty, g.Epoch) {
+		if g.Holder == holder && r.StepDownRequested(g.Duty, g.Epoch) {
 			w.asked <- struct{}{}
 			break
 		}
@@ -344,8 +344,8 @@
 	select {
 	case <-w.asked:
 	case <-ctx.Done():
-	case <-r.over:
-		return ErrElsewhere
+	case <-r.ended:
+		return ErrNotLeader
 	}
 	return nil
 }
--- a/internal/duty/steward/steward_test.go
+++ b/internal/duty/steward/steward_test.go
@@ -23,15 +23,15 @@
 	"onyxroad.dev/onyxroad/internal/duty/holder"
 )
 
-// one is a steward that runs in the test.
-type one struct {
+// testSteward is a steward that runs in the test.
+type testSteward struct {
 	*Steward
 	cancel context.CancelFunc
 	done   sync.WaitGroup
 	err    error
 }
 
-func startOne(t *testing.T, name, dir string, seeds ...string) *one {
+func startSteward(t *testing.T, name, dir string, seeds ...string) *testSteward {
 	t.Helper()
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -44,13 +44,13 @@
 		t.Fatal(err)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	x := &one{Steward: s, cancel: cancel}
+	x := &testSteward{Steward: s, cancel: cancel}
 	x.done.Go(func() { x.err = s.Run(ctx); cancel() })
 	x.done.Go(func() { s.Serve(ctx, l) })
 	return x
 }
 
-func (x *one) stop() error {
+func (x *testSteward) stop() error {
 	x.cancel()
 	x.done.Wait()
 	return x.err
@@ -70,17 +70,17 @@
 	}
 }
 
-func begun(t *testing.T, n int) (all []*one, client *call.Client) {
+func startCluster(t *testing.T, n int) (all []*testSteward, client *call.Client) {
 	t.Helper()
-	first := startOne(t, "s0", t.TempDir())
+	first := startSteward(t, "s0", t.TempDir())
 	all = append(all, first)
 	client = call.NewClient([]string{first.cfg.API}, nil)
 	t.Cleanup(client.Close)
-	if _, err := client.One(t.Context(), first.cfg.API, call.PathBegin, call.Done{}, &call.JoinOut{}, time.Second); err != nil {
+	if _, err := client.DoAt(t.Context(), first.cfg.API, call.PathBegin, call.Empty{}, &call.JoinOut{}, time.Second); err != nil {
 		t.Fatal(err)
 	}
 	for i := 1; i < n; i++ {
-		all = append(all, startOne(t, fmt.Sprint("s", i), t.TempDir(), first.cfg.API))
+		all = append(all, startSteward(t, fmt.Sprint("s", i), t.TempDir(), first.cfg.API))
 	}
 	eventually(t, "all have joined", func() bool { return len(list(t, client, first.cfg.API)) == n })
 	return all, client
@@ -88,7 +88,7 @@
 
 func list(t *testing.T, c *call.Client, addr string) []call.Steward {
 	var out call.StewardsOut
-	if _, err := c.One(t.Context(), addr, call.PathStewards, nil, &out, time.Second); err != nil {
+	if _, err := c.DoAt(t.Context(), addr, call.PathStewards, nil, &out, time.Second); err != nil {
 		return nil
 	}
 	return out.Stewards
@@ -104,9 +104,9 @@
 	return out.Granted[0].Epoch
 }
 
-func TestThreeStewardsOutliveTheirLeader(t *testing.T) {
+func TestThreeStewardsSurviveLeaderLoss(t *testing.T) {
 	defer goleak.VerifyNone(t)
-	all, c := begun(t, 3)
+	all, c := startCluster(t, 3)
 	client := call.NewClient([]string{all[0].cfg.API, all[1].cfg.API, all[2].cfg.API}, nil)
 	defer client.Close()
 	defer c.Close()
@@ -114,13 +114,13 @@
 	// Any steward answers, or names the leader.
 	for _, s := range all {
 		eventually(t, s.cfg.Name+" knows the leader", func() bool {
-			leader, err := client.One(t.Context(), s.cfg.API, call.PathDuties, nil, &call.DutiesOut{}, time.Second)
+			leader, err := client.DoAt(t.Context(), s.cfg.API, call.PathDuties, nil, &call.DutiesOut{}, time.Second)
 			return err == nil || leader != ""
 		})
 	}
 	for i, s := range all {
 		s.mu.Lock()
-		leads := s.current() != nil
+		leads := s.currentLeadership() != nil
 		s.mu.Unlock()
 		if leads {
 			if err := s.stop(); err != nil {
@@ -138,7 +138,7 @@
 	if err := client.Do(t.Context(), call.PathRenew, in, &out, 0); err != nil || !out.Held[0].OK || out.Held[1].OK {
 		t.Errorf("renewed at the next leader: %+v, %v", out, err)
 	}
-	if err := client.Do(t.Context(), call.PathRelease, call.ReleaseIn{Holder: "a", Duty: "d", Epoch: one}, &call.Done{}, 0); err != nil {
+	if err := client.Do(t.Context(), call.PathRelease, call.ReleaseIn{Holder: "a", Duty: "d", Epoch: one}, &call.Empty{}, 0); err != nil {
 		t.Error(err)
 	}
 	if two := claim(t, client, "b", "2"); two <= one {
@@ -149,8 +149,8 @@
 	}
 }
 
-func TestAnEmptiedFolderIsAnotherSteward(t *testing.T) {
-	all, client := begun(t, 3)
+func TestEmptiedFolderIsAnotherSteward(t *testing.T) {
+	all, client := startCluster(t, 3)
 	defer func() {
 		for _, s := range all {
 			s.stop()
@@ -158,7 +158,7 @@
 	}()
 	old := all[2].id.ID()
 	all[2].stop()
-	all[2] = startOne(t, "s2", t.TempDir(), all[0].cfg.API, all[1].cfg.API)
+	all[2] = startSteward(t, "s2", t.TempDir(), all[0].cfg.API, all[1].cfg.API)
 	eventually(t, "the new one has the old one's place", func() bool {
 		ids := ""
 		for _, s := range list(t, client, all[0].cfg.API) {
@@ -167,7 +167,7 @@
 		return strings.Count(ids, "s2/") == 1 && !strings.Contains(ids, old) && strings.Contains(ids, all[2].id.ID())
 	})
 	// Under a name that serves there is no second one.
-	twin := startOne(t, "s1", t.TempDir(), all[0].cfg.API)
+	twin := startSteward(t, "s1", t.TempDir(), all[0].cfg.API)
 	defer twin.stop()
 	var no *call.Refusal
 	eventually(t, "the twin is refused", func() bool {
@@ -176,7 +176,7 @@
 		return errors.As(err, &no) && no.Status == http.StatusConflict
 	})
 	// One that is removed ends.
-	if err := client.Do(t.Context(), call.PathRemove, call.RemoveIn{ID: "s2"}, &call.Done{}, 5*time.Second); err != nil {
+	if err := client.Do(t.Context(), call.PathRemove, call.RemoveIn{ID: "s2"}, &call.Empty{}, 5*time.Second); err != nil {
 		t.Fatal(err)
 	}
 	all[2].done.Wait()
@@ -186,53 +186,53 @@
 	all = all[:2]
 }
 
-func TestAnOlderFolderTakesNoPart(t *testing.T) {
-	x, err := identify(t.TempDir(), "a")
+func TestOutdatedFolderIsRefused(t *testing.T) {
+	x, err := openIdentity(t.TempDir(), "a")
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := x.belong("c", 1); err != nil {
+	if err := x.setCluster("c", 1); err != nil {
 		t.Fatal(err)
 	}
 	h := hello{From: "b/1", Cluster: "c", start: start{5, "boot"}, progress: progress{3, 40}}
-	if err := errors.Join(x.meet(h), x.meet(h)); err != nil {
+	if err := errors.Join(x.checkPeer(h), x.checkPeer(h)); err != nil {
 		t.Fatal(err)
 	}
 	for _, bad := range []hello{{From: "b/1", Cluster: "c", start: start{4, "other"}}, {From: "b/1", Cluster: "c", start: start{5, "other"}}} {
-		if err := x.meet(bad); !errors.Is(err, errOlder) {
+		if err := x.checkPeer(bad); !errors.Is(err, errOutdatedFolder) {
 			t.Errorf("%+v: %v", bad, err)
 		}
 	}
 	// A copy that was made while the last process ran, and put back after it: only what it has acknowledged tells.
-	x.heard("b/1", progress{3, 41})
+	x.recordAck("b/1", progress{3, 41})
 	for _, p := range []progress{{3, 40}, {2, 50}} {
-		if err := x.meet(hello{From: "b/1", Cluster: "c", start: start{6, "next"}, progress: p}); !errors.Is(err, errOlder) {
+		if err := x.checkPeer(hello{From: "b/1", Cluster: "c", start: start{6, "next"}, progress: p}); !errors.Is(err, errOutdatedFolder) {
 			t.Errorf("%+v after term 3 and entry 41: %v", p, err)
 		}
 	}
-	if err := x.meet(hello{From: "b/1", Cluster: "z", start: start{9, "x"}}); err == nil {
+	if err := x.checkPeer(hello{From: "b/1", Cluster: "z", start: start{9, "x"}}); err == nil {
 		t.Error("of another cluster")
 	}
 	// It is known after a restart too, and the folder of one steward is no other's.
-	y, err := identify(x.dir, "a")
-	if err != nil || y.kept.Starts != 2 {
+	y, err := openIdentity(x.dir, "a")
+	if err != nil || y.saved.Starts != 2 {
 		t.Fatalf("%+v, %v", y, err)
 	}
-	if err := y.meet(hello{From: "b/1", Cluster: "c", start: start{4, "other"}}); !errors.Is(err, errOlder) {
+	if err := y.checkPeer(hello{From: "b/1", Cluster: "c", start: start{4, "other"}}); !errors.Is(err, errOutdatedFolder) {
 		t.Errorf("after a restart: %v", err)
 	}
-	if _, err := identify(x.dir, "b"); err == nil {
+	if _, err := openIdentity(x.dir, "b"); err == nil {
 		t.Error("another's folder")
 	}
-	os.Remove(filepath.Join(x.dir, identityName))
-	os.WriteFile(filepath.Join(x.dir, logName), nil, 0o600)
-	if _, err := identify(x.dir, "a"); err == nil {
+	os.Remove(filepath.Join(x.dir, identityFile))
+	os.WriteFile(filepath.Join(x.dir, logFile), nil, 0o600)
+	if _, err := openIdentity(x.dir, "a"); err == nil {
 		t.Error("a log without an identity")
 	}
 }
 
-func TestAHolderHandsOnAtOnce(t *testing.T) {
-	all, client := begun(t, 1)
+func TestStepDownHandsOverImmediately(t *testing.T) {
+	all, client := startCluster(t, 1)
 	defer all[0].stop()
 	ctx, cancel := context.WithCancel(t.Context())
 	var running sync.WaitGroup
@@ -241,7 +241,7 @@
 	began := make(chan string, 16)
 	start := func(name string) *holder.Holder {
 		h := holder.New(holder.Config{Client: client, Name: name, Lease: time.Minute, Log: slog.New(slog.DiscardHandler)})
-		h.Want("d", func(ctx context.Context, term *holder.Term) error {
+		h.Register("d", func(ctx context.Context, term *holder.Term) error {
 			began <- fmt.Sprintf("%s %v %v", name, term.Epoch > 0, term.Valid())
 			<-ctx.Done()
 			return nil
@@ -259,7 +259,7 @@
 		return client.Do(t.Context(), call.PathDuties, nil, &out, 0) == nil && out.Duties[0].Waiting == 1
 	})
 	// With a lease of a minute, only a word in order hands it on within the test.
-	if err := client.Do(t.Context(), call.PathStepDown, call.StepDownIn{Duty: "d", BarMS: 3600000}, &call.Duty{}, call.WaitMost); err != nil {
+	if err := client.Do(t.Context(), call.PathStepDown, call.StepDownIn{Duty: "d", BarMS: 3600000}, &call.Duty{}, call.MaxWait); err != nil {
 		t.Fatal(err)
 	}
 	if got := <-began; got != "b true true" {
@@ -267,44 +267,44 @@
 	}
 }
 
-func TestGoingOnAloneRaisesEpochs(t *testing.T) {
+func TestRecoveryRaisesEpochs(t *testing.T) {
 	dir := t.TempDir()
-	x := startOne(t, "s0", dir)
+	x := startSteward(t, "s0", dir)
 	client := call.NewClient([]string{x.cfg.API}, nil)
 	defer client.Close()
-	if _, err := client.One(t.Context(), x.cfg.API, call.PathBegin, call.Done{}, &call.JoinOut{}, time.Second); err != nil {
+	if _, err := client.DoAt(t.Context(), x.cfg.API, call.PathBegin, call.Empty{}, &call.JoinOut{}, time.Second); err != nil {
 		t.Fatal(err)
 	}
-	y := startOne(t, "s1", t.TempDir(), x.cfg.API)
+	y := startSteward(t, "s1", t.TempDir(), x.cfg.API)
 	eventually(t, "two stewards", func() bool { return len(list(t, client, x.cfg.API)) == 2 })
 	before := claim(t, client, "a", "1")
 	y.stop()
 	x.stop()
 	cfg := x.cfg
 	found, err := Inspect(cfg)
-	if err != nil || len(found.Stewards) != 2 || found.Last != before || !strings.Contains(found.Words(), "lost") {
+	if err != nil || len(found.Stewards) != 2 || found.Last != before || !strings.Contains(found.Summary(), "lost") {
 		t.Fatalf("%+v, %v", found, err)
 	}
 	if _, err := Recover(cfg); err != nil {
 		t.Fatal(err)
 	}
-	x = startOne(t, "s0", dir)
+	x = startSteward(t, "s0", dir)
 	defer x.stop()
 	again := call.NewClient([]string{x.cfg.API}, nil)
 	defer again.Close()
-	if e := claim(t, again, "b", "2"); e <= before+raiseBy {
+	if e := claim(t, again, "b", "2"); e <= before+epochJump {
 		t.Errorf("epoch %d after %d", e, before)
 	}
 	if _, era := x.id.cluster(); era != 2 {
 		t.Errorf("era %d", era)
 	}
 	// A client that has heard of the new era ignores stewards of the one before.
-	if _, err := again.One(t.Context(), x.cfg.API, call.PathStewards, nil, &call.StewardsOut{}, time.Second); err != nil {
+	if _, err := again.DoAt(t.Context(), x.cfg.API, call.PathStewards, nil, &call.StewardsOut{}, time.Second); err != nil {
 		t.Fatal(err)
 	}
-	old := startOne(t, "s1", y.cfg.Dir)
+	old := startSteward(t, "s1", y.cfg.Dir)
 	defer old.stop()
-	if _, err := again.One(t.Context(), old.cfg.API, call.PathStewards, nil, &call.StewardsOut{}, time.Second); err == nil {
+	if _, err := again.DoAt(t.Context(), old.cfg.API, call.PathStewards, nil, &call.StewardsOut{}, time.Second); err == nil {
 		t.Error("a steward that was given up is listened to")
 	}
 }
@@ -322,7 +322,7 @@
 }
 
 func TestBadRequestsGetA4xx(t *testing.T) {
-	all, _ := begun(t, 1)
+	all, _ := startCluster(t, 1)
 	defer all[0].stop()
 	post := func(path, body string) int {
 		res, err := http.Post("http://"+all[0].cfg.API+path, "application/json", strings.NewReader(body))
@@ -336,14 +336,14 @@
 	eventually(t, "it leads", func() bool {
 		all[0].mu.Lock()
 		defer all[0].mu.Unlock()
-		return all[0].current() != nil
+		return all[0].currentLeadership() != nil
 	})
 	for _, r := range requests {
 		if status := post(r.path, r.body); status < 400 || status > 499 {
 			t.Errorf("%s %.60s: %d", r.path, r.body, status)
 		}
 	}
-	if status := post(call.PathClaim, `{"holder":"`+strings.Repeat("a", 2*call.BodyMost)+`"}`); status != http.StatusRequestEntityTooLarge {
+	if status := post(call.PathClaim, `{"holder":"`+strings.Repeat("a", 2*call.MaxBodyBytes)+`"}`); status != http.StatusRequestEntityTooLarge {
 		t.Errorf("too long: %d", status)
 	}
 	if status := post("/v1/nothing", ""); status != http.StatusNotFound {
@@ -380,7 +380,7 @@
 		if err != nil {
 			t.Skip()
 		}
-		w := &answerTo{header: http.Header{}}
+		w := &responseRecorder{header: http.Header{}}
 		h.ServeHTTP(w, req)
 		// It does not lead: what makes sense gets a 503, everything else a 4xx.
 		if w.status != http.StatusServiceUnavailable && (w.status < 400 || w.status > 499) {
@@ -393,19 +393,19 @@
 	})
 }
 
-type answerTo struct {
+type responseRecorder struct {
 	header http.Header
 	status int
 	body   bytes.Buffer
 }
 
-func (w *answerTo) Header() http.Header { return w.header }
-func (w *answerTo) WriteHeader(s int) {
+func (w *responseRecorder) Header() http.Header { return w.header }
+func (w *responseRecorder) WriteHeader(s int) {
 	if w.status == 0 {
 		w.status = s
 	}
 }
-func (w *answerTo) Write(p []byte) (int, error) { w.WriteHeader(http.StatusOK); return w.body.Write(p) }
+func (w *responseRecorder) Write(p []byte) (int, error) { w.WriteHeader(http.StatusOK); return w.body.Write(p) }
 
 func FuzzHello(f *testing.F) {
 	var good bytes.Buffer
@@ -418,7 +418,7 @@
 	f.Fuzz(func(t *testing.T, data []byte) {
 		in := bytes.NewReader(data)
 		h, err := readHello(in)
-		if read := len(data) - in.Len(); read > helloMost {
+		if read := len(data) - in.Len(); read > maxHelloBytes {
 			t.Errorf("%d bytes are read", read)
 		}
 		if err != nil {
@@ -429,7 +429,7 @@
 		if err := writeHello(&again, h); err != nil {
 			t.Fatal(err)
 		}
-		if again.Len() > helloMost {
+		if again.Len() > maxHelloBytes {
 			return // names that grow by being escaped
 		}
 		if same, err := readHello(&again); err != nil || same != h {
--- a/internal/duty/steward/stream.go
+++ b/internal/duty/steward/stream.go
@@ -15,10 +15,10 @@
 )
 
 const (
-	helloFor   = time.Second
-	helloMost  = 1 << 10
-	guestsMost = 64 // connections that have not said who they are
-	guestRoom  = 16
+	helloTimeout   = time.Second
+	maxHelloBytes  = 1 << 10
+	maxPendingConns = 64 // connections that have not said who they are
+	acceptQueue  = 16
 )
 
 // hello is what two stewards tell each other before anything else, as a line of JSON each.
@@ -33,39 +33,39 @@
 	Error string `json:"error,omitempty"`
 }
 
-// stream carries the library's connections. Each begins with a hello either way, so that nobody speaks with a stranger, with a
+// streamLayer carries the library's connections. Each begins with a hello either way, so that nobody speaks with a stranger, with a
 // steward whose folder was emptied under the same address, or with one whose folder is older than what it has said before:
 // raft trusts that stewards forget nothing.
-type stream struct {
+type streamLayer struct {
 	net.Listener
 	fleet  string
 	dialer *net.Dialer
 	id     *identity
 	log    *slog.Logger
-	guests chan net.Conn
+	accepted chan net.Conn
 	closed chan struct{}
 	once   sync.Once
 
 	mu      sync.Mutex
-	conns   map[net.Conn]struct{} // that have not said who they are
+	pending   map[net.Conn]struct{} // that have not said who they are
 	open    map[net.Conn]struct{} // that have, and are the library's now
 	refused map[string]string     // the last refusal of each, which is told once
 }
 
-func listen(cfg Config, id *identity) (*stream, error) {
+func listen(cfg Config, id *identity) (*streamLayer, error) {
 	l, err := net.Listen("tcp", cfg.Listen)
 	if err != nil {
 		return nil, fmt.Errorf("steward: %w", err)
 	}
-	s := &stream{Listener: l, fleet: cfg.Fleet, dialer: &net.Dialer{Timeout: helloFor}, id: id, log: cfg.Log, guests: make(chan net.Conn, guestRoom), closed: make(chan struct{}),
-		conns: map[net.Conn]struct{}{}, open: map[net.Conn]struct{}{}, refused: map[string]string{}}
-	if ip := net.ParseIP(host(cfg.Listen)); ip != nil && !ip.IsUnspecified() {
+	s := &streamLayer{Listener: l, fleet: cfg.Fleet, dialer: &net.Dialer{Timeout: helloTimeout}, id: id, log: cfg.Log, accepted: make(chan net.Conn, acceptQueue), closed: make(chan struct{}),
+		pending: map[net.Conn]struct{}{}, open: map[net.Conn]struct{}{}, refused: map[string]string{}}
+	if ip := net.ParseIP(hostOf(cfg.Listen)); ip != nil && !ip.IsUnspecified() {
 		s.dialer.LocalAddr = &net.TCPAddr{IP: ip} // the others know a steward by the address that it listens at
 	}
 	return s, nil
 }
 
-func (s *stream) run() {
+func (s *streamLayer) run() {
 	for {
 		c, err := s.Listener.Accept()
 		if errors.Is(err, net.ErrClosed) {
@@ -76,34 +76,34 @@
 			continue
 		}
 		s.mu.Lock()
-		room := len(s.conns) < guestsMost
+		room := len(s.pending) < maxPendingConns
 		if room {
-			s.conns[c] = struct{}{}
+			s.pending[c] = struct{}{}
 		}
 		s.mu.Unlock()
 		if !room {
 			c.Close()
 			continue
 		}
-		go s.greet(c)
+		go s.handshakeIn(c)
 	}
 }
 
-// greet takes a connection once its far side has said who it is.
-func (s *stream) greet(c net.Conn) {
+// handshakeIn takes a connection once its far side has said who it is.
+func (s *streamLayer) handshakeIn(c net.Conn) {
 	defer func() {
 		s.mu.Lock()
-		delete(s.conns, c)
+		delete(s.pending, c)
 		s.mu.Unlock()
 	}()
-	c.SetDeadline(time.Now().Add(helloFor))
+	c.SetDeadline(time.Now().Add(helloTimeout))
 	h, err := readHello(c)
 	if err == nil && h.To != s.id.ID() {
 		err = fmt.Errorf("this is %s", s.id.ID())
 	}
 	if cluster, _ := s.id.cluster(); err == nil && cluster == "" && h.Fleet == s.fleet && h.Cluster != "" {
 		// Whoever knows this folder by its mark has been asked for a place by it, and has given one.
-		err = s.id.belong(h.Cluster, h.Era)
+		err = s.id.setCluster(h.Cluster, h.Era)
 	}
 	if err == nil {
 		err = s.check(h)
@@ -114,7 +114,7 @@
 		mine.Error = err.Error()
 	}
 	if e := writeHello(c, mine); err != nil || e != nil || c.SetDeadline(time.Time{}) != nil {
-		s.tell(h.From, err)
+		s.logRefusal(h.From, err)
 		c.Close()
 		return
 	}
@@ -122,39 +122,39 @@
 	s.open[c] = struct{}{}
 	s.mu.Unlock()
 	select {
-	case s.guests <- guest{c, s}:
+	case s.accepted <- peerConn{c, s}:
 	case <-s.closed:
 		c.Close()
 	}
 }
 
-// guest is a connection that is the library's. The library leaves open ones alone when it ends.
-type guest struct {
+// peerConn is a connection that is the library's. The library leaves open ones alone when it ends.
+type peerConn struct {
 	net.Conn
-	of *stream
+	stream *streamLayer
 }
 
-func (g guest) Close() error {
-	g.of.mu.Lock()
-	delete(g.of.open, g.Conn)
-	g.of.mu.Unlock()
+func (g peerConn) Close() error {
+	g.stream.mu.Lock()
+	delete(g.stream.open, g.Conn)
+	g.stream.mu.Unlock()
 	return g.Conn.Close()
 }
 
-func (s *stream) check(h hello) error {
+func (s *streamLayer) check(h hello) error {
 	if h.Fleet != s.fleet {
 		return fmt.Errorf("it belongs to fleet %q, this one to %q", h.Fleet, s.fleet)
 	}
-	return s.id.meet(h)
+	return s.id.checkPeer(h)
 }
 
-// tell writes a line for a refusal, once for each cause.
-func (s *stream) tell(who string, err error) {
+// logRefusal writes a line for a refusal, once for each cause.
+func (s *streamLayer) logRefusal(who string, err error) {
 	if err == nil {
 		return
 	}
 	s.mu.Lock()
-	first := s.refused[who] != err.Error() && len(s.refused) < peersMost
+	first := s.refused[who] != err.Error() && len(s.refused) < maxPeers
 	if first {
 		s.refused[who] = err.Error()
 	}
@@ -165,9 +165,9 @@
 }
 
 // Accept is raft's.
-func (s *stream) Accept() (net.Conn, error) {
+func (s *streamLayer) Accept() (net.Conn, error) {
 	select {
-	case c := <-s.guests:
+	case c := <-s.accepted:
 		return c, nil
 	case <-s.closed:
 		return nil, net.ErrClosed
@@ -175,22 +175,22 @@
 }
 
 // Dial is raft's.
-func (s *stream) Dial(to raft.ServerAddress, _ time.Duration) (net.Conn, error) {
-	id, addr, _ := parts(to)
+func (s *streamLayer) Dial(to raft.ServerAddress, _ time.Duration) (net.Conn, error) {
+	id, addr, _ := splitAddress(to)
 	c, err := s.dialer.Dial("tcp", addr)
 	if err != nil {
 		return nil, err
 	}
-	if err := s.introduce(c, id); err != nil {
+	if err := s.handshakeOut(c, id); err != nil {
 		c.Close()
-		s.tell(id, err)
+		s.logRefusal(id, err)
 		return nil, err
 	}
 	return c, nil
 }
 
-func (s *stream) introduce(c net.Conn, to string) error {
-	if err := c.SetDeadline(time.Now().Add(helloFor)); err != nil {
+func (s *streamLayer) handshakeOut(c net.Conn, to string) error {
+	if err := c.SetDeadline(time.Now().Add(helloTimeout)); err != nil {
 		return err
 	}
 	mine, err := s.id.hello()
@@ -218,14 +218,14 @@
 }
 
 // Close is raft's.
-func (s *stream) Close() error {
+func (s *streamLayer) Close() error {
 	err := error(nil)
 	s.once.Do(func() {
 		close(s.closed)
 		err = s.Listener.Close()
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		for c := range s.conns {
+		for c := range s.pending {
 			c.Close()
 		}
 		for c := range s.open {
@@ -246,7 +246,7 @@
 
 // readHello reads a line and no byte beyond it: what follows is raft's.
 func readHello(r io.Reader) (h hello, err error) {
-	in := bufio.NewReaderSize(io.LimitReader(r, helloMost), helloMost)
+	in := bufio.NewReaderSize(io.LimitReader(r, maxHelloBytes), maxHelloBytes)
 	line, err := in.ReadSlice('\n')
 	if err != nil {
 		return h, fmt.Errorf("no hello: %w", err)
@@ -279,7 +279,7 @@
 		if n := len(in.Entries); n > 0 {
 			last = in.Entries[n-1].Index
 		}
-		t.id.heard(string(id), progress{out.Term, min(last, in.LeaderCommitIndex)})
+		t.id.recordAck(string(id), progress{out.Term, min(last, in.LeaderCommitIndex)})
 	}
 	return err
 }
@@ -288,7 +288,7 @@
 func (t transport) RequestVote(id raft.ServerID, to raft.ServerAddress, in *raft.RequestVoteRequest, out *raft.RequestVoteResponse) error {
 	err := t.NetworkTransport.RequestVote(id, to, in, out)
 	if err == nil && out.Granted {
-		t.id.heard(string(id), progress{Term: out.Term})
+		t.id.recordAck(string(id), progress{Term: out.Term})
 	}
 	return err
 }
--- a/internal/duty/table.go
+++ b/internal/duty/table.go
@@ -21,14 +21,14 @@
 
 // The bounds of what stewards keep. No request makes them grow beyond these.
 const (
-	NameMost   = 64  // bytes of a duty's, a holder's or a claim's name
-	DutiesMost = 512 // duties that are known at once; those that nobody holds make way
-	barsMost   = 16  // processes barred from one duty
-	endedMost  = 8   // ended claims that a duty remembers
-	// LeaseLeast and LeaseMost bound a lease.
-	LeaseLeast = 500 * time.Millisecond
-	LeaseMost  = 5 * time.Minute
-	BarMost    = time.Hour
+	MaxNameBytes   = 64  // bytes of a duty's, a holder's or a claim's name
+	MaxDuties = 512 // duties that are known at once; those that nobody holds make way
+	maxBars   = 16  // processes barred from one duty
+	maxEndedClaims  = 8   // ended claims that a duty remembers
+	// MinLease and LeaseMost bound a lease.
+	MinLease = 500 * time.Millisecond
+	MaxLease  = 5 * time.Minute
+	MaxBar    = time.Hour
 )
 
 // Op names what a command does.
@@ -36,11 +36,11 @@
 
 // The commands.
 const (
-	Reign    Op = "reign"     // a leader begins: tells its term
+	BeginTerm    Op = "reign"     // a leader begins: tells its term
 	Claim    Op = "claim"     // grants a duty that nobody holds, or whose lease is over
 	Release  Op = "release"   // ends a grant, perhaps for another process
 	StepDown Op = "step-down" // the same, and bars its holder for a time
-	Raise    Op = "raise"     // epochs go on above a number
+	RaiseEpochs    Op = "raise"     // epochs go on above a number
 )
 
 // Command is one change of a Table.
@@ -84,12 +84,12 @@
 
 // The refusals of a command.
 var (
-	ErrStale  = errors.New("decided on in an earlier reign")
-	ErrMoved  = errors.New("the duty has moved on")
+	ErrStaleTerm  = errors.New("decided on in an earlier reign")
+	ErrConflict  = errors.New("the duty has moved on")
 	ErrHeld   = errors.New("held by another")
-	ErrOver   = errors.New("this claim is over")
+	ErrClaimEnded   = errors.New("this claim is over")
 	ErrBarred = errors.New("made to step down, and barred for a time")
-	ErrFull   = errors.New("too many duties")
+	ErrTooManyDuties   = errors.New("too many duties")
 )
 
 // Result is what became of a command.
@@ -108,8 +108,8 @@
 // NewTable returns one in which nothing was ever granted.
 func NewTable() *Table { return &Table{duties: map[string]*Grant{}} }
 
-// Last is the highest epoch that was ever granted.
-func (t *Table) Last() uint64 { return t.last }
+// LastEpoch is the highest epoch that was ever granted.
+func (t *Table) LastEpoch() uint64 { return t.last }
 
 // Get is a duty; its zero value but for the name if it was never granted.
 func (t *Table) Get(name string) Grant {
@@ -138,13 +138,13 @@
 // same table everywhere.
 func (t *Table) Apply(c Command, term uint64) Result {
 	switch {
-	case c.Op == Reign:
+	case c.Op == BeginTerm:
 		return Result{Term: term}
-	case c.Op == Raise:
+	case c.Op == RaiseEpochs:
 		t.last = max(t.last, c.After)
 		return Result{Term: term}
 	case c.Term != term:
-		return Result{Grant: t.Get(c.Duty), Err: ErrStale}
+		return Result{Grant: t.Get(c.Duty), Err: ErrStaleTerm}
 	}
 	g := t.duties[c.Duty]
 	if g == nil {
@@ -156,22 +156,22 @@
 			return Result{Grant: g.clone()}
 		}
 		if slices.ContainsFunc(g.Ended, func(e Ended) bool { return e.ID == c.ID }) {
-			return Result{Grant: g.clone(), Err: ErrOver}
+			return Result{Grant: g.clone(), Err: ErrClaimEnded}
 		}
 	}
 	if g.Epoch != c.After {
-		return Result{Grant: g.clone(), Err: ErrMoved}
+		return Result{Grant: g.clone(), Err: ErrConflict}
 	}
 	switch c.Op {
 	case Claim:
 		if _, barred := g.Bars[c.Holder]; barred && !c.Lift {
 			return Result{Grant: g.clone(), Err: ErrBarred}
 		}
-		if t.duties[c.Duty] == nil && !t.room() {
-			return Result{Grant: g.clone(), Err: ErrFull}
+		if t.duties[c.Duty] == nil && !t.makeRoom() {
+			return Result{Grant: g.clone(), Err: ErrTooManyDuties}
 		}
 		t.duties[c.Duty] = g
-		g.end()
+		g.vacate()
 		if delete(g.Bars, c.Holder); c.Quick {
 			g.Quick++
 		} else {
@@ -181,22 +181,22 @@
 		g.Epoch, g.Holder, g.Addr, g.ID, g.Lease, g.To = t.last, c.Holder, c.Addr, c.ID, c.Lease, ""
 	case Release:
 		if g.Holder == "" || g.Holder != c.Holder {
-			return Result{Grant: g.clone(), Err: ErrMoved}
+			return Result{Grant: g.clone(), Err: ErrConflict}
 		}
-		g.end()
+		g.vacate()
 		g.Quick, g.To = 0, c.To
 	case StepDown:
 		if g.Holder == "" {
-			return Result{Grant: g.clone(), Err: ErrMoved}
+			return Result{Grant: g.clone(), Err: ErrConflict}
 		}
 		if g.Bars == nil {
 			g.Bars = map[string]time.Duration{}
 		}
-		for len(g.Bars) >= barsMost { // the first by name: every steward takes the same
+		for len(g.Bars) >= maxBars { // the first by name: every steward takes the same
 			delete(g.Bars, slices.Min(slices.Collect(maps.Keys(g.Bars))))
 		}
 		g.Bars[g.Holder] = c.Bar
-		g.end()
+		g.vacate()
 		g.Quick, g.To = 0, c.To
 	default:
 		return Result{Err: fmt.Errorf("no command %q", c.Op)}
@@ -204,19 +204,19 @@
 	return Result{Grant: g.clone()}
 }
 
-// end has a duty held by nobody.
-func (g *Grant) end() {
+// vacate has a duty held by nobody.
+func (g *Grant) vacate() {
 	if g.ID != "" {
 		g.Ended = append(g.Ended, Ended{g.ID, g.Epoch})
-		g.Ended = g.Ended[max(0, len(g.Ended)-endedMost):]
+		g.Ended = g.Ended[max(0, len(g.Ended)-maxEndedClaims):]
 	}
 	g.Holder, g.Addr, g.ID = "", "", ""
 }
 
-// room makes room for another duty, by forgetting the one that nobody holds and that was granted longest ago. Its epochs stay
+// makeRoom makes makeRoom for another duty, by forgetting the one that nobody holds and that was granted longest ago. Its epochs stay
 // used: they are counted over all duties.
-func (t *Table) room() bool {
-	if len(t.duties) < DutiesMost {
+func (t *Table) makeRoom() bool {
+	if len(t.duties) < MaxDuties {
 		return true
 	}
 	var oldest *Grant
@@ -239,10 +239,10 @@
 	Duties []Grant
 }
 
-const format = 1
+const snapshotFormat = 1
 
 // Encode writes the table down.
-func (t *Table) Encode() ([]byte, error) { return json.Marshal(snapshot{format, t.last, t.All()}) }
+func (t *Table) Encode() ([]byte, error) { return json.Marshal(snapshot{snapshotFormat, t.last, t.All()}) }
 
 // Decode reads what Encode wrote.
 func Decode(data []byte) (*Table, error) {
@@ -250,7 +250,7 @@
 	if err := json.Unmarshal(data, &s); err != nil {
 		return nil, fmt.Errorf("duty: snapshot: %w", err)
 	}
-	if s.Format != format {
+	if s.Format != snapshotFormat {
 		return nil, fmt.Errorf("duty: snapshot: format %d is not known to this version", s.Format)
 	}
 	t := &Table{last: s.Last, duties: map[string]*Grant{}}
@@ -265,8 +265,8 @@
 
 // CheckName tells whether a duty, a holder or a claim may have this name: 1 to NameMost bytes, printable and without spaces.
 func CheckName(s string) error {
-	if s == "" || len(s) > NameMost {
-		return fmt.Errorf("a name has 1 to %d bytes", NameMost)
+	if s == "" || len(s) > MaxNameBytes {
+		return fmt.Errorf("a name has 1 to %d bytes", MaxNameBytes)
 	}
 	for _, r := range s {
 		if r <= ' ' || r == 0x7f || r > 0xff && r == 0xfffd {
