--- a/internal/membership/gossip/fleet.go
+++ b/internal/membership/gossip/fleet.go
@@ -28,35 +28,35 @@
 )
 
 const (
-	tickEvery     = time.Second
-	gather        = 50 * time.Millisecond
-	gatherMore    = time.Millisecond // for each member: what a view costs grows with them
-	digestsTo     = 2                // members that are told of the view each second
-	rejoinFrom    = 2 * time.Second
-	rejoinTo      = 4 * time.Second
-	aloneFrom     = 250 * time.Millisecond
-	aloneTo       = time.Second
-	rejoinShare   = 12
-	gossipFor     = time.Second // from a change of members until the rest is no gossip's any more
-	reconcileFrom = time.Second
-	reconcileTo   = 2 * time.Second
-	seedsEvery    = 5 * time.Second
-	looksMost     = 2 // members away whose addresses are looked at each second
-	probeFor      = time.Second
-	leaveFor      = 500 * time.Millisecond
-	metaMost      = 256 // bytes of what a process tells of itself
-	nameMost      = 64
-
-	// The detector's pace. A member is looked at every probeEvery by somebody, and has suspicion from then on to say that it
+	tickInterval     = time.Second
+	batchDelayBase        = 50 * time.Millisecond
+	batchDelayPerMember    = time.Millisecond // for each member: what a view costs grows with them
+	digestFanout     = 2                // members that are told of the view each second
+	rejoinMin    = 2 * time.Second
+	rejoinMax      = 4 * time.Second
+	aloneRejoinMin     = 250 * time.Millisecond
+	aloneRejoinMax       = time.Second
+	rejoinScaleFrom   = 12
+	reconcileDelay     = time.Second // from a change of members until the rest is no gossip's any more
+	reconcileMin = time.Second
+	reconcileMax   = 2 * time.Second
+	seedBackoffStep    = 5 * time.Second
+	maxDialProbes     = 2 // members away whose addresses are looked at each second
+	dialProbeTimeout      = time.Second
+	leaveTimeout      = 500 * time.Millisecond
+	maxMetaBytes      = 256 // bytes of what a process tells of itself
+	maxNameBytes      = 64
+
+	// The detector's pace. A member is looked at every probeInterval by somebody, and has suspicion from then on to say that it
 	// is there, whatever the fleet's size: a pause of a second and a lost datagram or two remove nobody.
-	probeEvery = 500 * time.Millisecond
-	probeWait  = 250 * time.Millisecond
-	suspicion  = 3 * time.Second
+	probeInterval = 500 * time.Millisecond
+	probeTimeout  = 250 * time.Millisecond
+	suspicionTimeout  = 3 * time.Second
 	// What changes is passed on to so many others so often. At rest nothing is; where twenty members of a hundred end within
 	// a second, sixty messages have to go, eight to a packet and each a dozen times.
-	gossipTo   = 4
-	gossipWait = 100 * time.Millisecond
-	deadGossip = 10 * time.Second
+	gossipFanout   = 4
+	gossipInterval = 100 * time.Millisecond
+	gossipToDead = 10 * time.Second
 )
 
 // Fleet is this process's part in the fleet.
@@ -64,27 +64,27 @@
 	cfg    membership.Config
 	self   membership.Process
 	list   *memberlist.Memberlist
-	at     *transport
+	transport     *transport
 	cancel context.CancelFunc
-	work   sync.WaitGroup
-	wake   chan struct{} // holds one: the view has changed
+	loops   sync.WaitGroup
+	viewChanged   chan struct{} // holds one: the view has changed
 
 	mu      sync.Mutex // guards what follows
 	tracker *membership.Tracker
-	told    func(membership.View) // nil: nobody
-	refused map[string]bool
+	onView    func(membership.View) // nil: nobody
+	rejected map[string]bool
 }
 
 // Join is membership.Join.
 func Join(cfg membership.Config, told func(membership.View)) (membership.Fleet, error) {
-	return JoinOver(nil)(cfg, told)
+	return JoinWith(nil)(cfg, told)
 }
 
-// Over puts something between a member and its network.
-type Over func(cfg membership.Config, network memberlist.NodeAwareTransport) memberlist.NodeAwareTransport
+// TransportWrapper puts something between a member and its network.
+type TransportWrapper func(cfg membership.Config, network memberlist.NodeAwareTransport) memberlist.NodeAwareTransport
 
-// JoinOver is Join over another network, one that can be cut, say; nil: the usual one.
-func JoinOver(over Over) membership.Join {
+// JoinWith is Join over another network, one that can be cut, say; nil: the usual one.
+func JoinWith(over TransportWrapper) membership.Join {
 	return func(cfg membership.Config, told func(membership.View)) (membership.Fleet, error) {
 		f, err := start(cfg, over, told)
 		if err != nil {
@@ -94,7 +94,7 @@
 	}
 }
 
-func start(cfg membership.Config, over Over, told func(membership.View)) (*Fleet, error) {
+func start(cfg membership.Config, over TransportWrapper, told func(membership.View)) (*Fleet, error) {
 	host, port, err := net.SplitHostPort(cfg.Bind)
 	if err != nil {
 		return nil, fmt.Errorf("membership: bind: %w", err)
@@ -103,11 +103,11 @@
 	if err != nil {
 		return nil, fmt.Errorf("membership: bind: %w", err)
 	}
-	folder, incarnation, err := membership.Identify(cfg.StateDir, time.Now())
+	folder, incarnation, err := membership.BeginIncarnation(cfg.StateDir, time.Now())
 	if err != nil {
 		return nil, err
 	}
-	f := &Fleet{cfg: cfg, wake: make(chan struct{}, 1), told: told, refused: map[string]bool{}}
+	f := &Fleet{cfg: cfg, viewChanged: make(chan struct{}, 1), onView: told, rejected: map[string]bool{}}
 	f.self = membership.Process{Name: cfg.Name, Building: cfg.Building, Incarnation: incarnation, Folder: folder, Version: cfg.Version, Admin: cfg.Admin,
 		State: membership.Starting}
 
@@ -124,20 +124,20 @@
 		}
 		c.AdvertiseAddr = ahost
 	}
-	c.ProbeInterval, c.ProbeTimeout, c.SuspicionMult = probeEvery, probeWait, multiple(cfg.Size)
+	c.ProbeInterval, c.ProbeTimeout, c.SuspicionMult = probeInterval, probeTimeout, suspicionMultiplier(cfg.Size)
 	c.SuspicionMaxTimeoutMult = 1 // more for a suspicion that nobody shares would be up to six times as long
-	c.GossipNodes, c.GossipInterval, c.GossipToTheDeadTime = gossipTo, gossipWait, deadGossip
+	c.GossipNodes, c.GossipInterval, c.GossipToTheDeadTime = gossipFanout, gossipInterval, gossipToDead
 	// A packet of gossip is small, and a compressor's tables cost more than all else that is done with it.
 	c.EnableCompression = false
 	c.DNSConfigPath = "/dev/null" // there is no DNS
-	c.Logger = log.New(libraryLog{cfg.Log}, "", 0)
+	c.Logger = log.New(logAdapter{cfg.Log}, "", 0)
 	c.LogOutput = nil
-	c.Events, c.Delegate, c.Alive = events{f}, delegate{f}, alive{f}
+	c.Events, c.Delegate, c.Alive = events{f}, delegate{f}, admission{f}
 	at, err := newTransport(host, portNumber, c.Logger)
 	if err != nil {
 		return nil, fmt.Errorf("membership: listen at %s: %w", cfg.Bind, err)
 	}
-	f.at = at
+	f.transport = at
 	if c.Transport = at; portNumber == 0 {
 		c.BindPort = at.GetAutoBindPort()
 		c.AdvertisePort = c.BindPort
@@ -152,17 +152,17 @@
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	f.cancel = cancel
-	f.work.Go(func() { f.tick(ctx) })
-	f.work.Go(func() { f.rejoin(ctx) })
-	f.work.Go(func() { f.tell(ctx) })
-	f.work.Go(func() { f.reconcile(ctx) })
+	f.loops.Go(func() { f.tick(ctx) })
+	f.loops.Go(func() { f.rejoin(ctx) })
+	f.loops.Go(func() { f.publishViews(ctx) })
+	f.loops.Go(func() { f.reconcile(ctx) })
 	return f, nil
 }
 
-// multiple is what the library multiplies its pace and the logarithm of the fleet's size by for the time of a suspicion.
-func multiple(size int) int {
+// suspicionMultiplier is what the library multiplies its pace and the logarithm of the fleet's size by for the time of a suspicion.
+func suspicionMultiplier(size int) int {
 	scale := max(1, math.Log10(float64(max(1, size))))
-	return max(2, int(suspicion.Seconds()/(scale*probeEvery.Seconds())+0.5))
+	return max(2, int(suspicionTimeout.Seconds()/(scale*probeInterval.Seconds())+0.5))
 }
 
 // nodeName is the library's name for a process: each has its own, so that the library never sees two under one.
@@ -177,20 +177,20 @@
 	return f.tracker.View()
 }
 
-// Bytes is what this process's part has sent, and taken on connections that it opened.
-func (f *Fleet) Bytes() int64 { return f.at.bytes.Load() }
+// NetworkBytes is what this process's part has sent, and taken on connections that it opened.
+func (f *Fleet) NetworkBytes() int64 { return f.transport.bytes.Load() }
 
-// Become tells the others of this process's state.
-func (f *Fleet) Become(s membership.State) { f.become(s, 0) }
+// SetState tells the others of this process's state.
+func (f *Fleet) SetState(s membership.State) { f.setState(s, 0) }
 
-// become waits so long for the others to be told; 0: not at all, the next gossip tells them.
-func (f *Fleet) become(s membership.State, most time.Duration) error {
+// setState waits so long for the others to be told; 0: not at all, the next gossip tells them.
+func (f *Fleet) setState(s membership.State, most time.Duration) error {
 	f.mu.Lock()
 	var changed bool
-	f.self, changed = f.tracker.Become(s, time.Now())
+	f.self, changed = f.tracker.SetState(s, time.Now())
 	f.mu.Unlock()
 	if changed {
-		f.changed()
+		f.notifyChanged()
 	}
 	return f.list.UpdateNode(most)
 }
@@ -199,55 +199,55 @@
 func (f *Fleet) Leave() error {
 	// The word first, by itself: the library's own word for an end takes the place of one that is still to go out, and does
 	// not tell those that are notified of it whether it was in order.
-	err := f.become(membership.Left, leaveFor)
-	return errors.Join(err, f.list.Leave(leaveFor), f.Close())
+	err := f.setState(membership.Left, leaveTimeout)
+	return errors.Join(err, f.list.Leave(leaveTimeout), f.Close())
 }
 
 // Close ends this process's part without a word: a newer process of its name has taken its place, or others find out.
 func (f *Fleet) Close() error {
 	f.cancel()
 	err := f.list.Shutdown()
-	f.work.Wait()
+	f.loops.Wait()
 	if err != nil {
 		return fmt.Errorf("membership: %w", err)
 	}
 	return nil
 }
 
-// changed has the new view told.
-func (f *Fleet) changed() {
+// notifyChanged has the new view told.
+func (f *Fleet) notifyChanged() {
 	select {
-	case f.wake <- struct{}{}:
+	case f.viewChanged <- struct{}{}:
 	default:
 	}
 }
 
-// on takes an event to the tracker.
-func (f *Fleet) on(event func(t *membership.Tracker, now time.Time) bool) {
+// update takes an event to the tracker.
+func (f *Fleet) update(event func(t *membership.Tracker, now time.Time) bool) {
 	f.mu.Lock()
 	changed := event(f.tracker, time.Now())
 	f.mu.Unlock()
 	if changed {
-		f.changed()
+		f.notifyChanged()
 	}
 }
 
-// GatherFor is the time for which a member gathers changes of so many members before it tells a view.
-func GatherFor(present int) time.Duration { return gather + time.Duration(present)*gatherMore }
+// BatchDelay is the time for which a member gathers changes of so many members before it tells a view.
+func BatchDelay(present int) time.Duration { return batchDelayBase + time.Duration(present)*batchDelayPerMember }
 
-// tell hands each new view on, and writes a line for it.
-func (f *Fleet) tell(ctx context.Context) {
+// publishViews hands each new view on, and writes a line for it.
+func (f *Fleet) publishViews(ctx context.Context) {
 	var last membership.View
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-f.wake:
+		case <-f.viewChanged:
 		}
 		select { // what comes together is one view
 		case <-ctx.Done():
 			return
-		case <-time.After(GatherFor(last.Present)):
+		case <-time.After(BatchDelay(last.Present)):
 		}
 		v := f.View()
 		if v.Version == last.Version {
@@ -255,20 +255,20 @@
 		}
 		came, gone := v.Changes(last)
 		last = v
-		f.cfg.Log.Info("view", "version", v.Version, "agreement", v.Agreement, "present", v.Present, "careful", v.Careful,
-			"unreachable", v.Other, "differ", len(v.Differ), "came", came, "gone", gone)
-		if v.Replaced {
+		f.cfg.Log.Info("view", "version", v.Version, "agreement", v.Agreement, "present", v.Present, "careful", v.MayServe,
+			"unreachable", v.Unreachable, "differ", len(v.Disagreeing), "came", came, "gone", gone)
+		if v.Superseded {
 			f.cfg.Log.Warn("a newer process has this relay's name", "member", f.cfg.Name, "incarnation", f.self.Incarnation)
 		}
-		if f.told != nil {
-			f.told(v)
+		if f.onView != nil {
+			f.onView(v)
 		}
 	}
 }
 
 // tick lets time pass, tells a few others of the view, and looks at members that are away.
 func (f *Fleet) tick(ctx context.Context) {
-	ticker := time.NewTicker(tickEvery)
+	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -276,37 +276,37 @@
 			return
 		case <-ticker.C:
 		}
-		f.on(func(t *membership.Tracker, now time.Time) bool { return t.Tick(now) })
+		f.update(func(t *membership.Tracker, now time.Time) bool { return t.Tick(now) })
 		msg, err := json.Marshal(digest{f.cfg.Name, f.View().Digest})
 		if err != nil {
 			panic(err) // plain fields only: cannot fail
 		}
 		nodes := f.list.Members()
-		for range digestsTo {
+		for range digestFanout {
 			if n := nodes[rand.IntN(len(nodes))]; n.Name != nodeName(f.self) {
 				f.list.SendBestEffort(n, msg)
 			}
 		}
 		f.mu.Lock()
-		away := f.tracker.Away()
+		away := f.tracker.Unreachable()
 		f.mu.Unlock()
 		rand.Shuffle(len(away), func(i, j int) { away[i], away[j] = away[j], away[i] })
-		for _, p := range away[:min(len(away), looksMost)] {
-			f.work.Go(func() { f.look(ctx, p) })
+		for _, p := range away[:min(len(away), maxDialProbes)] {
+			f.loops.Go(func() { f.dialProbe(ctx, p) })
 		}
 	}
 }
 
-// look tells whether a machine says that the process at an address is gone.
-func (f *Fleet) look(ctx context.Context, p membership.Process) {
-	ctx, cancel := context.WithTimeout(ctx, probeFor)
+// dialProbe tells whether a machine says that the process at an address is gone.
+func (f *Fleet) dialProbe(ctx context.Context, p membership.Process) {
+	ctx, cancel := context.WithTimeout(ctx, dialProbeTimeout)
 	defer cancel()
 	c, err := dialer(f.cfg.Bind).DialContext(ctx, "tcp", p.Addr)
 	if err == nil {
 		c.Close()
 	}
-	f.on(func(t *membership.Tracker, now time.Time) bool {
-		return t.Probed(p.Name, errors.Is(err, syscall.ECONNREFUSED), now)
+	f.update(func(t *membership.Tracker, now time.Time) bool {
+		return t.RecordProbe(p.Name, errors.Is(err, syscall.ECONNREFUSED), now)
 	})
 }
 
@@ -322,11 +322,11 @@
 		}
 		v := f.View()
 		if v.Present == 1 {
-			wait = aloneFrom + rand.N(aloneTo-aloneFrom)
+			wait = aloneRejoinMin + rand.N(aloneRejoinMax-aloneRejoinMin)
 		} else {
-			wait = (rejoinFrom + rand.N(rejoinTo-rejoinFrom)) * time.Duration(max(rejoinShare, v.Present)) / rejoinShare
+			wait = (rejoinMin + rand.N(rejoinMax-rejoinMin)) * time.Duration(max(rejoinScaleFrom, v.Present)) / rejoinScaleFrom
 		}
-		if to := f.missing(v); to != "" {
+		if to := f.joinTarget(v); to != "" {
 			f.list.Join([]string{to}) // whoever does not answer is tried again
 		}
 	}
@@ -339,24 +339,24 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-time.After(reconcileFrom + rand.N(reconcileTo-reconcileFrom)):
+		case <-time.After(reconcileMin + rand.N(reconcileMax-reconcileMin)):
 		}
 		v := f.View()
-		if len(v.Differ) == 0 || time.Since(v.Moved) < gossipFor {
+		if len(v.Disagreeing) == 0 || time.Since(v.MembersChanged) < reconcileDelay {
 			continue
 		}
-		name := v.Differ[rand.IntN(len(v.Differ))]
+		name := v.Disagreeing[rand.IntN(len(v.Disagreeing))]
 		if i := slices.IndexFunc(v.Members, func(m membership.Member) bool { return m.Name == name && m.Away == membership.Present }); i >= 0 {
 			f.list.Join([]string{v.Members[i].Addr})
 		}
 	}
 }
 
-// missing is an address to ask where members are missing; empty if none are, or it was asked often enough.
-func (f *Fleet) missing(v membership.View) string {
+// joinTarget is an address to ask where members are joinTarget; empty if none are, or it was asked often enough.
+func (f *Fleet) joinTarget(v membership.View) string {
 	var away, seeds []string
 	f.mu.Lock()
-	for _, p := range f.tracker.Away() {
+	for _, p := range f.tracker.Unreachable() {
 		away = append(away, p.Addr)
 	}
 	f.mu.Unlock()
@@ -366,7 +366,7 @@
 		}
 	}
 	// Where some stay missing that nobody has seen, as after a start with few, seeds are asked ever more seldom.
-	stood := max(1, int(time.Since(v.At)/seedsEvery))
+	stood := max(1, int(time.Since(v.At)/seedBackoffStep))
 	switch {
 	case len(seeds) > 0 && (v.Present == 1 || v.Present < f.cfg.Size && rand.IntN(2*stood) == 0):
 		return seeds[rand.IntN(len(seeds))]
@@ -382,16 +382,16 @@
 	Digest uint64 `json:"d"`
 }
 
-// process reads what a node tells of itself.
-func process(n *memberlist.Node) (p membership.Process, err error) {
-	if len(n.Meta) > metaMost {
+// parseMeta reads what a node tells of itself.
+func parseMeta(n *memberlist.Node) (p membership.Process, err error) {
+	if len(n.Meta) > maxMetaBytes {
 		return p, errors.New("too much")
 	}
 	if err := json.Unmarshal(n.Meta, &p); err != nil {
 		return p, err
 	}
 	p.Addr = n.Address()
-	if p.Name == "" || len(p.Name) > nameMost || nodeName(p) != n.Name {
+	if p.Name == "" || len(p.Name) > maxNameBytes || nodeName(p) != n.Name {
 		return p, fmt.Errorf("%q says that it is %q", n.Name, nodeName(p))
 	}
 	return p, nil
@@ -401,34 +401,34 @@
 type events struct{ f *Fleet }
 
 func (e events) NotifyJoin(n *memberlist.Node) {
-	if p, err := process(n); err == nil {
-		e.f.on(func(t *membership.Tracker, now time.Time) bool { return t.Heard(p, now) })
+	if p, err := parseMeta(n); err == nil {
+		e.f.update(func(t *membership.Tracker, now time.Time) bool { return t.ObserveAlive(p, now) })
 	}
 }
 
 func (e events) NotifyUpdate(n *memberlist.Node) { e.NotifyJoin(n) }
 
 func (e events) NotifyLeave(n *memberlist.Node) {
-	if p, err := process(n); err == nil {
-		e.f.on(func(t *membership.Tracker, now time.Time) bool {
-			return t.Lost(p, p.State == membership.Left, now)
+	if p, err := parseMeta(n); err == nil {
+		e.f.update(func(t *membership.Tracker, now time.Time) bool {
+			return t.ObserveLost(p, p.State == membership.Left, now)
 		})
 	}
 }
 
-// alive turns strangers away.
-type alive struct{ f *Fleet }
+// admission turns strangers away.
+type admission struct{ f *Fleet }
 
-func (a alive) NotifyAlive(n *memberlist.Node) error {
-	p, err := process(n)
+func (a admission) NotifyAlive(n *memberlist.Node) error {
+	p, err := parseMeta(n)
 	if err == nil && !allowed(a.f.cfg.Allow, p.Name) {
 		err = fmt.Errorf("%q is none of this fleet's", p.Name)
 	}
 	if err != nil {
 		a.f.mu.Lock()
-		first := len(a.f.refused) < 100 && !a.f.refused[n.Name]
+		first := len(a.f.rejected) < 100 && !a.f.rejected[n.Name]
 		if first {
-			a.f.refused[n.Name] = true
+			a.f.rejected[n.Name] = true
 		}
 		a.f.mu.Unlock()
 		if first {
@@ -453,7 +453,7 @@
 	d.f.mu.Lock()
 	defer d.f.mu.Unlock()
 	meta, err := json.Marshal(d.f.self)
-	if err != nil || len(meta) > min(limit, metaMost) {
+	if err != nil || len(meta) > min(limit, maxMetaBytes) {
 		return nil
 	}
 	return meta
@@ -461,8 +461,8 @@
 
 func (d delegate) NotifyMsg(msg []byte) {
 	var x digest
-	if len(msg) <= metaMost && json.Unmarshal(msg, &x) == nil {
-		d.f.on(func(t *membership.Tracker, now time.Time) bool { return t.Told(x.Name, x.Digest, now) })
+	if len(msg) <= maxMetaBytes && json.Unmarshal(msg, &x) == nil {
+		d.f.update(func(t *membership.Tracker, now time.Time) bool { return t.RecordDigest(x.Name, x.Digest, now) })
 	}
 }
 
@@ -478,19 +478,19 @@
 	bytes atomic.Int64
 }
 
-// counted is a connection whose bytes count.
-type counted struct {
+// countingConn is a connection whose bytes count.
+type countingConn struct {
 	net.Conn
 	bytes *atomic.Int64
 }
 
-func (c counted) Read(p []byte) (int, error) {
+func (c countingConn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
 	c.bytes.Add(int64(n))
 	return n, err
 }
 
-func (c counted) Write(p []byte) (int, error) {
+func (c countingConn) Write(p []byte) (int, error) {
 	n, err := c.Conn.Write(p)
 	c.bytes.Add(int64(n))
 	return n, err
@@ -521,7 +521,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return counted{c, &t.bytes}, nil
+	return countingConn{c, &t.bytes}, nil
 }
 
 func (t *transport) DialAddressTimeout(a memberlist.Address, d time.Duration) (net.Conn, error) {
@@ -539,13 +539,13 @@
 	return d
 }
 
-// libraryLog has what the library says at the level that it deserves: nearly all of it is one packet's business.
-type libraryLog struct{ log *slog.Logger }
+// logAdapter has what the library says at the level that it deserves: nearly all of it is one packet's business.
+type logAdapter struct{ log *slog.Logger }
 
-func (l libraryLog) Write(p []byte) (int, error) {
+func (l logAdapter) Write(p []byte) (int, error) {
 	text := strings.TrimSpace(string(p))
 	l.log.Debug("gossip", "says", text)
 	return len(p), nil
 }
 
-var _ io.Writer = libraryLog{}
+var _ io.Writer = logAdapter{}
--- a/internal/membership/gossip/fleet_test.go
+++ b/internal/membership/gossip/fleet_test.go
@@ -33,8 +33,8 @@
 	return fmt.Sprintf("%s:%d", n.Addr, n.Port)
 }
 
-// until waits for a view.
-func until(t *testing.T, views chan membership.View, what string, ok func(membership.View) bool) {
+// waitForView waits for a view.
+func waitForView(t *testing.T, views chan membership.View, what string, ok func(membership.View) bool) {
 	t.Helper()
 	var seen []string
 	for late := time.After(20 * time.Second); ; {
@@ -50,7 +50,7 @@
 	}
 }
 
-func TestMembersMeetLeaveAndComeBack(t *testing.T) {
+func TestMembersJoinLeaveAndRestart(t *testing.T) {
 	defer func() {
 		// A look of the library's that is under way when it is shut down ends within its interval.
 		var err error
@@ -68,13 +68,13 @@
 	three := join(t, "n3", "lab", t.TempDir(), nil, one.addr())
 	stranger := join(t, "x9", "lab", t.TempDir(), nil, one.addr())
 	other := join(t, "n4", "elsewhere", t.TempDir(), nil, one.addr())
-	until(t, views, "three members", func(v membership.View) bool { return v.Present == 3 })
-	two.Become(membership.Serving)
-	until(t, views, "serving", func(v membership.View) bool { return len(v.Members) > 1 && v.Members[1].State == membership.Serving })
+	waitForView(t, views, "three members", func(v membership.View) bool { return v.Present == 3 })
+	two.SetState(membership.Serving)
+	waitForView(t, views, "serving", func(v membership.View) bool { return len(v.Members) > 1 && v.Members[1].State == membership.Serving })
 	before := one.View().Members[1]
 	// A second process under the name, of the same folder, while the first is there.
 	again := join(t, "n2", "lab", dir, nil, one.addr())
-	until(t, views, "the newer process", func(v membership.View) bool {
+	waitForView(t, views, "the newer process", func(v membership.View) bool {
 		return len(v.Members) > 1 && v.Members[1].Incarnation > before.Incarnation
 	})
 	if err := two.Close(); err != nil {
@@ -83,7 +83,7 @@
 	if err := again.Leave(); err != nil {
 		t.Error(err)
 	}
-	until(t, views, "left in order", func(v membership.View) bool { return len(v.Members) == 2 && v.Members[1].Name == "n3" })
+	waitForView(t, views, "left in order", func(v membership.View) bool { return len(v.Members) == 2 && v.Members[1].Name == "n3" })
 	for _, f := range []*Fleet{three, stranger, other, one} {
 		if err := f.Close(); err != nil {
 			t.Error(err)
@@ -99,10 +99,10 @@
 func FuzzMeta(f *testing.F) {
 	f.Add([]byte(`{"n":"n1","b":"x","i":5,"f":"abc","s":"serving"}`), []byte(`{"n":"n1","d":5}`))
 	f.Fuzz(func(t *testing.T, meta, msg []byte) {
-		x := &Fleet{tracker: membership.NewTracker(membership.Process{Name: "n1", Incarnation: 1}, 3, time.Now()), wake: make(chan struct{}, 1), refused: map[string]bool{},
+		x := &Fleet{tracker: membership.NewTracker(membership.Process{Name: "n1", Incarnation: 1}, 3, time.Now()), viewChanged: make(chan struct{}, 1), rejected: map[string]bool{},
 			cfg: membership.Config{Log: slog.New(slog.DiscardHandler)}}
-		n := node(meta)
-		if (alive{x}).NotifyAlive(n) == nil {
+		n := nodeWithMeta(meta)
+		if (admission{x}).NotifyAlive(n) == nil {
 			events{x}.NotifyJoin(n)
 		}
 		events{x}.NotifyLeave(n)
@@ -113,46 +113,46 @@
 	})
 }
 
-// node is a node of the library's with this to say of itself.
-func node(meta []byte) *memberlist.Node {
+// nodeWithMeta is a nodeWithMeta of the library's with this to say of itself.
+func nodeWithMeta(meta []byte) *memberlist.Node {
 	n := &memberlist.Node{Name: "n2/5/abc", Addr: net.IPv4(127, 0, 0, 1), Port: 9, Meta: meta}
-	if p, err := process(&memberlist.Node{Name: n.Name, Meta: meta}); err != nil && p.Name != "" {
+	if p, err := parseMeta(&memberlist.Node{Name: n.Name, Meta: meta}); err != nil && p.Name != "" {
 		n.Name = nodeName(p)
 	}
 	return n
 }
 
-func TestWhoIsAskedWhereMembersAreMissing(t *testing.T) {
+func TestJoinTarget(t *testing.T) {
 	now := time.Now()
 	self := membership.Process{Name: "n1", Incarnation: 1, Addr: "a:1"}
 	other := membership.Process{Name: "n2", Incarnation: 1, Addr: "b:1"}
 	f := &Fleet{cfg: membership.Config{Bind: "a:1", Seeds: []string{"a:1", "s:1"}, Size: 2}, tracker: membership.NewTracker(self, 2, now)}
-	if got := f.missing(f.View()); got != "s:1" {
+	if got := f.joinTarget(f.View()); got != "s:1" {
 		t.Errorf("alone it asks %q", got)
 	}
-	f.tracker.Heard(other, now)
-	if got := f.missing(f.View()); got != "" {
+	f.tracker.ObserveAlive(other, now)
+	if got := f.joinTarget(f.View()); got != "" {
 		t.Errorf("nobody is missing, and it asks %q", got)
 	}
-	f.tracker.Lost(other, false, now)
+	f.tracker.ObserveLost(other, false, now)
 	f.cfg.Seeds = nil
-	if got := f.missing(f.View()); got != "b:1" {
+	if got := f.joinTarget(f.View()); got != "b:1" {
 		t.Errorf("one is away, and it asks %q", got)
 	}
 }
 
-func TestMembersThatSeeAnotherViewAreAsked(t *testing.T) {
+func TestDisagreeingMembersReconcile(t *testing.T) {
 	views := make(chan membership.View, 1000)
 	one := join(t, "n1", "lab", t.TempDir(), views)
 	defer one.Close()
 	two := join(t, "n2", "lab", t.TempDir(), nil, one.addr())
 	defer two.Close()
-	until(t, views, "two members", func(v membership.View) bool { return v.Present == 2 })
+	waitForView(t, views, "two members", func(v membership.View) bool { return v.Present == 2 })
 	// A third that gossip never told of: the second alone knows it.
 	three := membership.Process{Name: "n3", Incarnation: 9, Folder: "f", State: membership.Serving, Addr: "127.0.0.1:1"}
-	two.on(func(x *membership.Tracker, now time.Time) bool { return x.Heard(three, now) })
-	until(t, views, "the first hears that the second sees another view", func(v membership.View) bool { return len(v.Differ) == 1 })
-	if one.Bytes() == 0 || two.Bytes() == 0 {
-		t.Errorf("%d and %d bytes were sent", one.Bytes(), two.Bytes())
+	two.update(func(x *membership.Tracker, now time.Time) bool { return x.ObserveAlive(three, now) })
+	waitForView(t, views, "the first hears that the second sees another view", func(v membership.View) bool { return len(v.Disagreeing) == 1 })
+	if one.NetworkBytes() == 0 || two.NetworkBytes() == 0 {
+		t.Errorf("%d and %d bytes were sent", one.NetworkBytes(), two.NetworkBytes())
 	}
 }
--- a/internal/membership/identity.go
+++ b/internal/membership/identity.go
@@ -11,7 +11,7 @@
 	"time"
 )
 
-const identityName = "member.json"
+const identityFile = "member.json"
 
 // identity is what outlasts a process of what it is.
 type identity struct {
@@ -19,10 +19,10 @@
 	Incarnation uint64
 }
 
-// Identify begins a new incarnation in the state folder dir. It grows with every start, also where the folder was emptied
+// BeginIncarnation begins a new incarnation in the state folder dir. It grows with every start, also where the folder was emptied
 // in between, as long as the wall clock goes on: then it is the time, in milliseconds.
-func Identify(dir string, now time.Time) (folder string, incarnation uint64, err error) {
-	path := filepath.Join(dir, identityName)
+func BeginIncarnation(dir string, now time.Time) (folder string, incarnation uint64, err error) {
+	path := filepath.Join(dir, identityFile)
 	var id identity
 	data, err := os.ReadFile(path)
 	if err == nil {
--- a/internal/membership/view.go
+++ b/internal/membership/view.go
@@ -41,8 +41,8 @@
 	Admin       string `json:"m,omitempty"` // its second address
 }
 
-// newer orders processes of one name. Folders decide between those that began in one moment, so that all decide alike.
-func (p Process) newer(q Process) bool {
+// supersedes orders processes of one name. Folders decide between those that began in one moment, so that all decide alike.
+func (p Process) supersedes(q Process) bool {
 	return cmp.Or(cmp.Compare(p.Incarnation, q.Incarnation), cmp.Compare(p.Folder, q.Folder), cmp.Compare(p.Addr, q.Addr)) > 0
 }
 
@@ -52,7 +52,7 @@
 	Since time.Time // when it came, or was last replaced
 	// Away tells why a member that did not leave is not heard any more; empty while it is present.
 	Away Away
-	Gone time.Time `json:"Gone"` // since when
+	AwaySince time.Time `json:"Gone"` // since when
 }
 
 // Config is a relay's part in its fleet.
@@ -74,10 +74,10 @@
 // Fleet is a process's part in its fleet. Its methods may be called from any goroutine.
 type Fleet interface {
 	View() View
-	// Bytes is what this process's part has cost the network so far: what it sent, and took on connections that it opened.
-	Bytes() int64
-	// Become tells the others of this process's state, and waits for nobody.
-	Become(State)
+	// NetworkBytes is what this process's part has cost the network so far: what it sent, and took on connections that it opened.
+	NetworkBytes() int64
+	// SetState tells the others of this process's state, and waits for nobody.
+	SetState(State)
 	// Leave leaves in order, so that nobody has to find out, and ends this process's part. It takes a second at most.
 	Leave() error
 	// Close ends this process's part without a word.
@@ -116,13 +116,13 @@
 	Members []Member // by name: those present, and those away that are not forgotten yet
 	Agreement
 	Since    time.Time // of the agreement
-	Moved    time.Time `json:"Moved"`  // when its members changed last
-	Differ   []string  `json:"Differ"` // members that were heard lately and see another view
+	MembersChanged    time.Time `json:"Moved"`  // when its members changed last
+	Disagreeing   []string  `json:"Differ"` // members that were heard lately and see another view
 	Present  int       // members present, this one with them
-	Careful  int       `json:"Careful"` // how many may serve: never less than Present. What shares something goes by it
-	Other    int       `json:"Other"`   // members that may serve beyond a split
+	MayServe  int       `json:"Careful"` // how many may serve: never less than Present. What shares something goes by it
+	Unreachable    int       `json:"Other"`   // members that may serve beyond a split
 	Digest   uint64    // of the members present with their incarnations
-	Replaced bool      `json:"Replaced"` // this process has been superseded by a newer one of its name
+	Superseded bool      `json:"Replaced"` // this process has been superseded by a newer one of its name
 }
 
 // Changes are the names of the members that are present now, as another process perhaps, and were not in an earlier view,
@@ -137,14 +137,14 @@
 		}
 		return all
 	}
-	was, is := present(from), present(v)
-	for name, p := range is {
-		if q, ok := was[name]; !ok || q.Incarnation != p.Incarnation {
+	before, now := present(from), present(v)
+	for name, p := range now {
+		if q, ok := before[name]; !ok || q.Incarnation != p.Incarnation {
 			came = append(came, name)
 		}
 	}
-	for name := range was {
-		if _, ok := is[name]; !ok {
+	for name := range before {
+		if _, ok := now[name]; !ok {
 			gone = append(gone, name)
 		}
 	}
@@ -154,12 +154,12 @@
 }
 
 const (
-	// settleFor is how long a view has to stand before it counts as agreed on. Gossip reaches 300 members in 2 s.
-	settleFor = 3 * time.Second
-	// heardFor is how long what another member says of its view counts.
-	heardFor = 5 * time.Second
-	// splitLeast and splitShare: so many unreachable members are a split; fewer are members with troubles of their own.
-	splitLeast, splitShare = 2, 0.05
+	// settleTime is how long a view has to stand before it counts as agreed on. Gossip reaches 300 members in 2 s.
+	settleTime = 3 * time.Second
+	// digestLifetime is how long what another member says of its view counts.
+	digestLifetime = 5 * time.Second
+	// splitMinMembers and splitMinShare: so many unreachable members are a split; fewer are members with troubles of their own.
+	splitMinMembers, splitMinShare = 2, 0.05
 	// forgetAfter is how long a member that is away is remembered. What keeps a share for it gives that up then.
 	forgetAfter = 5 * time.Minute
 )
@@ -172,41 +172,41 @@
 	view    View
 	members map[string]*Member
 	newest  map[string]Process // the newest incarnation of each name that was ever seen
-	heard   map[string]heard
-	changed time.Time
+	digests   map[string]peerDigest
+	membersChangedAt time.Time
 	now     time.Time
 	dirty   bool // the view is to be worked out anew
-	moved   bool // since members have changed
+	membersChanged   bool // since members have changed
 }
 
-// heard is what another member said of its view.
-type heard struct {
+// peerDigest is what another member said of its view.
+type peerDigest struct {
 	digest uint64
 	at     time.Time
 }
 
 // NewTracker returns a tracker of a fleet that holds this process alone. size is how many members the settings tell of.
 func NewTracker(self Process, size int, now time.Time) *Tracker {
-	t := &Tracker{self: self, size: size, members: map[string]*Member{}, newest: map[string]Process{}, heard: map[string]heard{}}
+	t := &Tracker{self: self, size: size, members: map[string]*Member{}, newest: map[string]Process{}, digests: map[string]peerDigest{}}
 	t.members[self.Name] = &Member{Process: self, Since: now}
 	t.newest[self.Name] = self
-	t.change(now)
+	t.markChanged(now)
 	return t
 }
 
 // View is the current view, worked out of all events since the last call. It is not to be changed.
 func (t *Tracker) View() View {
 	if t.dirty {
-		t.settle(t.now, t.moved)
-		t.dirty, t.moved = false, false
+		t.recompute(t.now, t.membersChanged)
+		t.dirty, t.membersChanged = false, false
 	}
 	return t.view
 }
 
-// Heard takes that a process is there, with what it says of itself; true if the view has changed.
-func (t *Tracker) Heard(p Process, now time.Time) bool {
+// ObserveAlive takes that a process is there, with what it says of itself; true if the view has changed.
+func (t *Tracker) ObserveAlive(p Process, now time.Time) bool {
 	last, known := t.newest[p.Name]
-	if known && (last.newer(p) || !p.newer(last) && last.State == Left) {
+	if known && (last.supersedes(p) || !p.supersedes(last) && last.State == Left) {
 		return false // superseded, or gone: nobody
 	}
 	m := t.members[p.Name]
@@ -216,7 +216,7 @@
 			return false
 		}
 		delete(t.members, p.Name)
-		return t.change(now)
+		return t.markChanged(now)
 	}
 	t.newest[p.Name] = p
 	if m != nil && m.Away == Present && m.Process == p {
@@ -224,31 +224,31 @@
 	}
 	if m == nil || m.Incarnation != p.Incarnation || m.Away != Present {
 		t.members[p.Name] = &Member{Process: p, Since: now}
-		return t.change(now)
+		return t.markChanged(now)
 	}
 	m.Process = p // its state alone
-	return t.change(now)
+	return t.markChanged(now)
 }
 
-// Lost takes that a process is not heard any more. inOrder tells that it said so itself. True if the view has changed.
-func (t *Tracker) Lost(p Process, inOrder bool, now time.Time) bool {
+// ObserveLost takes that a process is not heard any more. inOrder tells that it said so itself. True if the view has changed.
+func (t *Tracker) ObserveLost(p Process, inOrder bool, now time.Time) bool {
 	m := t.members[p.Name]
 	if m == nil || m.Incarnation != p.Incarnation || m.Folder != p.Folder || p.Name == t.self.Name {
 		return false // a process that was superseded
 	}
 	if inOrder {
 		delete(t.members, p.Name)
-		return t.change(now)
+		return t.markChanged(now)
 	}
 	if m.Away != Present {
 		return false
 	}
-	m.Away, m.Gone = Unreachable, now
-	return t.change(now)
+	m.Away, m.AwaySince = Unreachable, now
+	return t.markChanged(now)
 }
 
-// Probed takes what became of a look at the address of a member that is away.
-func (t *Tracker) Probed(name string, refused bool, now time.Time) bool {
+// RecordProbe takes what became of a look at the address of a member that is away.
+func (t *Tracker) RecordProbe(name string, refused bool, now time.Time) bool {
 	m := t.members[name]
 	if m == nil || m.Away == Present || (m.Away == Dead) == refused {
 		return false
@@ -256,11 +256,11 @@
 	if m.Away = Unreachable; refused {
 		m.Away = Dead
 	}
-	return t.change(now)
+	return t.markChanged(now)
 }
 
-// Away lists the members that are away and not proved dead, with their addresses.
-func (t *Tracker) Away() (all []Process) {
+// Unreachable lists the members that are away and not proved dead, with their addresses.
+func (t *Tracker) Unreachable() (all []Process) {
 	for _, name := range slices.Sorted(maps.Keys(t.members)) {
 		if m := t.members[name]; m.Away == Unreachable {
 			all = append(all, m.Process)
@@ -269,13 +269,13 @@
 	return all
 }
 
-// Told takes the digest of another member's view; true if the agreement has changed.
-func (t *Tracker) Told(name string, digest uint64, now time.Time) bool {
+// RecordDigest takes the digest of another member's view; true if the agreement has changed.
+func (t *Tracker) RecordDigest(name string, digest uint64, now time.Time) bool {
 	if m := t.members[name]; m == nil || m.Away != Present || name == t.self.Name {
 		return false
 	}
-	t.heard[name] = heard{digest, now}
-	if digest == t.view.Digest && !slices.Contains(t.view.Differ, name) {
+	t.digests[name] = peerDigest{digest, now}
+	if digest == t.view.Digest && !slices.Contains(t.view.Disagreeing, name) {
 		return false
 	}
 	t.now, t.dirty = now, true
@@ -286,35 +286,35 @@
 func (t *Tracker) Tick(now time.Time) bool {
 	changed := false
 	for name, m := range t.members {
-		if m.Away != Present && now.Sub(m.Gone) >= forgetAfter {
+		if m.Away != Present && now.Sub(m.AwaySince) >= forgetAfter {
 			delete(t.members, name)
 			changed = true
 		}
 	}
 	if changed {
-		return t.change(now)
+		return t.markChanged(now)
 	}
 	version := t.view.Version
 	t.now, t.dirty = now, true
 	return t.View().Version != version
 }
 
-// Become sets this process's state.
-func (t *Tracker) Become(s State, now time.Time) (Process, bool) {
+// SetState sets this process's state.
+func (t *Tracker) SetState(s State, now time.Time) (Process, bool) {
 	t.self.State = s
-	return t.self, t.Heard(t.self, now)
+	return t.self, t.ObserveAlive(t.self, now)
 }
 
-func (t *Tracker) change(now time.Time) bool {
-	t.changed = now
-	clear(t.heard) // of what was before
-	t.now, t.dirty, t.moved = now, true, true
+func (t *Tracker) markChanged(now time.Time) bool {
+	t.membersChangedAt = now
+	clear(t.digests) // of what was before
+	t.now, t.dirty, t.membersChanged = now, true, true
 	return true
 }
 
-// settle works the view out anew.
-func (t *Tracker) settle(now time.Time, changed bool) {
-	v := View{Version: t.view.Version, At: t.view.At, Since: t.view.Since, Moved: t.changed}
+// recompute works the view out anew.
+func (t *Tracker) recompute(now time.Time, changed bool) {
+	v := View{Version: t.view.Version, At: t.view.At, Since: t.view.Since, MembersChanged: t.membersChangedAt}
 	h := fnv.New64a()
 	unreachable := 0
 	for _, name := range slices.Sorted(maps.Keys(t.members)) {
@@ -329,29 +329,29 @@
 			unreachable++
 		}
 	}
-	v.Digest, v.Other = h.Sum64(), unreachable
-	v.Replaced = t.newest[t.self.Name].newer(t.self)
-	for name, x := range t.heard {
-		if m := t.members[name]; m == nil || m.Away != Present || now.Sub(x.at) > heardFor {
-			delete(t.heard, name)
+	v.Digest, v.Unreachable = h.Sum64(), unreachable
+	v.Superseded = t.newest[t.self.Name].supersedes(t.self)
+	for name, x := range t.digests {
+		if m := t.members[name]; m == nil || m.Away != Present || now.Sub(x.at) > digestLifetime {
+			delete(t.digests, name)
 		} else if x.digest != v.Digest {
-			v.Differ = append(v.Differ, name)
+			v.Disagreeing = append(v.Disagreeing, name)
 		}
 	}
-	slices.Sort(v.Differ)
+	slices.Sort(v.Disagreeing)
 	switch {
 	case v.Present == 1 && (t.size > 1 || len(t.members) > 1):
 		v.Agreement = Alone
-	case unreachable >= max(splitLeast, int(splitShare*float64(v.Present+unreachable))):
+	case unreachable >= max(splitMinMembers, int(splitMinShare*float64(v.Present+unreachable))):
 		v.Agreement = Split
-	case unreachable > 0 || len(v.Differ) > 0 || now.Sub(t.changed) < settleFor:
+	case unreachable > 0 || len(v.Disagreeing) > 0 || now.Sub(t.membersChangedAt) < settleTime:
 		v.Agreement = Settling
 	default:
 		v.Agreement = Agreed
 	}
-	v.Careful = t.careful(v, unreachable)
-	if !changed && v.Agreement == t.view.Agreement && v.Careful == t.view.Careful && v.Replaced == t.view.Replaced &&
-		slices.Equal(v.Differ, t.view.Differ) {
+	v.MayServe = t.countMayServe(v, unreachable)
+	if !changed && v.Agreement == t.view.Agreement && v.MayServe == t.view.MayServe && v.Superseded == t.view.Superseded &&
+		slices.Equal(v.Disagreeing, t.view.Disagreeing) {
 		return
 	}
 	if v.Agreement != t.view.Agreement {
@@ -362,9 +362,9 @@
 	t.view = v
 }
 
-// careful is how many members may serve. Those that are proved dead or have left do not; in doubt every one does that was
+// countMayServe is how many members may serve. Those that are proved dead or have left do not; in doubt every one does that was
 // known lately, and for one that is alone every one that the settings tell of.
-func (t *Tracker) careful(v View, unreachable int) int {
+func (t *Tracker) countMayServe(v View, unreachable int) int {
 	switch v.Agreement {
 	case Agreed:
 		return v.Present
@@ -372,5 +372,5 @@
 		return max(v.Present+unreachable, t.size)
 	}
 	// A change that others have not seen yet: the larger of what was and what is.
-	return max(v.Present+unreachable, min(t.view.Careful, t.view.Present+t.view.Other))
+	return max(v.Present+unreachable, min(t.view.MayServe, t.view.Present+t.view.Unreachable))
 }
--- a/internal/membership/view_test.go
+++ b/internal/membership/view_test.go
@@ -13,32 +13,32 @@
 	return Process{Name: name, Addr: name + ":1", Incarnation: incarnation, Folder: "f-" + name, State: Serving}
 }
 
-func names(v View) (s string) {
+func describeMembers(v View) (s string) {
 	for _, m := range v.Members {
 		s += fmt.Sprintf("%s/%d%s ", m.Name, m.Incarnation, m.Away)
 	}
 	return s
 }
 
-func TestANewerIncarnationStays(t *testing.T) {
+func TestNewestIncarnationWins(t *testing.T) {
 	x := NewTracker(proc("a", 5), 3, noon)
-	x.Heard(proc("b", 7), noon)
-	if x.Heard(proc("b", 6), noon) || x.Lost(proc("b", 6), false, noon) {
+	x.ObserveAlive(proc("b", 7), noon)
+	if x.ObserveAlive(proc("b", 6), noon) || x.ObserveLost(proc("b", 6), false, noon) {
 		t.Error("an older process of the name changes the view")
 	}
-	if !x.Heard(proc("b", 8), noon) || x.Lost(proc("b", 7), false, noon) || x.Heard(proc("b", 7), noon) {
+	if !x.ObserveAlive(proc("b", 8), noon) || x.ObserveLost(proc("b", 7), false, noon) || x.ObserveAlive(proc("b", 7), noon) {
 		t.Error("the process before it still counts")
 	}
-	if got := names(x.View()); got != "a/5 b/8 " {
+	if got := describeMembers(x.View()); got != "a/5 b/8 " {
 		t.Error(got)
 	}
 	// This process's own name: an older one is nobody, a newer one takes its place.
-	x.Heard(proc("a", 4), noon)
-	if x.View().Replaced {
+	x.ObserveAlive(proc("a", 4), noon)
+	if x.View().Superseded {
 		t.Error("replaced by an older one")
 	}
-	x.Heard(proc("a", 6), noon)
-	if !x.View().Replaced {
+	x.ObserveAlive(proc("a", 6), noon)
+	if !x.View().Superseded {
 		t.Error("not told of the newer one")
 	}
 	// Cloned folders that began in one moment: every member decides alike.
@@ -46,8 +46,8 @@
 	two.Addr = "elsewhere:1"
 	for _, order := range [][]Process{{one, two}, {two, one}} {
 		y := NewTracker(proc("a", 5), 3, noon)
-		y.Heard(order[0], noon)
-		y.Heard(order[1], noon)
+		y.ObserveAlive(order[0], noon)
+		y.ObserveAlive(order[1], noon)
 		if got := y.View().Members[1].Addr; got != "elsewhere:1" && got != one.Addr || got != max(one.Addr, two.Addr) {
 			t.Errorf("stays: %s", got)
 		}
@@ -59,61 +59,61 @@
 	now := noon
 	want := func(a Agreement, present, careful int) {
 		t.Helper()
-		if v := x.View(); v.Agreement != a || v.Present != present || v.Careful != careful {
-			t.Errorf("%s, %d present, %d careful; want %s, %d, %d", v.Agreement, v.Present, v.Careful, a, present, careful)
+		if v := x.View(); v.Agreement != a || v.Present != present || v.MayServe != careful {
+			t.Errorf("%s, %d present, %d careful; want %s, %d, %d", v.Agreement, v.Present, v.MayServe, a, present, careful)
 		}
 	}
 	pass := func(d time.Duration) { now = now.Add(d); x.Tick(now) }
 	want(Alone, 1, 4)
 	for _, n := range []string{"b", "c", "d"} {
-		x.Heard(proc(n, 1), now)
+		x.ObserveAlive(proc(n, 1), now)
 	}
 	want(Settling, 4, 4)
-	pass(settleFor)
+	pass(settleTime)
 	want(Agreed, 4, 4)
-	x.Told("b", 4711, now)
+	x.RecordDigest("b", 4711, now)
 	want(Settling, 4, 4)
-	x.Told("b", x.View().Digest, now)
+	x.RecordDigest("b", x.View().Digest, now)
 	want(Agreed, 4, 4)
 	// One that leaves in order is gone at once; while others may not know of it, its share is kept.
-	x.Lost(proc("d", 1), true, now)
+	x.ObserveLost(proc("d", 1), true, now)
 	want(Settling, 3, 4)
-	pass(settleFor)
+	pass(settleTime)
 	want(Agreed, 3, 3)
 	// One that vanishes may serve, until its machine says that it is gone.
-	x.Lost(proc("c", 1), false, now)
+	x.ObserveLost(proc("c", 1), false, now)
 	want(Settling, 2, 3)
-	pass(settleFor)
+	pass(settleTime)
 	want(Settling, 2, 3)
-	x.Probed("c", true, now)
-	pass(settleFor)
+	x.RecordProbe("c", true, now)
+	pass(settleTime)
 	want(Agreed, 2, 2)
 	// Two of four unreachable: a split.
-	x.Heard(proc("c", 2), now)
-	x.Heard(proc("d", 2), now)
-	pass(settleFor)
-	x.Lost(proc("c", 2), false, now)
-	x.Lost(proc("d", 2), false, now)
+	x.ObserveAlive(proc("c", 2), now)
+	x.ObserveAlive(proc("d", 2), now)
+	pass(settleTime)
+	x.ObserveLost(proc("c", 2), false, now)
+	x.ObserveLost(proc("d", 2), false, now)
 	want(Split, 2, 4)
 	pass(time.Minute)
 	want(Split, 2, 4)
-	x.Heard(proc("c", 2), now)
-	x.Heard(proc("d", 2), now)
-	pass(settleFor)
+	x.ObserveAlive(proc("c", 2), now)
+	x.ObserveAlive(proc("d", 2), now)
+	pass(settleTime)
 	want(Agreed, 4, 4)
-	x.Lost(proc("b", 1), false, now)
-	x.Lost(proc("c", 2), false, now)
-	x.Lost(proc("d", 2), false, now)
+	x.ObserveLost(proc("b", 1), false, now)
+	x.ObserveLost(proc("c", 2), false, now)
+	x.ObserveLost(proc("d", 2), false, now)
 	want(Alone, 1, 4)
 	pass(forgetAfter)
-	if got := names(x.View()); got != "a/1 " {
+	if got := describeMembers(x.View()); got != "a/1 " {
 		t.Errorf("never forgotten: %s", got)
 	}
 }
 
-// TestDrawnSchedules runs members, cuts and restarts against trackers, with a detector that is late, in any order and
+// TestRandomSchedules runs members, cuts and restarts against trackers, with a detector that is late, in any order and
 // sometimes wrong. Versions and incarnations never go back, and in the end connected members see the same.
-func TestDrawnSchedules(t *testing.T) {
+func TestRandomSchedules(t *testing.T) {
 	for seed := range uint64(300) {
 		rng := rand.New(rand.NewPCG(seed, 7))
 		const n = 6
@@ -138,8 +138,8 @@
 					t.Fatalf("seed %d: version %d after %d", seed, v.Version, versions[x])
 				}
 				versions[x] = v.Version
-				if v.Careful < v.Present {
-					t.Fatalf("seed %d: careful %d, present %d", seed, v.Careful, v.Present)
+				if v.MayServe < v.Present {
+					t.Fatalf("seed %d: careful %d, present %d", seed, v.MayServe, v.Present)
 				}
 				for _, m := range v.Members {
 					if m.Incarnation < newest[x][m.Name] {
@@ -161,18 +161,18 @@
 			case 1:
 				cut[[2]string{i, j}] = !cut[[2]string{i, j}]
 			case 2: // the detector calls a member lost, rightly or not
-				trackers[i].Lost(live[j], rng.IntN(4) == 0, now)
+				trackers[i].ObserveLost(live[j], rng.IntN(4) == 0, now)
 			case 3:
-				trackers[i].Probed(j, rng.IntN(2) == 0, now)
+				trackers[i].RecordProbe(j, rng.IntN(2) == 0, now)
 			case 4:
-				trackers[i].Told(j, trackers[j].View().Digest, now)
+				trackers[i].RecordDigest(j, trackers[j].View().Digest, now)
 			case 5:
 				trackers[i].Tick(now)
 			default: // gossip, new or stale
 				if !cut[[2]string{j, i}] {
 					p := live[j]
 					p.Incarnation -= uint64(rng.IntN(2)) * min(p.Incarnation-1, uint64(rng.IntN(3)))
-					trackers[i].Heard(p, now)
+					trackers[i].ObserveAlive(p, now)
 				}
 			}
 			check()
@@ -181,13 +181,13 @@
 		for range 3 {
 			for _, i := range rng.Perm(n) {
 				for _, j := range rng.Perm(n) {
-					trackers[name(i)].Heard(live[name(j)], now)
+					trackers[name(i)].ObserveAlive(live[name(j)], now)
 					old := live[name(j)]
 					old.Incarnation--
-					trackers[name(i)].Lost(old, false, now)
+					trackers[name(i)].ObserveLost(old, false, now)
 				}
 			}
-			now = now.Add(heardFor)
+			now = now.Add(digestLifetime)
 			for i := range n {
 				trackers[name(i)].Tick(now)
 			}
@@ -196,7 +196,7 @@
 		for i := range n {
 			v := trackers[name(i)].View()
 			if v.Agreement != Agreed || v.Present != n || v.Digest != trackers["a"].View().Digest {
-				t.Fatalf("seed %d: %s sees %s, %s, and a sees %s", seed, name(i), v.Agreement, names(v), names(trackers["a"].View()))
+				t.Fatalf("seed %d: %s sees %s, %s, and a sees %s", seed, name(i), v.Agreement, describeMembers(v), describeMembers(trackers["a"].View()))
 			}
 		}
 	}
@@ -204,15 +204,15 @@
 
 func TestIdentify(t *testing.T) {
 	dir := t.TempDir()
-	folder, one, err := Identify(dir, noon)
+	folder, one, err := BeginIncarnation(dir, noon)
 	if err != nil {
 		t.Fatal(err)
 	}
-	same, two, err := Identify(dir, noon.Add(-time.Hour)) // the clock was set back
+	same, two, err := BeginIncarnation(dir, noon.Add(-time.Hour)) // the clock was set back
 	if err != nil || same != folder || two <= one {
 		t.Errorf("%s/%d after %s/%d, %v", same, two, folder, one, err)
 	}
-	other, three, err := Identify(t.TempDir(), noon.Add(time.Second))
+	other, three, err := BeginIncarnation(t.TempDir(), noon.Add(time.Second))
 	if err != nil || other == folder || three <= two {
 		t.Errorf("emptied: %s/%d after %s/%d, %v", other, three, folder, two, err)
 	}
--- a/internal/relay/exclusions.go
+++ b/internal/relay/exclusions.go
@@ -172,7 +172,7 @@
 			return err
 		}
 	}
-	return x.gate.Pass(o.Duty, o.Epoch)
+	return x.gate.Admit(o.Duty, o.Epoch)
 }
 
 // with is the set with one endpoint taken out or put back.
--- a/internal/relay/fleet.go
+++ b/internal/relay/fleet.go
@@ -54,7 +54,7 @@
 		return
 	}
 	f.member = m
-	m.Become(f.state)
+	m.SetState(f.state)
 }
 
 // become tells the fleet of a state, now or once it is joined.
@@ -62,7 +62,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.state = s; f.member != nil {
-		f.member.Become(s)
+		f.member.SetState(s)
 	}
 }
 
@@ -149,14 +149,14 @@
 	for _, x := range []struct {
 		name  string
 		value int
-	}{{"present", v.Present}, {"careful", v.Careful}, {"unreachable", v.Other}, {"agreed", agreed}, {"differ", len(v.Differ)},
+	}{{"present", v.Present}, {"careful", v.MayServe}, {"unreachable", v.Unreachable}, {"agreed", agreed}, {"differ", len(v.Disagreeing)},
 		{"view_version", int(v.Version)}} {
 		fmt.Fprintf(&b, "\nfleet.%s:%d|g", x.name, x.value)
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.member != nil {
-		fmt.Fprintf(&b, "\nfleet.bytes:%d|c", f.member.Bytes())
+		fmt.Fprintf(&b, "\nfleet.bytes:%d|c", f.member.NetworkBytes())
 	}
 	return b.String()
 }
--- a/internal/relay/fleet_test.go
+++ b/internal/relay/fleet_test.go
@@ -19,12 +19,12 @@
 }
 
 func (s *standIn) View() membership.View {
-	return membership.View{Version: 3, Agreement: membership.Split, Present: 2, Careful: 5, Other: 3,
+	return membership.View{Version: 3, Agreement: membership.Split, Present: 2, MayServe: 5, Unreachable: 3,
 		Members: []membership.Member{{Process: membership.Process{Name: "n3"}}}}
 }
 
-func (s *standIn) Become(x membership.State) { s.states = append(s.states, x) }
-func (s *standIn) Bytes() int64              { return 17 }
+func (s *standIn) SetState(x membership.State) { s.states = append(s.states, x) }
+func (s *standIn) NetworkBytes() int64              { return 17 }
 func (s *standIn) Leave() error              { s.ended = "left"; return nil }
 func (s *standIn) Close() error              { s.ended = "closed"; return nil }
 
@@ -50,7 +50,7 @@
 	}
 	status, body := ask(t, admin, http.MethodGet, "/api/members", "")
 	var v membership.View
-	if err := json.Unmarshal([]byte(body), &v); status != http.StatusOK || err != nil || v.Careful != 5 || len(v.Members) != 1 {
+	if err := json.Unmarshal([]byte(body), &v); status != http.StatusOK || err != nil || v.MayServe != 5 || len(v.Members) != 1 {
 		t.Errorf("%d, %s, %v", status, body, err)
 	}
 	if _, text := ask(t, admin, http.MethodGet, "/api/telemetry", ""); !strings.Contains(text, "fleet.careful:5|g") ||
--- a/internal/testbed/duties/fleet.go
+++ b/internal/testbed/duties/fleet.go
@@ -154,7 +154,7 @@
 	ctx, cancel := context.WithTimeout(ctx, beginFor)
 	defer cancel()
 	if err := f.until(ctx, func() error {
-		_, err := f.client.One(ctx, f.apis()[0], call.PathBegin, call.Done{}, &call.JoinOut{}, 2*time.Second)
+		_, err := f.client.DoAt(ctx, f.apis()[0], call.PathBegin, call.Empty{}, &call.JoinOut{}, 2*time.Second)
 		var no *call.Refusal
 		if errors.As(err, &no) {
 			return nil // begun already
@@ -200,7 +200,7 @@
 	if err != nil {
 		return err
 	}
-	if _, err := f.client.One(ctx, f.at(leader.place, 3, portAPI), call.PathStewards, nil, &out, time.Second); err != nil {
+	if _, err := f.client.DoAt(ctx, f.at(leader.place, 3, portAPI), call.PathStewards, nil, &out, time.Second); err != nil {
 		return err
 	}
 	if len(out.Stewards) != len(f.stewards) {
@@ -215,7 +215,7 @@
 	defer cancel()
 	for _, s := range f.stewards {
 		var out call.StewardsOut
-		if _, err := f.client.One(ctx, f.at(s.place, 3, portAPI), call.PathStewards, nil, &out, 0); err != nil {
+		if _, err := f.client.DoAt(ctx, f.at(s.place, 3, portAPI), call.PathStewards, nil, &out, 0); err != nil {
 			continue
 		}
 		for _, x := range out.Stewards {
--- a/internal/testbed/duties/receiver.go
+++ b/internal/testbed/duties/receiver.go
@@ -62,7 +62,7 @@
 	defer r.mu.Unlock()
 	err := error(nil)
 	if !r.noFence {
-		err = r.fence.Pass(e.Duty, e.Epoch)
+		err = r.fence.Admit(e.Duty, e.Epoch)
 	}
 	r.effects = append(r.effects, Effect{Worker: e.Worker, Duty: e.Duty, Receiver: r.index, Epoch: e.Epoch, Sent: e.Sent, Came: came,
 		Done: Now(), Taken: err == nil})
--- a/internal/testbed/duties/run.go
+++ b/internal/testbed/duties/run.go
@@ -253,7 +253,7 @@
 		}
 		began := time.Now()
 		in := call.StepDownIn{Duty: name, BarMS: int64(x.Size.Draw(rng) * 1000)}
-		if err := f.client.Do(ctx, call.PathStepDown, in, &call.Duty{}, call.WaitMost); err != nil {
+		if err := f.client.Do(ctx, call.PathStepDown, in, &call.Duty{}, call.MaxWait); err != nil {
 			return nil // under other faults
 		}
 		if c.next(ctx, f, name, g.Epoch) {
@@ -325,7 +325,7 @@
 			c.mu.Lock()
 			c.probes[f.index] = append(c.probes[f.index], span{began, Now()})
 			c.mu.Unlock()
-			client.Do(ctx, call.PathRelease, call.ReleaseIn{Holder: "probe", Duty: "probe", Epoch: out.Granted[0].Epoch}, &call.Done{}, 0)
+			client.Do(ctx, call.PathRelease, call.ReleaseIn{Holder: "probe", Duty: "probe", Epoch: out.Granted[0].Epoch}, &call.Empty{}, 0)
 		}
 		network.Sleep(ctx, probeEvery)
 	}
--- a/internal/testbed/duties/worker.go
+++ b/internal/testbed/duties/worker.go
@@ -74,7 +74,7 @@
 		h := holder.New(holder.Config{Client: call.NewClient(o.Stewards, local), Name: name, Lease: o.Lease,
 			Log: slog.New(slog.NewTextHandler(os.Stderr, nil))})
 		for d := range o.Duties {
-			h.Want(fmt.Sprintf("duty-%d", d), func(ctx context.Context, t *holder.Term) error { return w.work(ctx, name, t) })
+			h.Register(fmt.Sprintf("duty-%d", d), func(ctx context.Context, t *holder.Term) error { return w.work(ctx, name, t) })
 		}
 		all.Go(func() { h.Run(ctx) })
 	}
@@ -108,7 +108,7 @@
 
 func (w *worker) work(ctx context.Context, name string, t *holder.Term) error {
 	ago := func(at time.Time) time.Duration { return Now() - time.Since(at) }
-	w.write(record{Claim: &Claim{name, t.Duty, t.Epoch, ago(t.Wished), Now()}})
+	w.write(record{Claim: &Claim{name, t.Duty, t.Epoch, ago(t.ClaimedAt), Now()}})
 	var out sync.WaitGroup
 	for n := 0; ctx.Err() == nil; n++ {
 		e := effect{name, t.Duty, t.Epoch, Now()}
@@ -125,7 +125,7 @@
 		case <-time.After(w.o.Every):
 		}
 	}
-	w.write(record{End: &End{name, t.Duty, t.Epoch, Now(), context.Cause(ctx) == holder.ErrLost}})
+	w.write(record{End: &End{name, t.Duty, t.Epoch, Now(), context.Cause(ctx) == holder.ErrLeaseExpired}})
 	return nil
 }
 
--- a/internal/testbed/scale/fleetslope/cut.go
+++ b/internal/testbed/scale/fleetslope/cut.go
@@ -44,7 +44,7 @@
 
 // join is gossip.Join over this network.
 func (c *cut) join() membership.Join {
-	return gossip.JoinOver(func(cfg membership.Config, t memberlist.NodeAwareTransport) memberlist.NodeAwareTransport {
+	return gossip.JoinWith(func(cfg membership.Config, t memberlist.NodeAwareTransport) memberlist.NodeAwareTransport {
 		return &parted{t, cfg.Bind, c}
 	})
 }
--- a/internal/testbed/scale/fleetslope/members.go
+++ b/internal/testbed/scale/fleetslope/members.go
@@ -121,13 +121,13 @@
 		}
 		return nil
 	})
-	return 2 * m.Bytes(), err
+	return 2 * m.NetworkBytes(), err
 }
 
 // serve has all members tell that they serve, as relays do once they can.
 func (f *members) serve() {
 	for _, h := range f.all {
-		(*h.fleet.Load()).Become(membership.Serving)
+		(*h.fleet.Load()).SetState(membership.Serving)
 	}
 }
 
@@ -210,7 +210,7 @@
 	}
 	for _, h := range f.all {
 		if m := h.fleet.Load(); m != nil {
-			sum += (*m).Bytes()
+			sum += (*m).NetworkBytes()
 		}
 	}
 	return sum
--- a/internal/testbed/scale/fleetslope/stewards.go
+++ b/internal/testbed/scale/fleetslope/stewards.go
@@ -72,7 +72,7 @@
 		}
 	}
 	err = until(ctx, "a steward begins", beginMost, 20*time.Millisecond, func() error {
-		_, err := s.client.One(ctx, s.apis[0], call.PathBegin, call.Done{}, &call.JoinOut{}, 2*time.Second)
+		_, err := s.client.DoAt(ctx, s.apis[0], call.PathBegin, call.Empty{}, &call.JoinOut{}, 2*time.Second)
 		var no *call.Refusal
 		if errors.As(err, &no) {
 			return nil // begun already
@@ -113,7 +113,7 @@
 func (s *stewards) leader(ctx context.Context) (leads *child, known int, err error) {
 	for i, c := range s.all {
 		var out call.StewardsOut
-		if _, err := s.client.One(ctx, s.apis[i], call.PathStewards, nil, &out, 0); err != nil {
+		if _, err := s.client.DoAt(ctx, s.apis[i], call.PathStewards, nil, &out, 0); err != nil {
 			continue
 		}
 		for _, x := range out.Stewards {
@@ -133,7 +133,7 @@
 		s.clients = append(s.clients, c)
 		h := holder.New(holder.Config{Client: c, Name: fmt.Sprintf("holder-%05d", i), Lease: lease, Log: env.Log})
 		for _, d := range wants(i) {
-			h.Want(d, func(ctx context.Context, _ *holder.Term) error { <-ctx.Done(); return nil })
+			h.Register(d, func(ctx context.Context, _ *holder.Term) error { <-ctx.Done(); return nil })
 		}
 		s.work.Go(func() { h.Run(ctx) })
 		if i%holdersEach == holdersEach-1 {
@@ -204,8 +204,8 @@
 	}
 	s.Measure = func(ctx context.Context, size int, seed uint64, env scale.Env) (map[string]float64, error) {
 		holders, duties, wishes := play(size)
-		if duties > duty.DutiesMost {
-			return nil, fmt.Errorf("fleetslope: stewards know %d duties at most", duty.DutiesMost)
+		if duties > duty.MaxDuties {
+			return nil, fmt.Errorf("fleetslope: stewards know %d duties at most", duty.MaxDuties)
 		}
 		return measureStewards(ctx, holders, duties, wishes, rand.New(rand.NewPCG(seed, uint64(size))), env)
 	}
@@ -231,7 +231,7 @@
 		About: "three stewards' programs with a disk and 200 hollow holders in one process, each of which wants all duties. " +
 			"300 don't fit: a holder claims up to 128 duties at once, and 32,768 wishes may wait",
 		Variable: "duties", Sizes: []int{16, 32, 64, 128, 256, 512}, Small: []int{2, 4, 6, 8, 10},
-	}, func(size int) (int, int, int) { return holders, size, min(size, call.WishesMost) })
+	}, func(size int) (int, int, int) { return holders, size, min(size, call.MaxWishes) })
 }
 
 func measureStewards(ctx context.Context, holders, duties, wishes int, rng *rand.Rand,
--- a/internal/testbed/scale/fleetslope/view.go
+++ b/internal/testbed/scale/fleetslope/view.go
@@ -53,7 +53,7 @@
 	now := time.Now() // the tracker's clock, which goes on as it is told
 	t := membership.NewTracker(process(0, 1), size, now)
 	for i := 1; i < size; i++ {
-		t.Heard(process(i, 1), now)
+		t.ObserveAlive(process(i, 1), now)
 	}
 	last := t.View()
 	after, err := ownMemory()
@@ -66,7 +66,7 @@
 		for range ticksOfChange {
 			now = now.Add(time.Second)
 			for range digestsOfTicks {
-				t.Told(fmt.Sprintf("relay-%05d", 1+rng.IntN(size-1)), t.View().Digest, now)
+				t.RecordDigest(fmt.Sprintf("relay-%05d", 1+rng.IntN(size-1)), t.View().Digest, now)
 			}
 			t.Tick(now)
 			if v := t.View(); v.Version != last.Version {
@@ -79,9 +79,9 @@
 	began := ownTime()
 	for range viewChanges / 2 {
 		i := 1 + rng.IntN(size-1)
-		t.Lost(process(i, 1), false, now)
+		t.ObserveLost(process(i, 1), false, now)
 		agree()
-		t.Heard(process(i, 1), now)
+		t.ObserveAlive(process(i, 1), now)
 		agree()
 		if err := ctx.Err(); err != nil {
 			return nil, err
@@ -93,5 +93,5 @@
 	}
 	runtime.KeepAlive(t)
 	return map[string]float64{"change_cpu_us": float64(spent.Microseconds()) / viewChanges, "heap_bytes": after.heap - before.heap,
-		"gathered_ms": millis(gossip.GatherFor(size))}, nil
+		"gathered_ms": millis(gossip.BatchDelay(size))}, nil
 }
