--- a/cmd/cherrytrestle/ended_requests_test.go
+++ b/cmd/cherrytrestle/ended_requests_test.go
@@ -11,12 +11,12 @@
 	"time"
 )
 
-// requestEnd is a way in which a request ends, and what its id is answered when it comes again.
+// requestEnd is a way in which a request ends, and the status with which its id is answered when it is submitted again.
 type requestEnd struct {
-	name   string
-	accepted  bool // it is taken on, and ends later
-	notice bool // by a notice
-	repeatStatus  int  // 0: as the notice says
+	name         string
+	accepted     bool // it is accepted and ends later
+	notice       bool // it ends with a notice
+	repeatStatus int  // 0: depends on the notice
 }
 
 var requestEnds = []requestEnd{
@@ -27,12 +27,12 @@
 	{name: "refused", repeatStatus: http.StatusServiceUnavailable},
 }
 
-// statusOfNotice is what an id is answered that comes again after a notice.
+// statusOfNotice is the status with which an id is answered when it is submitted again after a notice.
 var statusOfNotice = map[any]int{"deferred": http.StatusServiceUnavailable, "undeliverable": http.StatusInternalServerError}
 
-// answerByID has an endpoint answer by the ways that the ids of a call name.
+// answerByID answers a call as the prefix of its first id demands.
 func answerByID(w http.ResponseWriter, _ *http.Request, ids []string) {
-	switch way, _, _ := strings.Cut(ids[0], "-"); way {
+	switch end, _, _ := strings.Cut(ids[0], "-"); end {
 	case "gone":
 		w.WriteHeader(http.StatusGone)
 	case "failed":
@@ -54,7 +54,7 @@
 		settings["services"] = services
 		settings["extra"].(map[string]any)["per_call"] = []int{1, 1}
 	}
-	succeed := map[string]func(r *relayProcess, p *fakeAgent){
+	restarts := map[string]func(r *relayProcess, p *fakeAgent){
 		"same process": func(*relayProcess, *fakeAgent) {},
 		"SIGTERM":      func(r *relayProcess, p *fakeAgent) { must(r.t, r.terminate()); r.start(p) },
 		"SIGKILL":      func(r *relayProcess, p *fakeAgent) { r.kill(); r.start(p) },
@@ -65,7 +65,7 @@
 		},
 	}
 	for _, format := range []string{"", "process", "power"} {
-		for how, follow := range succeed {
+		for how, restart := range restarts {
 			t.Run(strings.TrimSpace(how+" "+format), func(t *testing.T) {
 				t.Parallel()
 				p, h := newFakeAgent(t), newHost(t, answerByID)
@@ -91,7 +91,7 @@
 					r.runToEnd(p, h, c)
 					sent[c.id] = h.count(c.id)
 				}
-				follow(r, p)
+				restart(r, p)
 				for _, c := range cases {
 					want := c.repeatStatus
 					if c.notice {
@@ -103,10 +103,10 @@
 				}
 				r.mustAccept("last", 5*time.Second, func(q *http.Request) { q.URL.Path, q.Header["X-Qos"] = "/read_like", []string{"read_like"} })
 				eventually(t, "the last one is delivered", func() bool { return h.count("last") == 1 })
-				time.Sleep(200 * time.Millisecond) // what was taken on again would leave with it, or soon after
+				time.Sleep(200 * time.Millisecond) // requests that were wrongly accepted again would be sent by now
 				for _, c := range cases {
 					if n := h.count(c.id); n != sent[c.id] {
-						t.Errorf("%s: sent %d times, and %d more after its end", c.id, sent[c.id], n-sent[c.id])
+						t.Errorf("%s: sent %d times, and %d more times after its end", c.id, sent[c.id], n-sent[c.id])
 					}
 				}
 			})
@@ -114,26 +114,26 @@
 	}
 }
 
-// endedRequest is a request that ends in one of the ways, of a class and with a destination of its own.
+// endedRequest is a request that ends in a given way, with a class and a destination of its own.
 type endedRequest struct {
 	requestEnd
 	id, class   string
 	destination int
 }
 
-// address has a request be of the case's class, and to its destination.
+// address sets the class and the destination of a request.
 func (c endedRequest) address(q *http.Request) {
 	q.URL.Path = "/" + c.class
 	q.Header.Set("X-Qos", c.class)
 	q.Header.Set("Envelope", fmt.Sprintf("dest=%d", c.destination))
 }
 
-// runToEnd hands a request in and waits until it has ended.
+// runToEnd submits a request and waits until it has ended.
 func (r *relayProcess) runToEnd(p *fakeAgent, h *host, c endedRequest) {
 	r.t.Helper()
 	expires := 700 * time.Millisecond
 	if !c.accepted {
-		expires = 0 // no time is left to deliver it in
+		expires = 0 // refused: no time is left to deliver it
 	}
 	status, _ := r.submit(c.id, expires, c.address)
 	if c.accepted != (status == http.StatusAccepted) {
@@ -144,6 +144,6 @@
 		eventually(r.t, "the notice of "+c.id, func() bool { return p.notice(c.id) != nil })
 	case c.accepted:
 		eventually(r.t, "the call of "+c.id, func() bool { return h.count(c.id) > 0 })
-		time.Sleep(20 * time.Millisecond) // its answer is read
+		time.Sleep(20 * time.Millisecond) // the relay reads the answer
 	}
 }
--- a/cmd/cherrytrestle/main.go
+++ b/cmd/cherrytrestle/main.go
@@ -1,6 +1,6 @@
-// Command cherrytrestle is the relay: it takes messages from clients and delivers each by a call to a host of
-// its destination. The environment tells it what the platform knows, see package relay; a settings file turns on what is
-// off without one, see package settings.
+// Command cherrytrestle is the relay: it accepts messages from clients and delivers each by a call to a host of its
+// destination. The platform configures it by environment variables, see package relay; an optional settings file enables
+// features that are off by default, see package settings.
 package main
 
 import "onyxroad.dev/onyxroad/internal/program"
--- a/cmd/cherrytrestle/main_test.go
+++ b/cmd/cherrytrestle/main_test.go
@@ -23,8 +23,8 @@
 	"onyxroad.dev/onyxroad/internal/wal"
 )
 
-// The tests run the relay as a process of its own, this binary under another variable, so that signals and
-// restarts are real.
+// TestMain runs the test binary as the relay if an environment variable says so: the tests start the relay as a process
+// of its own, so that signals and restarts are real.
 func TestMain(m *testing.M) {
 	if os.Getenv("CHERRYTRESTLE_TEST_RELAY") != "" {
 		main()
@@ -39,7 +39,7 @@
 	t.Helper()
 	for end := time.Now().Add(eventuallyTimeout); !ok(); time.Sleep(2 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("never: %s", what)
+			t.Fatalf("timed out waiting for: %s", what)
 		}
 	}
 }
@@ -58,16 +58,16 @@
 	return listEntry{"id": id, "addr": addr, "zone": zone, "kind": kind, "cell": 7, "state": state, "weight": 500.0}
 }
 
-// fakeAgent is discovery's agent.
+// fakeAgent is a discovery agent.
 type fakeAgent struct {
 	*httptest.Server
-	mu      sync.Mutex
-	version int
-	lines   chan string // to the watch
-	indexes []string    // that watches came with
-	notices  []map[string]any
-	refuseNotices  int // so many requests with notices fail first
-	fullList   []listEntry
+	mu            sync.Mutex
+	version       int
+	lines         chan string // lines to send to the watch
+	indexes       []string    // index parameters of the watch requests
+	notices       []map[string]any
+	refuseNotices int // number of notice requests to fail
+	fullList      []listEntry
 }
 
 func newFakeAgent(t *testing.T) *fakeAgent {
@@ -110,7 +110,7 @@
 				t.Errorf("notice: %v", err)
 				break
 			}
-			f["told_at"] = time.Now()
+			f["received_at"] = time.Now()
 			p.notices = append(p.notices, f)
 		}
 		w.WriteHeader(http.StatusNoContent)
@@ -120,7 +120,7 @@
 	return p
 }
 
-// sendChange writes a change of the list to the watch.
+// sendChange sends a change of the list to the watch.
 func (p *fakeAgent) sendChange(full bool, members ...listEntry) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -141,15 +141,15 @@
 	return nil
 }
 
-// noticeTime is when a message's notice came.
-func (p *fakeAgent) noticeTime(id string) time.Time { return p.notice(id)["told_at"].(time.Time) }
+// noticeTime returns when a message's notice arrived.
+func (p *fakeAgent) noticeTime(id string) time.Time { return p.notice(id)["received_at"].(time.Time) }
 
-// host is one endpoint.
+// host is an endpoint.
 type host struct {
 	*httptest.Server
 	mu     sync.Mutex
-	seen   []string    // ids, in the order of their calls
-	at     []time.Time // of each
+	seen   []string    // ids in the order of their calls
+	at     []time.Time // arrival time of each id
 	calls  int
 	answer func(w http.ResponseWriter, r *http.Request, ids []string)
 }
@@ -200,7 +200,7 @@
 	return n
 }
 
-// relayProcess is a relay under its name and address, over its restarts.
+// relayProcess is a relay with a fixed name and address that can be restarted.
 type relayProcess struct {
 	t      *testing.T
 	dir    string
@@ -208,10 +208,10 @@
 	cmd    *exec.Cmd
 	client *http.Client
 	config map[string]any
-	env    []string // of each of its processes, besides its own
+	env    []string // additional environment of each process
 }
 
-// newRelay writes the configuration; change may alter the settings.
+// newRelay configures and starts a relay; change may alter the settings.
 func newRelay(t *testing.T, p *fakeAgent, known []listEntry, change func(settings map[string]any), env ...string) *relayProcess {
 	settings := map[string]any{
 		"bounds": map[string]any{"cancel": true, "connect_timeout_ms": 1000, "keepalive_ms": 15000, "max_retry_after_ms": 3000,
@@ -264,7 +264,7 @@
 	eventually(r.t, "ready", func() bool { return r.returnsOK("http://" + r.addr + "/_health") })
 }
 
-// launch starts the process.
+// launch starts the process without waiting for it.
 func (r *relayProcess) launch(p *fakeAgent, env ...string) {
 	r.t.Helper()
 	log, err := os.OpenFile(filepath.Join(r.dir, "log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
@@ -279,7 +279,7 @@
 	must(r.t, r.cmd.Start())
 }
 
-// returnsOK tells whether a GET is answered with 200.
+// returnsOK reports whether a GET is answered with 200.
 func (r *relayProcess) returnsOK(url string) bool {
 	res, err := r.client.Get(url)
 	if err == nil {
@@ -288,8 +288,8 @@
 	return err == nil && res.StatusCode == http.StatusOK
 }
 
-// startSuccessor starts a second process startSuccessor the one that serves, waits until it serves, and returns the old one and the
-// new one's second address.
+// startSuccessor starts a second process beside the serving one, waits until it serves, and returns the old process and
+// the admin URL of the new one.
 func (r *relayProcess) startSuccessor(p *fakeAgent) (old *exec.Cmd, admin string) {
 	r.t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -310,7 +310,7 @@
 	r.client.CloseIdleConnections()
 }
 
-// request makes a hand-in; edit may spoil it.
+// request creates a valid submission; edit may change it.
 func (r *relayProcess) request(id string, expires time.Duration, edit func(*http.Request)) *http.Request {
 	req, err := http.NewRequest(http.MethodPost, "http://"+r.addr+"/order", strings.NewReader("body"))
 	must(r.t, err)
@@ -326,7 +326,7 @@
 	return req
 }
 
-// submit hands a message in and returns the answer's status and advice.
+// submit submits a message and returns the answer's status and Retry-After header.
 func (r *relayProcess) submit(id string, expires time.Duration, edit func(*http.Request)) (int, string) {
 	r.t.Helper()
 	res, err := r.client.Do(r.request(id, expires, edit))
@@ -338,12 +338,12 @@
 
 func (r *relayProcess) mustAccept(id string, expires time.Duration, edit ...func(*http.Request)) {
 	r.t.Helper()
-	each := func(q *http.Request) {
+	applyAll := func(q *http.Request) {
 		for _, f := range edit {
 			f(q)
 		}
 	}
-	if status, _ := r.submit(id, expires, each); status != http.StatusAccepted {
+	if status, _ := r.submit(id, expires, applyAll); status != http.StatusAccepted {
 		r.t.Fatalf("%s: status %d", id, status)
 	}
 }
@@ -399,7 +399,7 @@
 	if status, _ := r.submit("big", 10*time.Second, big); status != http.StatusAccepted {
 		t.Errorf("64 KiB: status %d", status)
 	}
-	eventually(t, "the good one delivered", func() bool { return h.count("big") == 1 })
+	eventually(t, "the valid message delivered", func() bool { return h.count("big") == 1 })
 	if h.calls != 1 {
 		t.Errorf("%d calls", h.calls)
 	}
@@ -416,25 +416,25 @@
 	})
 	r := newRelay(t, p, []listEntry{newEntry("s-1", h.addr(), "a", "gateway", "ready")}, func(s map[string]any) {
 		s["bounds"].(map[string]any)["open_cap"] = held
-		s["extra"].(map[string]any)["call_slots"] = 0 // no limit: all go out, and none can be refused for another
+		s["extra"].(map[string]any)["call_slots"] = 0 // no limit: all calls are sent, so that messages are refused for the cap alone
 	})
 	defer close(wait)
-	taken := 0
+	accepted := 0
 	for i := range 3 * held {
-		status, again := r.submit(fmt.Sprint("m", i), 10*time.Second, nil)
+		status, retryAfter := r.submit(fmt.Sprint("m", i), 10*time.Second, nil)
 		switch {
 		case status == http.StatusAccepted:
-			taken++
-		case status != http.StatusServiceUnavailable || again == "":
-			t.Errorf("status %d, advice %q", status, again)
+			accepted++
+		case status != http.StatusServiceUnavailable || retryAfter == "":
+			t.Errorf("status %d, Retry-After %q", status, retryAfter)
 		}
 	}
-	if taken < held-1 || taken > held { // the module turns away a little before the cap
-		t.Errorf("%d taken on, the cap is %d", taken, held)
+	if accepted < held-1 || accepted > held { // the module refuses messages slightly below the cap
+		t.Errorf("%d accepted, the cap is %d", accepted, held)
 	}
 }
 
-// What the module gives up on gets its answer by a notice, and the notice goes on until it is taken.
+// A message that the module gives up is answered by a notice, which is retried until the agent accepts it.
 func TestNoticesAreRetriedUntilAccepted(t *testing.T) {
 	p := newFakeAgent(t)
 	p.refuseNotices = 3
@@ -447,8 +447,8 @@
 	}
 }
 
-// A call that was out when the process was killed may have run. The message is made good by the next process, and
-// only where repeats are dropped: in the same zone.
+// A call that was in flight when the process was killed may have run. The next process repeats the message, but only
+// where the host drops duplicates: in the same zone.
 func TestMessageWithOpenCallIsRepeatedAfterKill(t *testing.T) {
 	p := newFakeAgent(t)
 	first := true
@@ -468,9 +468,9 @@
 	r.mustAccept("late", 600*time.Millisecond)
 	eventually(t, "the call", func() bool { return one.count("m1") == 1 })
 	r.kill()
-	time.Sleep(700 * time.Millisecond) // the second message's time runs out while no relay is there
+	time.Sleep(700 * time.Millisecond) // the second message expires while no relay runs
 
-	// Back it comes with a list whose first host, by its weight, stands in the other zone.
+	// The relay restarts with a list whose preferred host, by weight, is in the other zone.
 	better := newEntry("s-0", other.addr(), "b", "gateway", "ready")
 	better["weight"] = 900.0
 	r.start(p)
@@ -482,16 +482,16 @@
 		t.Error("repeated in another zone")
 	}
 	if one.count("late") == 0 { // it may have been delivered before the kill
-		eventually(t, "a notice for the overdue one", func() bool { return p.notice("late") != nil })
+		eventually(t, "a notice for the expired message", func() bool { return p.notice("late") != nil })
 	}
 
-	// Delivered and ended messages stay ended.
-	eventually(t, "an empty log after a planned end", func() bool { return r.terminate() == nil })
+	// Delivered and expired messages are not sent again after a graceful shutdown.
+	eventually(t, "a graceful shutdown", func() bool { return r.terminate() == nil })
 	r.start(p)
 	r.mustAccept("m3", 10*time.Second)
 	eventually(t, "m3", func() bool { return one.count("m3")+other.count("m3") == 1 })
 	if one.count("m1") != 2 {
-		t.Errorf("m1 went %d times", one.count("m1"))
+		t.Errorf("m1 was sent %d times", one.count("m1"))
 	}
 }
 
@@ -509,7 +509,7 @@
 	began := make(chan struct{}, 10)
 	h := newHost(t, func(http.ResponseWriter, *http.Request, []string) {
 		began <- struct{}{}
-		time.Sleep(time.Second) // a call that takes its time
+		time.Sleep(time.Second) // a slow call
 	})
 	r := newRelay(t, p, []listEntry{newEntry("s-1", h.addr(), "a", "gateway", "ready")}, nil)
 	r.mustAccept("running", 10*time.Second)
@@ -523,8 +523,8 @@
 		}
 		return err == nil && res.StatusCode == http.StatusServiceUnavailable
 	})
-	if time.Since(start) < 200*time.Millisecond { // else the machine is too slow to tell
-		r.mustAccept("after", 10*time.Second) // new work is still taken
+	if time.Since(start) < 200*time.Millisecond { // otherwise the machine is too slow for this check
+		r.mustAccept("after", 10*time.Second) // new messages are still accepted
 	}
 	err := r.terminate()
 	if took := time.Since(start); err != nil || took > 3700*time.Millisecond {
@@ -537,17 +537,17 @@
 	r.mustAccept("next", 10*time.Second)
 	eventually(t, "the next message", func() bool { return h.count("next") == 1 })
 	if h.count("running") != 1 {
-		t.Error("a delivered message went again")
+		t.Error("a delivered message was sent again")
 	}
 }
 
-// Clients that go on through a planned end, and through a kill, lose nothing that they were told is taken on.
+// Clients keep submitting through a graceful shutdown and a kill. No message that was accepted is lost.
 func TestRestartsUnderLoadLoseNothing(t *testing.T) {
 	p := newFakeAgent(t)
 	h := newHost(t, func(http.ResponseWriter, *http.Request, []string) { time.Sleep(30 * time.Millisecond) })
 	r := newRelay(t, p, []listEntry{newEntry("s-1", h.addr(), "a", "gateway", "ready")}, nil)
 	var mu sync.Mutex
-	var taken []string
+	var accepted []string
 	var unanswered int
 	load := func(round string, stop <-chan struct{}) {
 		var clients sync.WaitGroup
@@ -562,12 +562,12 @@
 					case <-time.After(20 * time.Millisecond):
 					}
 					id := fmt.Sprintf("%s-%d-%d", round, c, i)
-					res, err := client.Do(r.request(id, 16*time.Second, nil)) // comes once more if its connection closed crosswise
+					res, err := client.Do(r.request(id, 16*time.Second, nil)) // the client retries if the relay closes the connection at the same moment
 					mu.Lock()
 					if err != nil {
 						unanswered++
 					} else if res.StatusCode == http.StatusAccepted {
-						taken = append(taken, id)
+						accepted = append(accepted, id)
 					}
 					mu.Unlock()
 					if err == nil {
@@ -580,7 +580,7 @@
 		clients.Wait()
 	}
 
-	// The front sends nothing more to a relay some tenths of a second after SIGTERM.
+	// The load balancer stops sending requests a few tenths of a second after SIGTERM.
 	stop := make(chan struct{})
 	go func() {
 		time.Sleep(200 * time.Millisecond)
@@ -590,7 +590,7 @@
 	}()
 	load("term", stop)
 	if unanswered > 0 {
-		t.Errorf("%d requests had no answer through a planned end", unanswered)
+		t.Errorf("%d requests had no answer during a graceful shutdown", unanswered)
 	}
 	if err := r.cmd.Wait(); err != nil {
 		t.Errorf("ended: %v", err)
@@ -606,15 +606,15 @@
 	load("kill", stop)
 	r.cmd.Wait()
 	r.start(p)
-	for _, id := range taken {
+	for _, id := range accepted {
 		eventually(t, id+" delivered or ended", func() bool { return h.count(id) > 0 || p.notice(id) != nil })
 	}
-	if len(taken) < 20 {
-		t.Errorf("only %d taken on: the test shows little", len(taken))
+	if len(accepted) < 20 {
+		t.Errorf("only %d messages accepted: too few for a meaningful result", len(accepted))
 	}
-	for _, id := range taken {
+	for _, id := range accepted {
 		if n := h.count(id); strings.HasPrefix(id, "term") && n > 1 {
-			t.Errorf("%s went %d times though its calls could finish", id, n)
+			t.Errorf("%s was sent %d times although its calls could finish", id, n)
 		}
 	}
 }
@@ -627,7 +627,7 @@
 	r.mustAccept("m1", 10*time.Second)
 	eventually(t, "the better host", func() bool { return one.count("m1") == 1 })
 	better["state"] = "draining"
-	p.sendChange(false, better, listEntry{"id": 17}, listEntry{"id": "s-9", "state": "asleep"}) // the others cannot be read
+	p.sendChange(false, better, listEntry{"id": 17}, listEntry{"id": "s-9", "state": "asleep"}) // the other entries are invalid
 	eventually(t, "a message to the other host", func() bool {
 		id := fmt.Sprint("m", time.Now().UnixNano())
 		r.mustAccept(id, 10*time.Second)
@@ -643,7 +643,7 @@
 		t.Errorf("watches from %v", p.indexes)
 	}
 	better["state"] = "ready"
-	p.sendChange(true, better) // the other is missing: it is gone
+	p.sendChange(true, better) // a full list without the other host removes it
 	eventually(t, "back at the first host", func() bool {
 		id := fmt.Sprint("n", time.Now().UnixNano())
 		r.mustAccept(id, 10*time.Second)
@@ -656,19 +656,19 @@
 	const wait = 600 * time.Millisecond
 	p := newFakeAgent(t)
 	var mu sync.Mutex
-	var told time.Time
+	var refusedAt time.Time
 	h := newHost(t, func(w http.ResponseWriter, _ *http.Request, _ []string) {
 		mu.Lock()
 		defer mu.Unlock()
-		if told.IsZero() {
-			told = time.Now()
+		if refusedAt.IsZero() {
+			refusedAt = time.Now()
 			w.Header().Set("Retry-After", "0.600")
 			w.WriteHeader(http.StatusTooManyRequests)
 		}
 	})
 	r := newRelay(t, p, []listEntry{newEntry("s-1", h.addr(), "a", "platform", "ready")}, nil)
 	r.mustAccept("m1", 10*time.Second)
-	eventually(t, "the wait", func() bool { return h.count("m1") == 1 })
+	eventually(t, "the refused call", func() bool { return h.count("m1") == 1 })
 	for i := range 5 {
 		r.mustAccept(fmt.Sprint("w", i), 10*time.Second)
 	}
@@ -676,13 +676,13 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for i, id := range h.seen {
-		if since := h.at[i].Sub(told); i > 0 && since < wait && since > 100*time.Millisecond {
-			t.Errorf("%s came %v after the wait was told", id, since)
+		if since := h.at[i].Sub(refusedAt); i > 0 && since < wait && since > 100*time.Millisecond {
+			t.Errorf("%s was sent %v after the Retry-After", id, since)
 		}
 	}
 }
 
-// What waits for one route when it opens goes as one call.
+// Messages that wait for one route are sent in one call when it opens.
 func TestWaitingMessagesShareACall(t *testing.T) {
 	p := newFakeAgent(t)
 	var mu sync.Mutex
@@ -705,7 +705,7 @@
 	})
 	r := newRelay(t, p, []listEntry{newEntry("s-1", h.addr(), "a", "platform", "ready")}, nil)
 	r.mustAccept("m0", 10*time.Second)
-	eventually(t, "the wait", func() bool { return h.count("m0") == 1 })
+	eventually(t, "the refused call", func() bool { return h.count("m0") == 1 })
 	for i := range 8 {
 		r.mustAccept(fmt.Sprint("b", i), 10*time.Second)
 	}
@@ -715,7 +715,7 @@
 	}
 }
 
-// Requests that stop half-way and connections that say nothing hold nobody up.
+// Incomplete requests and silent connections do not delay other clients.
 func TestIncompleteRequestsBlockNobody(t *testing.T) {
 	p, h := newFakeAgent(t), newHost(t, nil)
 	r := newRelay(t, p, []listEntry{newEntry("s-1", h.addr(), "a", "platform", "ready")}, nil)
@@ -739,26 +739,27 @@
 	}
 }
 
-// SIGHUP moves the relay to the discovery that the file names, again and again. Versions may go back, the notices
-// follow, the old list serves until the new discovery speaks, and an unreadable file changes nothing.
+// SIGHUP switches the relay to the discovery agent that the configuration names, repeatedly. List versions may go back,
+// pending notices go to the new agent, the old list is used until the new agent answers, and an unreadable file changes
+// nothing.
 func TestSIGHUPSwitchesDiscovery(t *testing.T) {
 	one, two := newHost(t, nil), newHost(t, nil)
-	shut := newHost(t, func(w http.ResponseWriter, _ *http.Request, _ []string) { w.WriteHeader(http.StatusServiceUnavailable) })
+	refusing := newHost(t, func(w http.ResponseWriter, _ *http.Request, _ []string) { w.WriteHeader(http.StatusServiceUnavailable) })
 	first, second := newFakeAgent(t), newFakeAgent(t)
 	first.version = 40
 	r := newRelay(t, first, []listEntry{newEntry("s-1", one.addr(), "a", "gateway", "ready")}, nil)
 	r.mustAccept("m1", 10*time.Second)
 	eventually(t, "the first host", func() bool { return one.count("m1") == 1 })
 	const many = 1 << 30
-	first.refuseNotices = many // its notices are stuck there
-	first.sendChange(true, newEntry("s-3", shut.addr(), "a", "gateway", "ready"))
-	eventually(t, "a message turned away", func() bool {
+	first.refuseNotices = many // the first agent accepts no notices
+	first.sendChange(true, newEntry("s-3", refusing.addr(), "a", "gateway", "ready"))
+	eventually(t, "a message refused by the third host", func() bool {
 		id := fmt.Sprint("full", time.Now().UnixNano())
 		r.mustAccept(id, 500*time.Millisecond)
-		eventually(t, id, func() bool { return one.count(id)+shut.count(id) > 0 })
-		return shut.count(id) > 0
+		eventually(t, id, func() bool { return one.count(id)+refusing.count(id) > 0 })
+		return refusing.count(id) > 0
 	})
-	eventually(t, "a notice under way", func() bool { first.mu.Lock(); defer first.mu.Unlock(); return first.refuseNotices < many })
+	eventually(t, "an attempt to send a notice", func() bool { first.mu.Lock(); defer first.mu.Unlock(); return first.refuseNotices < many })
 
 	hup := func(p *fakeAgent) {
 		t.Helper()
@@ -770,17 +771,17 @@
 	hup(second)
 	r.mustAccept("m2", 10*time.Second)
 	eventually(t, "the host of the new list", func() bool { return two.count("m2") == 1 })
-	eventually(t, "the notice that was under way", func() bool { second.mu.Lock(); defer second.mu.Unlock(); return len(second.notices) > 0 })
+	eventually(t, "the pending notice", func() bool { second.mu.Lock(); defer second.mu.Unlock(); return len(second.notices) > 0 })
 
 	must(t, os.WriteFile(filepath.Join(r.dir, "config.json"), []byte("{"), 0o600))
 	must(t, r.cmd.Process.Signal(syscall.SIGHUP))
 	second.sendChange(false, newEntry("s-2", two.addr(), "a", "gateway", "draining"), newEntry("s-1", one.addr(), "a", "gateway", "ready"))
 	r.mustAccept("m3", 10*time.Second)
-	eventually(t, "still heard after an unreadable file", func() bool { return one.count("m3")+two.count("m3") == 1 })
+	eventually(t, "a message after an unreadable file", func() bool { return one.count("m3")+two.count("m3") == 1 })
 
 	first.fullList = []listEntry{newEntry("s-2", two.addr(), "a", "gateway", "ready")}
 	hup(first)
-	eventually(t, "back at the first", func() bool {
+	eventually(t, "back at the first agent", func() bool {
 		id := fmt.Sprint("back", time.Now().UnixNano())
 		r.mustAccept(id, 10*time.Second)
 		eventually(t, id, func() bool { return one.count(id)+two.count(id) == 1 })
@@ -791,7 +792,7 @@
 	}
 }
 
-// blockHeldMessage answers all but the message "held", which waits for release.
+// blockHeldMessage answers all messages at once except "held", which waits for release.
 func blockHeldMessage(release <-chan struct{}) func(http.ResponseWriter, *http.Request, []string) {
 	return func(w http.ResponseWriter, r *http.Request, ids []string) {
 		if ids[0] == "held" {
@@ -803,7 +804,7 @@
 	}
 }
 
-// telemetry returns what the second address tells.
+// telemetry returns the metrics of the admin address.
 func (r *relayProcess) telemetry(admin string) string {
 	res, err := r.client.Get(admin + "/api/telemetry")
 	must(r.t, err)
@@ -818,10 +819,10 @@
 	p, h := newFakeAgent(t), newHost(t, blockHeldMessage(release))
 	r := newRelay(t, p, []listEntry{newEntry("s-1", h.addr(), "a", "gateway", "ready")}, nil)
 	r.mustAccept("held", 10*time.Second)
-	eventually(t, "its call is out", func() bool { return h.count("held") == 1 })
+	eventually(t, "its call is in flight", func() bool { return h.count("held") == 1 })
 	old, admin := r.startSuccessor(p)
 
-	r.mustAccept("kept", 10*time.Second) // on a connection that the old process holds
+	r.mustAccept("kept", 10*time.Second) // on a connection to the old process
 	fresh := &http.Client{Timeout: eventuallyTimeout, Transport: &http.Transport{}}
 	defer fresh.CloseIdleConnections()
 	for _, id := range []string{"held", "new"} {
@@ -833,12 +834,12 @@
 		}
 	}
 	eventually(t, "both delivered", func() bool { return h.count("kept") == 1 && h.count("new") == 1 })
-	eventually(t, "only the call that is out is held", func() bool {
+	eventually(t, "only the message in flight is held", func() bool {
 		text := r.telemetry(admin)
 		return strings.Contains(text, "relay.answered.order:2|c") && strings.Contains(text, "relay.current:1|g")
 	})
 	close(release)
-	eventually(t, "its outcome is told", func() bool { return strings.Contains(r.telemetry(admin), "relay.current:0|g") })
+	eventually(t, "its outcome is reported", func() bool { return strings.Contains(r.telemetry(admin), "relay.current:0|g") })
 	must(t, old.Process.Signal(syscall.SIGTERM))
 	if err := old.Wait(); err != nil {
 		t.Errorf("the old process: %v", err)
@@ -846,11 +847,12 @@
 	r.mustAccept("after", 10*time.Second)
 	eventually(t, "delivered after all", func() bool { return h.count("after") == 1 })
 	if n := h.count("held"); n != 1 || p.notice("held") != nil {
-		t.Errorf("the call that was out: sent %d times, notice %v", n, p.notice("held"))
+		t.Errorf("the call in flight: sent %d times, notice %v", n, p.notice("held"))
 	}
 }
 
-// What a process had out when it was killed may have run. Its message is the new one's, and must not run twice.
+// A call that was in flight when its process was killed may have run. The new process owns the message and must not run
+// it twice.
 func TestOldProcessKilledAfterHandover(t *testing.T) {
 	release := make(chan struct{})
 	defer close(release)
@@ -862,7 +864,7 @@
 		delete(service, "repeat_window_ms")
 	})
 	r.mustAccept("held", 10*time.Second)
-	eventually(t, "its call is out", func() bool { return h.count("held") == 1 })
+	eventually(t, "its call is in flight", func() bool { return h.count("held") == 1 })
 	old, _ := r.startSuccessor(p)
 	must(t, old.Process.Kill())
 	eventually(t, "the notice", func() bool { return p.notice("held") != nil })
@@ -873,32 +875,32 @@
 	eventually(t, "delivered", func() bool { return h.count("after") == 1 })
 }
 
-// A process that asks for the relay's place and dies before it has the log changes nothing.
+// A process that starts a hand-over and dies before it owns the log changes nothing.
 func TestNewProcessDyingBeforeHandoverChangesNothing(t *testing.T) {
 	release := make(chan struct{})
 	p, h := newFakeAgent(t), newHost(t, blockHeldMessage(release))
 	r := newRelay(t, p, []listEntry{newEntry("s-1", h.addr(), "a", "gateway", "ready")}, nil)
 	r.mustAccept("held", 10*time.Second)
-	eventually(t, "its call is out", func() bool { return h.count("held") == 1 })
+	eventually(t, "its call is in flight", func() bool { return h.count("held") == 1 })
 	state := filepath.Join(r.dir, "state")
 	c, err := net.Dial("unix", filepath.Join(state, "handover.sock"))
 	must(t, err)
-	_, err = io.ReadFull(c, make([]byte, 10)) // some of what is handed over
+	_, err = io.ReadFull(c, make([]byte, 10)) // part of the handed-over data
 	must(t, err)
 	c.Close()
 	r.mustAccept("m1", 10*time.Second)
 	eventually(t, "delivered", func() bool { return h.count("m1") == 1 })
 	if lock, err := wal.Lock(state); !errors.Is(err, wal.ErrLocked) {
-		t.Errorf("the log is free: %v, %v", lock, err)
+		t.Errorf("the log is not locked: %v, %v", lock, err)
 	}
 	close(release)
 	must(t, r.terminate())
 	if h.count("held") != 1 || p.notice("held") != nil {
-		t.Errorf("the call that was out: sent %d times, notice %v", h.count("held"), p.notice("held"))
+		t.Errorf("the call in flight: sent %d times, notice %v", h.count("held"), p.notice("held"))
 	}
 }
 
-// postExclusion takes an endpoint out or puts it back.
+// postExclusion excludes an endpoint or includes it again.
 func (r *relayProcess) postExclusion(admin, call, id string) int {
 	r.t.Helper()
 	res, err := r.client.Post(admin+"/api/"+call, "application/json", strings.NewReader(`{"host":"`+id+`"}`))
@@ -907,13 +909,14 @@
 	return res.StatusCode
 }
 
-// An endpoint that is out by hand stays out over a SIGKILL, a hand-over and a new listing, until one call puts it back.
+// An endpoint that an operator has excluded stays excluded after a SIGKILL, a hand-over and a new listing, until one
+// call includes it again.
 func TestExclusionSurvivesRestarts(t *testing.T) {
 	p, first, second := newFakeAgent(t), newHost(t, nil), newHost(t, nil)
 	entries := []listEntry{newEntry("s-1", first.addr(), "a", "gateway", "ready"), newEntry("s-2", second.addr(), "a", "gateway", "ready")}
 	r := newRelay(t, p, entries, nil)
 	r.mustAccept("m0", 10*time.Second)
-	eventually(t, "the first of two takes it", func() bool { return first.count("m0") == 1 })
+	eventually(t, "the first endpoint receives it", func() bool { return first.count("m0") == 1 })
 	_, admin := r.startSuccessor(p)
 	if got := r.postExclusion(admin, "exclude", "s-1"); got != http.StatusOK {
 		t.Fatalf("exclude: %d", got)
@@ -933,9 +936,9 @@
 	_, admin = r.startSuccessor(p)
 	goesToSecond("m3")
 	_, next := r.startSuccessor(p)
-	// The process before passes calls on.
+	// The previous process forwards calls to its successor.
 	if got := r.postExclusion(admin, "exclude", "s-9"); got != http.StatusNotFound {
-		t.Errorf("one that was never listed: %d", got)
+		t.Errorf("an endpoint that was never listed: %d", got)
 	}
 	if got := r.postExclusion(admin, "include", "s-1"); got != http.StatusOK {
 		t.Errorf("include: %d", got)
@@ -943,11 +946,11 @@
 	eventually(t, "none is avoided", func() bool { return strings.Contains(r.telemetry(next), "relay.cluster_unhealthy:0|g") })
 	first.mu.Lock()
 	if first.calls != 1 {
-		t.Errorf("%d calls while it was out", first.calls-1)
+		t.Errorf("%d calls while it was excluded", first.calls-1)
 	}
 	first.mu.Unlock()
 	n := 0
-	eventually(t, "it takes messages again", func() bool {
+	eventually(t, "it receives messages again", func() bool {
 		n++
 		r.mustAccept(fmt.Sprint("back-", n), 10*time.Second)
 		first.mu.Lock()
--- a/cmd/cherrytrestle/resubmission_storm_test.go
+++ b/cmd/cherrytrestle/resubmission_storm_test.go
@@ -12,20 +12,20 @@
 )
 
 var (
-	stormIDs  = flag.Int("storm.ids", 600, "unsafe requests whose ids come again")
-	stormSeed = flag.Uint64("storm.seed", 1, "seed of what is drawn")
+	stormIDs  = flag.Int("storm.ids", 600, "number of unsafe requests whose ids are submitted repeatedly")
+	stormSeed = flag.Uint64("storm.seed", 1, "random seed")
 )
 
-// maxRuns is how many calls of an id may have run.
+// maxRuns is how many calls of one id may have run.
 const maxRuns = 1
 
-// runLog is which ids' calls may have run, and when.
+// runLog records when calls of each id may have run.
 type runLog struct {
 	mu   sync.Mutex
 	runs map[string][]time.Time
 }
 
-// answer has an endpoint fail now and then, and notes what may have run.
+// answer fails now and then, and records every call that may have run.
 func (l *runLog) answer(w http.ResponseWriter, _ *http.Request, ids []string) {
 	switch draw := rand.IntN(20); {
 	case draw < 2:
@@ -76,9 +76,9 @@
 			work <- i
 		}
 	}()
-	for _, part := range []int{1, 2, 3} {
-		eventually(t, "a part is done", func() bool { return done.Load() >= int64(part**stormIDs/4) })
-		if part == 2 {
+	for _, quarter := range []int{1, 2, 3} {
+		eventually(t, "the next quarter of the ids", func() bool { return done.Load() >= int64(quarter**stormIDs/4) })
+		if quarter == 2 {
 			must(t, r.terminate())
 		} else {
 			r.kill()
@@ -88,22 +88,22 @@
 	clients.Wait()
 	log.mu.Lock()
 	defer log.mu.Unlock()
-	twice, afterNotice := 0, 0
+	repeated, afterNotice := 0, 0
 	for id, at := range log.runs {
 		if len(at) > maxRuns {
-			twice++
+			repeated++
 		}
 		if f := p.notice(id); f != nil && at[len(at)-1].After(p.noticeTime(id).Add(50*time.Millisecond)) {
 			afterNotice++
 		}
 	}
-	t.Logf("%d ids, %d ran, %d twice, %d after their notice", *stormIDs, len(log.runs), twice, afterNotice)
-	if twice+afterNotice > 0 || len(log.runs) < *stormIDs/2 {
-		t.Errorf("%d ids ran, %d of them twice, %d after their notice", len(log.runs), twice, afterNotice)
+	t.Logf("%d ids, %d ran, %d more than once, %d after their notice", *stormIDs, len(log.runs), repeated, afterNotice)
+	if repeated+afterNotice > 0 || len(log.runs) < *stormIDs/2 {
+		t.Errorf("%d ids ran, %d of them more than once, %d after their notice", len(log.runs), repeated, afterNotice)
 	}
 }
 
-// submitWhileRestarting hands a message in; the relay may be away.
+// submitWhileRestarting submits a message; the relay may be down.
 func (r *relayProcess) submitWhileRestarting(id string, destination int) {
 	res, err := r.client.Do(r.request(id, 10*time.Second, func(q *http.Request) {
 		q.Header.Set("Envelope", fmt.Sprintf("dest=%d", destination))
--- a/cmd/cherrytrestlectl/duties.go
+++ b/cmd/cherrytrestlectl/duties.go
@@ -14,17 +14,17 @@
 	"onyxroad.dev/onyxroad/internal/duty/figures"
 )
 
-// stewardTimeout is how long the stewards have to agree on something, a new leader's election included.
+// stewardTimeout bounds how long the stewards may take to agree on something, including the election of a new leader.
 const stewardTimeout = 10 * time.Second
 
-// stewardFlags are the stewards to speak with.
+// stewardFlags are the flags of commands that contact the stewards.
 type stewardFlags struct {
-	Stewards []string `required:"" env:"IVYGAUGE_STEWARDS" help:"Addresses of the stewards' APIs, hosts and ports; one that is up is enough."`
+	Stewards []string `required:"" env:"IVYGAUGE_STEWARDS" help:"API addresses of the stewards (host:port); one reachable steward is enough."`
 }
 
-// do asks whichever steward leads.
-func (a *stewardFlags) do(path string, in, out any, wait time.Duration) error {
-	client := call.NewClient(a.Stewards, nil)
+// do sends a request to the leader of the stewards.
+func (f *stewardFlags) do(path string, in, out any, wait time.Duration) error {
+	client := call.NewClient(f.Stewards, nil)
 	defer client.Close()
 	ctx, cancel := context.WithTimeout(context.Background(), wait+stewardTimeout)
 	defer cancel()
@@ -69,8 +69,8 @@
 type stepDownCmd struct {
 	stewardFlags
 	Duty string        `arg:"" help:"The duty."`
-	To   string        `help:"Who is to have it next, by its name as a holder; none: whoever waits longest."`
-	Bar  time.Duration `default:"1m" help:"For how long the holder does not get it back, at most an hour."`
+	To   string        `help:"Holder that gets the duty next; default: the one that has waited longest."`
+	Bar  time.Duration `default:"1m" help:"How long the present holder is barred from the duty, at most one hour."`
 }
 
 func (c *stepDownCmd) Run(all *cli, out io.Writer) error {
@@ -82,7 +82,7 @@
 	if all.JSON {
 		return json.NewEncoder(out).Encode(d)
 	}
-	fmt.Fprintf(out, "%s was given up after %v\n", c.Duty, time.Since(began).Round(time.Millisecond))
+	fmt.Fprintf(out, "%s was released after %v\n", c.Duty, time.Since(began).Round(time.Millisecond))
 	return nil
 }
 
@@ -119,14 +119,14 @@
 	if !all.JSON {
 		fmt.Fprintln(w, "STEWARD\tADDRESS\tAPI\tTERM\tAPPLIED\t")
 	}
-	led, silent := false, false
+	hasLeader, unreachable := false, false
 	for _, s := range known.Stewards {
 		var one call.StewardsOut
 		note := ""
 		if _, err := client.DoAt(ctx, s.API, call.PathStewards, nil, &one, 0); err != nil {
-			note, silent = "does not answer", true
+			note, unreachable = "does not answer", true
 		} else if s.Leader {
-			note, led = "leads", true
+			note, hasLeader = "leads", true
 		}
 		if !all.JSON {
 			fmt.Fprintf(w, "%s\t%s\t%s\t%d\t%d\t%s\n", s.ID, s.Listen, s.API, one.Term, one.Applied, note)
@@ -135,14 +135,14 @@
 	if err := w.Flush(); err != nil {
 		return err
 	}
-	if !led || silent {
+	if !hasLeader || unreachable {
 		return errCheckFailed
 	}
 	return nil
 }
 
 type beginCmd struct {
-	Addr string `arg:"" help:"The first steward's API, host and port."`
+	Addr string `arg:"" help:"API address of the first steward (host:port)."`
 }
 
 func (c *beginCmd) Run(_ *cli, out io.Writer) error {
@@ -152,20 +152,20 @@
 	if _, err := client.DoAt(context.Background(), c.Addr, call.PathBegin, call.Empty{}, &x, stewardTimeout); err != nil {
 		return err
 	}
-	fmt.Fprintf(out, "cluster %s has begun\n", x.Cluster)
+	fmt.Fprintf(out, "cluster %s created\n", x.Cluster)
 	return nil
 }
 
 type removeCmd struct {
 	stewardFlags
-	Name string `arg:"" help:"The steward's name."`
+	Name string `arg:"" help:"Name of the steward."`
 }
 
 func (c *removeCmd) Run(_ *cli, out io.Writer) error {
 	if err := c.do(call.PathRemove, call.RemoveIn{ID: c.Name}, &call.Empty{}, stewardTimeout); err != nil {
 		return err
 	}
-	fmt.Fprintln(out, c.Name, "is no steward any more")
+	fmt.Fprintln(out, "removed steward", c.Name)
 	return nil
 }
 
@@ -189,7 +189,7 @@
 		}
 		defer res.Body.Close()
 		if res.StatusCode != http.StatusOK {
-			return fmt.Errorf("%s has no figures yet: %s", x.Holder, res.Status)
+			return fmt.Errorf("%s does not provide fleet figures: %s", x.Holder, res.Status)
 		}
 		if _, err := io.Copy(out, res.Body); err != nil {
 			return err
--- a/cmd/cherrytrestlectl/main.go
+++ b/cmd/cherrytrestlectl/main.go
@@ -1,4 +1,4 @@
-// Command cherrytrestlectl is the operators' command.
+// Command cherrytrestlectl is the command-line tool for operators of the relay fleet.
 package main
 
 import (
@@ -16,27 +16,27 @@
 	"onyxroad.dev/onyxroad/internal/settings"
 )
 
-// errCheckFailed ends the command with 1; what is broken has been said.
-var errCheckFailed = errors.New("broken")
+// errCheckFailed makes the command exit with 1; the failure has been printed.
+var errCheckFailed = errors.New("check failed")
 
 type cli struct {
-	JSON  bool `help:"Answer in JSON."`
+	JSON  bool `help:"Print JSON."`
 	State struct {
-		Check  checkCmd  `cmd:"" help:"Check a stopped relay's state folder. Changes nothing. Exit 1 if something that was promised can't be read."`
+		Check  checkCmd  `cmd:"" help:"Check a stopped relay's state folder. Changes nothing. Exit 1 if accepted messages can't be read."`
 		Show   showCmd   `cmd:"" help:"Show the messages that a stopped relay's folder holds. Changes nothing."`
-		Repair repairCmd `cmd:"" help:"Put a stopped relay's folder in order, as a start would, or into another format."`
+		Repair repairCmd `cmd:"" help:"Repair a stopped relay's folder, as a start would, or convert it to another format."`
 	} `cmd:"" help:"A relay's state folder."`
-	Members membersCmd `cmd:"" help:"Show who is in the fleet, as one relay sees it. Exit 1 if its view is not agreed on."`
+	Members membersCmd `cmd:"" help:"Show the members of the fleet as one relay sees them. Exit 1 if its view is not agreed."`
 	Duties  struct {
-		List     dutiesCmd   `cmd:"" default:"withargs" help:"Show every duty, who holds it under which epoch, and for how long without another word."`
-		StepDown stepDownCmd `cmd:"" help:"Have a duty's holder step down, and wait until it has."`
-	} `cmd:"" help:"What one process of the fleet does at a time."`
+		List     dutiesCmd   `cmd:"" default:"withargs" help:"Show every duty with its holder, its epoch and the time left of its lease."`
+		StepDown stepDownCmd `cmd:"" help:"Ask a duty's holder to step down and wait until it has."`
+	} `cmd:"" help:"Duties, each of which only one process of the fleet performs at a time."`
 	Stewards struct {
 		List   stewardsCmd `cmd:"" default:"withargs" help:"Show the stewards. Exit 1 if none of them leads, or one does not answer."`
-		Begin  beginCmd    `cmd:"" help:"Have a first steward begin; the others, whose seeds name it, join it. Once in the life of a fleet."`
-		Remove removeCmd   `cmd:"" help:"Take a steward's place away, by name."`
-	} `cmd:"" help:"Those that agree on duties. A lost majority: cherrytrestle-steward recover."`
-	Fleet  fleetCmd `cmd:"" help:"Show the fleet's figures, added up by the holder of fleet-figures."`
+		Begin  beginCmd    `cmd:"" help:"Create the cluster on a first steward; others that list it as a seed join it. Done once per fleet."`
+		Remove removeCmd   `cmd:"" help:"Remove a steward by name."`
+	} `cmd:"" help:"The stewards, which agree on duties. To recover from a lost majority: cherrytrestle-steward recover."`
+	Fleet  fleetCmd `cmd:"" help:"Show the fleet's figures, summed by the holder of the duty fleet-figures."`
 	Config struct {
 		Check configCmd `cmd:"" help:"Check a settings file."`
 	} `cmd:"" help:"The settings file."`
@@ -44,11 +44,11 @@
 
 func main() { os.Exit(run(os.Args[1:], os.Stdout, os.Stderr)) }
 
-// run runs one run line and returns its exit code: 0 done, 1 something is broken, 2 wrong use or not done.
+// run executes one command line and returns its exit code: 0 success, 1 a check failed, 2 usage or execution error.
 func run(args []string, out, errOut io.Writer) (code int) {
 	var c cli
 	exited := -1
-	parser := kong.Must(&c, kong.Name("cherrytrestlectl"), kong.Description("The operators' command of the relay fleet."),
+	parser := kong.Must(&c, kong.Name("cherrytrestlectl"), kong.Description("Command-line tool for operators of the relay fleet."),
 		kong.Writers(out, errOut), kong.Exit(func(code int) { exited = code; panic(parserExit{}) }))
 	defer func() {
 		if x := recover(); x != nil {
@@ -76,11 +76,11 @@
 	return 0
 }
 
-// parserExit ends the parser where --help has been answered.
+// parserExit is the panic value that unwinds the parser after it has printed --help.
 type parserExit struct{}
 
 type checkCmd struct {
-	Dir string `arg:"" help:"The folder, ROUTER_STATE of the relay."`
+	Dir string `arg:"" help:"State folder, ROUTER_STATE of the relay."`
 }
 
 func (c *checkCmd) Run(all *cli, out io.Writer) error {
@@ -107,20 +107,20 @@
 	for _, m := range f.Messages {
 		counts[m.State]++
 	}
-	fmt.Fprintf(out, "%d messages: %d held, %d in doubt, %d ended whose notice was not taken yet, %d withdrawn that may have run.\n",
+	fmt.Fprintf(out, "%d messages: %d held, %d in doubt, %d ended with an undelivered notice, %d withdrawn that may have run.\n",
 		len(f.Messages), counts["held"], counts["in doubt"], counts["ended"], counts["withdrawn"])
 	if len(f.Excluded) > 0 {
-		fmt.Fprintf(out, "Endpoints out by hand: %v\n", f.Excluded)
+		fmt.Fprintf(out, "Endpoints excluded by operators: %v\n", f.Excluded)
 	}
 	if !f.Partners.IsZero() {
-		fmt.Fprintf(out, "What is known of partners was put down at %s; a start within 10 s takes it up.\n",
+		fmt.Fprintf(out, "Partner state was saved at %s; a start within 10 s restores it.\n",
 			f.Partners.Format(time.RFC3339))
 	}
 	fmt.Fprintf(out, "%d bytes on disk.\n", f.Bytes)
 }
 
 type showCmd struct {
-	Dir string `arg:"" help:"The folder."`
+	Dir string `arg:"" help:"State folder."`
 }
 
 func (c *showCmd) Run(all *cli, out io.Writer) error {
@@ -141,10 +141,10 @@
 }
 
 type repairCmd struct {
-	Dir    string  `arg:"" help:"The folder."`
-	Format int     `enum:"0,1,2" default:"0" help:"1: one file, which every version reads. 2: segments. 0: the format that it has."`
-	Adopt  string  `help:"Give the folder to the relay of this name. The relay that it was kept by must never serve again."`
-	DiskMB float64 `name:"disk-mb" default:"3" help:"The relay's disk limit."`
+	Dir    string  `arg:"" help:"State folder."`
+	Format int     `enum:"0,1,2" default:"0" help:"1: single file, readable by every version. 2: segments. 0: keep the present format."`
+	Adopt  string  `help:"Assign the folder to the relay with this name. The relay that owned it must never serve again."`
+	DiskMB float64 `name:"disk-mb" default:"3" help:"Disk limit of the relay in MB."`
 }
 
 func (c *repairCmd) Run(_ *cli, out io.Writer) error {
@@ -166,7 +166,7 @@
 }
 
 type configCmd struct {
-	File string `arg:"" help:"The file."`
+	File string `arg:"" help:"Settings file."`
 }
 
 func (c *configCmd) Run(_ *cli, out io.Writer) error {
@@ -178,6 +178,6 @@
 		fmt.Fprintln(out, err)
 		return errCheckFailed
 	}
-	fmt.Fprintln(out, c.File, "is in order")
+	fmt.Fprintln(out, c.File, "is valid")
 	return nil
 }
--- a/cmd/cherrytrestlectl/main_test.go
+++ b/cmd/cherrytrestlectl/main_test.go
@@ -17,14 +17,14 @@
 	"onyxroad.dev/onyxroad/internal/wal"
 )
 
-// runCommand runs a command line.
+// runCommand runs a command line and returns its exit code and its output.
 func runCommand(args ...string) (code int, out string) {
 	var b bytes.Buffer
 	code = run(args, &b, &b)
 	return code, b.String()
 }
 
-// newStateFolder is a stopped relay's newStateFolder with two messages, one of which may have run.
+// newStateFolder creates a stopped relay's state folder with two messages, one of which may have run.
 func newStateFolder(t *testing.T, format int) (dir string) {
 	t.Helper()
 	dir = t.TempDir()
@@ -51,7 +51,7 @@
 	return dir
 }
 
-// fileContents is every file of a folder.
+// fileContents returns the name and content of every file of a folder.
 func fileContents(t *testing.T, dir string) (all []string) {
 	t.Helper()
 	names, err := disk.Dir(dir).Names()
@@ -82,7 +82,7 @@
 			t.Errorf("format %d: %d, %s, %v", format, code, out, err)
 		}
 		if !slices.Equal(fileContents(t, dir), before) {
-			t.Errorf("format %d: changed", format)
+			t.Errorf("format %d: the folder has changed", format)
 		}
 	}
 }
@@ -173,6 +173,6 @@
 		t.Errorf("%d, %s", code, out)
 	}
 	if code, _ := runCommand("members", "--addr", "127.0.0.1:1"); code != 2 {
-		t.Errorf("nobody there: %d", code)
+		t.Errorf("unreachable relay: exit code %d", code)
 	}
 }
--- a/cmd/cherrytrestlectl/members.go
+++ b/cmd/cherrytrestlectl/members.go
@@ -12,13 +12,13 @@
 	"onyxroad.dev/onyxroad/internal/membership"
 )
 
-// relayTimeout is how long a relay has for its answer.
+// relayTimeout bounds how long a relay may take to answer.
 const relayTimeout = 3 * time.Second
 
 type membersCmd struct {
-	Addr  string        `required:"" help:"A relay's second address, host and port."`
+	Addr  string        `required:"" help:"Admin address of a relay (host:port)."`
 	Watch bool          `help:"Show every change of the view until interrupted."`
-	Every time.Duration `default:"1s" help:"With --watch: how often to look."`
+	Every time.Duration `default:"1s" help:"With --watch: polling interval."`
 }
 
 func (c *membersCmd) Run(all *cli, out io.Writer) error {
@@ -52,7 +52,7 @@
 	}
 	defer res.Body.Close()
 	if res.StatusCode == http.StatusNotFound {
-		return v, errors.New("this relay is not in a fleet: its settings have no [membership]")
+		return v, errors.New("this relay is not part of a fleet: its settings have no [membership]")
 	}
 	if res.StatusCode != http.StatusOK {
 		return v, fmt.Errorf("%s answers %s", c.Addr, res.Status)
@@ -68,7 +68,7 @@
 		return json.NewEncoder(out).Encode(v)
 	}
 	now := time.Now()
-	fmt.Fprintf(out, "view %d, %s for %v: %d present, %d unreachable; shares are reckoned with %d\n", v.Version, v.Agreement,
+	fmt.Fprintf(out, "view %d, %s for %v: %d present, %d unreachable, %d may be serving\n", v.Version, v.Agreement,
 		now.Sub(v.Since).Round(time.Second), v.Present, v.Unreachable, v.MayServe)
 	if len(v.Disagreeing) > 0 {
 		fmt.Fprintf(out, "see another view: %v\n", v.Disagreeing)
--- a/internal/duty/call/call.go
+++ b/internal/duty/call/call.go
@@ -1,8 +1,10 @@
-// Package call is how relays and tools speak with stewards: HTTP/1.1 with bodies in JSON, and a client that finds the leader.
+// Package call is the protocol between stewards and their clients, relays and tools: HTTP/1.1 with JSON bodies, and a
+// client that finds the leader.
 //
-// Any steward answers. One that does not lead answers 421 with the leader's address, or 503 while there is none. 400 is a request
-// that makes no sense, 409 one that comes too late, 413 one that is too long, 429 one too many; 504 one whose effect is not known:
-// a claim is repeated with its id then, and is the same claim.
+// Every steward answers. One that does not lead answers 421 with the leader's address, or 503 if there is no leader. The
+// other errors are 400 for an invalid request, 409 for one that conflicts with the present state, 413 for one that is
+// too long, 429 for too many requests, and 504 if the outcome is unknown: a claim is then repeated with the same id and
+// remains the same claim.
 package call
 
 import (
@@ -24,7 +26,7 @@
 	"onyxroad.dev/onyxroad/internal/duty"
 )
 
-// The calls.
+// The paths of the calls.
 const (
 	PathClaim    = "/v1/claim"
 	PathRenew    = "/v1/renew"
@@ -41,28 +43,28 @@
 	HeaderCluster = "Steward-Cluster"
 	HeaderEra     = "Steward-Era"
 
-	// The bounds of a request.
-	MaxBodyBytes   = 64 << 10
-	MaxWishes = 128
-	MaxWait   = 20 * time.Second
+	// Limits of a request.
+	MaxBodyBytes = 64 << 10
+	MaxWishes    = 128
+	MaxWait      = 20 * time.Second
 )
 
 // Wish is a duty that a process wants to hold.
 type Wish struct {
 	Duty    string `json:"duty"`
-	ID      string `json:"id"` // the claim's: a repeat of it is the same claim
+	ID      string `json:"id"` // id of the claim: repeating it does not make another claim
 	LeaseMS int64  `json:"lease_ms"`
 }
 
-// ClaimIn asks for duties, and waits for the first that is granted.
+// ClaimIn asks for duties and waits until the first is granted.
 type ClaimIn struct {
 	Holder string `json:"holder"`
-	Addr   string `json:"addr,omitempty"` // where it answers others
+	Addr   string `json:"addr,omitempty"` // address of the holder
 	Wishes []Wish `json:"wishes"`
 	WaitMS int64  `json:"wait_ms"`
 }
 
-// Granted is what became of a wish.
+// Granted is the outcome of a wish.
 type Granted struct {
 	Duty    string `json:"duty"`
 	ID      string `json:"id"`
@@ -70,7 +72,7 @@
 	Refused string `json:"refused,omitempty"`
 }
 
-// ClaimOut are the wishes of which something has become; none if the time was over first.
+// ClaimOut lists the wishes that were granted or refused; none if the waiting time ended first.
 type ClaimOut struct {
 	Granted []Granted `json:"granted"`
 }
@@ -79,8 +81,8 @@
 type Held struct {
 	Duty  string `json:"duty"`
 	Epoch uint64 `json:"epoch"`
-	OK    bool   `json:"ok,omitempty"`    // its lease begins anew
-	Asked bool   `json:"asked,omitempty"` // its holder is to step down
+	OK    bool   `json:"ok,omitempty"`    // the lease is extended
+	Asked bool   `json:"asked,omitempty"` // the holder is to step down
 }
 
 // RenewIn extends leases.
@@ -89,17 +91,17 @@
 	Held   []Held `json:"held"`
 }
 
-// RenewOut tells which.
+// RenewOut is the outcome of a RenewIn.
 type RenewOut struct {
 	Held []Held `json:"held"`
 }
 
-// ReleaseIn gives a duty up.
+// ReleaseIn releases a duty.
 type ReleaseIn struct {
 	Holder string `json:"holder"`
 	Duty   string `json:"duty"`
 	Epoch  uint64 `json:"epoch"`
-	To     string `json:"to,omitempty"` // who is to have it next
+	To     string `json:"to,omitempty"` // holder that gets the duty next
 }
 
 // WatchIn waits until the holder is asked to step down from one of its duties.
@@ -108,47 +110,47 @@
 	WaitMS int64  `json:"wait_ms"`
 }
 
-// StepDownIn has a duty's holder step down.
+// StepDownIn asks the holder of a duty to step down.
 type StepDownIn struct {
 	Duty  string `json:"duty"`
 	To    string `json:"to,omitempty"`
 	BarMS int64  `json:"bar_ms"`
 }
 
-// Empty is an answer with nothing in it.
+// Empty is an answer without content.
 type Empty struct{}
 
-// Duty is a duty as the leader knows it.
+// Duty is the state of a duty at the leader.
 type Duty struct {
 	duty.Grant
-	Left    time.Duration // of the lease; 0 where nobody holds it
-	Asked   bool          // its holder is asked to step down
-	Waiting int           // processes that wait for it
+	Left    time.Duration // remaining time of the lease; 0 without a holder
+	Asked   bool          // the holder has been asked to step down
+	Waiting int           // number of processes waiting for it
 }
 
-// DutiesOut is all of them.
+// DutiesOut lists all duties.
 type DutiesOut struct {
 	Last   uint64
 	Duties []Duty
 }
 
-// Steward is one of the stewards.
+// Steward describes a steward.
 type Steward struct {
 	ID, Listen, API string
 	Voter, Leader   bool
 }
 
-// StewardsOut is the stewards as one of them knows them.
+// StewardsOut lists the stewards as one of them knows them.
 type StewardsOut struct {
 	Cluster  string
 	Era      uint64
 	Term     uint64
-	Applied  uint64 // entries of the log
+	Applied  uint64 // index of the last applied log entry
 	Self     string
 	Stewards []Steward
 }
 
-// JoinIn asks to be one of the stewards.
+// JoinIn asks to add a steward.
 type JoinIn struct {
 	ID     string `json:"id"`
 	Listen string `json:"listen"`
@@ -156,7 +158,7 @@
 	Fleet  string `json:"fleet"`
 }
 
-// JoinOut is what the new one belongs to.
+// JoinOut identifies the cluster that the new steward belongs to.
 type JoinOut struct {
 	Cluster string
 	Era     uint64
@@ -167,41 +169,42 @@
 	ID string `json:"id"`
 }
 
-// Failure is what stands in an answer that is no.
+// Failure is the body of an error response.
 type Failure struct {
 	Error  string `json:"error"`
 	Leader string `json:"leader,omitempty"`
 }
 
-// Refusal is a no of the stewards, which asking again does not change.
+// Refusal is an error response that retrying would not change.
 type Refusal struct {
 	Status int
 	Text   string
 }
 
 func (r *Refusal) Error() string {
-	return fmt.Sprintf("the stewards refuse: %s (%d)", r.Text, r.Status)
+	return fmt.Sprintf("refused by the stewards: %s (%d)", r.Text, r.Status)
 }
 
 const (
-	requestTimeout    = time.Second // for an answer, beyond what is to wait
-	minPause  = 20 * time.Millisecond
-	maxPause = 500 * time.Millisecond
+	requestTimeout = time.Second // for an answer, in addition to the requested waiting time
+	minPause       = 20 * time.Millisecond
+	maxPause       = 500 * time.Millisecond
 	maxAnswerBytes = 1 << 20
 )
 
-// Client speaks with the stewards, whichever of them leads. Its methods may be called from any goroutine.
+// Client sends calls to the leader of the stewards. Its methods may be called from any goroutine.
 type Client struct {
 	stewards []string // addresses of their APIs
 	http     *http.Client
 	bytes    atomic.Int64
 
 	mu     sync.Mutex
-	leader string // empty: not known
-	era    uint64 // highest that was seen: answers of an earlier one are those of stewards that were given up
+	leader string // empty: unknown
+	era    uint64 // highest era seen: answers of an earlier era come from stewards of an abandoned cluster
 }
 
-// NewClient returns a client of the stewards with these addresses. local, if given, is the address that its connections come from.
+// NewClient returns a client of the stewards with these API addresses. If local is not nil, connections originate from
+// it.
 func NewClient(stewards []string, local net.IP) *Client {
 	d := &net.Dialer{Timeout: requestTimeout}
 	if local != nil {
@@ -219,7 +222,7 @@
 	return c
 }
 
-// countingConn is a connection whose bytes count.
+// countingConn counts the bytes of a connection.
 type countingConn struct {
 	net.Conn
 	bytes *atomic.Int64
@@ -237,14 +240,14 @@
 	return n, err
 }
 
-// Bytes is what this client's calls have cost the network so far, both ways.
+// Bytes returns the traffic of this client so far, in both directions.
 func (c *Client) Bytes() int64 { return c.bytes.Load() }
 
-// Close ends idle connections.
+// Close closes idle connections.
 func (c *Client) Close() { c.http.CloseIdleConnections() }
 
-// Do makes a call, of whichever steward leads, until it has an answer or ctx ends. wait is how long a steward may take over it.
-// A Refusal is an answer.
+// Do sends a call to the leader and retries until it has an answer or ctx ends. wait is how long the steward may hold
+// the call. A Refusal counts as an answer.
 func (c *Client) Do(ctx context.Context, path string, in, out any, wait time.Duration) error {
 	var last error
 	for pause := minPause; ; pause = min(2*pause, maxPause) {
@@ -261,12 +264,12 @@
 		select {
 		case <-ctx.Done():
 			return fmt.Errorf("stewards: %s: %w", path, last)
-		case <-time.After(pause/2 + rand.N(pause)): // so that a fleet that lost its leader does not ask as one
+		case <-time.After(pause/2 + rand.N(pause)): // jitter, so that the fleet does not retry in step after a leader loss
 		}
 	}
 }
 
-// LeaderAnswers tells whether the steward that led last still answers that it does.
+// LeaderAnswers reports whether the last known leader still answers that it leads.
 func (c *Client) LeaderAnswers(ctx context.Context) bool {
 	c.mu.Lock()
 	addr := c.leader
@@ -281,7 +284,7 @@
 	return err == nil
 }
 
-// candidates is the stewards in the candidates to try: the leader as it was last known, then the others, from any on.
+// candidates returns the stewards in the order to try: the last known leader, then the others in random order.
 func (c *Client) candidates() []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -293,9 +296,9 @@
 	return all
 }
 
-// doWithRedirect asks one steward, and the leader that it names.
+// doWithRedirect sends a call to one steward, and to the leader that it names.
 func (c *Client) doWithRedirect(ctx context.Context, addr, path string, in, out any, wait time.Duration) error {
-	c.updateLeader("", addr) // whoever keeps a request waiting leads
+	c.updateLeader("", addr) // assume that a steward that holds the call leads
 	leader, err := c.DoAt(ctx, addr, path, in, out, wait)
 	if leader != "" && leader != addr {
 		c.updateLeader(addr, leader)
@@ -309,16 +312,17 @@
 	return err
 }
 
-// updateLeader notes who leads, unless that has been found out to be another than it was meanwhile.
-func (c *Client) updateLeader(was, is string) {
+// updateLeader replaces the known leader from by to, unless it has been changed concurrently.
+func (c *Client) updateLeader(from, to string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.leader == was {
-		c.leader = is
+	if c.leader == from {
+		c.leader = to
 	}
 }
 
-// DoAt asks one steward alone. Where it does not lead, it returns the leader's address, if that is known, and an error.
+// DoAt sends a call to one steward only. If that does not lead, it returns an error, and the address of the leader if
+// known.
 func (c *Client) DoAt(ctx context.Context, addr, path string, in, out any, wait time.Duration) (leader string, err error) {
 	ctx, cancel := context.WithTimeout(ctx, wait+requestTimeout)
 	defer cancel()
@@ -353,7 +357,7 @@
 		return "", nil
 	}
 	var f Failure
-	json.Unmarshal(data, &f) // an answer that is none is an error as well
+	json.Unmarshal(data, &f) // an invalid body is reported by its status
 	switch res.StatusCode {
 	case http.StatusMisdirectedRequest, http.StatusServiceUnavailable, http.StatusGatewayTimeout, http.StatusTooManyRequests,
 		http.StatusInternalServerError:
@@ -362,16 +366,16 @@
 	return "", &Refusal{res.StatusCode, f.Error}
 }
 
-// checkEra turns away answers of stewards that have been given up.
+// checkEra rejects answers of stewards of an abandoned cluster.
 func (c *Client) checkEra(addr, text string) error {
 	era, err := strconv.ParseUint(text, 10, 64)
 	if err != nil {
-		return fmt.Errorf("%s is no steward", addr)
+		return fmt.Errorf("%s is not a steward", addr)
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if era < c.era {
-		return fmt.Errorf("%s belongs to era %d of the stewards, which ended with era %d", addr, era, c.era)
+		return fmt.Errorf("%s belongs to era %d of the stewards, which era %d has superseded", addr, era, c.era)
 	}
 	c.era = era
 	return nil
--- a/internal/duty/call/call_test.go
+++ b/internal/duty/call/call_test.go
@@ -9,7 +9,7 @@
 	"testing"
 )
 
-// countingListener is a listener whose connections count what goes countingListener them, at the other end from the client.
+// countingListener counts the bytes of its connections at the server's side.
 type countingListener struct {
 	net.Listener
 	bytes *atomic.Int64
@@ -40,8 +40,8 @@
 		}
 	}
 	c.Close()
-	s.Close() // once all connections have ended
+	s.Close() // returns once all connections have ended
 	if c.Bytes() != seen.Load() || seen.Load() == 0 {
-		t.Errorf("%d bytes were counted, the steward saw %d", c.Bytes(), seen.Load())
+		t.Errorf("%d bytes counted, the steward saw %d", c.Bytes(), seen.Load())
 	}
 }
--- a/internal/duty/duty_test.go
+++ b/internal/duty/duty_test.go
@@ -18,7 +18,7 @@
 
 func wish(holder, id string) []Wish { return []Wish{{Duty: "d", Holder: holder, ID: id, Lease: lease}} }
 
-// leader is a table with a leader that carries out what it picks at once.
+// leader is a leader that executes its commands immediately.
 type leader struct {
 	*Leases
 	t *testing.T
@@ -26,7 +26,7 @@
 
 func newLeader(t *testing.T) leader { return leader{NewLeases(NewTable(), 1, noon), t} }
 
-// claim has a wish fulfilled; the epoch, or 0.
+// claim makes a claim and returns its epoch, or 0 if it is not granted.
 func (l leader) claim(holder, id string, now time.Time) uint64 {
 	c, i := l.PickClaim(wish(holder, id), now)
 	switch {
@@ -52,29 +52,29 @@
 	l := newLeader(t)
 	one := l.claim("a", "1", noon)
 	if one == 0 || l.claim("b", "2", noon) != 0 {
-		t.Fatalf("%d; or granted to two", one)
+		t.Fatalf("epoch %d, or granted to two holders", one)
 	}
 	if again := l.claim("a", "1", noon); again != one {
-		t.Errorf("the same claim again is %d, not %d", again, one)
+		t.Errorf("the repeated claim has epoch %d, not %d", again, one)
 	}
 	at := noon.Add(2 * time.Second)
 	if !l.Renew("d", one, "a", at) || l.Renew("d", one, "b", at) || l.Renew("d", one+1, "a", at) {
-		t.Error("renewed wrongly")
+		t.Error("wrong answer to a renewal")
 	}
 	if got := l.NextChange(wish("b", "2"), at); !got.Equal(at.Add(lease)) {
-		t.Errorf("next at %v", got)
+		t.Errorf("next change at %v", got)
 	}
 	if l.claim("b", "2", at.Add(lease-1)) != 0 {
-		t.Error("granted before the lease's end")
+		t.Error("granted before the lease expired")
 	}
 	if l.Renew("d", one, "a", at.Add(lease)) {
-		t.Error("renewed after its end")
+		t.Error("renewed after it expired")
 	}
 	two := l.claim("b", "2", at.Add(lease))
 	if two <= one || l.Renew("d", one, "a", at.Add(lease)) {
 		t.Errorf("epoch %d after %d", two, one)
 	}
-	// A claim that is over is not granted once more, however late its repeat comes.
+	// An ended claim is not granted again, however late it is repeated.
 	c := Command{Op: Claim, Term: 1, Duty: "d", After: two, Holder: "a", ID: "1", Lease: lease}
 	if res := l.table.Apply(c, 1); !errors.Is(res.Err, ErrClaimEnded) {
 		t.Errorf("late repeat: %v", res.Err)
@@ -87,9 +87,9 @@
 	l.Renew("d", one, "a", noon.Add(time.Second))
 	next := leader{NewLeases(l.table, 2, noon.Add(2*time.Second)), t}
 	if next.claim("b", "2", noon.Add(4900*time.Millisecond)) != 0 {
-		t.Error("granted within a lease of the reign's begin")
+		t.Error("granted within a lease of the beginning of the term")
 	}
-	// What the old leader had decided on does nothing.
+	// Commands of the old leader have no effect.
 	res := l.table.Apply(Command{Op: Claim, Term: 1, Duty: "d", After: one, Holder: "c", ID: "3", Lease: lease}, 2)
 	if !errors.Is(res.Err, ErrStaleTerm) {
 		t.Errorf("%v", res.Err)
@@ -105,32 +105,32 @@
 	if !l.RequestStepDown("d", StepDownRequest{To: "c", Bar: time.Minute, At: noon}) || !l.StepDownRequested("d", one) {
 		t.Fatal("not asked")
 	}
-	// It keeps the duty until it has given it up, for a lease at most.
+	// The holder keeps the duty until it releases it, for one lease at most.
 	if !l.Renew("d", one, "a", noon.Add(time.Second)) || l.claim("b", "2", noon.Add(time.Second)) != 0 {
-		t.Error("taken before it was given up")
+		t.Error("granted to another before it was released")
 	}
 	if l.Renew("d", one, "a", noon.Add(lease)) {
-		t.Error("renewed although its time to step down is over")
+		t.Error("renewed after the time to step down")
 	}
 	if res := l.apply(l.EndCommand("d", one, "a", ""), noon.Add(time.Second)); res.Err != nil || res.Grant.To != "c" {
 		t.Fatalf("%+v", res)
 	}
 	at := noon.Add(time.Second)
 	if l.claim("b", "2", at) != 0 || l.claim("a", "3", at) != 0 {
-		t.Error("granted to another than the one that it was handed to")
+		t.Error("granted to another process than the one that it was handed over to")
 	}
 	if two := l.claim("c", "4", at); two <= one {
-		t.Errorf("handed on: epoch %d", two)
+		t.Errorf("handed over: epoch %d", two)
 	}
 	l.apply(l.EndCommand("d", l.table.Get("d").Epoch, "c", ""), at)
 	if l.claim("a", "5", noon.Add(59*time.Second)) != 0 || l.claim("a", "5", noon.Add(62*time.Second)) == 0 {
-		t.Error("the bar does not hold for its time")
+		t.Error("the bar does not last for its duration")
 	}
-	// One that was handed to nobody who comes is anybody's after a while.
+	// If the process that it was handed over to does not claim it, any process can after handoverGrace.
 	e := l.table.Get("d").Epoch
 	l.apply(l.EndCommand("d", e, "a", "gone"), noon.Add(70*time.Second))
 	if l.claim("b", "6", noon.Add(70*time.Second)) != 0 || l.claim("b", "6", noon.Add(70*time.Second+handoverGrace)) == 0 {
-		t.Error("waits for who never comes")
+		t.Error("not granted after the named process failed to claim it")
 	}
 }
 
@@ -148,11 +148,11 @@
 	if fmt.Sprint(waits) != "[0s 3s 3s 6s 9s 15s]" {
 		t.Errorf("waits %v", waits)
 	}
-	// One that holds it for long, and lets it go in order, ends that.
+	// A release in order resets the count of early ends.
 	e := l.table.Get("d").Epoch
 	l.apply(l.EndCommand("d", e, "h5", ""), now)
 	if got := l.table.Get("d").Quick; got != 0 {
-		t.Errorf("still %d", got)
+		t.Errorf("%d early ends after a release", got)
 	}
 }
 
@@ -246,17 +246,17 @@
 		f.Admit(fmt.Sprint(i), 1)
 	}
 	if err := f.Admit("one more", 1); err == nil || errors.Is(err, ErrFenced) {
-		t.Errorf("one duty too many: %v", err)
+		t.Errorf("over the limit of duties: %v", err)
 	}
-	// What can't be kept is not taken.
+	// An effect whose epoch can't be stored is refused.
 	os.RemoveAll(dir)
 	if err := f.Admit("d", 6); err == nil || f.HighestEpoch("d") != 5 {
-		t.Errorf("taken without being kept: %v, %d", err, f.HighestEpoch("d"))
+		t.Errorf("accepted without being stored: %v, %d", err, f.HighestEpoch("d"))
 	}
 	os.MkdirAll(dir, 0o700)
 	os.WriteFile(filepath.Join(dir, fenceFile), []byte("{torn"), 0o600)
 	if _, err := OpenFence(dir); err == nil {
-		t.Error("a file that can't be read is no error")
+		t.Error("no error for an unreadable file")
 	}
 }
 
@@ -268,7 +268,7 @@
 	}
 	for _, bad := range []string{"", "a b", "a\nb", strings.Repeat("x", MaxNameBytes+1), "\x7f"} {
 		if CheckName(bad) == nil {
-			t.Errorf("%q is a name", bad)
+			t.Errorf("%q is accepted as a name", bad)
 		}
 	}
 }
--- a/internal/duty/fence.go
+++ b/internal/duty/fence.go
@@ -14,15 +14,15 @@
 
 const (
 	fenceFile = "epochs.json"
-	// MaxFencedDuties bounds the duties that a Fence keeps epochs of.
+	// MaxFencedDuties is the number of duties whose epochs a Fence stores.
 	MaxFencedDuties = 64
 )
 
-// ErrFenced refuses an effect whose epoch is older than one that was seen.
-var ErrFenced = errors.New("an order with a newer epoch has come already")
+// ErrFenced refuses an effect whose epoch is older than one already seen.
+var ErrFenced = errors.New("an order with a newer epoch has been received")
 
-// Fence is what a receiver of effects keeps: the highest epoch of each duty. It outlasts the process, in a file of the folder
-// that it is given. Its methods may be called from any goroutine.
+// Fence stores the highest epoch of each duty at a receiver of effects, in a file that survives restarts. Its methods
+// may be called from any goroutine.
 type Fence struct {
 	dir string
 
@@ -30,8 +30,8 @@
 	epochs map[string]uint64
 }
 
-// OpenFence reads what an earlier process has kept in dir; with no dir it keeps nothing beyond the process. A file that can't
-// be read is an error: without it an old holder's orders would be taken.
+// OpenFence reads the epochs stored in dir; if dir is empty, nothing is stored. An unreadable file is an error: without
+// the epochs, orders of an old holder would be accepted.
 func OpenFence(dir string) (*Fence, error) {
 	f := &Fence{dir: dir, epochs: map[string]uint64{}}
 	if dir == "" {
@@ -50,8 +50,9 @@
 	return f, nil
 }
 
-// Admit tells whether an effect of a duty's holder may be taken, and from then on none with an older epoch is: that it was seen
-// is on disk first. ErrFenced: an older one. Anything else: it could not be kept, and the effect must not be taken.
+// Admit decides whether an effect with this epoch may be accepted. Before it returns nil, the epoch is on disk, so that
+// older epochs are refused from then on. It returns ErrFenced for an older epoch; on any other error the epoch could not
+// be stored and the effect must not be accepted.
 func (f *Fence) Admit(duty string, epoch uint64) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -62,7 +63,7 @@
 	case epoch == seen:
 		return nil
 	case !known && len(f.epochs) >= MaxFencedDuties:
-		return fmt.Errorf("duty: fence: epochs of %d duties are kept, %s is one more", MaxFencedDuties, duty)
+		return fmt.Errorf("duty: fence: limit of %d duties reached, no room for %s", MaxFencedDuties, duty)
 	}
 	f.epochs[duty] = epoch
 	if err := f.save(); err != nil {
@@ -75,7 +76,7 @@
 	return nil
 }
 
-// HighestEpoch is the highest epoch of a duty that came here.
+// HighestEpoch returns the highest epoch seen for a duty.
 func (f *Fence) HighestEpoch(duty string) uint64 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/duty/figures/figures.go
+++ b/internal/duty/figures/figures.go
@@ -1,5 +1,5 @@
-// Package figures is the duty of adding up the figures of all relays: one relay of the fleet asks the others and answers for all,
-// and tells how many it has heard.
+// Package figures implements the duty of summing the figures of all relays: the relay that holds it queries the others,
+// serves the sums, and reports how many relays answered.
 package figures
 
 import (
@@ -24,40 +24,40 @@
 	"onyxroad.dev/onyxroad/internal/membership"
 )
 
-// Duty is the duty's name.
+// Duty is the name of the duty.
 const Duty = "fleet-figures"
 
 const (
-	sumInterval    = 2 * time.Second
-	requestTimeout   = time.Second
-	maxConcurrentRequests  = 16 // relays at once
-	maxTextBytes = 64 << 10
-	maxAge   = 3 * sumInterval // after which a sum is no answer any more
+	sumInterval           = 2 * time.Second
+	requestTimeout        = time.Second
+	maxConcurrentRequests = 16
+	maxTextBytes          = 64 << 10
+	maxAge                = 3 * sumInterval // after which a sum is no longer served
 )
 
-// Config is a relay's part.
+// Config configures the duty on a relay.
 type Config struct {
 	Stewards []string
 	Lease    time.Duration
-	MayHold      bool // it may add up the fleet's figures
+	MayHold  bool // this relay may hold the duty
 	Name     string
 	Admin    string
 	Log      *slog.Logger
 }
 
-// Figures is a relay's part in the fleet's duties.
+// Figures performs the duty on one relay.
 type Figures struct {
 	cfg    Config
 	client *call.Client
 	holder *holder.Holder
 	http   *http.Client
 
-	mu    sync.Mutex
-	text  string
+	mu       sync.Mutex
+	text     string
 	storedAt time.Time
 }
 
-// New returns a part that has not begun.
+// New returns a Figures that is not running yet.
 func New(cfg Config) *Figures {
 	var local net.IP
 	if host, _, err := net.SplitHostPort(cfg.Admin); err == nil {
@@ -65,13 +65,13 @@
 	}
 	f := &Figures{cfg: cfg, client: call.NewClient(cfg.Stewards, local), http: &http.Client{Timeout: requestTimeout,
 		Transport: &http.Transport{DisableKeepAlives: true, DialContext: (&net.Dialer{LocalAddr: &net.TCPAddr{IP: local}}).DialContext}}}
-	// Two processes of a relay may run side by side, while one takes the other's place: they are two holders.
+	// During a hand-over two processes of a relay run at the same time: they are separate holders.
 	f.holder = holder.New(holder.Config{Client: f.client, Name: fmt.Sprintf("%s.%d", cfg.Name, os.Getpid()), Addr: cfg.Admin, Lease: cfg.Lease,
 		Log: cfg.Log})
 	return f
 }
 
-// Run claims the duty and does it while it is held, until ctx ends.
+// Run claims the duty, and performs it while it is held, until ctx ends.
 func (f *Figures) Run(ctx context.Context, members func() []membership.Process) {
 	defer f.client.Close()
 	if f.cfg.MayHold {
@@ -98,33 +98,33 @@
 	f.text, f.storedAt = text, time.Now()
 }
 
-// Figures are the fleet's, if this relay holds the duty.
+// Figures returns the fleet's figures if this relay holds the duty, else a text that says how to find the holder.
 func (f *Figures) Figures() (text string, held bool) {
 	t := f.holder.CurrentTerm(Duty)
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if t == nil || f.text == "" || time.Since(f.storedAt) > maxAge {
-		return "another relay adds the figures up, or none: cherrytrestlectl duties tells", false
+		return "this relay does not hold the duty fleet-figures: cherrytrestlectl duties shows its holder", false
 	}
 	return f.text, true
 }
 
-// sum asks every member and adds up what is heard.
+// sum queries every member and adds up the answers.
 func (f *Figures) sum(ctx context.Context, members []membership.Process, epoch uint64) string {
 	var mu sync.Mutex
 	var all sync.WaitGroup
 	heard, asked := 0, 0
 	total := map[string]float64{}
 	kind := map[string]string{}
-	room := make(chan struct{}, maxConcurrentRequests)
+	semaphore := make(chan struct{}, maxConcurrentRequests)
 	for _, m := range members {
 		if m.Admin == "" {
 			continue
 		}
 		asked++
 		all.Go(func() {
-			room <- struct{}{}
-			defer func() { <-room }()
+			semaphore <- struct{}{}
+			defer func() { <-semaphore }()
 			values, kinds, err := f.fetch(ctx, m.Admin)
 			if err != nil {
 				return
@@ -147,7 +147,8 @@
 	return b.String()
 }
 
-// fetch reads one relay's figures. Those of the fleet, which each relay tells alike, are nothing to add up.
+// fetch reads one relay's figures. Figures about the fleet are skipped: every relay reports the same, so they must not
+// be summed.
 func (f *Figures) fetch(ctx context.Context, addr string) (values map[string]float64, kinds map[string]string, err error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+addr+"/api/telemetry", nil)
 	if err != nil {
--- a/internal/duty/figures/figures_test.go
+++ b/internal/duty/figures/figures_test.go
@@ -24,14 +24,14 @@
 		answers("relay.sends.a:3|c\nrelay.current:1|g\nfleet.present:9|g\nspoilt", 200),
 		answers("relay.sends.a:4|c\nrelay.current:2.5|g", 200),
 		answers("relay.sends.a:100|c", 503),
-		{Admin: "127.0.0.1:1"}, // nobody there
-		{},                     // has no second address
+		{Admin: "127.0.0.1:1"}, // unreachable
+		{},                     // no admin address
 	}, 17)
 	want := "fleet.members:5|g\nfleet.heard:2|g\nfleet.silent:3|g\nfleet.epoch:17|g\nrelay.current:3.5|g\nrelay.sends.a:7|c"
 	if text != want {
 		t.Errorf("%s", text)
 	}
 	if _, held := f.Figures(); held {
-		t.Error("answers for the fleet without holding the duty")
+		t.Error("serves fleet figures without holding the duty")
 	}
 }
--- a/internal/duty/holder/holder.go
+++ b/internal/duty/holder/holder.go
@@ -1,5 +1,5 @@
-// Package holder is the side of those that hold duties: run a function while a duty is held, with a context that ends in time
-// and an epoch for every effect.
+// Package holder claims duties for a process: it runs a function while a duty is held, with a context that ends before
+// the lease expires and an epoch to attach to every effect.
 package holder
 
 import (
@@ -15,89 +15,89 @@
 )
 
 const (
-	// A lease is renewed six times in its length, so that a leader's end, which takes up to two seconds to get over, costs no
-	// duty of three seconds.
+	// A lease is renewed this often in its length, so that the loss of a leader, which takes up to two seconds to
+	// overcome, costs no duty with a lease of three seconds.
 	renewalsPerLease = 6
-	// marginDivisor of a lease is given up for the sake of clocks that do not run alike, 10% and more apart.
+	// This fraction of a lease is not used, to allow for clocks whose rates differ by 10% and more.
 	marginDivisor = 10
-	// A steward that stands still says nothing at all: what waits for it waits no longer than so.
-	// A claim is long, and is made as seldom as may be; whether its steward still stands is asked in between.
-	claimWait  = 15 * time.Second
+	// A hung steward gives no sign, so waiting for one is bounded. Claims wait long, so that few are made; in between the
+	// holder checks every leaderCheckInterval whether the steward still answers.
+	claimWait           = 15 * time.Second
 	leaderCheckInterval = 3 * time.Second
-	watchWait  = 2 * time.Second
-	minPause = time.Second // after work that failed, doubling
-	maxPause  = time.Minute
-	releaseTimeout     = 500 * time.Millisecond // for the word that a duty is given up
+	watchWait           = 2 * time.Second
+	minPause            = time.Second // after failed work, doubling
+	maxPause            = time.Minute
+	releaseTimeout      = 500 * time.Millisecond
 )
 
-// The causes for which a Term's context ends.
+// The causes with which a Term's context ends.
 var (
-	ErrLeaseExpired  = errors.New("the duty's lease is over")
+	ErrLeaseExpired      = errors.New("the duty's lease is over")
 	ErrStepDownRequested = errors.New("asked to step down")
 )
 
-// Work is what a holder does. It returns when ctx ends, soon: nil if it has done all there is, so that the duty is given up, or an
-// error if it could not, so that another process may try and this one holds off for a while.
+// Work performs a duty. It must return soon after ctx ends. It returns nil when the work is complete, so that the duty
+// is released, or an error if it failed, so that another process may try and this one backs off.
 type Work func(ctx context.Context, t *Term) error
 
-// Config is a process's part in the duties.
+// Config configures a process's holder.
 type Config struct {
 	Client *call.Client
-	Name   string // the process's among holders: no two that run at the same time may have the same
-	Addr   string // where it answers others; empty: nowhere
+	Name   string // name of the holder: must be unique among the running processes
+	Addr   string // address announced to others; empty: none
 	Lease  time.Duration
 	Log    *slog.Logger
 }
 
-// Holder holds duties for a process.
+// Holder claims and holds duties for a process.
 type Holder struct {
 	cfg Config
 
 	mu     sync.Mutex
 	duties map[string]*candidate
-	wake   chan struct{} // closed and made anew when what is wished for or held has changed
+	wake   chan struct{} // closed and replaced when the wanted or held duties change
 }
 
-// candidate is a duty that this process wants.
+// candidate is a duty that this process wants to hold.
 type candidate struct {
-	name   string
-	work   Work
-	claimID     string // of the claim; empty: nothing is claimed for now
+	name      string
+	work      Work
+	claimID   string // id of the pending claim; empty: none
 	claimedAt time.Time
-	term   *Term // nil: not held
-	failures int   // in a row
+	term      *Term // nil: not held
+	failures  int   // consecutive
 }
 
-// Term is the time for which a duty is held.
+// Term is a period for which a duty is held.
 type Term struct {
-	Duty   string
-	Epoch  uint64
-	ClaimedAt time.Time // when the claim was made that was granted
+	Duty      string
+	Epoch     uint64
+	ClaimedAt time.Time // when the granted claim was made
 
 	cancel context.CancelCauseFunc
 	timer  *time.Timer
 
-	mu    sync.Mutex
+	mu         sync.Mutex
 	validUntil time.Time
-	handOverTo    string
+	handOverTo string
 }
 
-// Valid tells whether the lease still runs: to be asked right before each effect. It does not make a fence needless: the process
-// may be stopped right after it.
+// Valid reports whether the lease is valid; check it right before each effect. It does not replace the fence: the
+// process may be paused right after the check.
 func (t *Term) Valid() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return time.Now().Before(t.validUntil)
 }
 
-// HandOverTo names who is to have the duty next, once Work has returned.
+// HandOverTo names the holder that gets the duty next, once Work has returned.
 func (t *Term) HandOverTo(holder string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.handOverTo = holder
 }
 
-// extend has the lease run until a moment; false if it is over already.
+// extend extends the lease; false if it has already expired.
 func (t *Term) extend(until time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -105,19 +105,19 @@
 	if !now.Before(t.validUntil) {
 		return false
 	}
-	if until.After(t.validUntil) { // answers may come in another order
+	if until.After(t.validUntil) { // answers may arrive out of order
 		t.validUntil = until
 		t.timer.Reset(until.Sub(now))
 	}
 	return true
 }
 
-// New returns a holder that wants nothing yet.
+// New returns a holder without duties.
 func New(cfg Config) *Holder {
 	return &Holder{cfg: cfg, duties: map[string]*candidate{}, wake: make(chan struct{})}
 }
 
-// Register has the holder claim a duty, and do work whenever it holds it, from then on.
+// Register makes the holder claim a duty from now on, and run work whenever it holds it.
 func (h *Holder) Register(duty string, work Work) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -125,7 +125,7 @@
 	h.notifyChanged()
 }
 
-// Unregister has the holder want a duty no more: it gives it up in order if it holds it.
+// Unregister stops claiming a duty, and releases it if it is held.
 func (h *Holder) Unregister(duty string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -138,7 +138,7 @@
 	}
 }
 
-// CurrentTerm is the term of a duty that this process holds now; nil if it does not.
+// CurrentTerm returns the term of a duty that this process holds now, or nil.
 func (h *Holder) CurrentTerm(duty string) *Term {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -150,13 +150,13 @@
 
 func newID() string { return rand.Text() }
 
-// notifyChanged has the loops look again; with mu held.
+// notifyChanged wakes the loops; h.mu must be held.
 func (h *Holder) notifyChanged() {
 	close(h.wake)
 	h.wake = make(chan struct{})
 }
 
-// Run claims, renews and works until ctx ends, and then gives up what it holds, in order.
+// Run claims, renews and performs duties until ctx ends, then releases those that it holds.
 func (h *Holder) Run(ctx context.Context) {
 	work, stop := context.WithCancel(ctx)
 	defer stop()
@@ -168,7 +168,7 @@
 	works.Wait()
 }
 
-// claimLoop claims what is wanted and not held.
+// claimLoop claims the wanted duties that are not held.
 func (h *Holder) claimLoop(ctx context.Context, works *sync.WaitGroup) {
 	for ctx.Err() == nil {
 		h.mu.Lock()
@@ -205,18 +205,19 @@
 	}
 }
 
-// superviseClaim ends a claim that waits when something has changed, which is claimed at once then, or when its steward stands still.
+// superviseClaim cancels a waiting claim when the wanted duties change, so that the new ones are claimed at once, or
+// when its steward no longer answers.
 func (h *Holder) superviseClaim(ctx context.Context, end context.CancelFunc, wake <-chan struct{}) {
 	defer end()
-	look := time.NewTicker(leaderCheckInterval)
-	defer look.Stop()
+	check := time.NewTicker(leaderCheckInterval)
+	defer check.Stop()
 	for {
 		select {
 		case <-wake:
 			return
 		case <-ctx.Done():
 			return
-		case <-look.C:
+		case <-check.C:
 			if !h.cfg.Client.LeaderAnswers(ctx) {
 				return
 			}
@@ -224,7 +225,8 @@
 	}
 }
 
-// handleGrant takes a grant. It counts from when a renewal was asked for: how old the grant is nobody knows.
+// handleGrant starts the term of a granted duty. The lease counts from a first renewal, since the age of the grant is
+// unknown.
 func (h *Holder) handleGrant(ctx context.Context, g call.Granted, works *sync.WaitGroup) {
 	h.mu.Lock()
 	c := h.duties[g.Duty]
@@ -257,19 +259,19 @@
 		return
 	}
 	if err != nil || len(out.Held) != 1 || !out.Held[0].OK || !time.Now().Before(until) {
-		c.claimID, c.claimedAt = newID(), time.Now() // that grant is lost
+		c.claimID, c.claimedAt = newID(), time.Now() // the grant is lost: claim again
 		return
 	}
 	ctx, end := context.WithCancelCause(ctx)
 	t := &Term{Duty: g.Duty, Epoch: g.Epoch, ClaimedAt: c.claimedAt, cancel: end, validUntil: until}
 	t.timer = time.AfterFunc(time.Until(until), func() { end(ErrLeaseExpired) })
 	c.term, c.claimID = t, ""
-	h.cfg.Log.Info("holds a duty", "duty", t.Duty, "epoch", t.Epoch)
+	h.cfg.Log.Info("duty acquired", "duty", t.Duty, "epoch", t.Epoch)
 	works.Go(func() { h.runWork(ctx, c, t) })
 	h.notifyChanged()
 }
 
-// runWork works for a term, and ends it.
+// runWork runs the work of a term and ends the term.
 func (h *Holder) runWork(ctx context.Context, c *candidate, t *Term) {
 	began := time.Now()
 	err := c.work(ctx, t)
@@ -287,7 +289,7 @@
 	c.term = nil
 	h.notifyChanged()
 	switch {
-	case err == nil || cause != nil: // it ended as it was told to
+	case err == nil || cause != nil: // complete, or the term had ended
 		if cause == nil || time.Since(began) > maxPause {
 			c.failures = 0
 		}
@@ -299,14 +301,14 @@
 		pause = min(minPause<<min(c.failures-1, 10), maxPause)
 	}
 	h.mu.Unlock()
-	h.cfg.Log.Info("holds a duty no more", "duty", t.Duty, "epoch", t.Epoch, "in_order", held, "cause", fmt.Sprint(cause), "err", err)
+	h.cfg.Log.Info("duty ended", "duty", t.Duty, "epoch", t.Epoch, "in_order", held, "cause", fmt.Sprint(cause), "err", err)
 	if cause == nil && err == nil {
-		pause = minPause // it is done, for now
+		pause = minPause // complete for now
 	}
 	h.claimAfter(ctx, c, pause)
 }
 
-// claimAfter has a duty claimed again after a pause.
+// claimAfter claims a duty again after a pause.
 func (h *Holder) claimAfter(ctx context.Context, c *candidate, pause time.Duration) {
 	time.AfterFunc(pause, func() {
 		h.mu.Lock()
@@ -323,11 +325,11 @@
 	defer cancel()
 	in := call.ReleaseIn{Holder: h.cfg.Name, Duty: duty, Epoch: epoch, To: to}
 	if err := h.cfg.Client.Do(ctx, call.PathRelease, in, &call.Empty{}, 0); err != nil {
-		h.cfg.Log.Warn("a duty is not given up in order: its lease has to run out", "duty", duty, "epoch", epoch, "err", err)
+		h.cfg.Log.Warn("a duty could not be released: its lease has to expire", "duty", duty, "epoch", epoch, "err", err)
 	}
 }
 
-// activeTerms are the activeTerms that run.
+// activeTerms returns the running terms, and the channel that is closed when they change.
 func (h *Holder) activeTerms() (all []*Term, wake chan struct{}) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -339,7 +341,7 @@
 	return all, h.wake
 }
 
-// renewLoop keeps leases alive: until work ends, and for those that still end then.
+// renewLoop renews leases until work ends, and until the terms that are still ending then have ended.
 func (h *Holder) renewLoop(ctx, work context.Context) {
 	every := h.cfg.Lease / renewalsPerLease
 	var out sync.WaitGroup
@@ -354,7 +356,7 @@
 			}
 			continue
 		}
-		// Not waited for: a request that takes long keeps none after it from being made.
+		// In the background: a slow request must not delay the next one.
 		out.Go(func() { h.renew(ctx, terms) })
 		select {
 		case <-time.After(every):
@@ -373,7 +375,7 @@
 	}
 	var out call.RenewOut
 	if err := h.cfg.Client.Do(ctx, call.PathRenew, in, &out, 0); err != nil {
-		return // the timers end what is not renewed
+		return // terms that are not renewed are ended by their timers
 	}
 	until := requestedAt.Add(h.cfg.Lease - h.cfg.Lease/marginDivisor)
 	for i, x := range out.Held {
@@ -392,7 +394,7 @@
 	}
 }
 
-// watchLoop hears at once that a duty is asked back.
+// watchLoop learns without delay that a duty is to be handed back.
 func (h *Holder) watchLoop(ctx context.Context) {
 	for ctx.Err() == nil {
 		terms, wake := h.activeTerms()
@@ -406,9 +408,9 @@
 		in := call.WatchIn{Holder: h.cfg.Name, WaitMS: watchWait.Milliseconds()}
 		began := time.Now()
 		if err := h.cfg.Client.Do(ctx, call.PathWatch, in, &call.Empty{}, watchWait); err == nil && time.Since(began) < watchWait {
-			h.renew(ctx, terms) // tells of which
+			h.renew(ctx, terms) // returns which duty
 		}
-		select { // a stewards' answer that comes at once, again and again, is no reason to ask without end
+		select { // limits the rate if the stewards answer immediately every time
 		case <-ctx.Done():
 		case <-time.After(h.cfg.Lease / renewalsPerLease / 4):
 		}
--- a/internal/duty/leases.go
+++ b/internal/duty/leases.go
@@ -6,56 +6,57 @@
 )
 
 const (
-	// handoverGrace is how long a duty that was handed on waits for the one that it was handed to.
+	// handoverGrace is how long a duty that was handed over is reserved for the named process.
 	handoverGrace = 2 * time.Second
-	// A grant that ended before so many of its leases were over, and not in order, ended quickly.
+	// A grant whose lease expired within this many lease lengths of the grant ended early.
 	earlyEndLeases = 2
-	// From the pauseAfterEarlyEnds-th such grant in a row on, the next one comes after a pause of a lease, doubling up to pauseMost: a
-	// duty that kills its holders does not go through the fleet like a fire.
+	// From this many consecutive early ends on, the next grant is delayed by one lease, doubling up to maxPause, so that
+	// a duty that kills its holders does not take down the fleet one process after another.
 	pauseAfterEarlyEnds = 3
-	maxPause  = time.Minute
+	maxPause            = time.Minute
 )
 
-// Leases is what a leader keeps for the time of its reign: until when each grant is promised to its holder. It starts anew with
-// each reign, from when that began: what an earlier leader promised is over by then, or within the same lease. It has no clock,
-// and does no I/O. It is not safe for concurrent use.
+// Leases is the leader's state for its term: until when each grant is promised to its holder. It starts anew with each
+// term, and all leases restart when the term begins: a promise of an earlier leader has expired by the end of that
+// lease. It has no clock, does no I/O, and is not safe for concurrent use.
 type Leases struct {
-	Term uint64 // of the reign
+	Term uint64
 
-	table  *Table
-	termBegan  time.Time
-	timings map[string]*timing
-	inFlight   map[string]bool // a command on the duty is under way: its grant is not renewed any more
-	stepDowns  map[string]StepDownRequest
+	table     *Table
+	termBegan time.Time
+	timings   map[string]*timing
+	inFlight  map[string]bool // duties with a command in flight: their grants are not renewed
+	stepDowns map[string]StepDownRequest
 }
 
-// StepDownRequest is what an operator wants of a duty's holder: that it steps down. Until it does, or its lease is over, it holds the duty.
+// StepDownRequest is an operator's request that the holder of a duty steps down. The holder keeps the duty until it
+// releases it or its lease expires.
 type StepDownRequest struct {
 	Epoch uint64
-	To    string        // who is to have the duty next; empty: whoever comes
-	Bar   time.Duration // for which its holder does not get it again
+	To    string        // process that gets the duty next; empty: any
+	Bar   time.Duration // how long the holder is barred from the duty
 	At    time.Time
 }
 
-// timing is a duty's times.
+// timing holds the times of a duty.
 type timing struct {
-	epoch uint64
-	grantedAt time.Time // the grant
-	expiresAt  time.Time // the lease
-	endedAt time.Time // when it was given up, or taken
-	bars  map[string]time.Time
+	epoch     uint64
+	grantedAt time.Time // when it was granted
+	expiresAt time.Time // when the lease expires
+	endedAt   time.Time // when it was last released or revoked
+	bars      map[string]time.Time
 }
 
-// NewLeases begins a reign at now.
+// NewLeases returns the leases of a term that begins at now.
 func NewLeases(t *Table, term uint64, now time.Time) *Leases {
 	return &Leases{Term: term, table: t, termBegan: now, timings: map[string]*timing{}, inFlight: map[string]bool{}, stepDowns: map[string]StepDownRequest{}}
 }
 
-// timingOf is a duty's clock.
+// timingOf returns the timing of a duty.
 func (l *Leases) timingOf(g *Grant) *timing {
 	c := l.timings[g.Duty]
 	if c == nil {
-		// Known from an earlier reign: everything starts anew, and how long ago it was granted is not known.
+		// Granted in an earlier term: the times restart, and the time of the grant is unknown.
 		c = &timing{epoch: g.Epoch, grantedAt: l.termBegan.Add(-earlyEndLeases * g.Lease), expiresAt: l.termBegan.Add(g.Lease), endedAt: l.termBegan,
 			bars: map[string]time.Time{}}
 		l.timings[g.Duty] = c
@@ -63,8 +64,8 @@
 	return c
 }
 
-// Renew extends the lease of a grant. It is asked once the leader has made sure that, at a moment after the holder asked, it
-// still was the leader. now is not before that moment.
+// Renew extends the lease of a grant. Before calling it, the leader must have confirmed that it was still the leader at
+// some moment after the holder's request; now must not be before that moment.
 func (l *Leases) Renew(duty string, epoch uint64, holder string, now time.Time) bool {
 	g := l.table.duties[duty]
 	if g == nil || g.Epoch != epoch || g.Holder != holder {
@@ -72,16 +73,16 @@
 	}
 	c := l.timingOf(g)
 	if l.inFlight[duty] || !now.Before(c.expiresAt) {
-		return false // promised to another, perhaps
+		return false // may be promised to another process
 	}
 	if a, asked := l.stepDowns[duty]; asked && a.Epoch == epoch && !now.Before(a.At.Add(g.Lease)) {
-		return false // it had its time to step down
+		return false // the time to step down is over
 	}
 	c.expiresAt = now.Add(g.Lease)
 	return true
 }
 
-// RequestStepDown has the holder of a duty asked to step down; false if nobody holds it.
+// RequestStepDown records that the holder of a duty is to step down; false if the duty has no holder.
 func (l *Leases) RequestStepDown(duty string, a StepDownRequest) bool {
 	g := l.table.duties[duty]
 	if g == nil || g.Holder == "" {
@@ -89,19 +90,19 @@
 	}
 	a.Epoch = g.Epoch
 	if old, ok := l.stepDowns[duty]; ok && old.Epoch == a.Epoch {
-		a.At = old.At // asked twice it has no more time
+		a.At = old.At // a repeated request does not extend the time
 	}
 	l.stepDowns[duty] = a
 	return true
 }
 
-// StepDownRequested tells whether the holder of a grant is to step down.
+// StepDownRequested reports whether the holder of a grant is to step down.
 func (l *Leases) StepDownRequested(duty string, epoch uint64) bool {
 	a, ok := l.stepDowns[duty]
 	return ok && a.Epoch == epoch
 }
 
-// EndCommand is the command that ends a grant in its holder's name, as it was asked to or by its own will.
+// EndCommand returns the command that ends a grant for its holder: a step-down if one was requested, else a release.
 func (l *Leases) EndCommand(duty string, epoch uint64, holder, to string) Command {
 	c := Command{Op: Release, Term: l.Term, Duty: duty, After: epoch, Holder: holder, To: to}
 	if a, ok := l.stepDowns[duty]; ok && a.Epoch == epoch {
@@ -113,7 +114,8 @@
 	return c
 }
 
-// RevokeCommand is the command that takes a duty from a holder that was asked to step down and did not, once its lease is over.
+// RevokeCommand returns the command that revokes a duty from a holder that was asked to step down and did not before its
+// lease expired.
 func (l *Leases) RevokeCommand(duty string, now time.Time) (c Command, due bool) {
 	g := l.table.duties[duty]
 	if g == nil || g.Holder == "" || !l.StepDownRequested(duty, g.Epoch) || l.inFlight[duty] || now.Before(l.timingOf(g).expiresAt) {
@@ -122,7 +124,7 @@
 	return l.EndCommand(duty, g.Epoch, g.Holder, ""), true
 }
 
-// Wish is a process's wish to hold a duty.
+// Wish is a process's request to hold a duty.
 type Wish struct {
 	Duty   string
 	Holder string
@@ -131,8 +133,9 @@
 	Lease  time.Duration
 }
 
-// PickClaim is the command that has the first of these wishes for one duty fulfilled that can be, and its index; -1 if none can be
-// now. A command without Op: the wish is fulfilled already, and the answer that said so was lost.
+// PickClaim returns the command that grants the duty to the first of these wishes for it that can be granted now, and
+// the index of the wish; -1 if none can. A command without Op means that the wish has been granted already and the
+// answer was lost.
 func (l *Leases) PickClaim(wishes []Wish, now time.Time) (c Command, index int) {
 	if len(wishes) == 0 || l.inFlight[wishes[0].Duty] {
 		return c, -1
@@ -166,14 +169,14 @@
 	return c, i
 }
 
-// endedEarly tells whether a grant whose lease is over ended early and not in order.
+// endedEarly reports whether a grant whose lease has expired ended early, without a release.
 func (l *Leases) endedEarly(g *Grant) bool {
 	c := l.timingOf(g)
 	return g.Holder != "" && c.expiresAt.Sub(c.grantedAt) < earlyEndLeases*g.Lease
 }
 
-// availableAt is when a duty can be granted: at once if nobody holds it, at its lease's end if somebody does, later if its holders die
-// of it.
+// availableAt returns when a duty can be granted: immediately if it has no holder, else when the lease expires, with a
+// delay after repeated early ends.
 func (l *Leases) availableAt(g *Grant) time.Time {
 	c := l.timingOf(g)
 	if g.Holder == "" {
@@ -190,7 +193,7 @@
 	return c.expiresAt.Add(min(pause, maxPause))
 }
 
-// barredUntil is until when a process is barredUntil from a duty.
+// barredUntil returns until when a process is barred from a duty.
 func (l *Leases) barredUntil(g *Grant, holder string) (until time.Time, barred bool) {
 	d, barred := g.Bars[holder]
 	if !barred {
@@ -203,7 +206,7 @@
 	return c.bars[holder].Add(d), true
 }
 
-// Begin notes that a command on a duty is under way; false if one is already.
+// Begin marks a command on a duty as in flight; false if there already is one.
 func (l *Leases) Begin(c Command) bool {
 	if l.inFlight[c.Duty] {
 		return false
@@ -212,7 +215,7 @@
 	return true
 }
 
-// Finish notes what became of a command that has begun, with the table as it is now.
+// Finish records the result of a command passed to Begin. The table already contains its effect.
 func (l *Leases) Finish(c Command, res Result, now time.Time) {
 	delete(l.inFlight, c.Duty)
 	g := l.table.duties[c.Duty]
@@ -252,8 +255,8 @@
 	}
 }
 
-// NextChange is when a duty may be granted to somebody who wishes for it now: the soonest time at which Pick may give another answer.
-// Zero: it goes by what happens, not by time.
+// NextChange returns the earliest time at which PickClaim may give another answer for these wishes; zero if only an
+// event, and not time, can change it.
 func (l *Leases) NextChange(wishes []Wish, now time.Time) (next time.Time) {
 	if len(wishes) == 0 {
 		return next
@@ -278,7 +281,7 @@
 	return next
 }
 
-// Remaining is how much of a grant's lease is left at now; 0 if nobody holds the duty.
+// Remaining returns the remaining time of a lease; 0 if the duty has no holder.
 func (l *Leases) Remaining(duty string, now time.Time) time.Duration {
 	g := l.table.duties[duty]
 	if g == nil || g.Holder == "" {
--- a/internal/duty/model_test.go
+++ b/internal/duty/model_test.go
@@ -7,12 +7,13 @@
 	"time"
 )
 
-// The model: holders, a chain of leaders, and a receiver, with every message on its own way. Each state is explored that a few
-// steps reach, whatever order they come in. What is checked is the code itself, Table and Leases and the fence's rule; the
-// model adds the network, time in whole ticks, and what holders do.
+// A model checker for duties: holders, a sequence of leaders, and a receiver, whose messages are delivered independently.
+// It explores every state that can be reached within a number of steps, in any order of the steps. Table and Leases are
+// the real code and the fence's rule is the real rule; the model adds the network, time in whole ticks, and the behaviour
+// of holders.
 //
-// The invariants: of two holders at most one believes, rightly by its clock, that its lease runs; epochs grow and have one holder
-// each; an effect of a holder whose lease runs is never refused.
+// Invariants: at most one holder at a time has a lease that is valid by its own clock; epochs increase and have one holder
+// each; an effect of a holder with a valid lease is never refused.
 
 const (
 	modelLease = 2 // ticks
@@ -28,23 +29,23 @@
 }
 
 type modelHolder struct {
-	claim string // id of the claim under way
-	epoch uint64 // held, perhaps; 0: nothing
-	until int    // the lease as this one counts
+	claim string // id of the pending claim
+	epoch uint64 // epoch of the duty that it may hold; 0: none
+	until int    // end of the lease by its own clock
 	n     int    // claims so far
 }
 
 type world struct {
-	now     int
-	table   *Table
-	leases  *Leases
-	term    uint64
-	pending *Command // begun by the present leader
-	holders []modelHolder
-	msgs    []modelMsg
-	highest uint64 // at the receiver
-	epochs  map[uint64]int
-	violation  string
+	now       int
+	table     *Table
+	leases    *Leases
+	term      uint64
+	pending   *Command // command in flight of the current leader
+	holders   []modelHolder
+	msgs      []modelMsg
+	highest   uint64 // highest epoch seen by the receiver
+	epochs    map[uint64]int
+	violation string
 }
 
 var modelBegin = time.Unix(1000, 0)
@@ -57,7 +58,7 @@
 	return w
 }
 
-// actions are those that make sense in a state, by name; do carries one out.
+// actions returns the names of the actions that are possible in this state.
 func (w *world) actions() (all []string) {
 	all = append(all, "tick")
 	if w.term < 3 {
@@ -90,7 +91,7 @@
 	switch name {
 	case "tick":
 		w.now++
-	case "leader": // another leads from now on: what the old one had begun is lost
+	case "leader": // a new leader: the command in flight of the old one is lost
 		w.term++
 		w.pending = nil
 		w.leases = NewLeases(w.table, w.term, w.at(w.now))
@@ -151,17 +152,17 @@
 func (w *world) send(m modelMsg) {
 	if len(w.msgs) < 2 {
 		w.msgs = append(w.msgs, m)
-	} // more are lost
+	} // further messages are lost
 }
 
 func (w *world) receive(m modelMsg) {
 	h := &w.holders[m.holder]
 	switch m.kind {
-	case "renew": // the leader has made sure that it leads: that is, this is the present one
+	case "renew": // answered by the current leader, which has confirmed that it leads
 		m.ok = w.leases.Renew(modelDuty, m.epoch, fmt.Sprint(m.holder), w.at(w.now))
 		m.kind = "renewed"
 		w.send(m)
-	case "granted": // confirmed by a renewal before it is believed
+	case "granted": // the holder confirms a grant by a renewal before it relies on it
 		if h.claim != "" && w.table.Get(modelDuty).Epoch >= m.epoch {
 			h.claim = ""
 			w.send(modelMsg{kind: "renew", holder: m.holder, epoch: m.epoch, sent: w.now})
@@ -181,7 +182,7 @@
 	}
 }
 
-// check looks at the invariants.
+// check returns the invariant that this state violates, or "".
 func (w *world) check() string {
 	valid := 0
 	for _, h := range w.holders {
@@ -190,12 +191,12 @@
 		}
 	}
 	if valid > 1 {
-		return "two holders believe that their lease runs"
+		return "two holders have valid leases"
 	}
 	return w.violation
 }
 
-// key tells states apart, by times from now on.
+// key identifies a state; times are relative to the present.
 func (w *world) key() string {
 	var b strings.Builder
 	for _, h := range w.holders {
@@ -219,7 +220,7 @@
 	return b.String()
 }
 
-// explore looks at every state within depth steps, and returns the steps to one that breaks an invariant.
+// explore visits every state within depth steps. If one violates an invariant, it returns the steps that lead to it.
 func explore(holders, depth int, broken func(*world)) (trace []string, states int, what string) {
 	type node struct {
 		parent int
--- a/internal/duty/steward/api.go
+++ b/internal/duty/steward/api.go
@@ -19,19 +19,19 @@
 )
 
 const (
-	maxConns  = 2048
-	headerTimeout    = 2 * time.Second // a caller has for its request's head
-	readTimeout    = 3 * time.Second // and for all of it
-	idleTimeout    = time.Minute
-	maxHeaderBytes   = 4 << 10
-	leaderWait   = 700 * time.Millisecond // a caller waits for a leader, under what the client waits for an answer
+	maxConns           = 2048
+	headerTimeout      = 2 * time.Second // for a request's header
+	readTimeout        = 3 * time.Second // for a whole request
+	idleTimeout        = time.Minute
+	maxHeaderBytes     = 4 << 10
+	leaderWait         = 700 * time.Millisecond // how long a request waits for a leader; shorter than the client's timeout
 	leaderPollInterval = 10 * time.Millisecond
-	writeSlack = 5 * time.Second // beyond the time that a caller asks to wait
+	writeSlack         = 5 * time.Second // added to the longest requested waiting time
 )
 
 type heldDuty = call.Held
 
-// Serve answers relays, tools and operators at the API's address until ctx ends.
+// Serve answers relays, tools and operators on l until ctx ends.
 func (s *Steward) Serve(ctx context.Context, l net.Listener) error {
 	server := &http.Server{Handler: s.handler(), ReadHeaderTimeout: headerTimeout, ReadTimeout: readTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: maxHeaderBytes,
 		WriteTimeout: call.MaxWait + writeSlack, BaseContext: func(net.Listener) context.Context { return ctx }}
@@ -57,7 +57,7 @@
 	m.HandleFunc("GET "+call.PathDuties, handle(s, s.handleDuties))
 	m.HandleFunc("GET "+call.PathStewards, handle(s, s.handleStewards))
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if path.Clean(r.URL.Path) != r.URL.Path { // the library would send the caller elsewhere
+		if path.Clean(r.URL.Path) != r.URL.Path { // the mux would redirect the caller
 			http.NotFound(w, r)
 			return
 		}
@@ -65,7 +65,7 @@
 	})
 }
 
-// statusError is a request that is answered with a status of its own.
+// statusError is an error with an HTTP status of its own.
 type statusError struct {
 	status int
 	err    error
@@ -77,7 +77,7 @@
 	return statusError{http.StatusBadRequest, fmt.Errorf(format, args...)}
 }
 
-// handle reads a request strictly, and writes its answer.
+// handle decodes a request strictly, calls f and encodes its answer.
 func handle[In, Out any](s *Steward, f func(context.Context, In) (Out, error)) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		var in In
@@ -86,7 +86,7 @@
 		if r.Method == http.MethodPost {
 			err = readBody(w, r, &in)
 		}
-		// While nobody leads, or this one has only just been elected, a caller waits here and not in a loop of its own.
+		// While there is no leader, or this steward has only just been elected, wait here instead of making the caller retry.
 		for deadline := time.Now().Add(leaderWait); err == nil; {
 			if out, err = f(r.Context(), in); !errors.Is(err, ErrNotLeader) || time.Now().After(deadline) {
 				break
@@ -117,7 +117,7 @@
 		case errors.Is(err, ErrNotLeader):
 			status = http.StatusMisdirectedRequest
 			if failure.Leader = s.leaderAPI(); failure.Leader == s.cfg.AdvertiseAPI {
-				failure.Leader = "" // not yet
+				failure.Leader = "" // this steward has been elected, but does not lead yet
 			}
 			if failure.Leader == "" {
 				status = http.StatusServiceUnavailable
@@ -134,9 +134,9 @@
 	}
 }
 
-// leaderAPI is where the leader answers, as far as this steward knows.
+// leaderAPI returns the API address of the leader, if known.
 func (s *Steward) leaderAPI() string {
-	_, leader := s.raft.LeaderWithID() // its address is that of a socket
+	_, leader := s.raft.LeaderWithID() // the address returned here is that of a connection
 	all, err := s.servers()
 	if err != nil {
 		return ""
@@ -158,10 +158,10 @@
 		if errors.As(err, &tooLarge) {
 			return statusError{http.StatusRequestEntityTooLarge, err}
 		}
-		return badRequest("can't be read: %v", err)
+		return badRequest("invalid body: %v", err)
 	}
 	if _, err := d.Token(); err != io.EOF {
-		return badRequest("more than one value")
+		return badRequest("data after the request body")
 	}
 	return nil
 }
@@ -178,7 +178,7 @@
 func parseWait(ms int64) (time.Duration, error) {
 	d := time.Duration(ms) * time.Millisecond
 	if ms < 0 || ms > call.MaxWait.Milliseconds() {
-		return 0, badRequest("wait_ms: 0 to %d", call.MaxWait.Milliseconds())
+		return 0, badRequest("wait_ms must be 0 to %d", call.MaxWait.Milliseconds())
 	}
 	return d, nil
 }
@@ -192,7 +192,7 @@
 		return out, err
 	}
 	if len(in.Wishes) == 0 || len(in.Wishes) > call.MaxWishes || len(in.Addr) > duty.MaxNameBytes {
-		return out, badRequest("1 to %d wishes", call.MaxWishes)
+		return out, badRequest("need 1 to %d wishes and an address of at most %d bytes", call.MaxWishes, duty.MaxNameBytes)
 	}
 	var wishes []duty.Wish
 	once := map[string]bool{}
@@ -202,10 +202,10 @@
 		}
 		lease := time.Duration(w.LeaseMS) * time.Millisecond
 		if w.LeaseMS < duty.MinLease.Milliseconds() || w.LeaseMS > duty.MaxLease.Milliseconds() {
-			return out, badRequest("lease_ms: %d to %d", duty.MinLease.Milliseconds(), duty.MaxLease.Milliseconds())
+			return out, badRequest("lease_ms must be %d to %d", duty.MinLease.Milliseconds(), duty.MaxLease.Milliseconds())
 		}
 		if once[w.Duty] {
-			return out, badRequest("%s is wished for twice", w.Duty)
+			return out, badRequest("duplicate wish for %s", w.Duty)
 		}
 		once[w.Duty] = true
 		wishes = append(wishes, duty.Wish{Duty: w.Duty, Holder: in.Holder, Addr: in.Addr, ID: w.ID, Lease: lease})
@@ -228,7 +228,7 @@
 		return out, err
 	}
 	if len(in.Held) > call.MaxWishes {
-		return out, badRequest("%d duties at most", call.MaxWishes)
+		return out, badRequest("more than %d duties", call.MaxWishes)
 	}
 	out.Held, err = s.renew(ctx, in.Holder, in.Held)
 	return out, err
@@ -270,7 +270,7 @@
 	}
 	bar := time.Duration(in.BarMS) * time.Millisecond
 	if in.BarMS < 0 || bar > duty.MaxBar {
-		return out, badRequest("bar_ms: 0 to %d", duty.MaxBar.Milliseconds())
+		return out, badRequest("bar_ms must be 0 to %d", duty.MaxBar.Milliseconds())
 	}
 	ctx, cancel := context.WithTimeout(ctx, call.MaxWait)
 	defer cancel()
@@ -278,7 +278,7 @@
 	return call.Duty{Grant: g}, err
 }
 
-// handleLeads tells whether this steward leads as far as it knows, at next to no cost.
+// handleLeads answers whether this steward leads as far as it knows, without a round trip to the others.
 func (s *Steward) handleLeads(context.Context, struct{}) (out call.Empty, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -288,7 +288,7 @@
 	return out, nil
 }
 
-// handleDuties lists the duties as the leader knows them, at a moment after the question.
+// handleDuties lists the duties as the leader knows them at a moment after the request.
 func (s *Steward) handleDuties(ctx context.Context, _ struct{}) (out call.DutiesOut, err error) {
 	if err := s.verify.confirmLeader(ctx); err != nil {
 		return out, ErrNotLeader
@@ -307,5 +307,5 @@
 	return out, nil
 }
 
-// firstLine is an error's text without what is long.
+// firstLine returns the first line of an error's text.
 func firstLine(err error) string { return strings.SplitN(err.Error(), "\n", 2)[0] }
--- a/internal/duty/steward/identity.go
+++ b/internal/duty/steward/identity.go
@@ -16,26 +16,26 @@
 const (
 	identityFile = "steward.json"
 	peersFile    = "peers.json"
-	maxPeers    = 64
+	maxPeers     = 64
 )
 
-// identity is what outlasts a steward's process. A steward is its folder: votes that were given and entries that were
-// acknowledged are in it, so that one whose folder was emptied is another steward, and one whose folder was put back to an
-// earlier state is none that may take part.
+// identity is the part of a steward that survives its process. A steward is identified by its folder, which holds its
+// votes and the entries it has acknowledged: with an emptied folder it is another steward, and with a folder restored to
+// an earlier state it must not take part.
 type identity struct {
 	dir string
 
-	mu   sync.Mutex // guards what follows
+	mu    sync.Mutex // guards the fields below
 	saved savedIdentity
-	boot string           // of this process
-	seen map[string]start // other stewards, by id
-	// What others have acknowledged to this process: the highest term of each, and the last entry that was agreed on by then.
-	// Not on disk: it finds a folder that was put back, as long as one that led since has not ended as well.
-	acked map[string]progress
-	ownProgress   func() (progress, error) // what this steward's folder holds
+	boot  string           // id of this process
+	seen  map[string]start // latest known start of other stewards, by id
+	// What other stewards have acknowledged to this process: the highest term, and the last entry committed by then. It
+	// reveals a restored folder. It is not on disk: a restored folder is missed if every leader since has ended as well.
+	acked       map[string]progress
+	ownProgress func() (progress, error) // progress of this steward's folder
 }
 
-// progress is how far a steward has come.
+// progress is how far the log of a steward has advanced.
 type progress struct {
 	Term uint64 `json:"term"`
 	Last uint64 `json:"last"`
@@ -43,14 +43,14 @@
 
 type savedIdentity struct {
 	Name    string
-	Folder  string // drawn when the folder was new
-	Starts  uint64 // of a process on the folder
-	Cluster string // of stewards that belong together; empty: none yet
-	Era     uint64 // of the cluster: one more with each that was begun anew after a lost majority
-	Raise   uint64 // epochs have to go on above this, once this steward leads; 0: nothing is to be done
+	Folder  string // random, chosen when the folder is created
+	Starts  uint64 // number of processes started on the folder
+	Cluster string // id of the cluster; empty: none yet
+	Era     uint64 // of the cluster: increases with each recovery from a lost majority
+	Raise   uint64 // epochs must continue above this once this steward leads; 0: nothing to do
 }
 
-// start is the latest start of a steward's process that was seen.
+// start identifies the latest known process of a steward.
 type start struct {
 	Starts uint64
 	Boot   string
@@ -66,12 +66,12 @@
 	}
 	if x.saved.Folder == "" {
 		if _, err := os.Stat(filepath.Join(dir, logFile)); err == nil {
-			return nil, fmt.Errorf("steward: %s has a log, but no %s: is part of the folder missing? Give the steward an empty one", dir, identityFile)
+			return nil, fmt.Errorf("steward: %s has a log, but no %s: part of the folder may be missing. Start the steward on an empty folder", dir, identityFile)
 		}
 		x.saved.Name, x.saved.Folder = name, rand.Text()[:12]
 	}
 	if x.saved.Name != name {
-		return nil, fmt.Errorf("steward: %s is the folder of %q, not of %q", dir, x.saved.Name, name)
+		return nil, fmt.Errorf("steward: folder %s belongs to %q, not to %q", dir, x.saved.Name, name)
 	}
 	x.saved.Starts++
 	return x, x.save()
@@ -104,13 +104,13 @@
 	return nil
 }
 
-// ID is the steward's among the others.
+// ID is the steward's id among the stewards.
 func (x *identity) ID() string { return x.saved.Name + "/" + x.saved.Folder }
 
 func (x *identity) hello() (hello, error) {
 	p, err := x.ownProgress()
 	if err != nil {
-		return hello{}, fmt.Errorf("steward: how far the folder is: %w", err)
+		return hello{}, fmt.Errorf("steward: read the progress of the folder: %w", err)
 	}
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -118,7 +118,7 @@
 		progress: p}, nil
 }
 
-// recordAck notes how far another steward has come, by what it answered.
+// recordAck records the progress that another steward has acknowledged.
 func (x *identity) recordAck(id string, p progress) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -132,7 +132,7 @@
 	return x.saved.Cluster, x.saved.Era
 }
 
-// setCluster has this steward setCluster to a cluster from now on.
+// setCluster makes this steward a member of a cluster.
 func (x *identity) setCluster(cluster string, era uint64) error {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -140,7 +140,7 @@
 		return nil
 	}
 	if x.saved.Cluster != "" {
-		return fmt.Errorf("steward: this one belongs to cluster %s, not to %s", x.saved.Cluster, cluster)
+		return fmt.Errorf("steward: this steward belongs to cluster %s, not to %s", x.saved.Cluster, cluster)
 	}
 	x.saved.Cluster, x.saved.Era = cluster, era
 	return x.save()
@@ -159,30 +159,30 @@
 	return x.save()
 }
 
-// checkPeer takes what another steward says of itself; an error if it may not take part.
+// checkPeer records what another steward announces, or returns an error if it may not take part.
 func (x *identity) checkPeer(h hello) error {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	if h.Cluster != x.saved.Cluster || h.Cluster == "" {
-		return fmt.Errorf("it belongs to cluster %q, this one to %q", h.Cluster, x.saved.Cluster)
+		return fmt.Errorf("it belongs to cluster %q, this steward to %q", h.Cluster, x.saved.Cluster)
 	}
 	last := x.seen[h.From]
 	switch {
 	case h.Starts < last.Starts || h.Starts == last.Starts && h.Boot != last.Boot:
-		return fmt.Errorf("%w: it was started %d times, and was seen after %d", errOutdatedFolder, h.Starts, last.Starts)
+		return fmt.Errorf("%w: it reports %d starts, but had %d when last seen", errOutdatedFolder, h.Starts, last.Starts)
 	case h.Term < x.acked[h.From].Term || h.Last < x.acked[h.From].Last:
-		return fmt.Errorf("%w: it holds term %d and entry %d, and has acknowledged %d and %d", errOutdatedFolder, h.Term, h.Last,
+		return fmt.Errorf("%w: it holds term %d and entry %d, but has acknowledged %d and %d", errOutdatedFolder, h.Term, h.Last,
 			x.acked[h.From].Term, x.acked[h.From].Last)
 	case h.start == last:
 		return nil
 	case len(x.seen) >= maxPeers && last == start{}:
-		return errors.New("too many stewards were seen")
+		return fmt.Errorf("%d stewards have been seen, the limit", maxPeers)
 	}
 	x.seen[h.From] = h.start
 	return x.writeJSON(peersFile, x.seen)
 }
 
-// retainPeers forgets stewards that are none any more.
+// retainPeers forgets stewards that have been removed.
 func (x *identity) retainPeers(keep func(id string) bool) error {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -203,6 +203,6 @@
 	return x.writeJSON(peersFile, x.seen)
 }
 
-// errOutdatedFolder refuses a steward whose folder was put back to an earlier state, or copied: it may have forgotten what it voted and
-// acknowledged.
+// errOutdatedFolder refuses a steward whose folder was restored to an earlier state, or copied: it may have lost votes
+// and acknowledged entries.
 var errOutdatedFolder = errors.New("its folder is an older one, or a copy")
--- a/internal/duty/steward/members.go
+++ b/internal/duty/steward/members.go
@@ -20,19 +20,19 @@
 )
 
 const (
-	joinInterval   = 500 * time.Millisecond
-	joinTimeout     = 5 * time.Second
-	removalCheckInterval   = 200 * time.Millisecond
-	removalDelay  = 3 * time.Second // that a steward has to be without a place, and without a leader, before it ends
-	maxStewards = 7
+	joinInterval         = 500 * time.Millisecond
+	joinTimeout          = 5 * time.Second
+	removalCheckInterval = 200 * time.Millisecond
+	removalDelay         = 3 * time.Second // how long a steward must look removed before it ends
+	maxStewards          = 7
 )
 
 func boltOptions() *bbolt.Options {
-	// Another process on the folder is an error at once, not a wait without end.
+	// If another process uses the folder, fail instead of waiting forever.
 	return &bbolt.Options{Timeout: time.Second, NoFreelistSync: true, FreelistType: bbolt.FreelistMapType}
 }
 
-// servers are the stewards by raft's configuration.
+// servers returns the stewards in the raft configuration.
 func (s *Steward) servers() ([]raft.Server, error) {
 	f := s.raft.GetConfiguration()
 	if err := f.Error(); err != nil {
@@ -41,26 +41,27 @@
 	return f.Configuration().Servers, nil
 }
 
-// handleBegin has this steward begin a cluster of its own, which others join.
+// handleBegin creates a cluster with this steward as its only member, for others to join.
 func (s *Steward) handleBegin(context.Context, call.Empty) (out call.JoinOut, err error) {
 	if cluster, _ := s.id.cluster(); cluster != "" {
-		return out, statusError{http.StatusConflict, fmt.Errorf("it belongs to cluster %s already", cluster)}
+		return out, statusError{http.StatusConflict, fmt.Errorf("this steward already belongs to cluster %s", cluster)}
 	}
 	out = call.JoinOut{Cluster: crand.Text()[:12], Era: 1}
 	f := s.raft.BootstrapCluster(raft.Configuration{Servers: []raft.Server{{ID: raft.ServerID(s.id.ID()), Address: s.address()}}})
 	if err := f.Error(); err != nil {
-		return out, fmt.Errorf("steward: begin: %w", err)
+		return out, fmt.Errorf("steward: bootstrap: %w", err)
 	}
 	return out, s.id.setCluster(out.Cluster, out.Era)
 }
 
-// join asks other stewards for a place, for as long as this one belongs to nobody, or has another address than they know.
+// join asks other stewards to add this one, as long as it belongs to no cluster, or its address differs from the one
+// that they have.
 func (s *Steward) join(ctx context.Context) {
 	client := call.NewClient(nil, net.ParseIP(hostOf(s.cfg.API)))
 	defer client.Close()
 	_, listen, api := splitAddress(s.address())
 	in := call.JoinIn{ID: s.id.ID(), Listen: listen, API: api, Fleet: s.cfg.Fleet}
-	for said := ""; ; {
+	for logged := ""; ; {
 		select {
 		case <-ctx.Done():
 			return
@@ -80,9 +81,9 @@
 					break
 				}
 			}
-			if text := firstLine(err); text != said && ctx.Err() == nil {
-				said = text
-				s.cfg.Log.Info("not among the stewards yet", "err", err)
+			if text := firstLine(err); text != logged && ctx.Err() == nil {
+				logged = text
+				s.cfg.Log.Info("could not join the stewards yet", "err", err)
 			}
 		}
 	}
@@ -96,22 +97,22 @@
 	return out, err
 }
 
-// isListed tells whether this steward is among the stewards, under the address that it has.
+// isListed reports whether the cluster lists this steward under its present address.
 func (s *Steward) isListed() bool {
 	all, err := s.servers()
 	if err != nil {
-		return true // it ends
+		return true // shutting down
 	}
 	for _, x := range all {
 		if string(x.ID) == s.id.ID() {
 			return x.Address == s.address()
 		}
 	}
-	return len(all) > 0 // those of whom it has heard do not list it: it was removed, and is not to come back by itself
+	return len(all) > 0 // in a cluster that does not list it, it has been removed and must not rejoin by itself
 }
 
-// awaitRemoval returns true once this steward had a place among the others and has it no more. The one that is removed is not told
-// as a rule: it hears of no leader any more, and the others list it no longer.
+// awaitRemoval returns true when this steward has been removed from its cluster. A removed steward is usually not
+// notified: it no longer hears from a leader, and the others no longer list it.
 func (s *Steward) awaitRemoval(ctx context.Context) bool {
 	client := call.NewClient(nil, net.ParseIP(hostOf(s.cfg.API)))
 	defer client.Close()
@@ -137,7 +138,7 @@
 	}
 }
 
-// removedByPeers tells whether one of the others that hears of a leader lists this steward no more.
+// removedByPeers reports whether another steward that knows a leader no longer lists this one.
 func (s *Steward) removedByPeers(ctx context.Context, client *call.Client, all []raft.Server) bool {
 	cluster, _ := s.id.cluster()
 	for _, x := range all {
@@ -157,19 +158,19 @@
 	return false
 }
 
-// handleJoin gives a steward a place among the others. One of the same name whose folder is gone makes way for it.
+// handleJoin adds a steward. It replaces a steward of the same name that no longer answers.
 func (s *Steward) handleJoin(ctx context.Context, in call.JoinIn) (out call.JoinOut, err error) {
 	name, folder, ok := strings.Cut(in.ID, "/")
 	if err := checkNames(in.ID); err != nil || !ok || name == "" || folder == "" || strings.ContainsAny(in.ID, ",@") {
-		return out, badRequest("id: NAME/FOLDER")
+		return out, badRequest("id must have the form NAME/FOLDER")
 	}
 	for _, a := range []string{in.Listen, in.API} {
 		if _, _, err := net.SplitHostPort(a); err != nil || len(a) > duty.MaxNameBytes || strings.Contains(a, ",") {
-			return out, badRequest("%q is not a host and a port", a)
+			return out, badRequest("%q is not a valid host:port", a)
 		}
 	}
 	if in.Fleet != s.cfg.Fleet {
-		return out, statusError{http.StatusForbidden, fmt.Errorf("this is fleet %q", s.cfg.Fleet)}
+		return out, statusError{http.StatusForbidden, fmt.Errorf("this steward belongs to fleet %q", s.cfg.Fleet)}
 	}
 	if err := s.verify.confirmLeader(ctx); err != nil {
 		return out, ErrNotLeader
@@ -188,16 +189,16 @@
 		case s.stream.reachable(x.Address):
 			return out, statusError{http.StatusConflict, fmt.Errorf("%s serves: two stewards under one name", x.ID)}
 		default:
-			// One change at a time: the old one goes first, so that the new one's vote never makes the number even.
+			// One change at a time, and removal first: adding the new steward first would make the number of voters even.
 			if err := s.raft.RemoveServer(x.ID, 0, applyTimeout).Error(); err != nil {
 				return out, fmt.Errorf("%w: remove %s: %w", errOutcomeUnknown, x.ID, err)
 			}
-			s.cfg.Log.Info("steward removed: its folder is gone", "member", x.ID, "for", in.ID)
+			s.cfg.Log.Info("steward removed: replaced by one with a new folder", "member", x.ID, "for", in.ID)
 			all = all[:len(all)-1]
 		}
 	}
 	if len(all) >= maxStewards {
-		return out, statusError{http.StatusConflict, fmt.Errorf("%d stewards are as many as there may be", maxStewards)}
+		return out, statusError{http.StatusConflict, fmt.Errorf("limit of %d stewards reached", maxStewards)}
 	}
 	if err := s.raft.AddVoter(raft.ServerID(in.ID), address, 0, applyTimeout).Error(); err != nil {
 		return out, fmt.Errorf("%w: add %s: %w", errOutcomeUnknown, in.ID, err)
@@ -221,17 +222,17 @@
 	})
 }
 
-// reachable tells whether a steward answers by its name at its address.
+// reachable reports whether the steward with this address answers under its id.
 func (s *streamLayer) reachable(a raft.ServerAddress) bool {
 	c, err := s.Dial(a, helloTimeout)
 	if err != nil {
-		return errors.Is(err, errOutdatedFolder) // it is there, though it may take no part
+		return errors.Is(err, errOutdatedFolder) // it runs, though it may not take part
 	}
 	c.Close()
 	return true
 }
 
-// handleRemove takes a steward's place.
+// handleRemove removes a steward.
 func (s *Steward) handleRemove(ctx context.Context, in call.RemoveIn) (out call.Empty, err error) {
 	if err := s.verify.confirmLeader(ctx); err != nil {
 		return out, ErrNotLeader
@@ -245,7 +246,7 @@
 			continue
 		}
 		if len(all) == 1 {
-			return out, statusError{http.StatusConflict, errors.New("it is the last one")}
+			return out, statusError{http.StatusConflict, errors.New("the last steward cannot be removed")}
 		}
 		if err := s.raft.RemoveServer(x.ID, 0, applyTimeout).Error(); err != nil {
 			return out, fmt.Errorf("%w: remove %s: %w", errOutcomeUnknown, x.ID, err)
--- a/internal/duty/steward/node.go
+++ b/internal/duty/steward/node.go
@@ -1,6 +1,6 @@
-// Package steward keeps the fleet's duties on raft: three or five processes that agree on who holds what, and that go on as long
-// as more than half of them are there. Consensus, log and elections are a library's; what is agreed on is a duty.Table, and the
-// leader's promises of time are duty.Leases.
+// Package steward replicates the fleet's duties with raft: three or five processes agree on who holds which duty, and
+// continue as long as a majority of them is available. Consensus, log and elections come from a library; the replicated
+// state is a duty.Table, and the leader tracks leases with duty.Leases.
 package steward
 
 import (
@@ -27,68 +27,69 @@
 )
 
 const (
-	// A follower that hears nothing of its leader for 0.4 to 1.2 s asks for votes; a leader that more than half have not
-	// answered for leaderFor steps down. The longest round trip between buildings is 0.22 s, and as long is it from one
-	// heartbeat to the next then.
-	heartbeat = 400 * time.Millisecond
-	leaderLease = 400 * time.Millisecond
-	commitTimeout  = 200 * time.Millisecond
+	// A follower that hears nothing from its leader for 0.4 to 1.2 s starts an election; a leader that has had no answer
+	// from a majority for leaderLease steps down. The longest round trip between buildings is 0.22 s, and the interval
+	// between two heartbeats is then about as long.
+	heartbeat     = 400 * time.Millisecond
+	leaderLease   = 400 * time.Millisecond
+	commitTimeout = 200 * time.Millisecond
 
 	applyTimeout      = 2 * time.Second
-	snapshotInterval = 30 * time.Second
-	snapshotThreshold = 4096 // entries of the log
-	trailingEntries      = 1024 // entries that are kept for a follower that is behind
-	snapshotsKept = 2
-	maxPooledConns      = 3 // idle connections to another steward
+	snapshotInterval  = 30 * time.Second
+	snapshotThreshold = 4096 // log entries
+	trailingEntries   = 1024 // log entries kept for followers that lag behind
+	snapshotsKept     = 2
+	maxPooledConns    = 3 // idle connections per steward
 	rpcTimeout        = 2 * time.Second
 
 	logFile = "raft.db"
-	// epochJump is how far epochs jump where grants may be lost with a majority: further than a lost one can have gone.
+	// epochJump is added to the epochs when grants may have been lost with a majority. It exceeds the number of grants
+	// that can have been lost.
 	epochJump = 1 << 32
 )
 
-// Config is one steward.
+// Config configures a steward.
 type Config struct {
 	Name         string
-	Fleet        string   // the fleet's label
+	Fleet        string   // label of the fleet
 	Listen       string   // host and port for the other stewards
-	Advertise    string   // where they find it; none: Listen
+	Advertise    string   // address that the other stewards use; default: Listen
 	API          string   // host and port for relays, tools and operators
-	AdvertiseAPI string   // where they find it; none: API
-	Dir          string   // the folder that lasts
-	Seeds        []string // APIs of other stewards, to join by
+	AdvertiseAPI string   // address that clients use; default: API
+	Dir          string   // state folder
+	Seeds        []string // API addresses of other stewards, used to join
 	Log          *slog.Logger
 }
 
-// Steward is one steward's process.
+// Steward is a running steward.
 type Steward struct {
-	cfg    Config
-	id     *identity
-	stream *streamLayer
-	raft   *raft.Raft
-	trans  transport
-	store  *raftboltdb.BoltStore
-	leaderChanges  chan bool
-	verify leaderVerifier
-	schedulerWake chan struct{} // holds one: the scheduler has something to do
-
-	mu    sync.Mutex // guards what follows
-	table *duty.Table
-	leadership *leadership // nil: this one does not lead, or does not yet
+	cfg           Config
+	id            *identity
+	stream        *streamLayer
+	raft          *raft.Raft
+	trans         transport
+	store         *raftboltdb.BoltStore
+	leaderChanges chan bool
+	verify        leaderVerifier
+	schedulerWake chan struct{} // signal of capacity 1
+
+	mu         sync.Mutex // guards the fields below
+	table      *duty.Table
+	leadership *leadership // nil unless this steward leads and has committed its first entry
 }
 
-// leadership is one time of leading.
+// leadership is the state of one term as leader.
 type leadership struct {
 	*duty.Leases
-	ended    chan struct{} // closed at its end
-	waiters map[string][]waitingWish
-	dirty   map[string]bool
+	ended         chan struct{} // closed when the term ends
+	waiters       map[string][]waitingWish
+	dirty         map[string]bool
 	nextCheck     map[string]time.Time
-	watches map[*watch]struct{}
-	waitingWishes  int
+	watches       map[*watch]struct{}
+	waitingWishes int
 }
 
-// Open starts a steward on its folder. It takes no part before it has joined others, or was told to begin.
+// Open starts a steward on its folder. It takes part once it has joined a cluster or created one.
 func Open(cfg Config) (*Steward, error) {
 	if err := os.MkdirAll(cfg.Dir, 0o700); err != nil {
 		return nil, fmt.Errorf("steward: %w", err)
@@ -138,9 +139,9 @@
 	return nil
 }
 
-// folderProgress is how folderProgress a folder is: its term, and its last entry, in the log or in a snapshot.
+// folderProgress returns the term of a folder and its last entry, in the log or in a snapshot.
 func folderProgress(store *raftboltdb.BoltStore, snaps raft.SnapshotStore) (p progress, err error) {
-	p.Term, err = store.GetUint64([]byte("CurrentTerm")) // the library's name for it
+	p.Term, err = store.GetUint64([]byte("CurrentTerm")) // the library's key
 	if err != nil && !errors.Is(err, raftboltdb.ErrKeyNotFound) {
 		return p, err
 	}
@@ -163,12 +164,12 @@
 	return c
 }
 
-// address is where the others find this steward, in raft's configuration: what it is, with both addresses.
+// address is this steward's address in the raft configuration: its id and both network addresses.
 func (s *Steward) address() raft.ServerAddress {
 	return raft.ServerAddress(strings.Join([]string{s.id.ID(), s.cfg.Advertise, s.cfg.AdvertiseAPI}, ","))
 }
 
-// splitAddress are those of an address: id, address for stewards, API.
+// splitAddress splits such an address into the id, the address for stewards and the API address.
 func splitAddress(a raft.ServerAddress) (id, listen, api string) {
 	p := strings.SplitN(string(a), ",", 3)
 	if len(p) != 3 {
@@ -177,7 +178,7 @@
 	return p[0], p[1], p[2]
 }
 
-// Run takes part until ctx ends, or until the others have removed this steward.
+// Run takes part until ctx ends, or until the other stewards have removed this one.
 func (s *Steward) Run(ctx context.Context) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -199,7 +200,7 @@
 	}
 	cancel()
 	if s.raft.State() == raft.Leader {
-		s.raft.LeadershipTransfer().Error() // whether or not it works: another is elected
+		s.raft.LeadershipTransfer().Error() // best effort: otherwise another is elected
 	}
 	err = errors.Join(err, s.raft.Shutdown().Error())
 	s.trans.CloseStreams()
@@ -208,7 +209,7 @@
 	return errors.Join(err, s.stream.Close(), s.store.Close())
 }
 
-// leadershipLoop begins and ends reigns.
+// leadershipLoop begins and ends terms as leader.
 func (s *Steward) leadershipLoop(ctx context.Context) {
 	for {
 		select {
@@ -223,12 +224,13 @@
 	}
 }
 
-// beginLeadership has a leader begin. Its first entry tells its term, and that everything before it is in the table.
+// beginLeadership begins a term as leader. Committing its first entry yields the term, and ensures that the table
+// contains every earlier entry.
 func (s *Steward) beginLeadership(ctx context.Context) {
 	for ctx.Err() == nil && s.raft.State() == raft.Leader {
 		res, err := s.apply(duty.Command{Op: duty.BeginTerm})
 		if err != nil {
-			s.cfg.Log.Warn("no reign yet", "err", err)
+			s.cfg.Log.Warn("the first entry of the term could not be committed", "err", err)
 			continue
 		}
 		if to := s.id.pendingRaise(); to > 0 {
@@ -236,7 +238,7 @@
 				continue
 			}
 			if err := s.id.clearRaise(); err != nil {
-				s.cfg.Log.Error("epochs are raised once more at the next start", "err", err)
+				s.cfg.Log.Error("could not record that epochs were raised: they will be raised again", "err", err)
 			}
 		}
 		s.mu.Lock()
@@ -254,11 +256,11 @@
 	if s.leadership != nil {
 		close(s.leadership.ended)
 		s.leadership = nil
-		s.cfg.Log.Info("leads no more")
+		s.cfg.Log.Info("no longer leads")
 	}
 }
 
-// currentLeadership is the reign, if it still is one; with mu held.
+// currentLeadership returns the current term as leader, or nil; s.mu must be held.
 func (s *Steward) currentLeadership() *leadership {
 	if s.leadership != nil && s.raft.State() == raft.Leader && s.raft.CurrentTerm() == s.leadership.Term {
 		return s.leadership
@@ -266,7 +268,7 @@
 	return nil
 }
 
-// apply has the stewards agree on a command.
+// apply commits a command and returns its result.
 func (s *Steward) apply(c duty.Command) (duty.Result, error) {
 	data, err := json.Marshal(c)
 	if err != nil {
@@ -274,12 +276,12 @@
 	}
 	f := s.raft.Apply(data, applyTimeout)
 	if err := f.Error(); err != nil {
-		return duty.Result{}, fmt.Errorf("steward: agree on %s of %s: %w", c.Op, c.Duty, err)
+		return duty.Result{}, fmt.Errorf("steward: commit %s of %s: %w", c.Op, c.Duty, err)
 	}
 	return f.Response().(duty.Result), nil
 }
 
-// stateMachine is the Steward as raft's state stateMachine.
+// stateMachine is the Steward as raft's state machine.
 type stateMachine Steward
 
 func (m *stateMachine) Apply(l *raft.Log) any {
@@ -326,7 +328,8 @@
 
 func (snapshot) Release() {}
 
-// leaderVerifier asks whether this steward still leads, once for all that ask while a question is out.
+// leaderVerifier confirms that this steward still leads. Callers that arrive while a check is running share the next
+// one.
 type leaderVerifier struct {
 	check func() error
 
@@ -376,7 +379,7 @@
 	}
 }
 
-// newRaftLogger has what the library says at the level that it deserves.
+// newRaftLogger writes the library's warnings and errors to l.
 func newRaftLogger(l *slog.Logger) hclog.Logger {
 	return hclog.New(&hclog.LoggerOptions{Name: "raft", Level: hclog.Warn, Output: logWriter{l}, DisableTime: true})
 }
@@ -388,7 +391,7 @@
 	return len(p), nil
 }
 
-// hostOf is an address's, without its port.
+// hostOf returns the host of an address.
 func hostOf(addr string) string {
 	h, _, err := net.SplitHostPort(addr)
 	if err != nil {
--- a/internal/duty/steward/recover.go
+++ b/internal/duty/steward/recover.go
@@ -13,36 +13,36 @@
 	"onyxroad.dev/onyxroad/internal/duty"
 )
 
-// FolderState is what a stopped steward's folder holds.
+// FolderState is the content of a stopped steward's folder.
 type FolderState struct {
 	ID       string
 	Cluster  string
 	Era      uint64
-	Stewards []string // by the last configuration that the folder knows
-	Last     uint64   // highest epoch that the folder knows
+	Stewards []string // of the last configuration in the folder
+	Last     uint64   // highest epoch in the folder
 	Duties   []duty.Grant
-	Index    uint64 // last entry of the log
+	Index    uint64 // index of the last log entry
 }
 
-// Summary say what the folder holds and what going on with it alone means.
+// Summary describes the folder and what recovering from it alone means.
 func (f *FolderState) Summary() string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "Folder of steward %s, cluster %s, era %d, with %d entries.\n", f.ID, f.Cluster, f.Era, f.Index)
-	fmt.Fprintf(&b, "It knows %d stewards: %s.\n", len(f.Stewards), strings.Join(f.Stewards, ", "))
-	fmt.Fprintf(&b, "It knows of %d duties and of epochs up to %d.\n", len(f.Duties), f.Last)
-	b.WriteString("Going on with it alone means:\n")
-	fmt.Fprintf(&b, "- What the others agreed on and this folder has not heard is lost: grants, hand-overs, stewards that came or went.\n")
-	fmt.Fprintf(&b, "- Epochs go on above %d, so that no effect of a lost grant is taken after one of a new grant.\n", f.Last+epochJump)
-	b.WriteString("- Holders lose their duties, and get them, or others do, once the stewards are there again.\n")
-	b.WriteString("- The other stewards are no part of it: stop them first, empty their folders, and start them again to join.\n")
-	b.WriteString("  One that runs on keeps to the cluster that is given up; relays that have heard of the new one ignore it.\n")
+	fmt.Fprintf(&b, "It lists %d stewards: %s.\n", len(f.Stewards), strings.Join(f.Stewards, ", "))
+	fmt.Fprintf(&b, "It contains %d duties and epochs up to %d.\n", len(f.Duties), f.Last)
+	b.WriteString("Recovering from this folder alone means:\n")
+	fmt.Fprintf(&b, "- Commands that the others committed and this folder does not contain are lost: grants, hand-overs, changes of stewards.\n")
+	fmt.Fprintf(&b, "- Epochs continue above %d, so that no effect of a lost grant is accepted after one of a new grant.\n", f.Last+epochJump)
+	b.WriteString("- Holders lose their duties; they or others can claim them once the stewards are available again.\n")
+	b.WriteString("- The other stewards are not included: stop them first, empty their folders, and start them again to join.\n")
+	b.WriteString("  One that keeps running stays in the abandoned cluster; relays that have contacted the new one ignore it.\n")
 	return b.String()
 }
 
 // Inspect reads a stopped steward's folder. It changes nothing but the count of starts.
 func Inspect(cfg Config) (*FolderState, error) { return readFolder(cfg, false) }
 
-// Recover makes a stopped steward's folder the only one of a cluster of a new era: the way back from a lost majority.
+// Recover makes a stopped steward's folder the only member of a cluster with a new era, to recover from a lost majority.
 func Recover(cfg Config) (*FolderState, error) { return readFolder(cfg, true) }
 
 func readFolder(cfg Config, change bool) (found *FolderState, err error) {
@@ -87,9 +87,9 @@
 		return found, nil
 	}
 	if cfg.API == "" || cfg.Listen == "" {
-		return nil, errors.New("steward: its addresses have to be known")
+		return nil, errors.New("steward: the listen and API addresses are required")
 	}
-	// The new identity first: a stop in between leaves a folder that only this can go on with.
+	// Store the new identity first: if this is interrupted, only running Recover again can continue with the folder.
 	id.saved.Cluster, id.saved.Era, id.saved.Raise = crand.Text()[:12], id.saved.Era+1, found.Last+epochJump
 	if err := id.save(); err != nil {
 		return nil, err
@@ -103,8 +103,8 @@
 	return found, id.retainPeers(func(string) bool { return false })
 }
 
-// replay works out the table from the last snapshot and every entry of the log: what was not agreed on yet counts too, since
-// the others may have agreed on it.
+// replay rebuilds the table from the last snapshot and every log entry. Uncommitted entries are included, since the
+// other stewards may have committed them.
 func (s *Steward) replay(snaps raft.SnapshotStore) error {
 	all, err := snaps.List()
 	if err != nil {
--- a/internal/duty/steward/schedule.go
+++ b/internal/duty/steward/schedule.go
@@ -11,41 +11,42 @@
 )
 
 const (
-	maxWaitingWishes  = 32768 // that wait at once
-	maxWatches = 1024
+	maxWaitingWishes = 32768 // waiting at the same time
+	maxWatches       = 1024
 )
 
-// The refusals of a request.
+// The reasons to refuse a request.
 var (
-	// ErrNotLeader: this steward does not lead.
+	// ErrNotLeader refuses a request that only the leader can answer.
 	ErrNotLeader = errors.New("this steward does not lead")
-	// ErrRemoved: the others have removed this steward.
-	ErrRemoved = errors.New("the other stewards have removed this one")
-	errTooManyWaiting = errors.New("too many wait already")
-	errNotHeld = errors.New("not the holder")
-	errNoHolder  = errors.New("nobody holds it")
-	errOutcomeUnknown = errors.New("what becomes of it is not known; ask again")
+	// ErrRemoved is returned by Run after the other stewards have removed this one.
+	ErrRemoved        = errors.New("the other stewards have removed this one")
+	errTooManyWaiting = errors.New("too many requests are waiting")
+	errNotHeld        = errors.New("the duty is not held by this holder under this epoch")
+	errNoHolder       = errors.New("the duty has no holder")
+	errOutcomeUnknown = errors.New("the outcome is unknown; try again")
 )
 
-// waiter is a process that wishes for duties and waits.
+// waiter is a claim that waits for duties.
 type waiter struct {
-	results chan claimResult // room for one a wish
+	results chan claimResult // buffers one result per wish
 }
 
-// waitingWish is one of its wishes.
+// waitingWish is a wish of a waiter.
 type waitingWish struct {
 	*waiter
 	wish duty.Wish
 }
 
-// claimResult is what became of a wish.
+// claimResult is the outcome of a wish.
 type claimResult struct {
 	wish  duty.Wish
 	epoch uint64
 	err   error
 }
 
-// claim waits for the first of wishes to be granted, and returns what has become of any by then: nothing, if the time is over.
+// claim waits until the first of the wishes is granted or refused, and returns the outcomes known by then; none if ctx
+// ends first.
 func (s *Steward) claim(ctx context.Context, wishes []duty.Wish) (all []claimResult, err error) {
 	w := &waiter{make(chan claimResult, len(wishes))}
 	s.mu.Lock()
@@ -59,19 +60,19 @@
 		return nil, errTooManyWaiting
 	}
 	r.waitingWishes += len(wishes)
-	// Only what this wish may change is looked at: hundreds may wait for the same.
-	kick, now := false, time.Now()
+	// Check only what these wishes may change: hundreds may wait for the same duty.
+	wake, now := false, time.Now()
 	for _, x := range wishes {
 		r.waiters[x.Duty] = append(r.waiters[x.Duty], waitingWish{w, x})
 		own := []duty.Wish{x}
 		if _, i := r.PickClaim(own, now); i >= 0 {
-			r.dirty[x.Duty], kick = true, true
+			r.dirty[x.Duty], wake = true, true
 		} else if at, due := r.NextChange(own, now), r.nextCheck[x.Duty]; !at.IsZero() && (due.IsZero() || at.Before(due)) {
-			r.nextCheck[x.Duty], kick = at, true
+			r.nextCheck[x.Duty], wake = at, true
 		}
 	}
 	s.mu.Unlock()
-	if kick {
+	if wake {
 		s.wakeScheduler()
 	}
 	defer func() {
@@ -107,7 +108,7 @@
 	}
 }
 
-// schedule grants duties as they become free.
+// schedule grants duties as they become available.
 func (s *Steward) schedule(ctx context.Context) {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
@@ -124,7 +125,7 @@
 	}
 }
 
-// grant has every duty granted that can be, and returns when there may be more to do; zero: when something happens.
+// grant grants every duty that can be granted now, and returns when to check again; zero: only after an event.
 func (s *Steward) grant(ctx context.Context, now time.Time) (next time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -156,27 +157,27 @@
 			if !at.IsZero() {
 				r.nextCheck[name] = at
 			}
-		case c.Op == "": // granted already
+		case c.Op == "": // already granted
 			w := r.waiters[name][i].waiter
 			w.results <- claimResult{ws[i], s.table.Get(name).Epoch, nil}
 			r.removeWaiter(name, w)
-			r.dirty[name] = true // for the others
+			r.dirty[name] = true // check again for the other wishes
 		default:
 			r.Begin(c)
 			w := r.waiters[name][i].waiter
 			go s.execute(r, c, func(res duty.Result) {
 				if !slices.ContainsFunc(r.waiters[name], func(o waitingWish) bool { return o.waiter == w }) {
-					return // gone; its claim stands until its lease is over
+					return // the claimant has gone: the grant stands until its lease expires
 				}
 				if errors.Is(res.Err, duty.ErrConflict) || errors.Is(res.Err, duty.ErrStaleTerm) {
-					return // it waits on
+					return // it keeps waiting
 				}
 				w.results <- claimResult{ws[i], res.Grant.Epoch, res.Err}
 				r.removeWaiter(name, w)
 			})
 		}
 	}
-	for name := range r.dirty { // told that it is granted: somebody else may be next
+	for name := range r.dirty { // answered above; another wish may be next
 		r.nextCheck[name] = now
 	}
 	for _, at := range r.nextCheck {
@@ -187,7 +188,7 @@
 	return next
 }
 
-// wishesFor are the wishes that wait for a duty, in their order.
+// wishesFor returns the wishes that wait for a duty, in order of arrival.
 func (r *leadership) wishesFor(name string) []duty.Wish {
 	ws := make([]duty.Wish, 0, len(r.waiters[name]))
 	for _, w := range r.waiters[name] {
@@ -196,21 +197,21 @@
 	return ws
 }
 
-// removeWaiter has a waiter wait for a duty no more.
+// removeWaiter stops a waiter waiting for a duty.
 func (r *leadership) removeWaiter(name string, w *waiter) {
 	if r.waiters[name] = slices.DeleteFunc(r.waiters[name], func(o waitingWish) bool { return o.waiter == w }); len(r.waiters[name]) == 0 {
 		delete(r.waiters, name)
 	}
 }
 
-// execute has the stewards agree on a command that has begun. then is told of its result, with mu held.
+// execute commits a command that was passed to Begin. then, if not nil, is called with its result while s.mu is held.
 func (s *Steward) execute(r *leadership, c duty.Command, then func(duty.Result)) (duty.Result, error) {
 	res, err := s.apply(c)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := time.Now()
 	if err != nil {
-		// Whether it comes into effect is not known. If it does in this reign, the table says so; see duty.Command.After.
+		// It may still be committed. If it is within this term, the table shows it; see duty.Command.After.
 		res.Err = fmt.Errorf("%w: %w", errOutcomeUnknown, err)
 	}
 	r.Finish(c, res, now)
@@ -222,9 +223,9 @@
 	return res, res.Err
 }
 
-// renew extends leases, and tells of each whether it still holds, and whether its holder is asked to step down.
+// renew extends leases, and reports for each whether it is still held and whether its holder is asked to step down.
 func (s *Steward) renew(ctx context.Context, holder string, held []heldDuty) ([]heldDuty, error) {
-	// First that this one leads, at a moment after the holder asked: a leader that comes later begins all leases later.
+	// First confirm that this steward led at a moment after the request: a later leader restarts all leases later.
 	if err := s.verify.confirmLeader(ctx); err != nil {
 		return nil, ErrNotLeader
 	}
@@ -243,7 +244,7 @@
 	return held, nil
 }
 
-// release ends a grant in its holder's name.
+// release ends a grant at the request of its holder.
 func (s *Steward) release(holder, name string, epoch uint64, to string) error {
 	s.mu.Lock()
 	r := s.currentLeadership()
@@ -266,13 +267,13 @@
 	return err
 }
 
-// watch is a holder that waits to hear that it is asked to step down.
+// watch is a holder that waits until it is asked to step down.
 type watch struct {
 	holder string
 	asked  chan struct{}
 }
 
-// stepDown asks a duty's holder to step down, and waits until it has, or has lost its lease.
+// stepDown asks the holder of a duty to step down, and waits until it has released the duty or its lease has expired.
 func (s *Steward) stepDown(ctx context.Context, name, to string, bar time.Duration) (duty.Grant, error) {
 	s.mu.Lock()
 	r := s.currentLeadership()
@@ -315,7 +316,7 @@
 	}
 }
 
-// watchStepDown waits until a holder is asked to step down from something, or the time is over.
+// watchStepDown waits until a holder is asked to step down from one of its duties, or ctx ends.
 func (s *Steward) watchStepDown(ctx context.Context, holder string) error {
 	w := &watch{holder, make(chan struct{}, 1)}
 	s.mu.Lock()
--- a/internal/duty/steward/steward_test.go
+++ b/internal/duty/steward/steward_test.go
@@ -23,7 +23,7 @@
 	"onyxroad.dev/onyxroad/internal/duty/holder"
 )
 
-// testSteward is a steward that runs in the test.
+// testSteward is a steward that runs in the test process.
 type testSteward struct {
 	*Steward
 	cancel context.CancelFunc
@@ -56,7 +56,7 @@
 	return x.err
 }
 
-// eventually waits for something that is bound to come.
+// eventually waits for a condition that must become true.
 func eventually(t *testing.T, what string, f func() bool) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(t.Context(), 30*time.Second)
@@ -64,7 +64,7 @@
 	for !f() {
 		select {
 		case <-ctx.Done():
-			t.Fatal("never: " + what)
+			t.Fatal("timed out waiting for: " + what)
 		case <-time.After(5 * time.Millisecond):
 		}
 	}
@@ -131,12 +131,12 @@
 		}
 	}
 	if again := claim(t, client, "a", "1"); again != one {
-		t.Errorf("the same claim at the next leader is %d, not %d", again, one)
+		t.Errorf("the repeated claim has epoch %d at the next leader, not %d", again, one)
 	}
 	var out call.RenewOut
 	in := call.RenewIn{Holder: "a", Held: []call.Held{{Duty: "d", Epoch: one}, {Duty: "d", Epoch: one + 7}}}
 	if err := client.Do(t.Context(), call.PathRenew, in, &out, 0); err != nil || !out.Held[0].OK || out.Held[1].OK {
-		t.Errorf("renewed at the next leader: %+v, %v", out, err)
+		t.Errorf("renewal at the next leader: %+v, %v", out, err)
 	}
 	if err := client.Do(t.Context(), call.PathRelease, call.ReleaseIn{Holder: "a", Duty: "d", Epoch: one}, &call.Empty{}, 0); err != nil {
 		t.Error(err)
@@ -159,14 +159,14 @@
 	old := all[2].id.ID()
 	all[2].stop()
 	all[2] = startSteward(t, "s2", t.TempDir(), all[0].cfg.API, all[1].cfg.API)
-	eventually(t, "the new one has the old one's place", func() bool {
+	eventually(t, "the new steward replaces the old one", func() bool {
 		ids := ""
 		for _, s := range list(t, client, all[0].cfg.API) {
 			ids += s.ID + " "
 		}
 		return strings.Count(ids, "s2/") == 1 && !strings.Contains(ids, old) && strings.Contains(ids, all[2].id.ID())
 	})
-	// Under a name that serves there is no second one.
+	// A second steward under the name of a running one is refused.
 	twin := startSteward(t, "s1", t.TempDir(), all[0].cfg.API)
 	defer twin.stop()
 	var no *call.Refusal
@@ -175,7 +175,7 @@
 			&call.JoinOut{}, 5*time.Second)
 		return errors.As(err, &no) && no.Status == http.StatusConflict
 	})
-	// One that is removed ends.
+	// A removed steward ends.
 	if err := client.Do(t.Context(), call.PathRemove, call.RemoveIn{ID: "s2"}, &call.Empty{}, 5*time.Second); err != nil {
 		t.Fatal(err)
 	}
@@ -203,7 +203,7 @@
 			t.Errorf("%+v: %v", bad, err)
 		}
 	}
-	// A copy that was made while the last process ran, and put back after it: only what it has acknowledged tells.
+	// A copy that was made while the last process ran and restored later: only what it has acknowledged since reveals it.
 	x.recordAck("b/1", progress{3, 41})
 	for _, p := range []progress{{3, 40}, {2, 50}} {
 		if err := x.checkPeer(hello{From: "b/1", Cluster: "c", start: start{6, "next"}, progress: p}); !errors.Is(err, errOutdatedFolder) {
@@ -211,9 +211,9 @@
 		}
 	}
 	if err := x.checkPeer(hello{From: "b/1", Cluster: "z", start: start{9, "x"}}); err == nil {
-		t.Error("of another cluster")
+		t.Error("a steward of another cluster is accepted")
 	}
-	// It is known after a restart too, and the folder of one steward is no other's.
+	// The checks survive a restart, and a steward refuses the folder of another.
 	y, err := openIdentity(x.dir, "a")
 	if err != nil || y.saved.Starts != 2 {
 		t.Fatalf("%+v, %v", y, err)
@@ -222,12 +222,12 @@
 		t.Errorf("after a restart: %v", err)
 	}
 	if _, err := openIdentity(x.dir, "b"); err == nil {
-		t.Error("another's folder")
+		t.Error("opened another steward's folder")
 	}
 	os.Remove(filepath.Join(x.dir, identityFile))
 	os.WriteFile(filepath.Join(x.dir, logFile), nil, 0o600)
 	if _, err := openIdentity(x.dir, "a"); err == nil {
-		t.Error("a log without an identity")
+		t.Error("opened a folder with a log but without an identity")
 	}
 }
 
@@ -258,7 +258,7 @@
 		var out call.DutiesOut
 		return client.Do(t.Context(), call.PathDuties, nil, &out, 0) == nil && out.Duties[0].Waiting == 1
 	})
-	// With a lease of a minute, only a word in order hands it on within the test.
+	// The lease is a minute, so within the test only an orderly release can hand the duty over.
 	if err := client.Do(t.Context(), call.PathStepDown, call.StepDownIn{Duty: "d", BarMS: 3600000}, &call.Duty{}, call.MaxWait); err != nil {
 		t.Fatal(err)
 	}
@@ -298,18 +298,18 @@
 	if _, era := x.id.cluster(); era != 2 {
 		t.Errorf("era %d", era)
 	}
-	// A client that has heard of the new era ignores stewards of the one before.
+	// A client that has seen the new era ignores stewards of the previous one.
 	if _, err := again.DoAt(t.Context(), x.cfg.API, call.PathStewards, nil, &call.StewardsOut{}, time.Second); err != nil {
 		t.Fatal(err)
 	}
 	old := startSteward(t, "s1", y.cfg.Dir)
 	defer old.stop()
 	if _, err := again.DoAt(t.Context(), old.cfg.API, call.PathStewards, nil, &call.StewardsOut{}, time.Second); err == nil {
-		t.Error("a steward that was given up is listened to")
+		t.Error("an answer of a steward of the abandoned cluster is accepted")
 	}
 }
 
-// requests are texts that a caller may send, each with the status that it is owed at the least.
+// requests are invalid requests, each of which must be answered with a 4xx status.
 var requests = []struct{ path, body string }{
 	{call.PathClaim, ``}, {call.PathClaim, `{`}, {call.PathClaim, `{"holder":"a"}`}, {call.PathClaim, `{"holder":"a b","wishes":[]}`},
 	{call.PathClaim, `{"holder":"a","wishes":[{"duty":"d","id":"1","lease_ms":1}]}`},
@@ -344,12 +344,12 @@
 		}
 	}
 	if status := post(call.PathClaim, `{"holder":"`+strings.Repeat("a", 2*call.MaxBodyBytes)+`"}`); status != http.StatusRequestEntityTooLarge {
-		t.Errorf("too long: %d", status)
+		t.Errorf("body too long: status %d", status)
 	}
 	if status := post("/v1/nothing", ""); status != http.StatusNotFound {
-		t.Errorf("no such call: %d", status)
+		t.Errorf("unknown path: status %d", status)
 	}
-	// A stranger at the stewards' own address is let go.
+	// A stranger at the address for stewards is answered with an error and disconnected.
 	c, err := net.Dial("tcp", all[0].cfg.Listen)
 	if err != nil {
 		t.Fatal(err)
@@ -358,7 +358,7 @@
 	io.WriteString(c, "GET / HTTP/1.1\r\n\r\n")
 	c.SetReadDeadline(time.Now().Add(10 * time.Second))
 	if data, err := io.ReadAll(c); err != nil || !bytes.Contains(data, []byte("error")) {
-		t.Errorf("a stranger hears %q, %v", data, err)
+		t.Errorf("a stranger is answered with %q, %v", data, err)
 	}
 }
 
@@ -382,13 +382,13 @@
 		}
 		w := &responseRecorder{header: http.Header{}}
 		h.ServeHTTP(w, req)
-		// It does not lead: what makes sense gets a 503, everything else a 4xx.
+		// This steward does not lead: valid requests get a 503, all others a 4xx.
 		if w.status != http.StatusServiceUnavailable && (w.status < 400 || w.status > 499) {
 			t.Errorf("%s %q: %d", path, body, w.status)
 		}
 		var x call.Failure
 		if w.header.Get("Content-Type") == "application/json" && json.Unmarshal(w.body.Bytes(), &x) != nil {
-			t.Errorf("%s: answers %q", path, w.body.Bytes())
+			t.Errorf("%s: invalid JSON in the answer %q", path, w.body.Bytes())
 		}
 	})
 }
@@ -405,7 +405,10 @@
 		w.status = s
 	}
 }
-func (w *responseRecorder) Write(p []byte) (int, error) { w.WriteHeader(http.StatusOK); return w.body.Write(p) }
+func (w *responseRecorder) Write(p []byte) (int, error) {
+	w.WriteHeader(http.StatusOK)
+	return w.body.Write(p)
+}
 
 func FuzzHello(f *testing.F) {
 	var good bytes.Buffer
@@ -424,16 +427,16 @@
 		if err != nil {
 			return
 		}
-		// What is taken is a line by itself, and means the same when it is written again.
+		// An accepted hello is a single line and survives being written and read again.
 		var again bytes.Buffer
 		if err := writeHello(&again, h); err != nil {
 			t.Fatal(err)
 		}
 		if again.Len() > maxHelloBytes {
-			return // names that grow by being escaped
+			return // escaping made the names longer
 		}
 		if same, err := readHello(&again); err != nil || same != h {
-			t.Errorf("%+v is read again as %+v, %v", h, same, err)
+			t.Errorf("%+v is read back as %+v, %v", h, same, err)
 		}
 	})
 }
--- a/internal/duty/steward/stream.go
+++ b/internal/duty/steward/stream.go
@@ -15,13 +15,13 @@
 )
 
 const (
-	helloTimeout   = time.Second
-	maxHelloBytes  = 1 << 10
-	maxPendingConns = 64 // connections that have not said who they are
-	acceptQueue  = 16
+	helloTimeout    = time.Second
+	maxHelloBytes   = 1 << 10
+	maxPendingConns = 64 // connections that have not completed the handshake
+	acceptQueue     = 16
 )
 
-// hello is what two stewards tell each other before anything else, as a line of JSON each.
+// hello is the message that two stewards exchange before any other, one line of JSON in each direction.
 type hello struct {
 	Fleet   string `json:"fleet"`
 	Cluster string `json:"cluster"`
@@ -33,23 +33,23 @@
 	Error string `json:"error,omitempty"`
 }
 
-// streamLayer carries the library's connections. Each begins with a hello either way, so that nobody speaks with a stranger, with a
-// steward whose folder was emptied under the same address, or with one whose folder is older than what it has said before:
-// raft trusts that stewards forget nothing.
+// streamLayer provides the connections between stewards to raft. Each connection begins with a hello in both directions,
+// so that a steward talks neither to strangers, nor to a steward whose folder was emptied under the same address, nor to
+// one whose folder is older than what it has announced before: raft relies on stewards not losing state.
 type streamLayer struct {
 	net.Listener
-	fleet  string
-	dialer *net.Dialer
-	id     *identity
-	log    *slog.Logger
+	fleet    string
+	dialer   *net.Dialer
+	id       *identity
+	log      *slog.Logger
 	accepted chan net.Conn
-	closed chan struct{}
-	once   sync.Once
+	closed   chan struct{}
+	once     sync.Once
 
 	mu      sync.Mutex
-	pending   map[net.Conn]struct{} // that have not said who they are
-	open    map[net.Conn]struct{} // that have, and are the library's now
-	refused map[string]string     // the last refusal of each, which is told once
+	pending map[net.Conn]struct{} // before the handshake
+	open    map[net.Conn]struct{} // after the handshake, used by raft
+	refused map[string]string     // last refusal of each steward, to log each cause once
 }
 
 func listen(cfg Config, id *identity) (*streamLayer, error) {
@@ -60,7 +60,7 @@
 	s := &streamLayer{Listener: l, fleet: cfg.Fleet, dialer: &net.Dialer{Timeout: helloTimeout}, id: id, log: cfg.Log, accepted: make(chan net.Conn, acceptQueue), closed: make(chan struct{}),
 		pending: map[net.Conn]struct{}{}, open: map[net.Conn]struct{}{}, refused: map[string]string{}}
 	if ip := net.ParseIP(hostOf(cfg.Listen)); ip != nil && !ip.IsUnspecified() {
-		s.dialer.LocalAddr = &net.TCPAddr{IP: ip} // the others know a steward by the address that it listens at
+		s.dialer.LocalAddr = &net.TCPAddr{IP: ip} // originate connections from the listen address
 	}
 	return s, nil
 }
@@ -72,16 +72,16 @@
 			return
 		}
 		if err != nil {
-			time.Sleep(10 * time.Millisecond) // short of descriptors, say
+			time.Sleep(10 * time.Millisecond) // for example, out of file descriptors
 			continue
 		}
 		s.mu.Lock()
-		room := len(s.pending) < maxPendingConns
-		if room {
+		ok := len(s.pending) < maxPendingConns
+		if ok {
 			s.pending[c] = struct{}{}
 		}
 		s.mu.Unlock()
-		if !room {
+		if !ok {
 			c.Close()
 			continue
 		}
@@ -89,7 +89,7 @@
 	}
 }
 
-// handshakeIn takes a connection once its far side has said who it is.
+// handshakeIn accepts a connection if the hello of its peer is valid.
 func (s *streamLayer) handshakeIn(c net.Conn) {
 	defer func() {
 		s.mu.Lock()
@@ -99,10 +99,10 @@
 	c.SetDeadline(time.Now().Add(helloTimeout))
 	h, err := readHello(c)
 	if err == nil && h.To != s.id.ID() {
-		err = fmt.Errorf("this is %s", s.id.ID())
+		err = fmt.Errorf("the id of this steward is %s", s.id.ID())
 	}
 	if cluster, _ := s.id.cluster(); err == nil && cluster == "" && h.Fleet == s.fleet && h.Cluster != "" {
-		// Whoever knows this folder by its mark has been asked for a place by it, and has given one.
+		// A peer that knows the id of this folder has been asked to add it and has done so.
 		err = s.id.setCluster(h.Cluster, h.Era)
 	}
 	if err == nil {
@@ -128,7 +128,8 @@
 	}
 }
 
-// peerConn is a connection that is the library's. The library leaves open ones alone when it ends.
+// peerConn is a connection used by raft. It is tracked because the library does not close open connections when it shuts
+// down.
 type peerConn struct {
 	net.Conn
 	stream *streamLayer
@@ -143,12 +144,12 @@
 
 func (s *streamLayer) check(h hello) error {
 	if h.Fleet != s.fleet {
-		return fmt.Errorf("it belongs to fleet %q, this one to %q", h.Fleet, s.fleet)
+		return fmt.Errorf("it belongs to fleet %q, this steward to %q", h.Fleet, s.fleet)
 	}
 	return s.id.checkPeer(h)
 }
 
-// logRefusal writes a line for a refusal, once for each cause.
+// logRefusal logs a refusal, once per cause.
 func (s *streamLayer) logRefusal(who string, err error) {
 	if err == nil {
 		return
@@ -164,7 +165,7 @@
 	}
 }
 
-// Accept is raft's.
+// Accept implements raft.StreamLayer.
 func (s *streamLayer) Accept() (net.Conn, error) {
 	select {
 	case c := <-s.accepted:
@@ -174,7 +175,7 @@
 	}
 }
 
-// Dial is raft's.
+// Dial implements raft.StreamLayer.
 func (s *streamLayer) Dial(to raft.ServerAddress, _ time.Duration) (net.Conn, error) {
 	id, addr, _ := splitAddress(to)
 	c, err := s.dialer.Dial("tcp", addr)
@@ -206,7 +207,7 @@
 		return err
 	}
 	if h.From != to {
-		return fmt.Errorf("at %s is %s, not %s", c.RemoteAddr(), h.From, to)
+		return fmt.Errorf("the steward at %s is %s, not %s", c.RemoteAddr(), h.From, to)
 	}
 	if h.Error != "" {
 		return fmt.Errorf("%s refuses: %s", to, h.Error)
@@ -217,7 +218,7 @@
 	return c.SetDeadline(time.Time{})
 }
 
-// Close is raft's.
+// Close implements raft.StreamLayer.
 func (s *streamLayer) Close() error {
 	err := error(nil)
 	s.once.Do(func() {
@@ -244,34 +245,34 @@
 	return err
 }
 
-// readHello reads a line and no byte beyond it: what follows is raft's.
+// readHello reads one line and no byte beyond it: the bytes that follow belong to raft.
 func readHello(r io.Reader) (h hello, err error) {
 	in := bufio.NewReaderSize(io.LimitReader(r, maxHelloBytes), maxHelloBytes)
 	line, err := in.ReadSlice('\n')
 	if err != nil {
-		return h, fmt.Errorf("no hello: %w", err)
+		return h, fmt.Errorf("invalid hello: %w", err)
 	}
 	if in.Buffered() > 0 {
-		return h, errors.New("more than a hello") // nobody speaks on before it has the answer
+		return h, errors.New("data after the hello") // a peer waits for the answer before it sends more
 	}
 	if err := json.Unmarshal(line, &h); err != nil {
-		return h, fmt.Errorf("no hello: %w", err)
+		return h, fmt.Errorf("invalid hello: %w", err)
 	}
 	return h, nil
 }
 
-// transport is the library's, which notes how far the others say that they have come.
+// transport is the library's transport. It records the progress that other stewards acknowledge.
 type transport struct {
 	*raft.NetworkTransport
 	id *identity
 }
 
-// AppendEntriesPipeline is not there: every acknowledgment is to be seen.
+// AppendEntriesPipeline disables pipelining, so that AppendEntries sees every acknowledgment.
 func (t transport) AppendEntriesPipeline(raft.ServerID, raft.ServerAddress) (raft.AppendPipeline, error) {
 	return nil, raft.ErrPipelineReplicationNotSupported
 }
 
-// AppendEntries notes what was acknowledged of what is agreed on: more may rightly be taken back.
+// AppendEntries records the acknowledged entries that are committed; later ones may legitimately be truncated.
 func (t transport) AppendEntries(id raft.ServerID, to raft.ServerAddress, in *raft.AppendEntriesRequest, out *raft.AppendEntriesResponse) error {
 	err := t.NetworkTransport.AppendEntries(id, to, in, out)
 	if err == nil && out.Success {
@@ -284,7 +285,7 @@
 	return err
 }
 
-// RequestVote notes in which term a vote was given.
+// RequestVote records the term of a granted vote.
 func (t transport) RequestVote(id raft.ServerID, to raft.ServerAddress, in *raft.RequestVoteRequest, out *raft.RequestVoteResponse) error {
 	err := t.NetworkTransport.RequestVote(id, to, in, out)
 	if err == nil && out.Granted {
--- a/internal/duty/table.go
+++ b/internal/duty/table.go
@@ -1,12 +1,15 @@
-// Package duty holds what only one process of the fleet may do at a time, and in which order processes did it.
+// Package duty records which process of the fleet holds which duty. A duty is a task that only one process may perform
+// at a time.
 //
-// A duty has one holder or none. Each grant has an epoch, a number that grows over all duties and is never used again; what
-// receives effects of a duty keeps the highest epoch that it has seen and refuses older ones (Fence). So a holder that was
-// paused and wakes up believing does no harm, whatever clocks say. That there is one holder at a time as well, while nothing
-// stands still, is a matter of leases, which run by the monotonic clock of the stewards' leader (Leases).
+// A duty has at most one holder. Each grant has an epoch, a number that increases across all duties and is never reused.
+// The receiver of a duty's effects keeps the highest epoch that it has seen and refuses older ones (Fence), so a holder
+// that was paused and wakes up with an expired lease does no harm, whatever the clocks show. That there is only one
+// holder at a time as well, as long as no process is paused, is ensured by leases, which run on the monotonic clock of
+// the stewards' leader (Leases).
 //
-// Table is the part that the stewards agree on, and goes by commands alone: no clock, no I/O. Leases is the part that a leader
-// keeps for itself and starts anew. Package steward puts both on raft, package holder is the side of those that hold.
+// Table is the replicated state: it depends on the commands alone, with no clock and no I/O. Leases is the leader's own
+// state, which starts anew with each leader. Package steward replicates Table with raft, package holder implements the
+// holders' side.
 package duty
 
 import (
@@ -19,99 +22,99 @@
 	"time"
 )
 
-// The bounds of what stewards keep. No request makes them grow beyond these.
+// Limits of what stewards store, whatever they are asked.
 const (
-	MaxNameBytes   = 64  // bytes of a duty's, a holder's or a claim's name
-	MaxDuties = 512 // duties that are known at once; those that nobody holds make way
-	maxBars   = 16  // processes barred from one duty
-	maxEndedClaims  = 8   // ended claims that a duty remembers
-	// MinLease and LeaseMost bound a lease.
+	MaxNameBytes   = 64  // length of a duty's, a holder's or a claim's name
+	MaxDuties      = 512 // known duties; to make room, unheld duties are forgotten
+	maxBars        = 16  // barred processes per duty
+	maxEndedClaims = 8   // ended claims remembered per duty
+	// MinLease and MaxLease bound the length of a lease.
 	MinLease = 500 * time.Millisecond
-	MaxLease  = 5 * time.Minute
-	MaxBar    = time.Hour
+	MaxLease = 5 * time.Minute
+	MaxBar   = time.Hour
 )
 
-// Op names what a command does.
+// Op is the kind of a command.
 type Op string
 
-// The commands.
 const (
-	BeginTerm    Op = "reign"     // a leader begins: tells its term
-	Claim    Op = "claim"     // grants a duty that nobody holds, or whose lease is over
-	Release  Op = "release"   // ends a grant, perhaps for another process
-	StepDown Op = "step-down" // the same, and bars its holder for a time
-	RaiseEpochs    Op = "raise"     // epochs go on above a number
+	BeginTerm   Op = "reign"     // a new leader announces its term
+	Claim       Op = "claim"     // grants a duty that has no holder or whose lease has expired
+	Release     Op = "release"   // ends a grant, optionally in favour of a named process
+	StepDown    Op = "step-down" // like Release, and bars the holder for a time
+	RaiseEpochs Op = "raise"     // makes future epochs larger than a number
 )
 
-// Command is one change of a Table.
+// Command is a change of a Table.
 type Command struct {
 	Op   Op
-	Term uint64 `json:",omitempty"` // of the leader that decided on it: a decision of an earlier reign does nothing
+	Term uint64 `json:",omitempty"` // term of the leader that issued it; in any other term the command has no effect
 	Duty string `json:",omitempty"`
-	// After is the epoch of the duty's last grant as it was decided on; 0: none yet. With another one nothing is done.
+	// After is the epoch of the duty's last grant when the command was issued; 0: no grant yet. If the epoch has
+	// changed, the command has no effect.
 	After  uint64        `json:",omitempty"`
 	Holder string        `json:",omitempty"`
-	Addr   string        `json:",omitempty"` // where it answers
-	ID     string        `json:",omitempty"` // the claim's
+	Addr   string        `json:",omitempty"` // address of the holder
+	ID     string        `json:",omitempty"` // id of the claim
 	Lease  time.Duration `json:",omitempty"`
-	// Quick tells that the last grant's lease ended early and not in order: whoever held it may have died of it.
+	// Quick states that the lease of the last grant expired early: performing the duty may have killed its holder.
 	Quick bool          `json:",omitempty"`
-	To    string        `json:",omitempty"` // who is to have it next
+	To    string        `json:",omitempty"` // the only process that may claim the duty next, for a while
 	Bar   time.Duration `json:",omitempty"`
-	Lift  bool          `json:",omitempty"` // the holder's bar is over
+	Lift  bool          `json:",omitempty"` // the holder's bar has expired
 }
 
-// Grant is a duty as it is held, or was last.
+// Grant is the current or the last grant of a duty.
 type Grant struct {
 	Duty   string
-	Epoch  uint64        // of the last grant; 0: none yet
-	Holder string        `json:",omitempty"` // empty: nobody holds it
-	Addr   string        `json:",omitempty"` // where its holder answers, if it said so
-	ID     string        `json:",omitempty"` // the claim's
+	Epoch  uint64        // epoch of the last grant; 0: never granted
+	Holder string        `json:",omitempty"` // empty: no holder
+	Addr   string        `json:",omitempty"` // address of the holder, if known
+	ID     string        `json:",omitempty"` // id of the claim
 	Lease  time.Duration `json:",omitempty"`
-	To     string        `json:",omitempty"` // whom it was handed on to, and who has not claimed it yet
-	Quick  int           `json:",omitempty"` // grants in a row that ended early and not in order
-	// Bars are the processes that were made to step down, and for how long from then.
+	To     string        `json:",omitempty"` // process that it was handed over to and that has not claimed it yet
+	Quick  int           `json:",omitempty"` // consecutive grants that expired early
+	// Bars holds the processes that were made to step down, and how long each is barred from then on.
 	Bars  map[string]time.Duration `json:",omitempty"`
-	Ended []Ended                  `json:",omitempty"` // the last claims that are over
+	Ended []Ended                  `json:",omitempty"` // the most recent ended claims
 }
 
-// Ended is a claim that is over.
+// Ended is a claim that has ended.
 type Ended struct {
 	ID    string
 	Epoch uint64
 }
 
-// The refusals of a command.
+// The reasons to refuse a command.
 var (
-	ErrStaleTerm  = errors.New("decided on in an earlier reign")
-	ErrConflict  = errors.New("the duty has moved on")
-	ErrHeld   = errors.New("held by another")
-	ErrClaimEnded   = errors.New("this claim is over")
-	ErrBarred = errors.New("made to step down, and barred for a time")
-	ErrTooManyDuties   = errors.New("too many duties")
+	ErrStaleTerm     = errors.New("the command was issued in an earlier term")
+	ErrConflict      = errors.New("the duty has been granted or released since")
+	ErrHeld          = errors.New("the duty is held by another process")
+	ErrClaimEnded    = errors.New("the claim has already ended")
+	ErrBarred        = errors.New("the holder was made to step down and is still barred")
+	ErrTooManyDuties = errors.New("too many duties")
 )
 
-// Result is what became of a command.
+// Result is the result of a command.
 type Result struct {
 	Grant Grant
 	Term  uint64
 	Err   error
 }
 
-// Table is every duty. It is not safe for concurrent use.
+// Table holds all duties. It is not safe for concurrent use.
 type Table struct {
-	last   uint64 // highest epoch that was ever granted
+	last   uint64 // highest epoch ever granted
 	duties map[string]*Grant
 }
 
-// NewTable returns one in which nothing was ever granted.
+// NewTable returns an empty table.
 func NewTable() *Table { return &Table{duties: map[string]*Grant{}} }
 
-// LastEpoch is the highest epoch that was ever granted.
+// LastEpoch returns the highest epoch ever granted.
 func (t *Table) LastEpoch() uint64 { return t.last }
 
-// Get is a duty; its zero value but for the name if it was never granted.
+// Get returns the last grant of a duty; if it was never granted, only the name is set.
 func (t *Table) Get(name string) Grant {
 	if g := t.duties[name]; g != nil {
 		return g.clone()
@@ -119,7 +122,7 @@
 	return Grant{Duty: name}
 }
 
-// All are the duties by name.
+// All returns the grants of all duties, sorted by name.
 func (t *Table) All() []Grant {
 	all := make([]Grant, 0, len(t.duties))
 	for _, name := range slices.Sorted(maps.Keys(t.duties)) {
@@ -134,8 +137,8 @@
 	return c
 }
 
-// Apply carries a command out. term is that of the log's entry which holds it. The same commands in the same order give the
-// same table everywhere.
+// Apply executes a command. term is the term of the raft entry that holds it. It is deterministic: the same commands in
+// the same order produce the same table on every steward.
 func (t *Table) Apply(c Command, term uint64) Result {
 	switch {
 	case c.Op == BeginTerm:
@@ -150,7 +153,7 @@
 	if g == nil {
 		g = &Grant{Duty: c.Duty}
 	}
-	// The repeat of a claim is the same claim, whatever has moved since.
+	// A repeated claim gets the same answer, whatever has changed since.
 	if c.Op == Claim {
 		if g.ID == c.ID && g.Holder == c.Holder {
 			return Result{Grant: g.clone()}
@@ -192,19 +195,19 @@
 		if g.Bars == nil {
 			g.Bars = map[string]time.Duration{}
 		}
-		for len(g.Bars) >= maxBars { // the first by name: every steward takes the same
+		for len(g.Bars) >= maxBars { // remove the first by name, so that every steward removes the same
 			delete(g.Bars, slices.Min(slices.Collect(maps.Keys(g.Bars))))
 		}
 		g.Bars[g.Holder] = c.Bar
 		g.vacate()
 		g.Quick, g.To = 0, c.To
 	default:
-		return Result{Err: fmt.Errorf("no command %q", c.Op)}
+		return Result{Err: fmt.Errorf("unknown command %q", c.Op)}
 	}
 	return Result{Grant: g.clone()}
 }
 
-// vacate has a duty held by nobody.
+// vacate ends the current grant.
 func (g *Grant) vacate() {
 	if g.ID != "" {
 		g.Ended = append(g.Ended, Ended{g.ID, g.Epoch})
@@ -213,8 +216,8 @@
 	g.Holder, g.Addr, g.ID = "", "", ""
 }
 
-// makeRoom makes makeRoom for another duty, by forgetting the one that nobody holds and that was granted longest ago. Its epochs stay
-// used: they are counted over all duties.
+// makeRoom makes room for another duty by forgetting the unheld duty that was granted longest ago. Its epochs are not
+// reused, since epochs are counted across all duties.
 func (t *Table) makeRoom() bool {
 	if len(t.duties) < MaxDuties {
 		return true
@@ -232,7 +235,7 @@
 	return true
 }
 
-// snapshot is a Table as it is written down.
+// snapshot is the stored form of a Table.
 type snapshot struct {
 	Format int
 	Last   uint64
@@ -241,36 +244,38 @@
 
 const snapshotFormat = 1
 
-// Encode writes the table down.
-func (t *Table) Encode() ([]byte, error) { return json.Marshal(snapshot{snapshotFormat, t.last, t.All()}) }
+// Encode serializes the table.
+func (t *Table) Encode() ([]byte, error) {
+	return json.Marshal(snapshot{snapshotFormat, t.last, t.All()})
+}
 
-// Decode reads what Encode wrote.
+// Decode restores a table from the output of Encode.
 func Decode(data []byte) (*Table, error) {
 	var s snapshot
 	if err := json.Unmarshal(data, &s); err != nil {
 		return nil, fmt.Errorf("duty: snapshot: %w", err)
 	}
 	if s.Format != snapshotFormat {
-		return nil, fmt.Errorf("duty: snapshot: format %d is not known to this version", s.Format)
+		return nil, fmt.Errorf("duty: snapshot: this version does not support format %d", s.Format)
 	}
 	t := &Table{last: s.Last, duties: map[string]*Grant{}}
 	for _, g := range s.Duties {
 		if g.Epoch > t.last {
-			return nil, fmt.Errorf("duty: snapshot: %s has epoch %d, over the last one, %d", g.Duty, g.Epoch, t.last)
+			return nil, fmt.Errorf("duty: snapshot: epoch %[2]d of %[1]s exceeds the last epoch, %[3]d", g.Duty, g.Epoch, t.last)
 		}
 		t.duties[g.Duty] = &g
 	}
 	return t, nil
 }
 
-// CheckName tells whether a duty, a holder or a claim may have this name: 1 to NameMost bytes, printable and without spaces.
+// CheckName checks the name of a duty, a holder or a claim: 1 to MaxNameBytes bytes, printable, without spaces.
 func CheckName(s string) error {
 	if s == "" || len(s) > MaxNameBytes {
-		return fmt.Errorf("a name has 1 to %d bytes", MaxNameBytes)
+		return fmt.Errorf("a name must have 1 to %d bytes", MaxNameBytes)
 	}
 	for _, r := range s {
 		if r <= ' ' || r == 0x7f || r > 0xff && r == 0xfffd {
-			return fmt.Errorf("%q is no name", s)
+			return fmt.Errorf("%q is not a valid name", s)
 		}
 	}
 	return nil
