--- a/internal/membership/gossip/fleet.go
+++ b/internal/membership/gossip/fleet.go
@@ -1,5 +1,5 @@
-// Package gossip is a relay's part in its fleet, on a library for gossip and failure detection: it turns the library's
-// events into a membership.Tracker's, and keeps asking for whoever is missing.
+// Package gossip implements membership.Join on a library for gossip and failure detection: it feeds the library's events
+// to a membership.Tracker, and keeps contacting members that are missing.
 package gossip
 
 import (
@@ -28,65 +28,65 @@
 )
 
 const (
-	tickInterval     = time.Second
-	batchDelayBase        = 50 * time.Millisecond
-	batchDelayPerMember    = time.Millisecond // for each member: what a view costs grows with them
-	digestFanout     = 2                // members that are told of the view each second
-	rejoinMin    = 2 * time.Second
-	rejoinMax      = 4 * time.Second
-	aloneRejoinMin     = 250 * time.Millisecond
-	aloneRejoinMax       = time.Second
-	rejoinScaleFrom   = 12
-	reconcileDelay     = time.Second // from a change of members until the rest is no gossip's any more
-	reconcileMin = time.Second
-	reconcileMax   = 2 * time.Second
-	seedBackoffStep    = 5 * time.Second
-	maxDialProbes     = 2 // members away whose addresses are looked at each second
-	dialProbeTimeout      = time.Second
-	leaveTimeout      = 500 * time.Millisecond
-	maxMetaBytes      = 256 // bytes of what a process tells of itself
-	maxNameBytes      = 64
-
-	// The detector's pace. A member is looked at every probeInterval by somebody, and has suspicion from then on to say that it
-	// is there, whatever the fleet's size: a pause of a second and a lost datagram or two remove nobody.
-	probeInterval = 500 * time.Millisecond
-	probeTimeout  = 250 * time.Millisecond
-	suspicionTimeout  = 3 * time.Second
-	// What changes is passed on to so many others so often. At rest nothing is; where twenty members of a hundred end within
-	// a second, sixty messages have to go, eight to a packet and each a dozen times.
+	tickInterval        = time.Second
+	batchDelayBase      = 50 * time.Millisecond
+	batchDelayPerMember = time.Millisecond // a view costs more to process in a larger fleet
+	digestFanout        = 2                // members that receive the view's digest each second
+	rejoinMin           = 2 * time.Second
+	rejoinMax           = 4 * time.Second
+	aloneRejoinMin      = 250 * time.Millisecond
+	aloneRejoinMax      = time.Second
+	rejoinScaleFrom     = 12          // fleet size from which the rejoin interval grows
+	reconcileDelay      = time.Second // after a change of members, during which gossip may still converge
+	reconcileMin        = time.Second
+	reconcileMax        = 2 * time.Second
+	seedBackoffStep     = 5 * time.Second
+	maxDialProbes       = 2 // away members whose addresses are probed each second
+	dialProbeTimeout    = time.Second
+	leaveTimeout        = 500 * time.Millisecond
+	maxMetaBytes        = 256 // size of the metadata that a process announces
+	maxNameBytes        = 64
+
+	// Failure detection. Each member is probed every probeInterval and then has suspicionTimeout to refute the
+	// suspicion, whatever the size of the fleet: a pause of one second, or one or two lost datagrams, removes no member.
+	probeInterval    = 500 * time.Millisecond
+	probeTimeout     = 250 * time.Millisecond
+	suspicionTimeout = 3 * time.Second
+	// Changes are gossiped to gossipFanout members every gossipInterval; without changes nothing is sent. If twenty
+	// members of a hundred end within a second, sixty messages are sent, eight to a packet and each a dozen times.
 	gossipFanout   = 4
 	gossipInterval = 100 * time.Millisecond
-	gossipToDead = 10 * time.Second
+	gossipToDead   = 10 * time.Second
 )
 
-// Fleet is this process's part in the fleet.
+// Fleet implements membership.Fleet.
 type Fleet struct {
-	cfg    membership.Config
-	self   membership.Process
-	list   *memberlist.Memberlist
-	transport     *transport
-	cancel context.CancelFunc
-	loops   sync.WaitGroup
-	viewChanged   chan struct{} // holds one: the view has changed
-
-	mu      sync.Mutex // guards what follows
-	tracker *membership.Tracker
-	onView    func(membership.View) // nil: nobody
+	cfg         membership.Config
+	self        membership.Process
+	list        *memberlist.Memberlist
+	transport   *transport
+	cancel      context.CancelFunc
+	loops       sync.WaitGroup
+	viewChanged chan struct{} // signal of capacity 1
+
+	mu       sync.Mutex // guards the fields below
+	tracker  *membership.Tracker
+	onView   func(membership.View) // may be nil
 	rejected map[string]bool
 }
 
-// Join is membership.Join.
-func Join(cfg membership.Config, told func(membership.View)) (membership.Fleet, error) {
-	return JoinWith(nil)(cfg, told)
+// Join implements membership.Join.
+func Join(cfg membership.Config, onView func(membership.View)) (membership.Fleet, error) {
+	return JoinWith(nil)(cfg, onView)
 }
 
-// TransportWrapper puts something between a member and its network.
+// TransportWrapper wraps the network transport of a member, for example to simulate a partition.
 type TransportWrapper func(cfg membership.Config, network memberlist.NodeAwareTransport) memberlist.NodeAwareTransport
 
-// JoinWith is Join over another network, one that can be cut, say; nil: the usual one.
-func JoinWith(over TransportWrapper) membership.Join {
-	return func(cfg membership.Config, told func(membership.View)) (membership.Fleet, error) {
-		f, err := start(cfg, over, told)
+// JoinWith returns a Join whose transport is wrapped by wrap; nil: the plain transport.
+func JoinWith(wrap TransportWrapper) membership.Join {
+	return func(cfg membership.Config, onView func(membership.View)) (membership.Fleet, error) {
+		f, err := start(cfg, wrap, onView)
 		if err != nil {
 			return nil, err
 		}
@@ -94,7 +94,7 @@
 	}
 }
 
-func start(cfg membership.Config, over TransportWrapper, told func(membership.View)) (*Fleet, error) {
+func start(cfg membership.Config, wrap TransportWrapper, onView func(membership.View)) (*Fleet, error) {
 	host, port, err := net.SplitHostPort(cfg.Bind)
 	if err != nil {
 		return nil, fmt.Errorf("membership: bind: %w", err)
@@ -107,7 +107,7 @@
 	if err != nil {
 		return nil, err
 	}
-	f := &Fleet{cfg: cfg, viewChanged: make(chan struct{}, 1), onView: told, rejected: map[string]bool{}}
+	f := &Fleet{cfg: cfg, viewChanged: make(chan struct{}, 1), onView: onView, rejected: map[string]bool{}}
 	f.self = membership.Process{Name: cfg.Name, Building: cfg.Building, Incarnation: incarnation, Folder: folder, Version: cfg.Version, Admin: cfg.Admin,
 		State: membership.Starting}
 
@@ -125,25 +125,25 @@
 		c.AdvertiseAddr = ahost
 	}
 	c.ProbeInterval, c.ProbeTimeout, c.SuspicionMult = probeInterval, probeTimeout, suspicionMultiplier(cfg.Size)
-	c.SuspicionMaxTimeoutMult = 1 // more for a suspicion that nobody shares would be up to six times as long
+	c.SuspicionMaxTimeoutMult = 1 // the default of 6 would extend a suspicion that no other member confirms up to sixfold
 	c.GossipNodes, c.GossipInterval, c.GossipToTheDeadTime = gossipFanout, gossipInterval, gossipToDead
-	// A packet of gossip is small, and a compressor's tables cost more than all else that is done with it.
+	// Gossip packets are small; setting up the compressor costs more than all other work on a packet.
 	c.EnableCompression = false
-	c.DNSConfigPath = "/dev/null" // there is no DNS
+	c.DNSConfigPath = "/dev/null" // no DNS lookups
 	c.Logger = log.New(logAdapter{cfg.Log}, "", 0)
 	c.LogOutput = nil
 	c.Events, c.Delegate, c.Alive = events{f}, delegate{f}, admission{f}
-	at, err := newTransport(host, portNumber, c.Logger)
+	transport, err := newTransport(host, portNumber, c.Logger)
 	if err != nil {
 		return nil, fmt.Errorf("membership: listen at %s: %w", cfg.Bind, err)
 	}
-	f.transport = at
-	if c.Transport = at; portNumber == 0 {
-		c.BindPort = at.GetAutoBindPort()
+	f.transport = transport
+	if c.Transport = transport; portNumber == 0 {
+		c.BindPort = transport.GetAutoBindPort()
 		c.AdvertisePort = c.BindPort
 	}
-	if over != nil {
-		c.Transport = over(cfg, at)
+	if wrap != nil {
+		c.Transport = wrap(cfg, transport)
 	}
 	f.self.Addr = cmp.Or(cfg.Advertise, net.JoinHostPort(host, strconv.Itoa(c.BindPort)))
 	f.tracker = membership.NewTracker(f.self, cfg.Size, time.Now())
@@ -159,32 +159,34 @@
 	return f, nil
 }
 
-// suspicionMultiplier is what the library multiplies its pace and the logarithm of the fleet's size by for the time of a suspicion.
+// suspicionMultiplier returns the library's SuspicionMult for suspicionTimeout. The library multiplies it by its probe
+// interval and the logarithm of the fleet's size.
 func suspicionMultiplier(size int) int {
 	scale := max(1, math.Log10(float64(max(1, size))))
 	return max(2, int(suspicionTimeout.Seconds()/(scale*probeInterval.Seconds())+0.5))
 }
 
-// nodeName is the library's name for a process: each has its own, so that the library never sees two under one.
+// nodeName is the name of a process within the library. It is unique per process, so that the library never sees two
+// nodes with one name.
 func nodeName(p membership.Process) string {
 	return fmt.Sprintf("%s/%x/%s", p.Name, p.Incarnation, p.Folder)
 }
 
-// View is the current view.
+// View returns the current view.
 func (f *Fleet) View() membership.View {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.tracker.View()
 }
 
-// NetworkBytes is what this process's part has sent, and taken on connections that it opened.
+// NetworkBytes returns the bytes that this process has sent, and received on connections that it opened.
 func (f *Fleet) NetworkBytes() int64 { return f.transport.bytes.Load() }
 
-// SetState tells the others of this process's state.
+// SetState announces this process's state to the other members.
 func (f *Fleet) SetState(s membership.State) { f.setState(s, 0) }
 
-// setState waits so long for the others to be told; 0: not at all, the next gossip tells them.
-func (f *Fleet) setState(s membership.State, most time.Duration) error {
+// setState waits at most timeout for the announcement to be sent; 0: does not wait, the next gossip carries it.
+func (f *Fleet) setState(s membership.State, timeout time.Duration) error {
 	f.mu.Lock()
 	var changed bool
 	f.self, changed = f.tracker.SetState(s, time.Now())
@@ -192,18 +194,19 @@
 	if changed {
 		f.notifyChanged()
 	}
-	return f.list.UpdateNode(most)
+	return f.list.UpdateNode(timeout)
 }
 
-// Leave leaves in order, so that nobody has to find out, and ends this process's part.
+// Leave announces that this process leaves and ends its membership.
 func (f *Fleet) Leave() error {
-	// The word first, by itself: the library's own word for an end takes the place of one that is still to go out, and does
-	// not tell those that are notified of it whether it was in order.
+	// Announce Left first and separately: the library's own leave message replaces pending updates and does not tell
+	// the receivers whether the process left in order.
 	err := f.setState(membership.Left, leaveTimeout)
 	return errors.Join(err, f.list.Leave(leaveTimeout), f.Close())
 }
 
-// Close ends this process's part without a word: a newer process of its name has taken its place, or others find out.
+// Close ends the membership without an announcement: a newer process with this name has taken over, or the failure
+// detector of the others notices.
 func (f *Fleet) Close() error {
 	f.cancel()
 	err := f.list.Shutdown()
@@ -214,7 +217,7 @@
 	return nil
 }
 
-// notifyChanged has the new view told.
+// notifyChanged wakes publishViews.
 func (f *Fleet) notifyChanged() {
 	select {
 	case f.viewChanged <- struct{}{}:
@@ -222,7 +225,7 @@
 	}
 }
 
-// update takes an event to the tracker.
+// update applies an event to the tracker.
 func (f *Fleet) update(event func(t *membership.Tracker, now time.Time) bool) {
 	f.mu.Lock()
 	changed := event(f.tracker, time.Now())
@@ -232,10 +235,12 @@
 	}
 }
 
-// BatchDelay is the time for which a member gathers changes of so many members before it tells a view.
-func BatchDelay(present int) time.Duration { return batchDelayBase + time.Duration(present)*batchDelayPerMember }
+// BatchDelay is how long a member collects changes before it publishes a view.
+func BatchDelay(present int) time.Duration {
+	return batchDelayBase + time.Duration(present)*batchDelayPerMember
+}
 
-// publishViews hands each new view on, and writes a line for it.
+// publishViews logs each new view and passes it to onView.
 func (f *Fleet) publishViews(ctx context.Context) {
 	var last membership.View
 	for {
@@ -244,7 +249,7 @@
 			return
 		case <-f.viewChanged:
 		}
-		select { // what comes together is one view
+		select { // collect changes that come together into one view
 		case <-ctx.Done():
 			return
 		case <-time.After(BatchDelay(last.Present)):
@@ -253,10 +258,10 @@
 		if v.Version == last.Version {
 			continue
 		}
-		came, gone := v.Changes(last)
+		joined, left := v.Changes(last)
 		last = v
 		f.cfg.Log.Info("view", "version", v.Version, "agreement", v.Agreement, "present", v.Present, "careful", v.MayServe,
-			"unreachable", v.Unreachable, "differ", len(v.Disagreeing), "came", came, "gone", gone)
+			"unreachable", v.Unreachable, "differ", len(v.Disagreeing), "came", joined, "gone", left)
 		if v.Superseded {
 			f.cfg.Log.Warn("a newer process has this relay's name", "member", f.cfg.Name, "incarnation", f.self.Incarnation)
 		}
@@ -266,7 +271,7 @@
 	}
 }
 
-// tick lets time pass, tells a few others of the view, and looks at members that are away.
+// tick advances time, sends the view's digest to a few members, and probes away members.
 func (f *Fleet) tick(ctx context.Context) {
 	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
@@ -279,7 +284,7 @@
 		f.update(func(t *membership.Tracker, now time.Time) bool { return t.Tick(now) })
 		msg, err := json.Marshal(digest{f.cfg.Name, f.View().Digest})
 		if err != nil {
-			panic(err) // plain fields only: cannot fail
+			panic(err) // cannot fail: plain fields only
 		}
 		nodes := f.list.Members()
 		for range digestFanout {
@@ -297,7 +302,7 @@
 	}
 }
 
-// dialProbe tells whether a machine says that the process at an address is gone.
+// dialProbe checks whether the machine of an away member refuses connections to it.
 func (f *Fleet) dialProbe(ctx context.Context, p membership.Process) {
 	ctx, cancel := context.WithTimeout(ctx, dialProbeTimeout)
 	defer cancel()
@@ -310,9 +315,10 @@
 	})
 }
 
-// rejoin asks a seed, or a member that is away, for as long as the fleet is small or split. A join exchanges all that both sides
-// know, some milliseconds of work for 300 members: over the whole fleet there are as many of them a second as in one of
-// rejoinShare members, whatever its size. In a split that is enough, since one that gets across tells both sides.
+// rejoin contacts a seed or an away member as long as members are missing. A join exchanges the full state of both
+// sides, some milliseconds of work for 300 members: the interval grows with the fleet, so that a fleet of any size makes
+// as many joins a second as one of rejoinScaleFrom members. This is enough to heal a split, since one join across it
+// informs both sides.
 func (f *Fleet) rejoin(ctx context.Context) {
 	for wait := time.Duration(0); ; {
 		select {
@@ -327,13 +333,14 @@
 			wait = (rejoinMin + rand.N(rejoinMax-rejoinMin)) * time.Duration(max(rejoinScaleFrom, v.Present)) / rejoinScaleFrom
 		}
 		if to := f.joinTarget(v); to != "" {
-			f.list.Join([]string{to}) // whoever does not answer is tried again
+			f.list.Join([]string{to}) // failed joins are retried
 		}
 	}
 }
 
-// reconcile exchanges all that is known with a member that sees another view, once gossip has had its time: what many members
-// tell at once, as when all of a fleet start, is dropped before it has reached everybody.
+// reconcile exchanges the full state with a member whose view differs, once gossip has had time to converge: when many
+// members announce something at once, for example if a whole fleet starts, the library drops updates before they have
+// reached every member.
 func (f *Fleet) reconcile(ctx context.Context) {
 	for {
 		select {
@@ -352,7 +359,7 @@
 	}
 }
 
-// joinTarget is an address to ask where members are joinTarget; empty if none are, or it was asked often enough.
+// joinTarget returns an address to contact if members are missing, or "" if none are or it is not time to ask again.
 func (f *Fleet) joinTarget(v membership.View) string {
 	var away, seeds []string
 	f.mu.Lock()
@@ -365,10 +372,11 @@
 			seeds = append(seeds, s)
 		}
 	}
-	// Where some stay missing that nobody has seen, as after a start with few, seeds are asked ever more seldom.
-	stood := max(1, int(time.Since(v.At)/seedBackoffStep))
+	// If members stay missing that have never been seen, for example in a fleet started with fewer members, seeds are
+	// contacted less and less often.
+	steps := max(1, int(time.Since(v.At)/seedBackoffStep))
 	switch {
-	case len(seeds) > 0 && (v.Present == 1 || v.Present < f.cfg.Size && rand.IntN(2*stood) == 0):
+	case len(seeds) > 0 && (v.Present == 1 || v.Present < f.cfg.Size && rand.IntN(2*steps) == 0):
 		return seeds[rand.IntN(len(seeds))]
 	case len(away) > 0:
 		return away[rand.IntN(len(away))]
@@ -376,28 +384,28 @@
 	return ""
 }
 
-// digest is what members tell each other of their views.
+// digest is the message that announces the digest of a member's view.
 type digest struct {
 	Name   string `json:"n"`
 	Digest uint64 `json:"d"`
 }
 
-// parseMeta reads what a node tells of itself.
+// parseMeta decodes and checks the metadata of a node.
 func parseMeta(n *memberlist.Node) (p membership.Process, err error) {
 	if len(n.Meta) > maxMetaBytes {
-		return p, errors.New("too much")
+		return p, fmt.Errorf("metadata of %d bytes, limit %d", len(n.Meta), maxMetaBytes)
 	}
 	if err := json.Unmarshal(n.Meta, &p); err != nil {
 		return p, err
 	}
 	p.Addr = n.Address()
 	if p.Name == "" || len(p.Name) > maxNameBytes || nodeName(p) != n.Name {
-		return p, fmt.Errorf("%q says that it is %q", n.Name, nodeName(p))
+		return p, fmt.Errorf("node %q announces itself as %q", n.Name, nodeName(p))
 	}
 	return p, nil
 }
 
-// events takes the library's events.
+// events handles the library's membership events.
 type events struct{ f *Fleet }
 
 func (e events) NotifyJoin(n *memberlist.Node) {
@@ -416,13 +424,13 @@
 	}
 }
 
-// admission turns strangers away.
+// admission rejects processes that may not be members.
 type admission struct{ f *Fleet }
 
 func (a admission) NotifyAlive(n *memberlist.Node) error {
 	p, err := parseMeta(n)
 	if err == nil && !allowed(a.f.cfg.Allow, p.Name) {
-		err = fmt.Errorf("%q is none of this fleet's", p.Name)
+		err = fmt.Errorf("%q is not an allowed member", p.Name)
 	}
 	if err != nil {
 		a.f.mu.Lock()
@@ -438,7 +446,7 @@
 	return err
 }
 
-// allowed tells whether a name is on a list.
+// allowed reports whether a name matches a list of allowed names.
 func allowed(list []string, name string) bool {
 	return len(list) == 0 || slices.ContainsFunc(list, func(a string) bool {
 		prefix, any := strings.CutSuffix(a, "*")
@@ -446,7 +454,7 @@
 	})
 }
 
-// delegate is what this process tells, and what is told to it.
+// delegate provides this process's metadata and receives messages of other members.
 type delegate struct{ f *Fleet }
 
 func (d delegate) NodeMeta(limit int) []byte {
@@ -470,15 +478,15 @@
 func (delegate) LocalState(bool) []byte              { return nil }
 func (delegate) MergeRemoteState(buf []byte, _ bool) {}
 
-// transport is the library's, whose connections come from the address that it listens at. It counts what this process sends, and
-// what comes back on connections that it opened.
+// transport is the library's transport with connections that originate from the listen address. It counts the bytes that
+// this process sends, and receives on connections that it opened.
 type transport struct {
 	*memberlist.NetTransport
 	bind  string
 	bytes atomic.Int64
 }
 
-// countingConn is a connection whose bytes count.
+// countingConn counts the bytes of a connection.
 type countingConn struct {
 	net.Conn
 	bytes *atomic.Int64
@@ -528,7 +536,7 @@
 	return t.DialTimeout(a.Addr, d)
 }
 
-// dialer opens connections from the address that bind names.
+// dialer returns a dialer whose connections originate from the host of bind.
 func dialer(bind string) *net.Dialer {
 	d := &net.Dialer{}
 	if host, _, err := net.SplitHostPort(bind); err == nil {
@@ -539,7 +547,7 @@
 	return d
 }
 
-// logAdapter has what the library says at the level that it deserves: nearly all of it is one packet's business.
+// logAdapter writes the library's log at debug level: nearly all of it concerns single packets.
 type logAdapter struct{ log *slog.Logger }
 
 func (l logAdapter) Write(p []byte) (int, error) {
--- a/internal/membership/gossip/fleet_test.go
+++ b/internal/membership/gossip/fleet_test.go
@@ -13,7 +13,7 @@
 	"onyxroad.dev/onyxroad/internal/membership"
 )
 
-// join starts a member on a port that the system gives.
+// join starts a member on a free port.
 func join(t *testing.T, name, fleet, dir string, views chan membership.View, seeds ...string) *Fleet {
 	t.Helper()
 	f, err := start(membership.Config{Fleet: fleet, Name: name, Building: "north", Version: "v1", Bind: "127.0.0.1:0", Seeds: seeds, Allow: []string{"n*"},
@@ -33,26 +33,26 @@
 	return fmt.Sprintf("%s:%d", n.Addr, n.Port)
 }
 
-// waitForView waits for a view.
+// waitForView waits for a view that satisfies ok.
 func waitForView(t *testing.T, views chan membership.View, what string, ok func(membership.View) bool) {
 	t.Helper()
 	var seen []string
-	for late := time.After(20 * time.Second); ; {
+	for timeout := time.After(20 * time.Second); ; {
 		select {
 		case v := <-views:
 			if ok(v) {
 				return
 			}
 			seen = append(seen, fmt.Sprintf("%+v", v.Members))
-		case <-late:
-			t.Fatalf("never: %s; seen %q", what, seen)
+		case <-timeout:
+			t.Fatalf("timed out waiting for %s; seen %q", what, seen)
 		}
 	}
 }
 
 func TestMembersJoinLeaveAndRestart(t *testing.T) {
 	defer func() {
-		// A look of the library's that is under way when it is shut down ends within its interval.
+		// A probe that is in flight when the library is shut down ends within the probe interval.
 		var err error
 		for range 20 {
 			if err = goleak.Find(); err == nil {
@@ -72,9 +72,9 @@
 	two.SetState(membership.Serving)
 	waitForView(t, views, "serving", func(v membership.View) bool { return len(v.Members) > 1 && v.Members[1].State == membership.Serving })
 	before := one.View().Members[1]
-	// A second process under the name, of the same folder, while the first is there.
+	// A second process with the same name and folder, while the first is running.
 	again := join(t, "n2", "lab", dir, nil, one.addr())
-	waitForView(t, views, "the newer process", func(v membership.View) bool {
+	waitForView(t, views, "the view with the newer process", func(v membership.View) bool {
 		return len(v.Members) > 1 && v.Members[1].Incarnation > before.Incarnation
 	})
 	if err := two.Close(); err != nil {
@@ -91,7 +91,7 @@
 	}
 	for _, m := range one.View().Members {
 		if m.Name == "x9" || m.Name == "n4" {
-			t.Errorf("a stranger got in: %+v", m)
+			t.Errorf("a process that is not allowed became a member: %+v", m)
 		}
 	}
 }
@@ -113,7 +113,7 @@
 	})
 }
 
-// nodeWithMeta is a nodeWithMeta of the library's with this to say of itself.
+// nodeWithMeta returns a node of the library with this metadata.
 func nodeWithMeta(meta []byte) *memberlist.Node {
 	n := &memberlist.Node{Name: "n2/5/abc", Addr: net.IPv4(127, 0, 0, 1), Port: 9, Meta: meta}
 	if p, err := parseMeta(&memberlist.Node{Name: n.Name, Meta: meta}); err != nil && p.Name != "" {
@@ -128,16 +128,16 @@
 	other := membership.Process{Name: "n2", Incarnation: 1, Addr: "b:1"}
 	f := &Fleet{cfg: membership.Config{Bind: "a:1", Seeds: []string{"a:1", "s:1"}, Size: 2}, tracker: membership.NewTracker(self, 2, now)}
 	if got := f.joinTarget(f.View()); got != "s:1" {
-		t.Errorf("alone it asks %q", got)
+		t.Errorf("alone: join target %q", got)
 	}
 	f.tracker.ObserveAlive(other, now)
 	if got := f.joinTarget(f.View()); got != "" {
-		t.Errorf("nobody is missing, and it asks %q", got)
+		t.Errorf("no member is missing: join target %q", got)
 	}
 	f.tracker.ObserveLost(other, false, now)
 	f.cfg.Seeds = nil
 	if got := f.joinTarget(f.View()); got != "b:1" {
-		t.Errorf("one is away, and it asks %q", got)
+		t.Errorf("one member is away: join target %q", got)
 	}
 }
 
@@ -148,10 +148,10 @@
 	two := join(t, "n2", "lab", t.TempDir(), nil, one.addr())
 	defer two.Close()
 	waitForView(t, views, "two members", func(v membership.View) bool { return v.Present == 2 })
-	// A third that gossip never told of: the second alone knows it.
+	// A third member of which only the second knows, and which gossip does not spread.
 	three := membership.Process{Name: "n3", Incarnation: 9, Folder: "f", State: membership.Serving, Addr: "127.0.0.1:1"}
 	two.update(func(x *membership.Tracker, now time.Time) bool { return x.ObserveAlive(three, now) })
-	waitForView(t, views, "the first hears that the second sees another view", func(v membership.View) bool { return len(v.Disagreeing) == 1 })
+	waitForView(t, views, "the view in which the second member disagrees", func(v membership.View) bool { return len(v.Disagreeing) == 1 })
 	if one.NetworkBytes() == 0 || two.NetworkBytes() == 0 {
 		t.Errorf("%d and %d bytes were sent", one.NetworkBytes(), two.NetworkBytes())
 	}
--- a/internal/membership/identity.go
+++ b/internal/membership/identity.go
@@ -13,14 +13,15 @@
 
 const identityFile = "member.json"
 
-// identity is what outlasts a process of what it is.
+// identity is the part of a member's identity that survives restarts.
 type identity struct {
-	Folder      string // drawn when the folder was new
+	Folder      string // random, chosen when the folder is created
 	Incarnation uint64
 }
 
-// BeginIncarnation begins a new incarnation in the state folder dir. It grows with every start, also where the folder was emptied
-// in between, as long as the wall clock goes on: then it is the time, in milliseconds.
+// BeginIncarnation starts a new incarnation in the state folder dir and stores it. The incarnation increases with every
+// start. It is at least the wall clock in milliseconds, so it also increases if the folder was emptied in between,
+// unless the clock was set back.
 func BeginIncarnation(dir string, now time.Time) (folder string, incarnation uint64, err error) {
 	path := filepath.Join(dir, identityFile)
 	var id identity
@@ -29,7 +30,7 @@
 		err = json.Unmarshal(data, &id)
 	}
 	if err != nil && !errors.Is(err, fs.ErrNotExist) {
-		id = identity{} // torn by a loss of power: as if the folder were new
+		id = identity{} // torn by a power loss: treat the folder as new
 	}
 	if id.Folder == "" {
 		id.Folder = rand.Text()[:12]
@@ -43,7 +44,7 @@
 		return "", 0, fmt.Errorf("membership: %w", err)
 	}
 	_, err = f.Write(data)
-	// Synced: an incarnation that is told to others may not be used again.
+	// Synced: an incarnation that other members have seen must not be used again.
 	if err = errors.Join(err, f.Sync(), f.Close()); err == nil {
 		err = os.Rename(path+".tmp", path)
 	}
--- a/internal/membership/view.go
+++ b/internal/membership/view.go
@@ -1,9 +1,9 @@
-// Package membership tells a relay who else of its fleet is present. Gossip and failure detection are a library's; this
-// package turns single events of it into views, and tells how far a view is to be trusted.
+// Package membership tells a relay which members of its fleet are present. Gossip and failure detection come from a
+// library; this package turns the individual events into views and states how far a view can be trusted.
 //
-// A member is a relay, not a process: of several processes under one name the one with the newest incarnation counts, and
-// the others are nobody. So a restart, a hand-over, a new address and a mistake under one name need no rule of their own,
-// and nothing flaps: an incarnation that has been superseded never comes back.
+// A member is a relay, not a process: of several processes with the same name only the one with the newest incarnation
+// counts, and the others are ignored. Restarts, hand-overs, new addresses and duplicate names therefore need no rules of
+// their own, and membership does not flap: a superseded incarnation never comes back.
 package membership
 
 import (
@@ -17,117 +17,118 @@
 	"time"
 )
 
-// State is what a member says of itself.
+// State is the state that a member reports about itself.
 type State string
 
-// The states.
 const (
 	Starting    State = "starting"
 	Serving     State = "serving"
 	Draining    State = "draining"
 	HandingOver State = "handing over"
-	Left        State = "left" // in order
+	Left        State = "left" // shut down in order
 )
 
-// Process is one process of a member, as it tells of itself.
+// Process describes one process of a member, as the process reports it.
 type Process struct {
-	Name        string `json:"n"`           // the relay's
-	Building    string `json:"b"`           // where it stands
-	Addr        string `json:"a,omitempty"` // host and port of its gossip
-	Incarnation uint64 `json:"i"`           // grows with each start, and outlasts restarts
-	Folder      string `json:"f"`           // its state folder's own mark: a cloned folder has the same, an emptied one another
-	Version     string `json:"v,omitempty"` // the program's
+	Name        string `json:"n"`           // name of the relay
+	Building    string `json:"b"`           // building that it runs in
+	Addr        string `json:"a,omitempty"` // host and port of its gossip listener
+	Incarnation uint64 `json:"i"`           // increases with each start and is kept across restarts
+	Folder      string `json:"f"`           // id of its state folder: copied with a cloned folder, new in an emptied one
+	Version     string `json:"v,omitempty"` // version of the program
 	State       State  `json:"s"`
-	Admin       string `json:"m,omitempty"` // its second address
+	Admin       string `json:"m,omitempty"` // admin address
 }
 
-// supersedes orders processes of one name. Folders decide between those that began in one moment, so that all decide alike.
+// supersedes orders processes with the same name. Processes with equal incarnations are ordered by folder and address,
+// so that all members decide alike.
 func (p Process) supersedes(q Process) bool {
 	return cmp.Or(cmp.Compare(p.Incarnation, q.Incarnation), cmp.Compare(p.Folder, q.Folder), cmp.Compare(p.Addr, q.Addr)) > 0
 }
 
-// Member is a member of a view.
+// Member is an entry of a view.
 type Member struct {
 	Process
-	Since time.Time // when it came, or was last replaced
-	// Away tells why a member that did not leave is not heard any more; empty while it is present.
-	Away Away
-	AwaySince time.Time `json:"Gone"` // since when
+	Since time.Time // when it joined, or was last replaced
+	// Away states why a member that did not leave is no longer heard; empty while it is present.
+	Away      Away
+	AwaySince time.Time `json:"Gone"` // when it became away
 }
 
-// Config is a relay's part in its fleet.
+// Config configures a relay's membership in its fleet.
 type Config struct {
-	Fleet     string // the fleet's label: what carries another one is turned away
+	Fleet     string // label of the fleet: packets with another label are rejected
 	Name      string
 	Building  string
-	Version   string // the program's
-	Admin     string // its second address
+	Version   string // version of the program
+	Admin     string // admin address
 	Bind      string // host and port, TCP and UDP
-	Advertise string // where others find it; none: Bind
+	Advertise string // address that other members use; default: Bind
 	Seeds     []string
-	Allow     []string // names of members, or beginnings of names with a * behind them; none: any
-	Size      int      // of the fleet, by the settings; 0: not known
+	Allow     []string // allowed member names, or prefixes followed by *; empty: all
+	Size      int      // configured size of the fleet; 0: unknown
 	StateDir  string
 	Log       *slog.Logger
 }
 
-// Fleet is a process's part in its fleet. Its methods may be called from any goroutine.
+// Fleet is a process's membership in its fleet. Its methods may be called from any goroutine.
 type Fleet interface {
 	View() View
-	// NetworkBytes is what this process's part has cost the network so far: what it sent, and took on connections that it opened.
+	// NetworkBytes returns the traffic that this process has caused so far: what it sent, and what it received on
+	// connections that it opened.
 	NetworkBytes() int64
-	// SetState tells the others of this process's state, and waits for nobody.
+	// SetState announces this process's state to the other members. It does not block.
 	SetState(State)
-	// Leave leaves in order, so that nobody has to find out, and ends this process's part. It takes a second at most.
+	// Leave announces that the process leaves, so that no failure has to be detected, and ends its membership. It takes
+	// at most a second.
 	Leave() error
-	// Close ends this process's part without a word.
+	// Close ends the membership without an announcement.
 	Close() error
 }
 
-// Join begins a new incarnation and joins the fleet, without waiting for anybody. told is called with every new view, one
-// after another, away from the caller; it may be nil.
-type Join func(cfg Config, told func(View)) (Fleet, error)
+// Join begins a new incarnation and joins the fleet without waiting for other members. onView, if not nil, is called
+// with every new view, one call at a time, on another goroutine.
+type Join func(cfg Config, onView func(View)) (Fleet, error)
 
-// Away is what is known of a member that is not heard any more.
+// Away states what is known of a member that is no longer heard.
 type Away string
 
-// The ways to be away.
 const (
 	Present     Away = ""
-	Unreachable Away = "unreachable" // nothing answers at its address, or what does says nothing: it may serve all the same
-	Dead        Away = "dead"        // its machine answers that no such process is there
+	Unreachable Away = "unreachable" // its address does not answer, or the answer proves nothing: it may still be serving
+	Dead        Away = "dead"        // its machine refuses the connection: no such process
 )
 
-// Agreement is how far a view is to be trusted.
+// Agreement states how far a view can be trusted.
 type Agreement string
 
-// The agreements.
 const (
-	Agreed   Agreement = "agreed"   // all that were heard lately see the same
-	Settling Agreement = "settling" // a change is under way
-	Split    Agreement = "split"    // members are unreachable that may serve: the other side, perhaps
-	Alone    Agreement = "alone"    // nobody is heard
+	Agreed   Agreement = "agreed"   // all members heard recently have the same view
+	Settling Agreement = "settling" // a change is in progress
+	Split    Agreement = "split"    // several members are unreachable and may be serving: possibly a network partition
+	Alone    Agreement = "alone"    // no other member is heard
 )
 
-// View is who is there. A newer one has a higher Version; views of two relays are compared by Digest.
+// View lists the members of the fleet as one process sees it. A newer view has a higher Version; views of different
+// relays are compared by Digest.
 type View struct {
 	Version uint64
 	At      time.Time
-	Members []Member // by name: those present, and those away that are not forgotten yet
+	Members []Member // sorted by name: present members, and away members that are not forgotten yet
 	Agreement
-	Since    time.Time // of the agreement
-	MembersChanged    time.Time `json:"Moved"`  // when its members changed last
-	Disagreeing   []string  `json:"Differ"` // members that were heard lately and see another view
-	Present  int       // members present, this one with them
-	MayServe  int       `json:"Careful"` // how many may serve: never less than Present. What shares something goes by it
-	Unreachable    int       `json:"Other"`   // members that may serve beyond a split
-	Digest   uint64    // of the members present with their incarnations
-	Superseded bool      `json:"Replaced"` // this process has been superseded by a newer one of its name
+	Since          time.Time // when Agreement last changed
+	MembersChanged time.Time `json:"Moved"`  // when the members last changed
+	Disagreeing    []string  `json:"Differ"` // members heard recently whose view has another digest
+	Present        int       // number of present members, including this one
+	MayServe       int       `json:"Careful"` // upper estimate of serving members, at least Present; shared limits are divided by it
+	Unreachable    int       `json:"Other"`   // number of unreachable members, which may be serving
+	Digest         uint64    // hash of the present members and their incarnations
+	Superseded     bool      `json:"Replaced"` // a newer process with this name has taken over
 }
 
-// Changes are the names of the members that are present now, as another process perhaps, and were not in an earlier view,
-// and of those that were.
-func (v View) Changes(from View) (came, gone []string) {
+// Changes compares v with an earlier view. joined are the members that are present now and were absent or had another
+// incarnation then; left are those that were present then and are absent now.
+func (v View) Changes(earlier View) (joined, left []string) {
 	present := func(of View) map[string]Process {
 		all := map[string]Process{}
 		for _, m := range of.Members {
@@ -137,55 +138,56 @@
 		}
 		return all
 	}
-	before, now := present(from), present(v)
+	before, now := present(earlier), present(v)
 	for name, p := range now {
 		if q, ok := before[name]; !ok || q.Incarnation != p.Incarnation {
-			came = append(came, name)
+			joined = append(joined, name)
 		}
 	}
 	for name := range before {
 		if _, ok := now[name]; !ok {
-			gone = append(gone, name)
+			left = append(left, name)
 		}
 	}
-	slices.Sort(came)
-	slices.Sort(gone)
-	return came, gone
+	slices.Sort(joined)
+	slices.Sort(left)
+	return joined, left
 }
 
 const (
-	// settleTime is how long a view has to stand before it counts as agreed on. Gossip reaches 300 members in 2 s.
+	// settleTime is how long a view must be unchanged before it counts as agreed. Gossip reaches 300 members in 2 s.
 	settleTime = 3 * time.Second
-	// digestLifetime is how long what another member says of its view counts.
+	// digestLifetime is how long the digest reported by another member is used.
 	digestLifetime = 5 * time.Second
-	// splitMinMembers and splitMinShare: so many unreachable members are a split; fewer are members with troubles of their own.
+	// splitMinMembers and splitMinShare: with at least this many unreachable members, and this share of all, the view is
+	// a split. Fewer are treated as individual failures.
 	splitMinMembers, splitMinShare = 2, 0.05
-	// forgetAfter is how long a member that is away is remembered. What keeps a share for it gives that up then.
+	// forgetAfter is how long an away member is remembered. Shares that are reserved for it are released then.
 	forgetAfter = 5 * time.Minute
 )
 
-// Tracker is the state machine between the library's events and views. It does no I/O and has no clock. It is not safe for
-// concurrent use.
+// Tracker is the state machine that turns the library's events into views. It does no I/O, has no clock, and is not safe
+// for concurrent use.
 type Tracker struct {
-	self    Process
-	size    int // of the fleet, by the settings; 0: not known
-	view    View
-	members map[string]*Member
-	newest  map[string]Process // the newest incarnation of each name that was ever seen
-	digests   map[string]peerDigest
+	self             Process
+	size             int // configured size of the fleet; 0: unknown
+	view             View
+	members          map[string]*Member
+	newest           map[string]Process // newest process ever seen under each name
+	digests          map[string]peerDigest
 	membersChangedAt time.Time
-	now     time.Time
-	dirty   bool // the view is to be worked out anew
-	membersChanged   bool // since members have changed
+	now              time.Time
+	dirty            bool // the view must be recomputed
+	membersChanged   bool // the members changed since the last recomputation
 }
 
-// peerDigest is what another member said of its view.
+// peerDigest is the view digest that another member reported.
 type peerDigest struct {
 	digest uint64
 	at     time.Time
 }
 
-// NewTracker returns a tracker of a fleet that holds this process alone. size is how many members the settings tell of.
+// NewTracker returns a tracker of a fleet that consists of this process alone. size is the configured number of members.
 func NewTracker(self Process, size int, now time.Time) *Tracker {
 	t := &Tracker{self: self, size: size, members: map[string]*Member{}, newest: map[string]Process{}, digests: map[string]peerDigest{}}
 	t.members[self.Name] = &Member{Process: self, Since: now}
@@ -194,7 +196,7 @@
 	return t
 }
 
-// View is the current view, worked out of all events since the last call. It is not to be changed.
+// View returns the current view, which includes all events so far. The caller must not modify it.
 func (t *Tracker) View() View {
 	if t.dirty {
 		t.recompute(t.now, t.membersChanged)
@@ -203,11 +205,12 @@
 	return t.view
 }
 
-// ObserveAlive takes that a process is there, with what it says of itself; true if the view has changed.
+// ObserveAlive records that a process is alive, with the state that it reports, and returns whether the view has
+// changed.
 func (t *Tracker) ObserveAlive(p Process, now time.Time) bool {
 	last, known := t.newest[p.Name]
 	if known && (last.supersedes(p) || !p.supersedes(last) && last.State == Left) {
-		return false // superseded, or gone: nobody
+		return false // superseded, or has left
 	}
 	m := t.members[p.Name]
 	if p.State == Left {
@@ -226,15 +229,16 @@
 		t.members[p.Name] = &Member{Process: p, Since: now}
 		return t.markChanged(now)
 	}
-	m.Process = p // its state alone
+	m.Process = p // only its state changed
 	return t.markChanged(now)
 }
 
-// ObserveLost takes that a process is not heard any more. inOrder tells that it said so itself. True if the view has changed.
+// ObserveLost records that a process is no longer heard; inOrder means that it announced its end. It returns whether the
+// view has changed.
 func (t *Tracker) ObserveLost(p Process, inOrder bool, now time.Time) bool {
 	m := t.members[p.Name]
 	if m == nil || m.Incarnation != p.Incarnation || m.Folder != p.Folder || p.Name == t.self.Name {
-		return false // a process that was superseded
+		return false // superseded before
 	}
 	if inOrder {
 		delete(t.members, p.Name)
@@ -247,7 +251,7 @@
 	return t.markChanged(now)
 }
 
-// RecordProbe takes what became of a look at the address of a member that is away.
+// RecordProbe records the result of probing the address of an away member: whether the connection was refused.
 func (t *Tracker) RecordProbe(name string, refused bool, now time.Time) bool {
 	m := t.members[name]
 	if m == nil || m.Away == Present || (m.Away == Dead) == refused {
@@ -259,7 +263,7 @@
 	return t.markChanged(now)
 }
 
-// Unreachable lists the members that are away and not proved dead, with their addresses.
+// Unreachable lists the away members that are not known to be dead.
 func (t *Tracker) Unreachable() (all []Process) {
 	for _, name := range slices.Sorted(maps.Keys(t.members)) {
 		if m := t.members[name]; m.Away == Unreachable {
@@ -269,7 +273,7 @@
 	return all
 }
 
-// RecordDigest takes the digest of another member's view; true if the agreement has changed.
+// RecordDigest records the digest of another member's view and returns whether the agreement may have changed.
 func (t *Tracker) RecordDigest(name string, digest uint64, now time.Time) bool {
 	if m := t.members[name]; m == nil || m.Away != Present || name == t.self.Name {
 		return false
@@ -282,7 +286,7 @@
 	return true
 }
 
-// Tick lets time pass; true if the view or its agreement has changed. Once a second is enough.
+// Tick advances time and returns whether the view or its agreement has changed. Calling it once a second is enough.
 func (t *Tracker) Tick(now time.Time) bool {
 	changed := false
 	for name, m := range t.members {
@@ -299,7 +303,7 @@
 	return t.View().Version != version
 }
 
-// SetState sets this process's state.
+// SetState sets the state of this process.
 func (t *Tracker) SetState(s State, now time.Time) (Process, bool) {
 	t.self.State = s
 	return t.self, t.ObserveAlive(t.self, now)
@@ -307,12 +311,12 @@
 
 func (t *Tracker) markChanged(now time.Time) bool {
 	t.membersChangedAt = now
-	clear(t.digests) // of what was before
+	clear(t.digests) // they refer to earlier views
 	t.now, t.dirty, t.membersChanged = now, true, true
 	return true
 }
 
-// recompute works the view out anew.
+// recompute derives the view from the members.
 func (t *Tracker) recompute(now time.Time, changed bool) {
 	v := View{Version: t.view.Version, At: t.view.At, Since: t.view.Since, MembersChanged: t.membersChangedAt}
 	h := fnv.New64a()
@@ -362,8 +366,9 @@
 	t.view = v
 }
 
-// countMayServe is how many members may serve. Those that are proved dead or have left do not; in doubt every one does that was
-// known lately, and for one that is alone every one that the settings tell of.
+// countMayServe estimates how many members may be serving. Members that are proved dead or have left do not count.
+// Unless the view is agreed, every recently known member counts; if this member is alone, the configured size counts as
+// well.
 func (t *Tracker) countMayServe(v View, unreachable int) int {
 	switch v.Agreement {
 	case Agreed:
@@ -371,6 +376,6 @@
 	case Alone:
 		return max(v.Present+unreachable, t.size)
 	}
-	// A change that others have not seen yet: the larger of what was and what is.
+	// A change that other members may not have seen yet: take the larger of the old and the new count.
 	return max(v.Present+unreachable, min(t.view.MayServe, t.view.Present+t.view.Unreachable))
 }
--- a/internal/membership/view_test.go
+++ b/internal/membership/view_test.go
@@ -24,24 +24,24 @@
 	x := NewTracker(proc("a", 5), 3, noon)
 	x.ObserveAlive(proc("b", 7), noon)
 	if x.ObserveAlive(proc("b", 6), noon) || x.ObserveLost(proc("b", 6), false, noon) {
-		t.Error("an older process of the name changes the view")
+		t.Error("an older process with the same name changes the view")
 	}
 	if !x.ObserveAlive(proc("b", 8), noon) || x.ObserveLost(proc("b", 7), false, noon) || x.ObserveAlive(proc("b", 7), noon) {
-		t.Error("the process before it still counts")
+		t.Error("a superseded process still counts")
 	}
 	if got := describeMembers(x.View()); got != "a/5 b/8 " {
 		t.Error(got)
 	}
-	// This process's own name: an older one is nobody, a newer one takes its place.
+	// Under this process's own name an older process is ignored and a newer one supersedes it.
 	x.ObserveAlive(proc("a", 4), noon)
 	if x.View().Superseded {
-		t.Error("replaced by an older one")
+		t.Error("superseded by an older process")
 	}
 	x.ObserveAlive(proc("a", 6), noon)
 	if !x.View().Superseded {
-		t.Error("not told of the newer one")
+		t.Error("not superseded by the newer process")
 	}
-	// Cloned folders that began in one moment: every member decides alike.
+	// Cloned folders started at the same moment: the order of events does not decide which process counts.
 	one, two := proc("c", 9), proc("c", 9)
 	two.Addr = "elsewhere:1"
 	for _, order := range [][]Process{{one, two}, {two, one}} {
@@ -49,7 +49,7 @@
 		y.ObserveAlive(order[0], noon)
 		y.ObserveAlive(order[1], noon)
 		if got := y.View().Members[1].Addr; got != "elsewhere:1" && got != one.Addr || got != max(one.Addr, two.Addr) {
-			t.Errorf("stays: %s", got)
+			t.Errorf("member at %s", got)
 		}
 	}
 }
@@ -57,62 +57,63 @@
 func TestAgreement(t *testing.T) {
 	x := NewTracker(proc("a", 1), 4, noon)
 	now := noon
-	want := func(a Agreement, present, careful int) {
+	want := func(a Agreement, present, mayServe int) {
 		t.Helper()
-		if v := x.View(); v.Agreement != a || v.Present != present || v.MayServe != careful {
-			t.Errorf("%s, %d present, %d careful; want %s, %d, %d", v.Agreement, v.Present, v.MayServe, a, present, careful)
+		if v := x.View(); v.Agreement != a || v.Present != present || v.MayServe != mayServe {
+			t.Errorf("%s, %d present, %d may serve; want %s, %d, %d", v.Agreement, v.Present, v.MayServe, a, present, mayServe)
 		}
 	}
-	pass := func(d time.Duration) { now = now.Add(d); x.Tick(now) }
+	advance := func(d time.Duration) { now = now.Add(d); x.Tick(now) }
 	want(Alone, 1, 4)
 	for _, n := range []string{"b", "c", "d"} {
 		x.ObserveAlive(proc(n, 1), now)
 	}
 	want(Settling, 4, 4)
-	pass(settleTime)
+	advance(settleTime)
 	want(Agreed, 4, 4)
 	x.RecordDigest("b", 4711, now)
 	want(Settling, 4, 4)
 	x.RecordDigest("b", x.View().Digest, now)
 	want(Agreed, 4, 4)
-	// One that leaves in order is gone at once; while others may not know of it, its share is kept.
+	// A member that leaves in order is removed at once, but still counts as serving until the view has settled.
 	x.ObserveLost(proc("d", 1), true, now)
 	want(Settling, 3, 4)
-	pass(settleTime)
+	advance(settleTime)
 	want(Agreed, 3, 3)
-	// One that vanishes may serve, until its machine says that it is gone.
+	// A member that disappears may be serving until its machine refuses connections.
 	x.ObserveLost(proc("c", 1), false, now)
 	want(Settling, 2, 3)
-	pass(settleTime)
+	advance(settleTime)
 	want(Settling, 2, 3)
 	x.RecordProbe("c", true, now)
-	pass(settleTime)
+	advance(settleTime)
 	want(Agreed, 2, 2)
-	// Two of four unreachable: a split.
+	// Two of four members unreachable: a split.
 	x.ObserveAlive(proc("c", 2), now)
 	x.ObserveAlive(proc("d", 2), now)
-	pass(settleTime)
+	advance(settleTime)
 	x.ObserveLost(proc("c", 2), false, now)
 	x.ObserveLost(proc("d", 2), false, now)
 	want(Split, 2, 4)
-	pass(time.Minute)
+	advance(time.Minute)
 	want(Split, 2, 4)
 	x.ObserveAlive(proc("c", 2), now)
 	x.ObserveAlive(proc("d", 2), now)
-	pass(settleTime)
+	advance(settleTime)
 	want(Agreed, 4, 4)
 	x.ObserveLost(proc("b", 1), false, now)
 	x.ObserveLost(proc("c", 2), false, now)
 	x.ObserveLost(proc("d", 2), false, now)
 	want(Alone, 1, 4)
-	pass(forgetAfter)
+	advance(forgetAfter)
 	if got := describeMembers(x.View()); got != "a/1 " {
-		t.Errorf("never forgotten: %s", got)
+		t.Errorf("away members are not forgotten: %s", got)
 	}
 }
 
-// TestRandomSchedules runs members, cuts and restarts against trackers, with a detector that is late, in any order and
-// sometimes wrong. Versions and incarnations never go back, and in the end connected members see the same.
+// TestRandomSchedules runs members, network cuts and restarts against trackers whose failure detector is late, reorders
+// events and is sometimes wrong. Versions and incarnations must never decrease, and once all members hear each other
+// again, they must agree.
 func TestRandomSchedules(t *testing.T) {
 	for seed := range uint64(300) {
 		rng := rand.New(rand.NewPCG(seed, 7))
@@ -139,7 +140,7 @@
 				}
 				versions[x] = v.Version
 				if v.MayServe < v.Present {
-					t.Fatalf("seed %d: careful %d, present %d", seed, v.MayServe, v.Present)
+					t.Fatalf("seed %d: may serve %d, present %d", seed, v.MayServe, v.Present)
 				}
 				for _, m := range v.Members {
 					if m.Incarnation < newest[x][m.Name] {
@@ -160,7 +161,7 @@
 				start(int(i[0] - 'a'))
 			case 1:
 				cut[[2]string{i, j}] = !cut[[2]string{i, j}]
-			case 2: // the detector calls a member lost, rightly or not
+			case 2: // the failure detector reports a loss, correctly or not
 				trackers[i].ObserveLost(live[j], rng.IntN(4) == 0, now)
 			case 3:
 				trackers[i].RecordProbe(j, rng.IntN(2) == 0, now)
@@ -168,7 +169,7 @@
 				trackers[i].RecordDigest(j, trackers[j].View().Digest, now)
 			case 5:
 				trackers[i].Tick(now)
-			default: // gossip, new or stale
+			default: // gossip, current or stale
 				if !cut[[2]string{j, i}] {
 					p := live[j]
 					p.Incarnation -= uint64(rng.IntN(2)) * min(p.Incarnation-1, uint64(rng.IntN(3)))
@@ -177,7 +178,7 @@
 			}
 			check()
 		}
-		// All is well again: everybody hears of everybody, in any order, and of what is long gone too.
+		// The network has recovered: every member hears of every other in any order, with late events of old incarnations.
 		for range 3 {
 			for _, i := range rng.Perm(n) {
 				for _, j := range rng.Perm(n) {
@@ -208,12 +209,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	same, two, err := BeginIncarnation(dir, noon.Add(-time.Hour)) // the clock was set back
+	same, two, err := BeginIncarnation(dir, noon.Add(-time.Hour)) // the clock is set back
 	if err != nil || same != folder || two <= one {
 		t.Errorf("%s/%d after %s/%d, %v", same, two, folder, one, err)
 	}
 	other, three, err := BeginIncarnation(t.TempDir(), noon.Add(time.Second))
 	if err != nil || other == folder || three <= two {
-		t.Errorf("emptied: %s/%d after %s/%d, %v", other, three, folder, two, err)
+		t.Errorf("emptied folder: %s/%d after %s/%d, %v", other, three, folder, two, err)
 	}
 }
--- a/internal/relay/fleet_test.go
+++ b/internal/relay/fleet_test.go
@@ -24,9 +24,9 @@
 }
 
 func (s *standIn) SetState(x membership.State) { s.states = append(s.states, x) }
-func (s *standIn) NetworkBytes() int64              { return 17 }
-func (s *standIn) Leave() error              { s.ended = "left"; return nil }
-func (s *standIn) Close() error              { s.ended = "closed"; return nil }
+func (s *standIn) NetworkBytes() int64         { return 17 }
+func (s *standIn) Leave() error                { s.ended = "left"; return nil }
+func (s *standIn) Close() error                { s.ended = "closed"; return nil }
 
 func TestTheRelayTellsItsFleet(t *testing.T) {
 	r := newTestRelay(t)
