--- a/cmd/cherrytrestlectl/duties.go
+++ b/cmd/cherrytrestlectl/duties.go
@@ -14,25 +14,25 @@
 	"onyxroad.dev/onyxroad/internal/duty/figures"
 )
 
-// stewardsFor is how long the stewards have to agree on something, a new leader's election included.
-const stewardsFor = 10 * time.Second
+// stewardTimeout bounds how long the stewards may take to agree on something, including the election of a new leader.
+const stewardTimeout = 10 * time.Second
 
-// atStewards are the stewards to speak with.
-type atStewards struct {
-	Stewards []string `required:"" env:"IVYGAUGE_STEWARDS" help:"Addresses of the stewards' APIs, hosts and ports; one that is up is enough."`
+// stewardFlags are the flags of commands that contact the stewards.
+type stewardFlags struct {
+	Stewards []string `required:"" env:"IVYGAUGE_STEWARDS" help:"API addresses of the stewards (host:port); one reachable steward is enough."`
 }
 
-// do asks whichever steward leads.
-func (a *atStewards) do(path string, in, out any, wait time.Duration) error {
-	client := call.NewClient(a.Stewards, nil)
+// do sends a request to the leader of the stewards.
+func (f *stewardFlags) do(path string, in, out any, wait time.Duration) error {
+	client := call.NewClient(f.Stewards, nil)
 	defer client.Close()
-	ctx, cancel := context.WithTimeout(context.Background(), wait+stewardsFor)
+	ctx, cancel := context.WithTimeout(context.Background(), wait+stewardTimeout)
 	defer cancel()
 	return client.Do(ctx, path, in, out, wait)
 }
 
 type dutiesCmd struct {
-	atStewards
+	stewardFlags
 }
 
 func (c *dutiesCmd) Run(all *cli, out io.Writer) error {
@@ -67,39 +67,39 @@
 }
 
 type stepDownCmd struct {
-	atStewards
+	stewardFlags
 	Duty string        `arg:"" help:"The duty."`
-	To   string        `help:"Who is to have it next, by its name as a holder; none: whoever waits longest."`
-	Bar  time.Duration `default:"1m" help:"For how long the holder does not get it back, at most an hour."`
+	To   string        `help:"Holder that gets the duty next; default: the one that has waited longest."`
+	Bar  time.Duration `default:"1m" help:"How long the present holder is barred from the duty, at most one hour."`
 }
 
 func (c *stepDownCmd) Run(all *cli, out io.Writer) error {
 	began := time.Now()
 	var d call.Duty
-	if err := c.do(call.PathStepDown, call.StepDownIn{Duty: c.Duty, To: c.To, BarMS: c.Bar.Milliseconds()}, &d, call.WaitMost); err != nil {
+	if err := c.do(call.PathStepDown, call.StepDownIn{Duty: c.Duty, To: c.To, BarMS: c.Bar.Milliseconds()}, &d, call.MaxWait); err != nil {
 		return err
 	}
 	if all.JSON {
 		return json.NewEncoder(out).Encode(d)
 	}
-	fmt.Fprintf(out, "%s was given up after %v\n", c.Duty, time.Since(began).Round(time.Millisecond))
+	fmt.Fprintf(out, "%s was released after %v\n", c.Duty, time.Since(began).Round(time.Millisecond))
 	return nil
 }
 
 type stewardsCmd struct {
-	atStewards
+	stewardFlags
 }
 
 func (c *stewardsCmd) Run(all *cli, out io.Writer) error {
 	client := call.NewClient(c.Stewards, nil)
 	defer client.Close()
-	ctx, cancel := context.WithTimeout(context.Background(), stewardsFor)
+	ctx, cancel := context.WithTimeout(context.Background(), stewardTimeout)
 	defer cancel()
 	var known call.StewardsOut
 	var err error
 	for _, a := range c.Stewards {
 		var one call.StewardsOut
-		if _, e := client.One(ctx, a, call.PathStewards, nil, &one, 0); e != nil {
+		if _, e := client.DoAt(ctx, a, call.PathStewards, nil, &one, 0); e != nil {
 			err = e
 		} else if one.Applied >= known.Applied && len(one.Stewards) >= len(known.Stewards) {
 			known = one
@@ -119,14 +119,14 @@
 	if !all.JSON {
 		fmt.Fprintln(w, "STEWARD\tADDRESS\tAPI\tTERM\tAPPLIED\t")
 	}
-	led, silent := false, false
+	hasLeader, unreachable := false, false
 	for _, s := range known.Stewards {
 		var one call.StewardsOut
 		note := ""
-		if _, err := client.One(ctx, s.API, call.PathStewards, nil, &one, 0); err != nil {
-			note, silent = "does not answer", true
+		if _, err := client.DoAt(ctx, s.API, call.PathStewards, nil, &one, 0); err != nil {
+			note, unreachable = "does not answer", true
 		} else if s.Leader {
-			note, led = "leads", true
+			note, hasLeader = "leads", true
 		}
 		if !all.JSON {
 			fmt.Fprintf(w, "%s\t%s\t%s\t%d\t%d\t%s\n", s.ID, s.Listen, s.API, one.Term, one.Applied, note)
@@ -135,42 +135,42 @@
 	if err := w.Flush(); err != nil {
 		return err
 	}
-	if !led || silent {
-		return errBroken
+	if !hasLeader || unreachable {
+		return errCheckFailed
 	}
 	return nil
 }
 
 type beginCmd struct {
-	Addr string `arg:"" help:"The first steward's API, host and port."`
+	Addr string `arg:"" help:"API address of the first steward (host:port)."`
 }
 
 func (c *beginCmd) Run(_ *cli, out io.Writer) error {
 	client := call.NewClient(nil, nil)
 	defer client.Close()
 	var x call.JoinOut
-	if _, err := client.One(context.Background(), c.Addr, call.PathBegin, call.Done{}, &x, stewardsFor); err != nil {
+	if _, err := client.DoAt(context.Background(), c.Addr, call.PathBegin, call.Empty{}, &x, stewardTimeout); err != nil {
 		return err
 	}
-	fmt.Fprintf(out, "cluster %s has begun\n", x.Cluster)
+	fmt.Fprintf(out, "cluster %s created\n", x.Cluster)
 	return nil
 }
 
 type removeCmd struct {
-	atStewards
-	Name string `arg:"" help:"The steward's name."`
+	stewardFlags
+	Name string `arg:"" help:"Name of the steward."`
 }
 
 func (c *removeCmd) Run(_ *cli, out io.Writer) error {
-	if err := c.do(call.PathRemove, call.RemoveIn{ID: c.Name}, &call.Done{}, stewardsFor); err != nil {
+	if err := c.do(call.PathRemove, call.RemoveIn{ID: c.Name}, &call.Empty{}, stewardTimeout); err != nil {
 		return err
 	}
-	fmt.Fprintln(out, c.Name, "is no steward any more")
+	fmt.Fprintln(out, "removed steward", c.Name)
 	return nil
 }
 
 type fleetCmd struct {
-	atStewards
+	stewardFlags
 }
 
 func (c *fleetCmd) Run(_ *cli, out io.Writer) error {
@@ -182,14 +182,14 @@
 		if x.Duty != figures.Duty || x.Holder == "" {
 			continue
 		}
-		client := &http.Client{Timeout: askFor}
+		client := &http.Client{Timeout: relayTimeout}
 		res, err := client.Get("http://" + x.Addr + "/api/fleet")
 		if err != nil {
 			return fmt.Errorf("ask %s: %w", x.Holder, err)
 		}
 		defer res.Body.Close()
 		if res.StatusCode != http.StatusOK {
-			return fmt.Errorf("%s has no figures yet: %s", x.Holder, res.Status)
+			return fmt.Errorf("%s does not provide fleet figures: %s", x.Holder, res.Status)
 		}
 		if _, err := io.Copy(out, res.Body); err != nil {
 			return err
--- a/internal/duty/fence.go
+++ b/internal/duty/fence.go
@@ -13,16 +13,16 @@
 )
 
 const (
-	fenceName = "epochs.json"
-	// FenceMost bounds the duties that a Fence keeps epochs of.
-	FenceMost = 64
+	fenceFile = "epochs.json"
+	// MaxFencedDuties is the number of duties whose epochs a Fence stores.
+	MaxFencedDuties = 64
 )
 
-// ErrFenced refuses an effect whose epoch is older than one that was seen.
-var ErrFenced = errors.New("an order with a newer epoch has come already")
+// ErrFenced refuses an effect whose epoch is older than one already seen.
+var ErrFenced = errors.New("an order with a newer epoch has been received")
 
-// Fence is what a receiver of effects keeps: the highest epoch of each duty. It outlasts the process, in a file of the folder
-// that it is given. Its methods may be called from any goroutine.
+// Fence stores the highest epoch of each duty at a receiver of effects, in a file that survives restarts. Its methods
+// may be called from any goroutine.
 type Fence struct {
 	dir string
 
@@ -30,14 +30,14 @@
 	epochs map[string]uint64
 }
 
-// OpenFence reads what an earlier process has kept in dir; with no dir it keeps nothing beyond the process. A file that can't
-// be read is an error: without it an old holder's orders would be taken.
+// OpenFence reads the epochs stored in dir; if dir is empty, nothing is stored. An unreadable file is an error: without
+// the epochs, orders of an old holder would be accepted.
 func OpenFence(dir string) (*Fence, error) {
 	f := &Fence{dir: dir, epochs: map[string]uint64{}}
 	if dir == "" {
 		return f, nil
 	}
-	data, err := os.ReadFile(filepath.Join(dir, fenceName))
+	data, err := os.ReadFile(filepath.Join(dir, fenceFile))
 	if errors.Is(err, fs.ErrNotExist) {
 		return f, nil
 	}
@@ -50,9 +50,10 @@
 	return f, nil
 }
 
-// Pass tells whether an effect of a duty's holder may be taken, and from then on none with an older epoch is: that it was seen
-// is on disk first. ErrFenced: an older one. Anything else: it could not be kept, and the effect must not be taken.
-func (f *Fence) Pass(duty string, epoch uint64) error {
+// Admit decides whether an effect with this epoch may be accepted. Before it returns nil, the epoch is on disk, so that
+// older epochs are refused from then on. It returns ErrFenced for an older epoch; on any other error the epoch could not
+// be stored and the effect must not be accepted.
+func (f *Fence) Admit(duty string, epoch uint64) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	seen, known := f.epochs[duty]
@@ -61,11 +62,11 @@
 		return fmt.Errorf("%w: %s has %d, this is %d", ErrFenced, duty, seen, epoch)
 	case epoch == seen:
 		return nil
-	case !known && len(f.epochs) >= FenceMost:
-		return fmt.Errorf("duty: fence: epochs of %d duties are kept, %s is one more", FenceMost, duty)
+	case !known && len(f.epochs) >= MaxFencedDuties:
+		return fmt.Errorf("duty: fence: limit of %d duties reached, no room for %s", MaxFencedDuties, duty)
 	}
 	f.epochs[duty] = epoch
-	if err := f.keep(); err != nil {
+	if err := f.save(); err != nil {
 		f.epochs[duty] = seen
 		if !known {
 			delete(f.epochs, duty)
@@ -75,14 +76,14 @@
 	return nil
 }
 
-// Seen is the highest epoch of a duty that came here.
-func (f *Fence) Seen(duty string) uint64 {
+// HighestEpoch returns the highest epoch seen for a duty.
+func (f *Fence) HighestEpoch(duty string) uint64 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.epochs[duty]
 }
 
-func (f *Fence) keep() error {
+func (f *Fence) save() error {
 	if f.dir == "" {
 		return nil
 	}
@@ -90,5 +91,5 @@
 	if err != nil {
 		return err
 	}
-	return disk.Replace(disk.Dir(f.dir), fenceName, data)
+	return disk.Replace(disk.Dir(f.dir), fenceFile, data)
 }
--- a/internal/duty/model_test.go
+++ b/internal/duty/model_test.go
@@ -7,12 +7,13 @@
 	"time"
 )
 
-// The model: holders, a chain of leaders, and a receiver, with every message on its own way. Each state is explored that a few
-// steps reach, whatever order they come in. What is checked is the code itself, Table and Leases and the fence's rule; the
-// model adds the network, time in whole ticks, and what holders do.
+// A model checker for duties: holders, a sequence of leaders, and a receiver, whose messages are delivered independently.
+// It explores every state that can be reached within a number of steps, in any order of the steps. Table and Leases are
+// the real code and the fence's rule is the real rule; the model adds the network, time in whole ticks, and the behaviour
+// of holders.
 //
-// The invariants: of two holders at most one believes, rightly by its clock, that its lease runs; epochs grow and have one holder
-// each; an effect of a holder whose lease runs is never refused.
+// Invariants: at most one holder at a time has a lease that is valid by its own clock; epochs increase and have one holder
+// each; an effect of a holder with a valid lease is never refused.
 
 const (
 	modelLease = 2 // ticks
@@ -28,23 +29,23 @@
 }
 
 type modelHolder struct {
-	claim string // id of the claim under way
-	epoch uint64 // held, perhaps; 0: nothing
-	until int    // the lease as this one counts
+	claim string // id of the pending claim
+	epoch uint64 // epoch of the duty that it may hold; 0: none
+	until int    // end of the lease by its own clock
 	n     int    // claims so far
 }
 
 type world struct {
-	now     int
-	table   *Table
-	leases  *Leases
-	term    uint64
-	pending *Command // begun by the present leader
-	holders []modelHolder
-	msgs    []modelMsg
-	highest uint64 // at the receiver
-	epochs  map[uint64]int
-	broken  string
+	now       int
+	table     *Table
+	leases    *Leases
+	term      uint64
+	pending   *Command // command in flight of the current leader
+	holders   []modelHolder
+	msgs      []modelMsg
+	highest   uint64 // highest epoch seen by the receiver
+	epochs    map[uint64]int
+	violation string
 }
 
 var modelBegin = time.Unix(1000, 0)
@@ -57,7 +58,7 @@
 	return w
 }
 
-// actions are those that make sense in a state, by name; do carries one out.
+// actions returns the names of the actions that are possible in this state.
 func (w *world) actions() (all []string) {
 	all = append(all, "tick")
 	if w.term < 3 {
@@ -90,7 +91,7 @@
 	switch name {
 	case "tick":
 		w.now++
-	case "leader": // another leads from now on: what the old one had begun is lost
+	case "leader": // a new leader: the command in flight of the old one is lost
 		w.term++
 		w.pending = nil
 		w.leases = NewLeases(w.table, w.term, w.at(w.now))
@@ -99,50 +100,50 @@
 		w.holders[i].claim = fmt.Sprintf("%d-%d", i, w.holders[i].n)
 	case "pick":
 		h := w.holders[i]
-		c, k := w.leases.Pick([]Wish{{Duty: modelDuty, Holder: fmt.Sprint(i), ID: h.claim, Lease: modelLease * time.Second}}, w.at(w.now))
+		c, k := w.leases.PickClaim([]Wish{{Duty: modelDuty, Holder: fmt.Sprint(i), ID: h.claim, Lease: modelLease * time.Second}}, w.at(w.now))
 		switch {
 		case k < 0:
 		case c.Op == "":
 			w.send(modelMsg{kind: "granted", holder: i, epoch: w.table.Get(modelDuty).Epoch})
-		case w.leases.Begun(c):
+		case w.leases.Begin(c):
 			w.pending = &c
 		}
 	case "commit":
 		c := *w.pending
 		w.pending = nil
 		res := w.table.Apply(c, w.term)
-		w.leases.Done(c, res, w.at(w.now))
+		w.leases.Finish(c, res, w.at(w.now))
 		if c.Op == Claim && res.Err == nil {
 			var by int
 			fmt.Sscan(c.Holder, &by)
 			if was, ok := w.epochs[res.Grant.Epoch]; ok && was != by {
-				w.broken = "an epoch has two holders"
+				w.violation = "an epoch has two holders"
 			}
 			w.epochs[res.Grant.Epoch] = by
 			w.send(modelMsg{kind: "granted", holder: by, epoch: res.Grant.Epoch})
 		}
 	case "abort":
-		w.leases.Done(*w.pending, Result{Err: ErrStale}, w.at(w.now))
+		w.leases.Finish(*w.pending, Result{Err: ErrStaleTerm}, w.at(w.now))
 		w.pending = nil
 	case "renew":
 		w.send(modelMsg{kind: "renew", holder: i, epoch: w.holders[i].epoch, sent: w.now})
 	case "effect":
 		w.send(modelMsg{kind: "effect", holder: i, epoch: w.holders[i].epoch})
 	case "release":
-		c := w.leases.End(modelDuty, w.holders[i].epoch, fmt.Sprint(i), "")
-		if w.leases.Begun(c) {
+		c := w.leases.EndCommand(modelDuty, w.holders[i].epoch, fmt.Sprint(i), "")
+		if w.leases.Begin(c) {
 			w.pending = &c
 		}
 		w.holders[i].epoch, w.holders[i].until = 0, 0
 	case "ask":
-		w.leases.Ask(modelDuty, Ask{At: w.at(w.now), Bar: time.Second})
-		if c, due := w.leases.Overdue(modelDuty, w.at(w.now)); due && w.leases.Begun(c) {
+		w.leases.RequestStepDown(modelDuty, StepDownRequest{At: w.at(w.now), Bar: time.Second})
+		if c, due := w.leases.RevokeCommand(modelDuty, w.at(w.now)); due && w.leases.Begin(c) {
 			w.pending = &c
 		}
 	case "deliver":
 		m := w.msgs[i]
 		w.msgs = append(append([]modelMsg(nil), w.msgs[:i]...), w.msgs[i+1:]...)
-		w.take(m)
+		w.receive(m)
 	case "lose":
 		w.msgs = append(append([]modelMsg(nil), w.msgs[:i]...), w.msgs[i+1:]...)
 	}
@@ -151,17 +152,17 @@
 func (w *world) send(m modelMsg) {
 	if len(w.msgs) < 2 {
 		w.msgs = append(w.msgs, m)
-	} // more are lost
+	} // further messages are lost
 }
 
-func (w *world) take(m modelMsg) {
+func (w *world) receive(m modelMsg) {
 	h := &w.holders[m.holder]
 	switch m.kind {
-	case "renew": // the leader has made sure that it leads: that is, this is the present one
+	case "renew": // answered by the current leader, which has confirmed that it leads
 		m.ok = w.leases.Renew(modelDuty, m.epoch, fmt.Sprint(m.holder), w.at(w.now))
 		m.kind = "renewed"
 		w.send(m)
-	case "granted": // confirmed by a renewal before it is believed
+	case "granted": // the holder confirms a grant by a renewal before it relies on it
 		if h.claim != "" && w.table.Get(modelDuty).Epoch >= m.epoch {
 			h.claim = ""
 			w.send(modelMsg{kind: "renew", holder: m.holder, epoch: m.epoch, sent: w.now})
@@ -173,7 +174,7 @@
 	case "effect":
 		if m.epoch < w.highest {
 			if w.now < h.until && h.epoch == m.epoch {
-				w.broken = "an effect of a valid holder is refused"
+				w.violation = "an effect of a valid holder is refused"
 			}
 			return
 		}
@@ -181,7 +182,7 @@
 	}
 }
 
-// check looks at the invariants.
+// check returns the invariant that this state violates, or "".
 func (w *world) check() string {
 	valid := 0
 	for _, h := range w.holders {
@@ -190,12 +191,12 @@
 		}
 	}
 	if valid > 1 {
-		return "two holders believe that their lease runs"
+		return "two holders have valid leases"
 	}
-	return w.broken
+	return w.violation
 }
 
-// key tells states apart, by times from now on.
+// key identifies a state; times are relative to the present.
 func (w *world) key() string {
 	var b strings.Builder
 	for _, h := range w.holders {
@@ -205,21 +206,21 @@
 		fmt.Fprint(&b, m.kind, m.holder, m.epoch, max(-modelLease, m.sent-w.now), m.ok, ";")
 	}
 	g := w.table.Get(modelDuty)
-	fmt.Fprint(&b, w.highest, w.term, w.pending, g, w.leases.busy, max(-3, min(0, w.leases.began.Unix()-w.at(w.now).Unix())))
-	if c := w.leases.clocks[modelDuty]; c != nil {
+	fmt.Fprint(&b, w.highest, w.term, w.pending, g, w.leases.inFlight, max(-3, min(0, w.leases.termBegan.Unix()-w.at(w.now).Unix())))
+	if c := w.leases.timings[modelDuty]; c != nil {
 		since := func(t time.Time) int64 { return max(-9, t.Unix()-w.at(w.now).Unix()) }
-		fmt.Fprint(&b, "c", c.epoch, since(c.ends), since(c.since), since(c.ended))
+		fmt.Fprint(&b, "c", c.epoch, since(c.expiresAt), since(c.grantedAt), since(c.endedAt))
 		for h, t := range c.bars {
 			fmt.Fprint(&b, h, since(t))
 		}
 	}
-	if a, ok := w.leases.asked[modelDuty]; ok {
+	if a, ok := w.leases.stepDowns[modelDuty]; ok {
 		fmt.Fprint(&b, "a", a.Epoch, max(-3, a.At.Unix()-w.at(w.now).Unix()))
 	}
 	return b.String()
 }
 
-// explore looks at every state within depth steps, and returns the steps to one that breaks an invariant.
+// explore visits every state within depth steps. If one violates an invariant, it returns the steps that lead to it.
 func explore(holders, depth int, broken func(*world)) (trace []string, states int, what string) {
 	type node struct {
 		parent int
--- a/internal/duty/steward/members.go
+++ b/internal/duty/steward/members.go
@@ -20,19 +20,19 @@
 )
 
 const (
-	joinEvery   = 500 * time.Millisecond
-	joinFor     = 5 * time.Second
-	lookEvery   = 200 * time.Millisecond
-	removedFor  = 3 * time.Second // that a steward has to be without a place, and without a leader, before it ends
-	stewardMost = 7
+	joinInterval         = 500 * time.Millisecond
+	joinTimeout          = 5 * time.Second
+	removalCheckInterval = 200 * time.Millisecond
+	removalDelay         = 3 * time.Second // how long a steward must look removed before it ends
+	maxStewards          = 7
 )
 
 func boltOptions() *bbolt.Options {
-	// Another process on the folder is an error at once, not a wait without end.
+	// If another process uses the folder, fail instead of waiting forever.
 	return &bbolt.Options{Timeout: time.Second, NoFreelistSync: true, FreelistType: bbolt.FreelistMapType}
 }
 
-// servers are the stewards by raft's configuration.
+// servers returns the stewards in the raft configuration.
 func (s *Steward) servers() ([]raft.Server, error) {
 	f := s.raft.GetConfiguration()
 	if err := f.Error(); err != nil {
@@ -41,112 +41,113 @@
 	return f.Configuration().Servers, nil
 }
 
-// onBegin has this steward begin a cluster of its own, which others join.
-func (s *Steward) onBegin(context.Context, call.Done) (out call.JoinOut, err error) {
+// handleBegin creates a cluster with this steward as its only member, for others to join.
+func (s *Steward) handleBegin(context.Context, call.Empty) (out call.JoinOut, err error) {
 	if cluster, _ := s.id.cluster(); cluster != "" {
-		return out, refused{http.StatusConflict, fmt.Errorf("it belongs to cluster %s already", cluster)}
+		return out, statusError{http.StatusConflict, fmt.Errorf("this steward already belongs to cluster %s", cluster)}
 	}
 	out = call.JoinOut{Cluster: crand.Text()[:12], Era: 1}
 	f := s.raft.BootstrapCluster(raft.Configuration{Servers: []raft.Server{{ID: raft.ServerID(s.id.ID()), Address: s.address()}}})
 	if err := f.Error(); err != nil {
-		return out, fmt.Errorf("steward: begin: %w", err)
+		return out, fmt.Errorf("steward: bootstrap: %w", err)
 	}
-	return out, s.id.belong(out.Cluster, out.Era)
+	return out, s.id.setCluster(out.Cluster, out.Era)
 }
 
-// join asks other stewards for a place, for as long as this one belongs to nobody, or has another address than they know.
+// join asks other stewards to add this one, as long as it belongs to no cluster, or its address differs from the one
+// that they have.
 func (s *Steward) join(ctx context.Context) {
-	client := call.NewClient(nil, net.ParseIP(host(s.cfg.API)))
+	client := call.NewClient(nil, net.ParseIP(hostOf(s.cfg.API)))
 	defer client.Close()
-	_, listen, api := parts(s.address())
+	_, listen, api := splitAddress(s.address())
 	in := call.JoinIn{ID: s.id.ID(), Listen: listen, API: api, Fleet: s.cfg.Fleet}
-	for said := ""; ; {
+	for logged := ""; ; {
 		select {
 		case <-ctx.Done():
 			return
-		case <-time.After(joinEvery/2 + rand.N(joinEvery)):
+		case <-time.After(joinInterval/2 + rand.N(joinInterval)):
 		}
-		if s.placed() {
+		if s.isListed() {
 			continue
 		}
 		for _, seed := range s.cfg.Seeds {
 			if seed == s.cfg.API || seed == s.cfg.AdvertiseAPI {
 				continue
 			}
-			out, err := s.askFor(ctx, client, seed, in)
+			out, err := s.requestJoin(ctx, client, seed, in)
 			if err == nil {
-				if err = s.id.belong(out.Cluster, out.Era); err == nil {
+				if err = s.id.setCluster(out.Cluster, out.Era); err == nil {
 					s.cfg.Log.Info("joins", "cluster", out.Cluster, "by", seed)
 					break
 				}
 			}
-			if text := trim(err); text != said && ctx.Err() == nil {
-				said = text
-				s.cfg.Log.Info("not among the stewards yet", "err", err)
+			if text := firstLine(err); text != logged && ctx.Err() == nil {
+				logged = text
+				s.cfg.Log.Info("could not join the stewards yet", "err", err)
 			}
 		}
 	}
 }
 
-func (s *Steward) askFor(ctx context.Context, client *call.Client, seed string, in call.JoinIn) (out call.JoinOut, err error) {
-	leader, err := client.One(ctx, seed, call.PathJoin, in, &out, joinFor)
+func (s *Steward) requestJoin(ctx context.Context, client *call.Client, seed string, in call.JoinIn) (out call.JoinOut, err error) {
+	leader, err := client.DoAt(ctx, seed, call.PathJoin, in, &out, joinTimeout)
 	if leader != "" {
-		_, err = client.One(ctx, leader, call.PathJoin, in, &out, joinFor)
+		_, err = client.DoAt(ctx, leader, call.PathJoin, in, &out, joinTimeout)
 	}
 	return out, err
 }
 
-// placed tells whether this steward is among the stewards, under the address that it has.
-func (s *Steward) placed() bool {
+// isListed reports whether the cluster lists this steward under its present address.
+func (s *Steward) isListed() bool {
 	all, err := s.servers()
 	if err != nil {
-		return true // it ends
+		return true // shutting down
 	}
 	for _, x := range all {
 		if string(x.ID) == s.id.ID() {
 			return x.Address == s.address()
 		}
 	}
-	return len(all) > 0 // those of whom it has heard do not list it: it was removed, and is not to come back by itself
+	return len(all) > 0 // in a cluster that does not list it, it has been removed and must not rejoin by itself
 }
 
-// awaitRemoval returns true once this steward had a place among the others and has it no more. The one that is removed is not told
-// as a rule: it hears of no leader any more, and the others list it no longer.
+// awaitRemoval returns true when this steward has been removed from its cluster. A removed steward is usually not
+// notified: it no longer hears from a leader, and the others no longer list it.
 func (s *Steward) awaitRemoval(ctx context.Context) bool {
-	client := call.NewClient(nil, net.ParseIP(host(s.cfg.API)))
+	client := call.NewClient(nil, net.ParseIP(hostOf(s.cfg.API)))
 	defer client.Close()
 	since := time.Time{}
 	for {
 		select {
 		case <-ctx.Done():
 			return false
-		case <-time.After(lookEvery):
+		case <-time.After(removalCheckInterval):
 		}
 		all, err := s.servers()
 		if err != nil {
 			return false
 		}
 		listed := slices.ContainsFunc(all, func(x raft.Server) bool { return string(x.ID) == s.id.ID() })
-		if leader, _ := s.raft.LeaderWithID(); len(all) == 0 || listed && (leader != "" || !s.unlisted(ctx, client, all)) {
+		if leader, _ := s.raft.LeaderWithID(); len(all) == 0 || listed && (leader != "" || !s.removedByPeers(ctx, client, all)) {
 			since = time.Time{}
 		} else if since.IsZero() {
 			since = time.Now()
-		} else if time.Since(since) > removedFor {
+		} else if time.Since(since) > removalDelay {
 			return true
 		}
 	}
 }
 
-// unlisted tells whether one of the others that hears of a leader lists this steward no more.
-func (s *Steward) unlisted(ctx context.Context, client *call.Client, all []raft.Server) bool {
+// removedByPeers reports whether another steward that knows a leader no longer lists this one.
+func (s *Steward) removedByPeers(ctx context.Context, client *call.Client, all []raft.Server) bool {
 	cluster, _ := s.id.cluster()
 	for _, x := range all {
-		id, _, api := parts(x.Address)
+		id, _, api := splitAddress(x.Address)
 		var out call.StewardsOut
 		if id == s.id.ID() {
 			continue
 		}
-		if _, err := client.One(ctx, api, call.PathStewards, nil, &out, 0); err != nil || out.Cluster != cluster {
+		if _, err := client.DoAt(ctx, api, call.PathStewards, nil, &out, 0); err != nil || out.Cluster != cluster {
 			continue
 		}
 		led := slices.ContainsFunc(out.Stewards, func(o call.Steward) bool { return o.Leader })
@@ -157,22 +158,22 @@
 	return false
 }
 
-// onJoin gives a steward a place among the others. One of the same name whose folder is gone makes way for it.
-func (s *Steward) onJoin(ctx context.Context, in call.JoinIn) (out call.JoinOut, err error) {
+// handleJoin adds a steward. It replaces a steward of the same name that no longer answers.
+func (s *Steward) handleJoin(ctx context.Context, in call.JoinIn) (out call.JoinOut, err error) {
 	name, folder, ok := strings.Cut(in.ID, "/")
 	if err := checkNames(in.ID); err != nil || !ok || name == "" || folder == "" || strings.ContainsAny(in.ID, ",@") {
-		return out, bad("id: NAME/FOLDER")
+		return out, badRequest("id must have the form NAME/FOLDER")
 	}
 	for _, a := range []string{in.Listen, in.API} {
-		if _, _, err := net.SplitHostPort(a); err != nil || len(a) > duty.NameMost || strings.Contains(a, ",") {
-			return out, bad("%q is not a host and a port", a)
+		if _, _, err := net.SplitHostPort(a); err != nil || len(a) > duty.MaxNameBytes || strings.Contains(a, ",") {
+			return out, badRequest("%q is not a valid host:port", a)
 		}
 	}
 	if in.Fleet != s.cfg.Fleet {
-		return out, refused{http.StatusForbidden, fmt.Errorf("this is fleet %q", s.cfg.Fleet)}
+		return out, statusError{http.StatusForbidden, fmt.Errorf("this steward belongs to fleet %q", s.cfg.Fleet)}
 	}
-	if err := s.verify.leads(ctx); err != nil {
-		return out, ErrElsewhere
+	if err := s.verify.confirmLeader(ctx); err != nil {
+		return out, ErrNotLeader
 	}
 	all, err := s.servers()
 	if err != nil {
@@ -185,33 +186,33 @@
 		case string(x.ID) == in.ID && x.Address == address:
 			return out, nil
 		case string(x.ID) == in.ID || other != name:
-		case s.stream.alive(x.Address):
-			return out, refused{http.StatusConflict, fmt.Errorf("%s serves: two stewards under one name", x.ID)}
+		case s.stream.reachable(x.Address):
+			return out, statusError{http.StatusConflict, fmt.Errorf("%s serves: two stewards under one name", x.ID)}
 		default:
-			// One change at a time: the old one goes first, so that the new one's vote never makes the number even.
-			if err := s.raft.RemoveServer(x.ID, 0, applyFor).Error(); err != nil {
-				return out, fmt.Errorf("%w: remove %s: %w", errUnknown, x.ID, err)
+			// One change at a time, and removal first: adding the new steward first would make the number of voters even.
+			if err := s.raft.RemoveServer(x.ID, 0, applyTimeout).Error(); err != nil {
+				return out, fmt.Errorf("%w: remove %s: %w", errOutcomeUnknown, x.ID, err)
 			}
-			s.cfg.Log.Info("steward removed: its folder is gone", "member", x.ID, "for", in.ID)
+			s.cfg.Log.Info("steward removed: replaced by one with a new folder", "member", x.ID, "for", in.ID)
 			all = all[:len(all)-1]
 		}
 	}
-	if len(all) >= stewardMost {
-		return out, refused{http.StatusConflict, fmt.Errorf("%d stewards are as many as there may be", stewardMost)}
+	if len(all) >= maxStewards {
+		return out, statusError{http.StatusConflict, fmt.Errorf("limit of %d stewards reached", maxStewards)}
 	}
-	if err := s.raft.AddVoter(raft.ServerID(in.ID), address, 0, applyFor).Error(); err != nil {
-		return out, fmt.Errorf("%w: add %s: %w", errUnknown, in.ID, err)
+	if err := s.raft.AddVoter(raft.ServerID(in.ID), address, 0, applyTimeout).Error(); err != nil {
+		return out, fmt.Errorf("%w: add %s: %w", errOutcomeUnknown, in.ID, err)
 	}
 	s.cfg.Log.Info("steward added", "member", in.ID)
-	return out, s.forgetOthers()
+	return out, s.forgetRemoved()
 }
 
-func (s *Steward) forgetOthers() error {
+func (s *Steward) forgetRemoved() error {
 	all, err := s.servers()
 	if err != nil {
 		return err
 	}
-	return s.id.forget(func(id string) bool {
+	return s.id.retainPeers(func(id string) bool {
 		for _, x := range all {
 			if string(x.ID) == id {
 				return true
@@ -221,20 +222,20 @@
 	})
 }
 
-// alive tells whether a steward answers by its name at its address.
-func (s *stream) alive(a raft.ServerAddress) bool {
-	c, err := s.Dial(a, helloFor)
+// reachable reports whether the steward with this address answers under its id.
+func (s *streamLayer) reachable(a raft.ServerAddress) bool {
+	c, err := s.Dial(a, helloTimeout)
 	if err != nil {
-		return errors.Is(err, errOlder) // it is there, though it may take no part
+		return errors.Is(err, errOutdatedFolder) // it runs, though it may not take part
 	}
 	c.Close()
 	return true
 }
 
-// onRemove takes a steward's place.
-func (s *Steward) onRemove(ctx context.Context, in call.RemoveIn) (out call.Done, err error) {
-	if err := s.verify.leads(ctx); err != nil {
-		return out, ErrElsewhere
+// handleRemove removes a steward.
+func (s *Steward) handleRemove(ctx context.Context, in call.RemoveIn) (out call.Empty, err error) {
+	if err := s.verify.confirmLeader(ctx); err != nil {
+		return out, ErrNotLeader
 	}
 	all, err := s.servers()
 	if err != nil {
@@ -245,19 +246,19 @@
 			continue
 		}
 		if len(all) == 1 {
-			return out, refused{http.StatusConflict, errors.New("it is the last one")}
+			return out, statusError{http.StatusConflict, errors.New("the last steward cannot be removed")}
 		}
-		if err := s.raft.RemoveServer(x.ID, 0, applyFor).Error(); err != nil {
-			return out, fmt.Errorf("%w: remove %s: %w", errUnknown, x.ID, err)
+		if err := s.raft.RemoveServer(x.ID, 0, applyTimeout).Error(); err != nil {
+			return out, fmt.Errorf("%w: remove %s: %w", errOutcomeUnknown, x.ID, err)
 		}
 		s.cfg.Log.Info("steward removed", "member", x.ID)
-		return out, s.forgetOthers()
+		return out, s.forgetRemoved()
 	}
-	return out, refused{http.StatusNotFound, fmt.Errorf("no steward %q", in.ID)}
+	return out, statusError{http.StatusNotFound, fmt.Errorf("no steward %q", in.ID)}
 }
 
-// onStewards lists the stewards as this one knows them, whether or not it leads.
-func (s *Steward) onStewards(context.Context, struct{}) (out call.StewardsOut, err error) {
+// handleStewards lists the stewards as this one knows them, whether or not it leads.
+func (s *Steward) handleStewards(context.Context, struct{}) (out call.StewardsOut, err error) {
 	all, err := s.servers()
 	if err != nil {
 		return out, err
@@ -266,7 +267,7 @@
 	out.Cluster, out.Era = s.id.cluster()
 	out.Self, out.Term, out.Applied = s.id.ID(), s.raft.CurrentTerm(), s.raft.AppliedIndex()
 	for _, x := range all {
-		_, listen, api := parts(x.Address)
+		_, listen, api := splitAddress(x.Address)
 		out.Stewards = append(out.Stewards, call.Steward{ID: string(x.ID), Listen: listen, API: api, Voter: x.Suffrage == raft.Voter,
 			Leader: x.ID == leader})
 	}
--- a/internal/duty/steward/schedule.go
+++ b/internal/duty/steward/schedule.go
@@ -11,88 +11,89 @@
 )
 
 const (
-	wishesMost  = 32768 // that wait at once
-	watchesMost = 1024
+	maxWaitingWishes = 32768 // waiting at the same time
+	maxWatches       = 1024
 )
 
-// The refusals of a request.
+// The reasons to refuse a request.
 var (
-	// ErrElsewhere: this steward does not lead.
-	ErrElsewhere = errors.New("this steward does not lead")
-	// ErrRemoved: the others have removed this steward.
-	ErrRemoved = errors.New("the other stewards have removed this one")
-	errCrowded = errors.New("too many wait already")
-	errNotHeld = errors.New("not the holder")
-	errNobody  = errors.New("nobody holds it")
-	errUnknown = errors.New("what becomes of it is not known; ask again")
+	// ErrNotLeader refuses a request that only the leader can answer.
+	ErrNotLeader = errors.New("this steward does not lead")
+	// ErrRemoved is returned by Run after the other stewards have removed this one.
+	ErrRemoved        = errors.New("the other stewards have removed this one")
+	errTooManyWaiting = errors.New("too many requests are waiting")
+	errNotHeld        = errors.New("the duty is not held by this holder under this epoch")
+	errNoHolder       = errors.New("the duty has no holder")
+	errOutcomeUnknown = errors.New("the outcome is unknown; try again")
 )
 
-// waiter is a process that wishes for duties and waits.
+// waiter is a claim that waits for duties.
 type waiter struct {
-	told chan answered // room for one a wish
+	results chan claimResult // buffers one result per wish
 }
 
-// waiting is one of its wishes.
-type waiting struct {
+// waitingWish is a wish of a waiter.
+type waitingWish struct {
 	*waiter
 	wish duty.Wish
 }
 
-// answered is what became of a wish.
-type answered struct {
+// claimResult is the outcome of a wish.
+type claimResult struct {
 	wish  duty.Wish
 	epoch uint64
 	err   error
 }
 
-// claim waits for the first of wishes to be granted, and returns what has become of any by then: nothing, if the time is over.
-func (s *Steward) claim(ctx context.Context, wishes []duty.Wish) (all []answered, err error) {
-	w := &waiter{make(chan answered, len(wishes))}
+// claim waits until the first of the wishes is granted or refused, and returns the outcomes known by then; none if ctx
+// ends first.
+func (s *Steward) claim(ctx context.Context, wishes []duty.Wish) (all []claimResult, err error) {
+	w := &waiter{make(chan claimResult, len(wishes))}
 	s.mu.Lock()
-	r := s.current()
+	r := s.currentLeadership()
 	if r == nil {
 		s.mu.Unlock()
-		return nil, ErrElsewhere
+		return nil, ErrNotLeader
 	}
-	if r.wishes+len(wishes) > wishesMost {
+	if r.waitingWishes+len(wishes) > maxWaitingWishes {
 		s.mu.Unlock()
-		return nil, errCrowded
+		return nil, errTooManyWaiting
 	}
-	r.wishes += len(wishes)
-	// Only what this wish may change is looked at: hundreds may wait for the same.
-	kick, now := false, time.Now()
+	r.waitingWishes += len(wishes)
+	// Check only what these wishes may change: hundreds may wait for the same duty.
+	wake, now := false, time.Now()
 	for _, x := range wishes {
-		r.waiters[x.Duty] = append(r.waiters[x.Duty], waiting{w, x})
+		r.waiters[x.Duty] = append(r.waiters[x.Duty], waitingWish{w, x})
 		own := []duty.Wish{x}
-		if _, i := r.Pick(own, now); i >= 0 {
-			r.dirty[x.Duty], kick = true, true
-		} else if at, due := r.Next(own, now), r.due[x.Duty]; !at.IsZero() && (due.IsZero() || at.Before(due)) {
-			r.due[x.Duty], kick = at, true
+		if _, i := r.PickClaim(own, now); i >= 0 {
+			r.dirty[x.Duty], wake = true, true
+		} else if at, due := r.NextChange(own, now), r.nextCheck[x.Duty]; !at.IsZero() && (due.IsZero() || at.Before(due)) {
+			r.nextCheck[x.Duty], wake = at, true
 		}
 	}
 	s.mu.Unlock()
-	if kick {
-		s.kick()
+	if wake {
+		s.wakeScheduler()
 	}
 	defer func() {
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		r.wishes -= len(wishes)
+		r.waitingWishes -= len(wishes)
 		for _, x := range wishes {
-			r.drop(x.Duty, w)
+			r.removeWaiter(x.Duty, w)
 		}
 	}()
 	select {
-	case a := <-w.told:
+	case a := <-w.results:
 		all = append(all, a)
 	case <-ctx.Done():
 		return nil, nil
-	case <-r.over:
-		return nil, ErrElsewhere
+	case <-r.ended:
+		return nil, ErrNotLeader
 	}
 	for {
 		select {
-		case a := <-w.told:
+		case a := <-w.results:
 			all = append(all, a)
 		default:
 			return all, nil
@@ -100,14 +101,14 @@
 	}
 }
 
-func (s *Steward) kick() {
+func (s *Steward) wakeScheduler() {
 	select {
-	case s.kicked <- struct{}{}:
+	case s.schedulerWake <- struct{}{}:
 	default:
 	}
 }
 
-// schedule grants duties as they become free.
+// schedule grants duties as they become available.
 func (s *Steward) schedule(ctx context.Context) {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
@@ -115,7 +116,7 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-s.kicked:
+		case <-s.schedulerWake:
 		case <-timer.C:
 		}
 		if next := s.grant(ctx, time.Now()); !next.IsZero() {
@@ -124,62 +125,62 @@
 	}
 }
 
-// grant has every duty granted that can be, and returns when there may be more to do; zero: when something happens.
+// grant grants every duty that can be granted now, and returns when to check again; zero: only after an event.
 func (s *Steward) grant(ctx context.Context, now time.Time) (next time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	r := s.current()
+	r := s.currentLeadership()
 	if r == nil {
 		return next
 	}
-	for name, at := range r.due {
+	for name, at := range r.nextCheck {
 		if !now.Before(at) {
 			r.dirty[name] = true
 		}
 	}
 	for name := range r.dirty {
 		delete(r.dirty, name)
-		delete(r.due, name)
-		if c, due := r.Overdue(name, now); due {
-			r.Begun(c)
-			go s.carryOut(r, c, nil)
+		delete(r.nextCheck, name)
+		if c, due := r.RevokeCommand(name, now); due {
+			r.Begin(c)
+			go s.execute(r, c, nil)
 			continue
 		}
 		ws := r.wishesFor(name)
-		c, i := r.Pick(ws, now)
+		c, i := r.PickClaim(ws, now)
 		switch {
 		case i < 0:
-			at := r.Next(ws, now)
-			if left := r.Left(name, now); left > 0 && r.Asked(name, s.table.Get(name).Epoch) && (at.IsZero() || now.Add(left).Before(at)) {
+			at := r.NextChange(ws, now)
+			if left := r.Remaining(name, now); left > 0 && r.StepDownRequested(name, s.table.Get(name).Epoch) && (at.IsZero() || now.Add(left).Before(at)) {
 				at = now.Add(left)
 			}
 			if !at.IsZero() {
-				r.due[name] = at
+				r.nextCheck[name] = at
 			}
-		case c.Op == "": // granted already
+		case c.Op == "": // already granted
 			w := r.waiters[name][i].waiter
-			w.told <- answered{ws[i], s.table.Get(name).Epoch, nil}
-			r.drop(name, w)
-			r.dirty[name] = true // for the others
+			w.results <- claimResult{ws[i], s.table.Get(name).Epoch, nil}
+			r.removeWaiter(name, w)
+			r.dirty[name] = true // check again for the other wishes
 		default:
-			r.Begun(c)
+			r.Begin(c)
 			w := r.waiters[name][i].waiter
-			go s.carryOut(r, c, func(res duty.Result) {
-				if !slices.ContainsFunc(r.waiters[name], func(o waiting) bool { return o.waiter == w }) {
-					return // gone; its claim stands until its lease is over
+			go s.execute(r, c, func(res duty.Result) {
+				if !slices.ContainsFunc(r.waiters[name], func(o waitingWish) bool { return o.waiter == w }) {
+					return // the claimant has gone: the grant stands until its lease expires
 				}
-				if errors.Is(res.Err, duty.ErrMoved) || errors.Is(res.Err, duty.ErrStale) {
-					return // it waits on
+				if errors.Is(res.Err, duty.ErrConflict) || errors.Is(res.Err, duty.ErrStaleTerm) {
+					return // it keeps waiting
 				}
-				w.told <- answered{ws[i], res.Grant.Epoch, res.Err}
-				r.drop(name, w)
+				w.results <- claimResult{ws[i], res.Grant.Epoch, res.Err}
+				r.removeWaiter(name, w)
 			})
 		}
 	}
-	for name := range r.dirty { // told that it is granted: somebody else may be next
-		r.due[name] = now
+	for name := range r.dirty { // answered above; another wish may be next
+		r.nextCheck[name] = now
 	}
-	for _, at := range r.due {
+	for _, at := range r.nextCheck {
 		if next.IsZero() || at.Before(next) {
 			next = at
 		}
@@ -187,8 +188,8 @@
 	return next
 }
 
-// wishesFor are the wishes that wait for a duty, in their order.
-func (r *reign) wishesFor(name string) []duty.Wish {
+// wishesFor returns the wishes that wait for a duty, in order of arrival.
+func (r *leadership) wishesFor(name string) []duty.Wish {
 	ws := make([]duty.Wish, 0, len(r.waiters[name]))
 	for _, w := range r.waiters[name] {
 		ws = append(ws, w.wish)
@@ -196,94 +197,94 @@
 	return ws
 }
 
-// drop has a waiter wait for a duty no more.
-func (r *reign) drop(name string, w *waiter) {
-	if r.waiters[name] = slices.DeleteFunc(r.waiters[name], func(o waiting) bool { return o.waiter == w }); len(r.waiters[name]) == 0 {
+// removeWaiter stops a waiter waiting for a duty.
+func (r *leadership) removeWaiter(name string, w *waiter) {
+	if r.waiters[name] = slices.DeleteFunc(r.waiters[name], func(o waitingWish) bool { return o.waiter == w }); len(r.waiters[name]) == 0 {
 		delete(r.waiters, name)
 	}
 }
 
-// carryOut has the stewards agree on a command that has begun. then is told of its result, with mu held.
-func (s *Steward) carryOut(r *reign, c duty.Command, then func(duty.Result)) (duty.Result, error) {
+// execute commits a command that was passed to Begin. then, if not nil, is called with its result while s.mu is held.
+func (s *Steward) execute(r *leadership, c duty.Command, then func(duty.Result)) (duty.Result, error) {
 	res, err := s.apply(c)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := time.Now()
 	if err != nil {
-		// Whether it comes into effect is not known. If it does in this reign, the table says so; see duty.Command.After.
-		res.Err = fmt.Errorf("%w: %w", errUnknown, err)
+		// It may still be committed. If it is within this term, the table shows it; see duty.Command.After.
+		res.Err = fmt.Errorf("%w: %w", errOutcomeUnknown, err)
 	}
-	r.Done(c, res, now)
+	r.Finish(c, res, now)
 	r.dirty[c.Duty] = true
 	if err == nil && then != nil {
 		then(res)
 	}
-	s.kick()
+	s.wakeScheduler()
 	return res, res.Err
 }
 
-// renew extends leases, and tells of each whether it still holds, and whether its holder is asked to step down.
+// renew extends leases, and reports for each whether it is still held and whether its holder is asked to step down.
 func (s *Steward) renew(ctx context.Context, holder string, held []heldDuty) ([]heldDuty, error) {
-	// First that this one leads, at a moment after the holder asked: a leader that comes later begins all leases later.
-	if err := s.verify.leads(ctx); err != nil {
-		return nil, ErrElsewhere
+	// First confirm that this steward led at a moment after the request: a later leader restarts all leases later.
+	if err := s.verify.confirmLeader(ctx); err != nil {
+		return nil, ErrNotLeader
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	r := s.current()
+	r := s.currentLeadership()
 	if r == nil {
-		return nil, ErrElsewhere
+		return nil, ErrNotLeader
 	}
 	now := time.Now()
 	for i := range held {
 		h := &held[i]
 		h.OK = r.Renew(h.Duty, h.Epoch, holder, now)
-		h.Asked = h.OK && r.Asked(h.Duty, h.Epoch)
+		h.Asked = h.OK && r.StepDownRequested(h.Duty, h.Epoch)
 	}
 	return held, nil
 }
 
-// end ends a grant in its holder's name.
-func (s *Steward) end(holder, name string, epoch uint64, to string) error {
+// release ends a grant at the request of its holder.
+func (s *Steward) release(holder, name string, epoch uint64, to string) error {
 	s.mu.Lock()
-	r := s.current()
+	r := s.currentLeadership()
 	if r == nil {
 		s.mu.Unlock()
-		return ErrElsewhere
+		return ErrNotLeader
 	}
 	g := s.table.Get(name)
 	if g.Epoch != epoch || g.Holder != holder {
 		s.mu.Unlock()
 		return errNotHeld
 	}
-	c := r.End(name, epoch, holder, to)
-	if !r.Begun(c) {
+	c := r.EndCommand(name, epoch, holder, to)
+	if !r.Begin(c) {
 		s.mu.Unlock()
-		return errUnknown
+		return errOutcomeUnknown
 	}
 	s.mu.Unlock()
-	_, err := s.carryOut(r, c, nil)
+	_, err := s.execute(r, c, nil)
 	return err
 }
 
-// watch is a holder that waits to hear that it is asked to step down.
+// watch is a holder that waits until it is asked to step down.
 type watch struct {
 	holder string
 	asked  chan struct{}
 }
 
-// stepDown asks a duty's holder to step down, and waits until it has, or has lost its lease.
+// stepDown asks the holder of a duty to step down, and waits until it has released the duty or its lease has expired.
 func (s *Steward) stepDown(ctx context.Context, name, to string, bar time.Duration) (duty.Grant, error) {
 	s.mu.Lock()
-	r := s.current()
+	r := s.currentLeadership()
 	if r == nil {
 		s.mu.Unlock()
-		return duty.Grant{}, ErrElsewhere
+		return duty.Grant{}, ErrNotLeader
 	}
 	g := s.table.Get(name)
-	if !r.Ask(name, duty.Ask{To: to, Bar: bar, At: time.Now()}) {
+	if !r.RequestStepDown(name, duty.StepDownRequest{To: to, Bar: bar, At: time.Now()}) {
 		s.mu.Unlock()
-		return g, errNobody
+		return g, errNoHolder
 	}
 	for w := range r.watches {
 		if w.holder == g.Holder {
@@ -295,7 +296,7 @@
 	}
 	r.dirty[name] = true
 	s.mu.Unlock()
-	s.kick()
+	s.wakeScheduler()
 	tick := time.NewTicker(10 * time.Millisecond)
 	defer tick.Stop()
 	for {
@@ -308,29 +309,29 @@
 		select {
 		case <-tick.C:
 		case <-ctx.Done():
-			return now, errUnknown
-		case <-r.over:
-			return now, errUnknown
+			return now, errOutcomeUnknown
+		case <-r.ended:
+			return now, errOutcomeUnknown
 		}
 	}
 }
 
-// listenFor waits until a holder is asked to step down from something, or the time is over.
-func (s *Steward) listenFor(ctx context.Context, holder string) error {
+// watchStepDown waits until a holder is asked to step down from one of its duties, or ctx ends.
+func (s *Steward) watchStepDown(ctx context.Context, holder string) error {
 	w := &watch{holder, make(chan struct{}, 1)}
 	s.mu.Lock()
-	r := s.current()
+	r := s.currentLeadership()
 	switch {
 	case r == nil:
 		s.mu.Unlock()
-		return ErrElsewhere
-	case len(r.watches) >= watchesMost:
+		return ErrNotLeader
+	case len(r.watches) >= maxWatches:
 		s.mu.Unlock()
-		return errCrowded
+		return errTooManyWaiting
 	}
 	r.watches[w] = struct{}{}
 	for _, g := range s.table.All() {
-		if g.Holder == holder && r.Asked(g.Duty, g.Epoch) {
+		if g.Holder == holder && r.StepDownRequested(g.Duty, g.Epoch) {
 			w.asked <- struct{}{}
 			break
 		}
@@ -344,8 +345,8 @@
 	select {
 	case <-w.asked:
 	case <-ctx.Done():
-	case <-r.over:
-		return ErrElsewhere
+	case <-r.ended:
+		return ErrNotLeader
 	}
 	return nil
 }
--- a/internal/duty/steward/stream.go
+++ b/internal/duty/steward/stream.go
@@ -15,13 +15,13 @@
 )
 
 const (
-	helloFor   = time.Second
-	helloMost  = 1 << 10
-	guestsMost = 64 // connections that have not said who they are
-	guestRoom  = 16
+	helloTimeout    = time.Second
+	maxHelloBytes   = 1 << 10
+	maxPendingConns = 64 // connections that have not completed the handshake
+	acceptQueue     = 16
 )
 
-// hello is what two stewards tell each other before anything else, as a line of JSON each.
+// hello is the message that two stewards exchange before any other, one line of JSON in each direction.
 type hello struct {
 	Fleet   string `json:"fleet"`
 	Cluster string `json:"cluster"`
@@ -33,77 +33,77 @@
 	Error string `json:"error,omitempty"`
 }
 
-// stream carries the library's connections. Each begins with a hello either way, so that nobody speaks with a stranger, with a
-// steward whose folder was emptied under the same address, or with one whose folder is older than what it has said before:
-// raft trusts that stewards forget nothing.
-type stream struct {
+// streamLayer provides the connections between stewards to raft. Each connection begins with a hello in both directions,
+// so that a steward talks neither to strangers, nor to a steward whose folder was emptied under the same address, nor to
+// one whose folder is older than what it has announced before: raft relies on stewards not losing state.
+type streamLayer struct {
 	net.Listener
-	fleet  string
-	dialer *net.Dialer
-	id     *identity
-	log    *slog.Logger
-	guests chan net.Conn
-	closed chan struct{}
-	once   sync.Once
+	fleet    string
+	dialer   *net.Dialer
+	id       *identity
+	log      *slog.Logger
+	accepted chan net.Conn
+	closed   chan struct{}
+	once     sync.Once
 
 	mu      sync.Mutex
-	conns   map[net.Conn]struct{} // that have not said who they are
-	open    map[net.Conn]struct{} // that have, and are the library's now
-	refused map[string]string     // the last refusal of each, which is told once
+	pending map[net.Conn]struct{} // before the handshake
+	open    map[net.Conn]struct{} // after the handshake, used by raft
+	refused map[string]string     // last refusal of each steward, to log each cause once
 }
 
-func listen(cfg Config, id *identity) (*stream, error) {
+func listen(cfg Config, id *identity) (*streamLayer, error) {
 	l, err := net.Listen("tcp", cfg.Listen)
 	if err != nil {
 		return nil, fmt.Errorf("steward: %w", err)
 	}
-	s := &stream{Listener: l, fleet: cfg.Fleet, dialer: &net.Dialer{Timeout: helloFor}, id: id, log: cfg.Log, guests: make(chan net.Conn, guestRoom), closed: make(chan struct{}),
-		conns: map[net.Conn]struct{}{}, open: map[net.Conn]struct{}{}, refused: map[string]string{}}
-	if ip := net.ParseIP(host(cfg.Listen)); ip != nil && !ip.IsUnspecified() {
-		s.dialer.LocalAddr = &net.TCPAddr{IP: ip} // the others know a steward by the address that it listens at
+	s := &streamLayer{Listener: l, fleet: cfg.Fleet, dialer: &net.Dialer{Timeout: helloTimeout}, id: id, log: cfg.Log, accepted: make(chan net.Conn, acceptQueue), closed: make(chan struct{}),
+		pending: map[net.Conn]struct{}{}, open: map[net.Conn]struct{}{}, refused: map[string]string{}}
+	if ip := net.ParseIP(hostOf(cfg.Listen)); ip != nil && !ip.IsUnspecified() {
+		s.dialer.LocalAddr = &net.TCPAddr{IP: ip} // originate connections from the listen address
 	}
 	return s, nil
 }
 
-func (s *stream) run() {
+func (s *streamLayer) run() {
 	for {
 		c, err := s.Listener.Accept()
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
 		if err != nil {
-			time.Sleep(10 * time.Millisecond) // short of descriptors, say
+			time.Sleep(10 * time.Millisecond) // for example, out of file descriptors
 			continue
 		}
 		s.mu.Lock()
-		room := len(s.conns) < guestsMost
-		if room {
-			s.conns[c] = struct{}{}
+		ok := len(s.pending) < maxPendingConns
+		if ok {
+			s.pending[c] = struct{}{}
 		}
 		s.mu.Unlock()
-		if !room {
+		if !ok {
 			c.Close()
 			continue
 		}
-		go s.greet(c)
+		go s.handshakeIn(c)
 	}
 }
 
-// greet takes a connection once its far side has said who it is.
-func (s *stream) greet(c net.Conn) {
+// handshakeIn accepts a connection if the hello of its peer is valid.
+func (s *streamLayer) handshakeIn(c net.Conn) {
 	defer func() {
 		s.mu.Lock()
-		delete(s.conns, c)
+		delete(s.pending, c)
 		s.mu.Unlock()
 	}()
-	c.SetDeadline(time.Now().Add(helloFor))
+	c.SetDeadline(time.Now().Add(helloTimeout))
 	h, err := readHello(c)
 	if err == nil && h.To != s.id.ID() {
-		err = fmt.Errorf("this is %s", s.id.ID())
+		err = fmt.Errorf("the id of this steward is %s", s.id.ID())
 	}
 	if cluster, _ := s.id.cluster(); err == nil && cluster == "" && h.Fleet == s.fleet && h.Cluster != "" {
-		// Whoever knows this folder by its mark has been asked for a place by it, and has given one.
-		err = s.id.belong(h.Cluster, h.Era)
+		// A peer that knows the id of this folder has been asked to add it and has done so.
+		err = s.id.setCluster(h.Cluster, h.Era)
 	}
 	if err == nil {
 		err = s.check(h)
@@ -114,7 +114,7 @@
 		mine.Error = err.Error()
 	}
 	if e := writeHello(c, mine); err != nil || e != nil || c.SetDeadline(time.Time{}) != nil {
-		s.tell(h.From, err)
+		s.logRefusal(h.From, err)
 		c.Close()
 		return
 	}
@@ -122,39 +122,40 @@
 	s.open[c] = struct{}{}
 	s.mu.Unlock()
 	select {
-	case s.guests <- guest{c, s}:
+	case s.accepted <- peerConn{c, s}:
 	case <-s.closed:
 		c.Close()
 	}
 }
 
-// guest is a connection that is the library's. The library leaves open ones alone when it ends.
-type guest struct {
+// peerConn is a connection used by raft. It is tracked because the library does not close open connections when it shuts
+// down.
+type peerConn struct {
 	net.Conn
-	of *stream
+	stream *streamLayer
 }
 
-func (g guest) Close() error {
-	g.of.mu.Lock()
-	delete(g.of.open, g.Conn)
-	g.of.mu.Unlock()
+func (g peerConn) Close() error {
+	g.stream.mu.Lock()
+	delete(g.stream.open, g.Conn)
+	g.stream.mu.Unlock()
 	return g.Conn.Close()
 }
 
-func (s *stream) check(h hello) error {
+func (s *streamLayer) check(h hello) error {
 	if h.Fleet != s.fleet {
-		return fmt.Errorf("it belongs to fleet %q, this one to %q", h.Fleet, s.fleet)
+		return fmt.Errorf("it belongs to fleet %q, this steward to %q", h.Fleet, s.fleet)
 	}
-	return s.id.meet(h)
+	return s.id.checkPeer(h)
 }
 
-// tell writes a line for a refusal, once for each cause.
-func (s *stream) tell(who string, err error) {
+// logRefusal logs a refusal, once per cause.
+func (s *streamLayer) logRefusal(who string, err error) {
 	if err == nil {
 		return
 	}
 	s.mu.Lock()
-	first := s.refused[who] != err.Error() && len(s.refused) < peersMost
+	first := s.refused[who] != err.Error() && len(s.refused) < maxPeers
 	if first {
 		s.refused[who] = err.Error()
 	}
@@ -164,33 +165,33 @@
 	}
 }
 
-// Accept is raft's.
-func (s *stream) Accept() (net.Conn, error) {
+// Accept implements raft.StreamLayer.
+func (s *streamLayer) Accept() (net.Conn, error) {
 	select {
-	case c := <-s.guests:
+	case c := <-s.accepted:
 		return c, nil
 	case <-s.closed:
 		return nil, net.ErrClosed
 	}
 }
 
-// Dial is raft's.
-func (s *stream) Dial(to raft.ServerAddress, _ time.Duration) (net.Conn, error) {
-	id, addr, _ := parts(to)
+// Dial implements raft.StreamLayer.
+func (s *streamLayer) Dial(to raft.ServerAddress, _ time.Duration) (net.Conn, error) {
+	id, addr, _ := splitAddress(to)
 	c, err := s.dialer.Dial("tcp", addr)
 	if err != nil {
 		return nil, err
 	}
-	if err := s.introduce(c, id); err != nil {
+	if err := s.handshakeOut(c, id); err != nil {
 		c.Close()
-		s.tell(id, err)
+		s.logRefusal(id, err)
 		return nil, err
 	}
 	return c, nil
 }
 
-func (s *stream) introduce(c net.Conn, to string) error {
-	if err := c.SetDeadline(time.Now().Add(helloFor)); err != nil {
+func (s *streamLayer) handshakeOut(c net.Conn, to string) error {
+	if err := c.SetDeadline(time.Now().Add(helloTimeout)); err != nil {
 		return err
 	}
 	mine, err := s.id.hello()
@@ -206,7 +207,7 @@
 		return err
 	}
 	if h.From != to {
-		return fmt.Errorf("at %s is %s, not %s", c.RemoteAddr(), h.From, to)
+		return fmt.Errorf("the steward at %s is %s, not %s", c.RemoteAddr(), h.From, to)
 	}
 	if h.Error != "" {
 		return fmt.Errorf("%s refuses: %s", to, h.Error)
@@ -217,15 +218,15 @@
 	return c.SetDeadline(time.Time{})
 }
 
-// Close is raft's.
-func (s *stream) Close() error {
+// Close implements raft.StreamLayer.
+func (s *streamLayer) Close() error {
 	err := error(nil)
 	s.once.Do(func() {
 		close(s.closed)
 		err = s.Listener.Close()
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		for c := range s.conns {
+		for c := range s.pending {
 			c.Close()
 		}
 		for c := range s.open {
@@ -244,34 +245,34 @@
 	return err
 }
 
-// readHello reads a line and no byte beyond it: what follows is raft's.
+// readHello reads one line and no byte beyond it: the bytes that follow belong to raft.
 func readHello(r io.Reader) (h hello, err error) {
-	in := bufio.NewReaderSize(io.LimitReader(r, helloMost), helloMost)
+	in := bufio.NewReaderSize(io.LimitReader(r, maxHelloBytes), maxHelloBytes)
 	line, err := in.ReadSlice('\n')
 	if err != nil {
-		return h, fmt.Errorf("no hello: %w", err)
+		return h, fmt.Errorf("invalid hello: %w", err)
 	}
 	if in.Buffered() > 0 {
-		return h, errors.New("more than a hello") // nobody speaks on before it has the answer
+		return h, errors.New("data after the hello") // a peer waits for the answer before it sends more
 	}
 	if err := json.Unmarshal(line, &h); err != nil {
-		return h, fmt.Errorf("no hello: %w", err)
+		return h, fmt.Errorf("invalid hello: %w", err)
 	}
 	return h, nil
 }
 
-// transport is the library's, which notes how far the others say that they have come.
+// transport is the library's transport. It records the progress that other stewards acknowledge.
 type transport struct {
 	*raft.NetworkTransport
 	id *identity
 }
 
-// AppendEntriesPipeline is not there: every acknowledgment is to be seen.
+// AppendEntriesPipeline disables pipelining, so that AppendEntries sees every acknowledgment.
 func (t transport) AppendEntriesPipeline(raft.ServerID, raft.ServerAddress) (raft.AppendPipeline, error) {
 	return nil, raft.ErrPipelineReplicationNotSupported
 }
 
-// AppendEntries notes what was acknowledged of what is agreed on: more may rightly be taken back.
+// AppendEntries records the acknowledged entries that are committed; later ones may legitimately be truncated.
 func (t transport) AppendEntries(id raft.ServerID, to raft.ServerAddress, in *raft.AppendEntriesRequest, out *raft.AppendEntriesResponse) error {
 	err := t.NetworkTransport.AppendEntries(id, to, in, out)
 	if err == nil && out.Success {
@@ -279,16 +280,16 @@
 		if n := len(in.Entries); n > 0 {
 			last = in.Entries[n-1].Index
 		}
-		t.id.heard(string(id), progress{out.Term, min(last, in.LeaderCommitIndex)})
+		t.id.recordAck(string(id), progress{out.Term, min(last, in.LeaderCommitIndex)})
 	}
 	return err
 }
 
-// RequestVote notes in which term a vote was given.
+// RequestVote records the term of a granted vote.
 func (t transport) RequestVote(id raft.ServerID, to raft.ServerAddress, in *raft.RequestVoteRequest, out *raft.RequestVoteResponse) error {
 	err := t.NetworkTransport.RequestVote(id, to, in, out)
 	if err == nil && out.Granted {
-		t.id.heard(string(id), progress{Term: out.Term})
+		t.id.recordAck(string(id), progress{Term: out.Term})
 	}
 	return err
 }
--- a/internal/membership/gossip/fleet.go
+++ b/internal/membership/gossip/fleet.go
@@ -1,5 +1,5 @@
-// Package gossip is a relay's part in its fleet, on a library for gossip and failure detection: it turns the library's
-// events into a membership.Tracker's, and keeps asking for whoever is missing.
+// Package gossip implements membership.Join on a library for gossip and failure detection: it feeds the library's events
+// to a membership.Tracker, and keeps contacting members that are missing.
 package gossip
 
 import (
@@ -28,65 +28,65 @@
 )
 
 const (
-	tickEvery     = time.Second
-	gather        = 50 * time.Millisecond
-	gatherMore    = time.Millisecond // for each member: what a view costs grows with them
-	digestsTo     = 2                // members that are told of the view each second
-	rejoinFrom    = 2 * time.Second
-	rejoinTo      = 4 * time.Second
-	aloneFrom     = 250 * time.Millisecond
-	aloneTo       = time.Second
-	rejoinShare   = 12
-	gossipFor     = time.Second // from a change of members until the rest is no gossip's any more
-	reconcileFrom = time.Second
-	reconcileTo   = 2 * time.Second
-	seedsEvery    = 5 * time.Second
-	looksMost     = 2 // members away whose addresses are looked at each second
-	probeFor      = time.Second
-	leaveFor      = 500 * time.Millisecond
-	metaMost      = 256 // bytes of what a process tells of itself
-	nameMost      = 64
-
-	// The detector's pace. A member is looked at every probeEvery by somebody, and has suspicion from then on to say that it
-	// is there, whatever the fleet's size: a pause of a second and a lost datagram or two remove nobody.
-	probeEvery = 500 * time.Millisecond
-	probeWait  = 250 * time.Millisecond
-	suspicion  = 3 * time.Second
-	// What changes is passed on to so many others so often. At rest nothing is; where twenty members of a hundred end within
-	// a second, sixty messages have to go, eight to a packet and each a dozen times.
-	gossipTo   = 4
-	gossipWait = 100 * time.Millisecond
-	deadGossip = 10 * time.Second
+	tickInterval        = time.Second
+	batchDelayBase      = 50 * time.Millisecond
+	batchDelayPerMember = time.Millisecond // a view costs more to process in a larger fleet
+	digestFanout        = 2                // members that receive the view's digest each second
+	rejoinMin           = 2 * time.Second
+	rejoinMax           = 4 * time.Second
+	aloneRejoinMin      = 250 * time.Millisecond
+	aloneRejoinMax      = time.Second
+	rejoinScaleFrom     = 12          // fleet size from which the rejoin interval grows
+	reconcileDelay      = time.Second // after a change of members, during which gossip may still converge
+	reconcileMin        = time.Second
+	reconcileMax        = 2 * time.Second
+	seedBackoffStep     = 5 * time.Second
+	maxDialProbes       = 2 // away members whose addresses are probed each second
+	dialProbeTimeout    = time.Second
+	leaveTimeout        = 500 * time.Millisecond
+	maxMetaBytes        = 256 // size of the metadata that a process announces
+	maxNameBytes        = 64
+
+	// Failure detection. Each member is probed every probeInterval and then has suspicionTimeout to refute the
+	// suspicion, whatever the size of the fleet: a pause of one second, or one or two lost datagrams, removes no member.
+	probeInterval    = 500 * time.Millisecond
+	probeTimeout     = 250 * time.Millisecond
+	suspicionTimeout = 3 * time.Second
+	// Changes are gossiped to gossipFanout members every gossipInterval; without changes nothing is sent. If twenty
+	// members of a hundred end within a second, sixty messages are sent, eight to a packet and each a dozen times.
+	gossipFanout   = 4
+	gossipInterval = 100 * time.Millisecond
+	gossipToDead   = 10 * time.Second
 )
 
-// Fleet is this process's part in the fleet.
+// Fleet implements membership.Fleet.
 type Fleet struct {
-	cfg    membership.Config
-	self   membership.Process
-	list   *memberlist.Memberlist
-	at     *transport
-	cancel context.CancelFunc
-	work   sync.WaitGroup
-	wake   chan struct{} // holds one: the view has changed
+	cfg         membership.Config
+	self        membership.Process
+	list        *memberlist.Memberlist
+	transport   *transport
+	cancel      context.CancelFunc
+	loops       sync.WaitGroup
+	viewChanged chan struct{} // signal of capacity 1
 
-	mu      sync.Mutex // guards what follows
-	tracker *membership.Tracker
-	told    func(membership.View) // nil: nobody
-	refused map[string]bool
+	mu       sync.Mutex // guards the fields below
+	tracker  *membership.Tracker
+	onView   func(membership.View) // may be nil
+	rejected map[string]bool
 }
 
-// Join is membership.Join.
-func Join(cfg membership.Config, told func(membership.View)) (membership.Fleet, error) {
-	return JoinOver(nil)(cfg, told)
+// Join implements membership.Join.
+func Join(cfg membership.Config, onView func(membership.View)) (membership.Fleet, error) {
+	return JoinWith(nil)(cfg, onView)
 }
 
-// Over puts something between a member and its network.
-type Over func(cfg membership.Config, network memberlist.NodeAwareTransport) memberlist.NodeAwareTransport
+// TransportWrapper wraps the network transport of a member, for example to simulate a partition.
+type TransportWrapper func(cfg membership.Config, network memberlist.NodeAwareTransport) memberlist.NodeAwareTransport
 
-// JoinOver is Join over another network, one that can be cut, say; nil: the usual one.
-func JoinOver(over Over) membership.Join {
-	return func(cfg membership.Config, told func(membership.View)) (membership.Fleet, error) {
-		f, err := start(cfg, over, told)
+// JoinWith returns a Join whose transport is wrapped by wrap; nil: the plain transport.
+func JoinWith(wrap TransportWrapper) membership.Join {
+	return func(cfg membership.Config, onView func(membership.View)) (membership.Fleet, error) {
+		f, err := start(cfg, wrap, onView)
 		if err != nil {
 			return nil, err
 		}
@@ -94,7 +94,7 @@
 	}
 }
 
-func start(cfg membership.Config, over Over, told func(membership.View)) (*Fleet, error) {
+func start(cfg membership.Config, wrap TransportWrapper, onView func(membership.View)) (*Fleet, error) {
 	host, port, err := net.SplitHostPort(cfg.Bind)
 	if err != nil {
 		return nil, fmt.Errorf("membership: bind: %w", err)
@@ -103,11 +103,11 @@
 	if err != nil {
 		return nil, fmt.Errorf("membership: bind: %w", err)
 	}
-	folder, incarnation, err := membership.Identify(cfg.StateDir, time.Now())
+	folder, incarnation, err := membership.BeginIncarnation(cfg.StateDir, time.Now())
 	if err != nil {
 		return nil, err
 	}
-	f := &Fleet{cfg: cfg, wake: make(chan struct{}, 1), told: told, refused: map[string]bool{}}
+	f := &Fleet{cfg: cfg, viewChanged: make(chan struct{}, 1), onView: onView, rejected: map[string]bool{}}
 	f.self = membership.Process{Name: cfg.Name, Building: cfg.Building, Incarnation: incarnation, Folder: folder, Version: cfg.Version, Admin: cfg.Admin,
 		State: membership.Starting}
 
@@ -124,26 +124,26 @@
 		}
 		c.AdvertiseAddr = ahost
 	}
-	c.ProbeInterval, c.ProbeTimeout, c.SuspicionMult = probeEvery, probeWait, multiple(cfg.Size)
-	c.SuspicionMaxTimeoutMult = 1 // more for a suspicion that nobody shares would be up to six times as long
-	c.GossipNodes, c.GossipInterval, c.GossipToTheDeadTime = gossipTo, gossipWait, deadGossip
-	// A packet of gossip is small, and a compressor's tables cost more than all else that is done with it.
+	c.ProbeInterval, c.ProbeTimeout, c.SuspicionMult = probeInterval, probeTimeout, suspicionMultiplier(cfg.Size)
+	c.SuspicionMaxTimeoutMult = 1 // the default of 6 would extend a suspicion that no other member confirms up to sixfold
+	c.GossipNodes, c.GossipInterval, c.GossipToTheDeadTime = gossipFanout, gossipInterval, gossipToDead
+	// Gossip packets are small; setting up the compressor costs more than all other work on a packet.
 	c.EnableCompression = false
-	c.DNSConfigPath = "/dev/null" // there is no DNS
-	c.Logger = log.New(libraryLog{cfg.Log}, "", 0)
+	c.DNSConfigPath = "/dev/null" // no DNS lookups
+	c.Logger = log.New(logAdapter{cfg.Log}, "", 0)
 	c.LogOutput = nil
-	c.Events, c.Delegate, c.Alive = events{f}, delegate{f}, alive{f}
-	at, err := newTransport(host, portNumber, c.Logger)
+	c.Events, c.Delegate, c.Alive = events{f}, delegate{f}, admission{f}
+	transport, err := newTransport(host, portNumber, c.Logger)
 	if err != nil {
 		return nil, fmt.Errorf("membership: listen at %s: %w", cfg.Bind, err)
 	}
-	f.at = at
-	if c.Transport = at; portNumber == 0 {
-		c.BindPort = at.GetAutoBindPort()
+	f.transport = transport
+	if c.Transport = transport; portNumber == 0 {
+		c.BindPort = transport.GetAutoBindPort()
 		c.AdvertisePort = c.BindPort
 	}
-	if over != nil {
-		c.Transport = over(cfg, at)
+	if wrap != nil {
+		c.Transport = wrap(cfg, transport)
 	}
 	f.self.Addr = cmp.Or(cfg.Advertise, net.JoinHostPort(host, strconv.Itoa(c.BindPort)))
 	f.tracker = membership.NewTracker(f.self, cfg.Size, time.Now())
@@ -152,123 +152,128 @@
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	f.cancel = cancel
-	f.work.Go(func() { f.tick(ctx) })
-	f.work.Go(func() { f.rejoin(ctx) })
-	f.work.Go(func() { f.tell(ctx) })
-	f.work.Go(func() { f.reconcile(ctx) })
+	f.loops.Go(func() { f.tick(ctx) })
+	f.loops.Go(func() { f.rejoin(ctx) })
+	f.loops.Go(func() { f.publishViews(ctx) })
+	f.loops.Go(func() { f.reconcile(ctx) })
 	return f, nil
 }
 
-// multiple is what the library multiplies its pace and the logarithm of the fleet's size by for the time of a suspicion.
-func multiple(size int) int {
+// suspicionMultiplier returns the library's SuspicionMult for suspicionTimeout. The library multiplies it by its probe
+// interval and the logarithm of the fleet's size.
+func suspicionMultiplier(size int) int {
 	scale := max(1, math.Log10(float64(max(1, size))))
-	return max(2, int(suspicion.Seconds()/(scale*probeEvery.Seconds())+0.5))
+	return max(2, int(suspicionTimeout.Seconds()/(scale*probeInterval.Seconds())+0.5))
 }
 
-// nodeName is the library's name for a process: each has its own, so that the library never sees two under one.
+// nodeName is the name of a process within the library. It is unique per process, so that the library never sees two
+// nodes with one name.
 func nodeName(p membership.Process) string {
 	return fmt.Sprintf("%s/%x/%s", p.Name, p.Incarnation, p.Folder)
 }
 
-// View is the current view.
+// View returns the current view.
 func (f *Fleet) View() membership.View {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.tracker.View()
 }
 
-// Bytes is what this process's part has sent, and taken on connections that it opened.
-func (f *Fleet) Bytes() int64 { return f.at.bytes.Load() }
+// NetworkBytes returns the bytes that this process has sent, and received on connections that it opened.
+func (f *Fleet) NetworkBytes() int64 { return f.transport.bytes.Load() }
 
-// Become tells the others of this process's state.
-func (f *Fleet) Become(s membership.State) { f.become(s, 0) }
+// SetState announces this process's state to the other members.
+func (f *Fleet) SetState(s membership.State) { f.setState(s, 0) }
 
-// become waits so long for the others to be told; 0: not at all, the next gossip tells them.
-func (f *Fleet) become(s membership.State, most time.Duration) error {
+// setState waits at most timeout for the announcement to be sent; 0: does not wait, the next gossip carries it.
+func (f *Fleet) setState(s membership.State, timeout time.Duration) error {
 	f.mu.Lock()
 	var changed bool
-	f.self, changed = f.tracker.Become(s, time.Now())
+	f.self, changed = f.tracker.SetState(s, time.Now())
 	f.mu.Unlock()
 	if changed {
-		f.changed()
+		f.notifyChanged()
 	}
-	return f.list.UpdateNode(most)
+	return f.list.UpdateNode(timeout)
 }
 
-// Leave leaves in order, so that nobody has to find out, and ends this process's part.
+// Leave announces that this process leaves and ends its membership.
 func (f *Fleet) Leave() error {
-	// The word first, by itself: the library's own word for an end takes the place of one that is still to go out, and does
-	// not tell those that are notified of it whether it was in order.
-	err := f.become(membership.Left, leaveFor)
-	return errors.Join(err, f.list.Leave(leaveFor), f.Close())
+	// Announce Left first and separately: the library's own leave message replaces pending updates and does not tell
+	// the receivers whether the process left in order.
+	err := f.setState(membership.Left, leaveTimeout)
+	return errors.Join(err, f.list.Leave(leaveTimeout), f.Close())
 }
 
-// Close ends this process's part without a word: a newer process of its name has taken its place, or others find out.
+// Close ends the membership without an announcement: a newer process with this name has taken over, or the failure
+// detector of the others notices.
 func (f *Fleet) Close() error {
 	f.cancel()
 	err := f.list.Shutdown()
-	f.work.Wait()
+	f.loops.Wait()
 	if err != nil {
 		return fmt.Errorf("membership: %w", err)
 	}
 	return nil
 }
 
-// changed has the new view told.
-func (f *Fleet) changed() {
+// notifyChanged wakes publishViews.
+func (f *Fleet) notifyChanged() {
 	select {
-	case f.wake <- struct{}{}:
+	case f.viewChanged <- struct{}{}:
 	default:
 	}
 }
 
-// on takes an event to the tracker.
-func (f *Fleet) on(event func(t *membership.Tracker, now time.Time) bool) {
+// update applies an event to the tracker.
+func (f *Fleet) update(event func(t *membership.Tracker, now time.Time) bool) {
 	f.mu.Lock()
 	changed := event(f.tracker, time.Now())
 	f.mu.Unlock()
 	if changed {
-		f.changed()
+		f.notifyChanged()
 	}
 }
 
-// GatherFor is the time for which a member gathers changes of so many members before it tells a view.
-func GatherFor(present int) time.Duration { return gather + time.Duration(present)*gatherMore }
+// BatchDelay is how long a member collects changes before it publishes a view.
+func BatchDelay(present int) time.Duration {
+	return batchDelayBase + time.Duration(present)*batchDelayPerMember
+}
 
-// tell hands each new view on, and writes a line for it.
-func (f *Fleet) tell(ctx context.Context) {
+// publishViews logs each new view and passes it to onView.
+func (f *Fleet) publishViews(ctx context.Context) {
 	var last membership.View
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-f.wake:
+		case <-f.viewChanged:
 		}
-		select { // what comes together is one view
+		select { // collect changes that come together into one view
 		case <-ctx.Done():
 			return
-		case <-time.After(GatherFor(last.Present)):
+		case <-time.After(BatchDelay(last.Present)):
 		}
 		v := f.View()
 		if v.Version == last.Version {
 			continue
 		}
-		came, gone := v.Changes(last)
+		joined, left := v.Changes(last)
 		last = v
-		f.cfg.Log.Info("view", "version", v.Version, "agreement", v.Agreement, "present", v.Present, "careful", v.Careful,
-			"unreachable", v.Other, "differ", len(v.Differ), "came", came, "gone", gone)
-		if v.Replaced {
+		f.cfg.Log.Info("view", "version", v.Version, "agreement", v.Agreement, "present", v.Present, "careful", v.MayServe,
+			"unreachable", v.Unreachable, "differ", len(v.Disagreeing), "came", joined, "gone", left)
+		if v.Superseded {
 			f.cfg.Log.Warn("a newer process has this relay's name", "member", f.cfg.Name, "incarnation", f.self.Incarnation)
 		}
-		if f.told != nil {
-			f.told(v)
+		if f.onView != nil {
+			f.onView(v)
 		}
 	}
 }
 
-// tick lets time pass, tells a few others of the view, and looks at members that are away.
+// tick advances time, sends the view's digest to a few members, and probes away members.
 func (f *Fleet) tick(ctx context.Context) {
-	ticker := time.NewTicker(tickEvery)
+	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -276,43 +281,44 @@
 			return
 		case <-ticker.C:
 		}
-		f.on(func(t *membership.Tracker, now time.Time) bool { return t.Tick(now) })
+		f.update(func(t *membership.Tracker, now time.Time) bool { return t.Tick(now) })
 		msg, err := json.Marshal(digest{f.cfg.Name, f.View().Digest})
 		if err != nil {
-			panic(err) // plain fields only: cannot fail
+			panic(err) // cannot fail: plain fields only
 		}
 		nodes := f.list.Members()
-		for range digestsTo {
+		for range digestFanout {
 			if n := nodes[rand.IntN(len(nodes))]; n.Name != nodeName(f.self) {
 				f.list.SendBestEffort(n, msg)
 			}
 		}
 		f.mu.Lock()
-		away := f.tracker.Away()
+		away := f.tracker.Unreachable()
 		f.mu.Unlock()
 		rand.Shuffle(len(away), func(i, j int) { away[i], away[j] = away[j], away[i] })
-		for _, p := range away[:min(len(away), looksMost)] {
-			f.work.Go(func() { f.look(ctx, p) })
+		for _, p := range away[:min(len(away), maxDialProbes)] {
+			f.loops.Go(func() { f.dialProbe(ctx, p) })
 		}
 	}
 }
 
-// look tells whether a machine says that the process at an address is gone.
-func (f *Fleet) look(ctx context.Context, p membership.Process) {
-	ctx, cancel := context.WithTimeout(ctx, probeFor)
+// dialProbe checks whether the machine of an away member refuses connections to it.
+func (f *Fleet) dialProbe(ctx context.Context, p membership.Process) {
+	ctx, cancel := context.WithTimeout(ctx, dialProbeTimeout)
 	defer cancel()
 	c, err := dialer(f.cfg.Bind).DialContext(ctx, "tcp", p.Addr)
 	if err == nil {
 		c.Close()
 	}
-	f.on(func(t *membership.Tracker, now time.Time) bool {
-		return t.Probed(p.Name, errors.Is(err, syscall.ECONNREFUSED), now)
+	f.update(func(t *membership.Tracker, now time.Time) bool {
+		return t.RecordProbe(p.Name, errors.Is(err, syscall.ECONNREFUSED), now)
 	})
 }
 
-// rejoin asks a seed, or a member that is away, for as long as the fleet is small or split. A join exchanges all that both sides
-// know, some milliseconds of work for 300 members: over the whole fleet there are as many of them a second as in one of
-// rejoinShare members, whatever its size. In a split that is enough, since one that gets across tells both sides.
+// rejoin contacts a seed or an away member as long as members are missing. A join exchanges the full state of both
+// sides, some milliseconds of work for 300 members: the interval grows with the fleet, so that a fleet of any size makes
+// as many joins a second as one of rejoinScaleFrom members. This is enough to heal a split, since one join across it
+// informs both sides.
 func (f *Fleet) rejoin(ctx context.Context) {
 	for wait := time.Duration(0); ; {
 		select {
@@ -322,41 +328,42 @@
 		}
 		v := f.View()
 		if v.Present == 1 {
-			wait = aloneFrom + rand.N(aloneTo-aloneFrom)
+			wait = aloneRejoinMin + rand.N(aloneRejoinMax-aloneRejoinMin)
 		} else {
-			wait = (rejoinFrom + rand.N(rejoinTo-rejoinFrom)) * time.Duration(max(rejoinShare, v.Present)) / rejoinShare
+			wait = (rejoinMin + rand.N(rejoinMax-rejoinMin)) * time.Duration(max(rejoinScaleFrom, v.Present)) / rejoinScaleFrom
 		}
-		if to := f.missing(v); to != "" {
-			f.list.Join([]string{to}) // whoever does not answer is tried again
+		if to := f.joinTarget(v); to != "" {
+			f.list.Join([]string{to}) // failed joins are retried
 		}
 	}
 }
 
-// reconcile exchanges all that is known with a member that sees another view, once gossip has had its time: what many members
-// tell at once, as when all of a fleet start, is dropped before it has reached everybody.
+// reconcile exchanges the full state with a member whose view differs, once gossip has had time to converge: when many
+// members announce something at once, for example if a whole fleet starts, the library drops updates before they have
+// reached every member.
 func (f *Fleet) reconcile(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-time.After(reconcileFrom + rand.N(reconcileTo-reconcileFrom)):
+		case <-time.After(reconcileMin + rand.N(reconcileMax-reconcileMin)):
 		}
 		v := f.View()
-		if len(v.Differ) == 0 || time.Since(v.Moved) < gossipFor {
+		if len(v.Disagreeing) == 0 || time.Since(v.MembersChanged) < reconcileDelay {
 			continue
 		}
-		name := v.Differ[rand.IntN(len(v.Differ))]
+		name := v.Disagreeing[rand.IntN(len(v.Disagreeing))]
 		if i := slices.IndexFunc(v.Members, func(m membership.Member) bool { return m.Name == name && m.Away == membership.Present }); i >= 0 {
 			f.list.Join([]string{v.Members[i].Addr})
 		}
 	}
 }
 
-// missing is an address to ask where members are missing; empty if none are, or it was asked often enough.
-func (f *Fleet) missing(v membership.View) string {
+// joinTarget returns an address to contact if members are missing, or "" if none are or it is not time to ask again.
+func (f *Fleet) joinTarget(v membership.View) string {
 	var away, seeds []string
 	f.mu.Lock()
-	for _, p := range f.tracker.Away() {
+	for _, p := range f.tracker.Unreachable() {
 		away = append(away, p.Addr)
 	}
 	f.mu.Unlock()
@@ -365,10 +372,11 @@
 			seeds = append(seeds, s)
 		}
 	}
-	// Where some stay missing that nobody has seen, as after a start with few, seeds are asked ever more seldom.
-	stood := max(1, int(time.Since(v.At)/seedsEvery))
+	// If members stay missing that have never been seen, for example in a fleet started with fewer members, seeds are
+	// contacted less and less often.
+	steps := max(1, int(time.Since(v.At)/seedBackoffStep))
 	switch {
-	case len(seeds) > 0 && (v.Present == 1 || v.Present < f.cfg.Size && rand.IntN(2*stood) == 0):
+	case len(seeds) > 0 && (v.Present == 1 || v.Present < f.cfg.Size && rand.IntN(2*steps) == 0):
 		return seeds[rand.IntN(len(seeds))]
 	case len(away) > 0:
 		return away[rand.IntN(len(away))]
@@ -376,59 +384,59 @@
 	return ""
 }
 
-// digest is what members tell each other of their views.
+// digest is the message that announces the digest of a member's view.
 type digest struct {
 	Name   string `json:"n"`
 	Digest uint64 `json:"d"`
 }
 
-// process reads what a node tells of itself.
-func process(n *memberlist.Node) (p membership.Process, err error) {
-	if len(n.Meta) > metaMost {
-		return p, errors.New("too much")
+// parseMeta decodes and checks the metadata of a node.
+func parseMeta(n *memberlist.Node) (p membership.Process, err error) {
+	if len(n.Meta) > maxMetaBytes {
+		return p, fmt.Errorf("metadata of %d bytes, limit %d", len(n.Meta), maxMetaBytes)
 	}
 	if err := json.Unmarshal(n.Meta, &p); err != nil {
 		return p, err
 	}
 	p.Addr = n.Address()
-	if p.Name == "" || len(p.Name) > nameMost || nodeName(p) != n.Name {
-		return p, fmt.Errorf("%q says that it is %q", n.Name, nodeName(p))
+	if p.Name == "" || len(p.Name) > maxNameBytes || nodeName(p) != n.Name {
+		return p, fmt.Errorf("node %q announces itself as %q", n.Name, nodeName(p))
 	}
 	return p, nil
 }
 
-// events takes the library's events.
+// events handles the library's membership events.
 type events struct{ f *Fleet }
 
 func (e events) NotifyJoin(n *memberlist.Node) {
-	if p, err := process(n); err == nil {
-		e.f.on(func(t *membership.Tracker, now time.Time) bool { return t.Heard(p, now) })
+	if p, err := parseMeta(n); err == nil {
+		e.f.update(func(t *membership.Tracker, now time.Time) bool { return t.ObserveAlive(p, now) })
 	}
 }
 
 func (e events) NotifyUpdate(n *memberlist.Node) { e.NotifyJoin(n) }
 
 func (e events) NotifyLeave(n *memberlist.Node) {
-	if p, err := process(n); err == nil {
-		e.f.on(func(t *membership.Tracker, now time.Time) bool {
-			return t.Lost(p, p.State == membership.Left, now)
+	if p, err := parseMeta(n); err == nil {
+		e.f.update(func(t *membership.Tracker, now time.Time) bool {
+			return t.ObserveLost(p, p.State == membership.Left, now)
 		})
 	}
 }
 
-// alive turns strangers away.
-type alive struct{ f *Fleet }
+// admission rejects processes that may not be members.
+type admission struct{ f *Fleet }
 
-func (a alive) NotifyAlive(n *memberlist.Node) error {
-	p, err := process(n)
+func (a admission) NotifyAlive(n *memberlist.Node) error {
+	p, err := parseMeta(n)
 	if err == nil && !allowed(a.f.cfg.Allow, p.Name) {
-		err = fmt.Errorf("%q is none of this fleet's", p.Name)
+		err = fmt.Errorf("%q is not an allowed member", p.Name)
 	}
 	if err != nil {
 		a.f.mu.Lock()
-		first := len(a.f.refused) < 100 && !a.f.refused[n.Name]
+		first := len(a.f.rejected) < 100 && !a.f.rejected[n.Name]
 		if first {
-			a.f.refused[n.Name] = true
+			a.f.rejected[n.Name] = true
 		}
 		a.f.mu.Unlock()
 		if first {
@@ -438,7 +446,7 @@
 	return err
 }
 
-// allowed tells whether a name is on a list.
+// allowed reports whether a name matches a list of allowed names.
 func allowed(list []string, name string) bool {
 	return len(list) == 0 || slices.ContainsFunc(list, func(a string) bool {
 		prefix, any := strings.CutSuffix(a, "*")
@@ -446,14 +454,14 @@
 	})
 }
 
-// delegate is what this process tells, and what is told to it.
+// delegate provides this process's metadata and receives messages of other members.
 type delegate struct{ f *Fleet }
 
 func (d delegate) NodeMeta(limit int) []byte {
 	d.f.mu.Lock()
 	defer d.f.mu.Unlock()
 	meta, err := json.Marshal(d.f.self)
-	if err != nil || len(meta) > min(limit, metaMost) {
+	if err != nil || len(meta) > min(limit, maxMetaBytes) {
 		return nil
 	}
 	return meta
@@ -461,8 +469,8 @@
 
 func (d delegate) NotifyMsg(msg []byte) {
 	var x digest
-	if len(msg) <= metaMost && json.Unmarshal(msg, &x) == nil {
-		d.f.on(func(t *membership.Tracker, now time.Time) bool { return t.Told(x.Name, x.Digest, now) })
+	if len(msg) <= maxMetaBytes && json.Unmarshal(msg, &x) == nil {
+		d.f.update(func(t *membership.Tracker, now time.Time) bool { return t.RecordDigest(x.Name, x.Digest, now) })
 	}
 }
 
@@ -470,27 +478,27 @@
 func (delegate) LocalState(bool) []byte              { return nil }
 func (delegate) MergeRemoteState(buf []byte, _ bool) {}
 
-// transport is the library's, whose connections come from the address that it listens at. It counts what this process sends, and
-// what comes back on connections that it opened.
+// transport is the library's transport with connections that originate from the listen address. It counts the bytes that
+// this process sends, and receives on connections that it opened.
 type transport struct {
 	*memberlist.NetTransport
 	bind  string
 	bytes atomic.Int64
 }
 
-// counted is a connection whose bytes count.
-type counted struct {
+// countingConn counts the bytes of a connection.
+type countingConn struct {
 	net.Conn
 	bytes *atomic.Int64
 }
 
-func (c counted) Read(p []byte) (int, error) {
+func (c countingConn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
 	c.bytes.Add(int64(n))
 	return n, err
 }
 
-func (c counted) Write(p []byte) (int, error) {
+func (c countingConn) Write(p []byte) (int, error) {
 	n, err := c.Conn.Write(p)
 	c.bytes.Add(int64(n))
 	return n, err
@@ -521,14 +529,14 @@
 	if err != nil {
 		return nil, err
 	}
-	return counted{c, &t.bytes}, nil
+	return countingConn{c, &t.bytes}, nil
 }
 
 func (t *transport) DialAddressTimeout(a memberlist.Address, d time.Duration) (net.Conn, error) {
 	return t.DialTimeout(a.Addr, d)
 }
 
-// dialer opens connections from the address that bind names.
+// dialer returns a dialer whose connections originate from the host of bind.
 func dialer(bind string) *net.Dialer {
 	d := &net.Dialer{}
 	if host, _, err := net.SplitHostPort(bind); err == nil {
@@ -539,13 +547,13 @@
 	return d
 }
 
-// libraryLog has what the library says at the level that it deserves: nearly all of it is one packet's business.
-type libraryLog struct{ log *slog.Logger }
+// logAdapter writes the library's log at debug level: nearly all of it concerns single packets.
+type logAdapter struct{ log *slog.Logger }
 
-func (l libraryLog) Write(p []byte) (int, error) {
+func (l logAdapter) Write(p []byte) (int, error) {
 	text := strings.TrimSpace(string(p))
 	l.log.Debug("gossip", "says", text)
 	return len(p), nil
 }
 
-var _ io.Writer = libraryLog{}
+var _ io.Writer = logAdapter{}
--- a/internal/membership/view_test.go
+++ b/internal/membership/view_test.go
@@ -13,43 +13,43 @@
 	return Process{Name: name, Addr: name + ":1", Incarnation: incarnation, Folder: "f-" + name, State: Serving}
 }
 
-func names(v View) (s string) {
+func describeMembers(v View) (s string) {
 	for _, m := range v.Members {
 		s += fmt.Sprintf("%s/%d%s ", m.Name, m.Incarnation, m.Away)
 	}
 	return s
 }
 
-func TestANewerIncarnationStays(t *testing.T) {
+func TestNewestIncarnationWins(t *testing.T) {
 	x := NewTracker(proc("a", 5), 3, noon)
-	x.Heard(proc("b", 7), noon)
-	if x.Heard(proc("b", 6), noon) || x.Lost(proc("b", 6), false, noon) {
-		t.Error("an older process of the name changes the view")
+	x.ObserveAlive(proc("b", 7), noon)
+	if x.ObserveAlive(proc("b", 6), noon) || x.ObserveLost(proc("b", 6), false, noon) {
+		t.Error("an older process with the same name changes the view")
 	}
-	if !x.Heard(proc("b", 8), noon) || x.Lost(proc("b", 7), false, noon) || x.Heard(proc("b", 7), noon) {
-		t.Error("the process before it still counts")
+	if !x.ObserveAlive(proc("b", 8), noon) || x.ObserveLost(proc("b", 7), false, noon) || x.ObserveAlive(proc("b", 7), noon) {
+		t.Error("a superseded process still counts")
 	}
-	if got := names(x.View()); got != "a/5 b/8 " {
+	if got := describeMembers(x.View()); got != "a/5 b/8 " {
 		t.Error(got)
 	}
-	// This process's own name: an older one is nobody, a newer one takes its place.
-	x.Heard(proc("a", 4), noon)
-	if x.View().Replaced {
-		t.Error("replaced by an older one")
+	// Under this process's own name an older process is ignored and a newer one supersedes it.
+	x.ObserveAlive(proc("a", 4), noon)
+	if x.View().Superseded {
+		t.Error("superseded by an older process")
 	}
-	x.Heard(proc("a", 6), noon)
-	if !x.View().Replaced {
-		t.Error("not told of the newer one")
+	x.ObserveAlive(proc("a", 6), noon)
+	if !x.View().Superseded {
+		t.Error("not superseded by the newer process")
 	}
-	// Cloned folders that began in one moment: every member decides alike.
+	// Cloned folders started at the same moment: the order of events does not decide which process counts.
 	one, two := proc("c", 9), proc("c", 9)
 	two.Addr = "elsewhere:1"
 	for _, order := range [][]Process{{one, two}, {two, one}} {
 		y := NewTracker(proc("a", 5), 3, noon)
-		y.Heard(order[0], noon)
-		y.Heard(order[1], noon)
+		y.ObserveAlive(order[0], noon)
+		y.ObserveAlive(order[1], noon)
 		if got := y.View().Members[1].Addr; got != "elsewhere:1" && got != one.Addr || got != max(one.Addr, two.Addr) {
-			t.Errorf("stays: %s", got)
+			t.Errorf("member at %s", got)
 		}
 	}
 }
@@ -57,63 +57,64 @@
 func TestAgreement(t *testing.T) {
 	x := NewTracker(proc("a", 1), 4, noon)
 	now := noon
-	want := func(a Agreement, present, careful int) {
+	want := func(a Agreement, present, mayServe int) {
 		t.Helper()
-		if v := x.View(); v.Agreement != a || v.Present != present || v.Careful != careful {
-			t.Errorf("%s, %d present, %d careful; want %s, %d, %d", v.Agreement, v.Present, v.Careful, a, present, careful)
+		if v := x.View(); v.Agreement != a || v.Present != present || v.MayServe != mayServe {
+			t.Errorf("%s, %d present, %d may serve; want %s, %d, %d", v.Agreement, v.Present, v.MayServe, a, present, mayServe)
 		}
 	}
-	pass := func(d time.Duration) { now = now.Add(d); x.Tick(now) }
+	advance := func(d time.Duration) { now = now.Add(d); x.Tick(now) }
 	want(Alone, 1, 4)
 	for _, n := range []string{"b", "c", "d"} {
-		x.Heard(proc(n, 1), now)
+		x.ObserveAlive(proc(n, 1), now)
 	}
 	want(Settling, 4, 4)
-	pass(settleFor)
+	advance(settleTime)
 	want(Agreed, 4, 4)
-	x.Told("b", 4711, now)
+	x.RecordDigest("b", 4711, now)
 	want(Settling, 4, 4)
-	x.Told("b", x.View().Digest, now)
+	x.RecordDigest("b", x.View().Digest, now)
 	want(Agreed, 4, 4)
-	// One that leaves in order is gone at once; while others may not know of it, its share is kept.
-	x.Lost(proc("d", 1), true, now)
+	// A member that leaves in order is removed at once, but still counts as serving until the view has settled.
+	x.ObserveLost(proc("d", 1), true, now)
 	want(Settling, 3, 4)
-	pass(settleFor)
+	advance(settleTime)
 	want(Agreed, 3, 3)
-	// One that vanishes may serve, until its machine says that it is gone.
-	x.Lost(proc("c", 1), false, now)
+	// A member that disappears may be serving until its machine refuses connections.
+	x.ObserveLost(proc("c", 1), false, now)
 	want(Settling, 2, 3)
-	pass(settleFor)
+	advance(settleTime)
 	want(Settling, 2, 3)
-	x.Probed("c", true, now)
-	pass(settleFor)
+	x.RecordProbe("c", true, now)
+	advance(settleTime)
 	want(Agreed, 2, 2)
-	// Two of four unreachable: a split.
-	x.Heard(proc("c", 2), now)
-	x.Heard(proc("d", 2), now)
-	pass(settleFor)
-	x.Lost(proc("c", 2), false, now)
-	x.Lost(proc("d", 2), false, now)
+	// Two of four members unreachable: a split.
+	x.ObserveAlive(proc("c", 2), now)
+	x.ObserveAlive(proc("d", 2), now)
+	advance(settleTime)
+	x.ObserveLost(proc("c", 2), false, now)
+	x.ObserveLost(proc("d", 2), false, now)
 	want(Split, 2, 4)
-	pass(time.Minute)
+	advance(time.Minute)
 	want(Split, 2, 4)
-	x.Heard(proc("c", 2), now)
-	x.Heard(proc("d", 2), now)
-	pass(settleFor)
+	x.ObserveAlive(proc("c", 2), now)
+	x.ObserveAlive(proc("d", 2), now)
+	advance(settleTime)
 	want(Agreed, 4, 4)
-	x.Lost(proc("b", 1), false, now)
-	x.Lost(proc("c", 2), false, now)
-	x.Lost(proc("d", 2), false, now)
+	x.ObserveLost(proc("b", 1), false, now)
+	x.ObserveLost(proc("c", 2), false, now)
+	x.ObserveLost(proc("d", 2), false, now)
 	want(Alone, 1, 4)
-	pass(forgetAfter)
-	if got := names(x.View()); got != "a/1 " {
-		t.Errorf("never forgotten: %s", got)
+	advance(forgetAfter)
+	if got := describeMembers(x.View()); got != "a/1 " {
+		t.Errorf("away members are not forgotten: %s", got)
 	}
 }
 
-// TestDrawnSchedules runs members, cuts and restarts against trackers, with a detector that is late, in any order and
-// sometimes wrong. Versions and incarnations never go back, and in the end connected members see the same.
-func TestDrawnSchedules(t *testing.T) {
+// TestRandomSchedules runs members, network cuts and restarts against trackers whose failure detector is late, reorders
+// events and is sometimes wrong. Versions and incarnations must never decrease, and once all members hear each other
+// again, they must agree.
+func TestRandomSchedules(t *testing.T) {
 	for seed := range uint64(300) {
 		rng := rand.New(rand.NewPCG(seed, 7))
 		const n = 6
@@ -138,8 +139,8 @@
 					t.Fatalf("seed %d: version %d after %d", seed, v.Version, versions[x])
 				}
 				versions[x] = v.Version
-				if v.Careful < v.Present {
-					t.Fatalf("seed %d: careful %d, present %d", seed, v.Careful, v.Present)
+				if v.MayServe < v.Present {
+					t.Fatalf("seed %d: may serve %d, present %d", seed, v.MayServe, v.Present)
 				}
 				for _, m := range v.Members {
 					if m.Incarnation < newest[x][m.Name] {
@@ -160,34 +161,34 @@
 				start(int(i[0] - 'a'))
 			case 1:
 				cut[[2]string{i, j}] = !cut[[2]string{i, j}]
-			case 2: // the detector calls a member lost, rightly or not
-				trackers[i].Lost(live[j], rng.IntN(4) == 0, now)
+			case 2: // the failure detector reports a loss, correctly or not
+				trackers[i].ObserveLost(live[j], rng.IntN(4) == 0, now)
 			case 3:
-				trackers[i].Probed(j, rng.IntN(2) == 0, now)
+				trackers[i].RecordProbe(j, rng.IntN(2) == 0, now)
 			case 4:
-				trackers[i].Told(j, trackers[j].View().Digest, now)
+				trackers[i].RecordDigest(j, trackers[j].View().Digest, now)
 			case 5:
 				trackers[i].Tick(now)
-			default: // gossip, new or stale
+			default: // gossip, current or stale
 				if !cut[[2]string{j, i}] {
 					p := live[j]
 					p.Incarnation -= uint64(rng.IntN(2)) * min(p.Incarnation-1, uint64(rng.IntN(3)))
-					trackers[i].Heard(p, now)
+					trackers[i].ObserveAlive(p, now)
 				}
 			}
 			check()
 		}
-		// All is well again: everybody hears of everybody, in any order, and of what is long gone too.
+		// The network has recovered: every member hears of every other in any order, with late events of old incarnations.
 		for range 3 {
 			for _, i := range rng.Perm(n) {
 				for _, j := range rng.Perm(n) {
-					trackers[name(i)].Heard(live[name(j)], now)
+					trackers[name(i)].ObserveAlive(live[name(j)], now)
 					old := live[name(j)]
 					old.Incarnation--
-					trackers[name(i)].Lost(old, false, now)
+					trackers[name(i)].ObserveLost(old, false, now)
 				}
 			}
-			now = now.Add(heardFor)
+			now = now.Add(digestLifetime)
 			for i := range n {
 				trackers[name(i)].Tick(now)
 			}
@@ -196,7 +197,7 @@
 		for i := range n {
 			v := trackers[name(i)].View()
 			if v.Agreement != Agreed || v.Present != n || v.Digest != trackers["a"].View().Digest {
-				t.Fatalf("seed %d: %s sees %s, %s, and a sees %s", seed, name(i), v.Agreement, names(v), names(trackers["a"].View()))
+				t.Fatalf("seed %d: %s sees %s, %s, and a sees %s", seed, name(i), v.Agreement, describeMembers(v), describeMembers(trackers["a"].View()))
 			}
 		}
 	}
@@ -204,16 +205,16 @@
 
 func TestIdentify(t *testing.T) {
 	dir := t.TempDir()
-	folder, one, err := Identify(dir, noon)
+	folder, one, err := BeginIncarnation(dir, noon)
 	if err != nil {
 		t.Fatal(err)
 	}
-	same, two, err := Identify(dir, noon.Add(-time.Hour)) // the clock was set back
+	same, two, err := BeginIncarnation(dir, noon.Add(-time.Hour)) // the clock is set back
 	if err != nil || same != folder || two <= one {
 		t.Errorf("%s/%d after %s/%d, %v", same, two, folder, one, err)
 	}
-	other, three, err := Identify(t.TempDir(), noon.Add(time.Second))
+	other, three, err := BeginIncarnation(t.TempDir(), noon.Add(time.Second))
 	if err != nil || other == folder || three <= two {
-		t.Errorf("emptied: %s/%d after %s/%d, %v", other, three, folder, two, err)
+		t.Errorf("emptied folder: %s/%d after %s/%d, %v", other, three, folder, two, err)
 	}
 }
--- a/internal/relay/exclusions.go
+++ b/internal/relay/exclusions.go
@@ -174,7 +174,7 @@
 			return err
 		}
 	}
-	return x.fence.Pass(change.Duty, change.Epoch)
+	return x.fence.Admit(change.Duty, change.Epoch)
 }
 
 // withChange returns the set with one endpoint excluded or included.
--- a/internal/relay/fleet_test.go
+++ b/internal/relay/fleet_test.go
@@ -19,14 +19,14 @@
 }
 
 func (s *fakeFleet) View() membership.View {
-	return membership.View{Version: 3, Agreement: membership.Split, Present: 2, Careful: 5, Other: 3,
+	return membership.View{Version: 3, Agreement: membership.Split, Present: 2, MayServe: 5, Unreachable: 3,
 		Members: []membership.Member{{Process: membership.Process{Name: "n3"}}}}
 }
 
-func (s *fakeFleet) Become(x membership.State) { s.states = append(s.states, x) }
-func (s *fakeFleet) Bytes() int64              { return 17 }
-func (s *fakeFleet) Leave() error              { s.ended = "left"; return nil }
-func (s *fakeFleet) Close() error              { s.ended = "closed"; return nil }
+func (s *fakeFleet) SetState(x membership.State) { s.states = append(s.states, x) }
+func (s *fakeFleet) NetworkBytes() int64         { return 17 }
+func (s *fakeFleet) Leave() error                { s.ended = "left"; return nil }
+func (s *fakeFleet) Close() error                { s.ended = "closed"; return nil }
 
 func TestRelayAnnouncesStateToFleet(t *testing.T) {
 	r := newTestRelay(t)
@@ -50,7 +50,7 @@
 	}
 	status, body := adminCall(t, admin, http.MethodGet, "/api/members", "")
 	var v membership.View
-	if err := json.Unmarshal([]byte(body), &v); status != http.StatusOK || err != nil || v.Careful != 5 || len(v.Members) != 1 {
+	if err := json.Unmarshal([]byte(body), &v); status != http.StatusOK || err != nil || v.MayServe != 5 || len(v.Members) != 1 {
 		t.Errorf("%d, %s, %v", status, body, err)
 	}
 	if _, text := adminCall(t, admin, http.MethodGet, "/api/telemetry", ""); !strings.Contains(text, "fleet.careful:5|g") ||
