--- a/internal/duty/fence.go
+++ b/internal/duty/fence.go
@@ -19,7 +19,7 @@
 )
 
 // ErrFenced refuses an effect whose epoch is older than one already seen.
-var ErrFenced = errors.New("an order with a newer epoch has been received")
+var ErrFenced = errors.New("an order with a newer epoch has come already")
 
 // Fence stores the highest epoch of each duty at a receiver of effects, in a file that survives restarts. Its methods
 // may be called from any goroutine.
@@ -63,7 +63,7 @@
 	case epoch == seen:
 		return nil
 	case !known && len(f.epochs) >= MaxFencedDuties:
-		return fmt.Errorf("duty: fence: limit of %d duties reached, no room for %s", MaxFencedDuties, duty)
+		return fmt.Errorf("duty: fence: epochs of %d duties are kept, %s is one more", MaxFencedDuties, duty)
 	}
 	f.epochs[duty] = epoch
 	if err := f.save(); err != nil {
--- a/internal/duty/figures/figures.go
+++ b/internal/duty/figures/figures.go
@@ -104,7 +104,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if t == nil || f.text == "" || time.Since(f.storedAt) > maxAge {
-		return "this relay does not hold the duty fleet-figures: cherrytrestlectl duties shows its holder", false
+		return "another relay adds the figures up, or none: cherrytrestlectl duties tells", false
 	}
 	return f.text, true
 }
--- a/internal/duty/steward/api.go
+++ b/internal/duty/steward/api.go
@@ -158,10 +158,10 @@
 		if errors.As(err, &tooLarge) {
 			return statusError{http.StatusRequestEntityTooLarge, err}
 		}
-		return badRequest("invalid body: %v", err)
+		return badRequest("can't be read: %v", err)
 	}
 	if _, err := d.Token(); err != io.EOF {
-		return badRequest("data after the request body")
+		return badRequest("more than one value")
 	}
 	return nil
 }
@@ -178,7 +178,7 @@
 func parseWait(ms int64) (time.Duration, error) {
 	d := time.Duration(ms) * time.Millisecond
 	if ms < 0 || ms > call.MaxWait.Milliseconds() {
-		return 0, badRequest("wait_ms must be 0 to %d", call.MaxWait.Milliseconds())
+		return 0, badRequest("wait_ms: 0 to %d", call.MaxWait.Milliseconds())
 	}
 	return d, nil
 }
@@ -192,7 +192,7 @@
 		return out, err
 	}
 	if len(in.Wishes) == 0 || len(in.Wishes) > call.MaxWishes || len(in.Addr) > duty.MaxNameBytes {
-		return out, badRequest("need 1 to %d wishes and an address of at most %d bytes", call.MaxWishes, duty.MaxNameBytes)
+		return out, badRequest("1 to %d wishes", call.MaxWishes)
 	}
 	var wishes []duty.Wish
 	once := map[string]bool{}
@@ -202,10 +202,10 @@
 		}
 		lease := time.Duration(w.LeaseMS) * time.Millisecond
 		if w.LeaseMS < duty.MinLease.Milliseconds() || w.LeaseMS > duty.MaxLease.Milliseconds() {
-			return out, badRequest("lease_ms must be %d to %d", duty.MinLease.Milliseconds(), duty.MaxLease.Milliseconds())
+			return out, badRequest("lease_ms: %d to %d", duty.MinLease.Milliseconds(), duty.MaxLease.Milliseconds())
 		}
 		if once[w.Duty] {
-			return out, badRequest("duplicate wish for %s", w.Duty)
+			return out, badRequest("%s is wished for twice", w.Duty)
 		}
 		once[w.Duty] = true
 		wishes = append(wishes, duty.Wish{Duty: w.Duty, Holder: in.Holder, Addr: in.Addr, ID: w.ID, Lease: lease})
@@ -228,7 +228,7 @@
 		return out, err
 	}
 	if len(in.Held) > call.MaxWishes {
-		return out, badRequest("more than %d duties", call.MaxWishes)
+		return out, badRequest("%d duties at most", call.MaxWishes)
 	}
 	out.Held, err = s.renew(ctx, in.Holder, in.Held)
 	return out, err
@@ -270,7 +270,7 @@
 	}
 	bar := time.Duration(in.BarMS) * time.Millisecond
 	if in.BarMS < 0 || bar > duty.MaxBar {
-		return out, badRequest("bar_ms must be 0 to %d", duty.MaxBar.Milliseconds())
+		return out, badRequest("bar_ms: 0 to %d", duty.MaxBar.Milliseconds())
 	}
 	ctx, cancel := context.WithTimeout(ctx, call.MaxWait)
 	defer cancel()
--- a/internal/duty/steward/identity.go
+++ b/internal/duty/steward/identity.go
@@ -110,7 +110,7 @@
 func (x *identity) hello() (hello, error) {
 	p, err := x.ownProgress()
 	if err != nil {
-		return hello{}, fmt.Errorf("steward: read the progress of the folder: %w", err)
+		return hello{}, fmt.Errorf("steward: how far the folder is: %w", err)
 	}
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -140,7 +140,7 @@
 		return nil
 	}
 	if x.saved.Cluster != "" {
-		return fmt.Errorf("steward: this steward belongs to cluster %s, not to %s", x.saved.Cluster, cluster)
+		return fmt.Errorf("steward: this one belongs to cluster %s, not to %s", x.saved.Cluster, cluster)
 	}
 	x.saved.Cluster, x.saved.Era = cluster, era
 	return x.save()
@@ -164,19 +164,19 @@
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	if h.Cluster != x.saved.Cluster || h.Cluster == "" {
-		return fmt.Errorf("it belongs to cluster %q, this steward to %q", h.Cluster, x.saved.Cluster)
+		return fmt.Errorf("it belongs to cluster %q, this one to %q", h.Cluster, x.saved.Cluster)
 	}
 	last := x.seen[h.From]
 	switch {
 	case h.Starts < last.Starts || h.Starts == last.Starts && h.Boot != last.Boot:
-		return fmt.Errorf("%w: it reports %d starts, but had %d when last seen", errOutdatedFolder, h.Starts, last.Starts)
+		return fmt.Errorf("%w: it was started %d times, and was seen after %d", errOutdatedFolder, h.Starts, last.Starts)
 	case h.Term < x.acked[h.From].Term || h.Last < x.acked[h.From].Last:
-		return fmt.Errorf("%w: it holds term %d and entry %d, but has acknowledged %d and %d", errOutdatedFolder, h.Term, h.Last,
+		return fmt.Errorf("%w: it holds term %d and entry %d, and has acknowledged %d and %d", errOutdatedFolder, h.Term, h.Last,
 			x.acked[h.From].Term, x.acked[h.From].Last)
 	case h.start == last:
 		return nil
 	case len(x.seen) >= maxPeers && last == start{}:
-		return fmt.Errorf("%d stewards have been seen, the limit", maxPeers)
+		return errors.New("too many stewards were seen")
 	}
 	x.seen[h.From] = h.start
 	return x.writeJSON(peersFile, x.seen)
--- a/internal/duty/steward/members.go
+++ b/internal/duty/steward/members.go
@@ -44,12 +44,12 @@
 // handleBegin creates a cluster with this steward as its only member, for others to join.
 func (s *Steward) handleBegin(context.Context, call.Empty) (out call.JoinOut, err error) {
 	if cluster, _ := s.id.cluster(); cluster != "" {
-		return out, statusError{http.StatusConflict, fmt.Errorf("this steward already belongs to cluster %s", cluster)}
+		return out, statusError{http.StatusConflict, fmt.Errorf("it belongs to cluster %s already", cluster)}
 	}
 	out = call.JoinOut{Cluster: crand.Text()[:12], Era: 1}
 	f := s.raft.BootstrapCluster(raft.Configuration{Servers: []raft.Server{{ID: raft.ServerID(s.id.ID()), Address: s.address()}}})
 	if err := f.Error(); err != nil {
-		return out, fmt.Errorf("steward: bootstrap: %w", err)
+		return out, fmt.Errorf("steward: begin: %w", err)
 	}
 	return out, s.id.setCluster(out.Cluster, out.Era)
 }
@@ -162,15 +162,15 @@
 func (s *Steward) handleJoin(ctx context.Context, in call.JoinIn) (out call.JoinOut, err error) {
 	name, folder, ok := strings.Cut(in.ID, "/")
 	if err := checkNames(in.ID); err != nil || !ok || name == "" || folder == "" || strings.ContainsAny(in.ID, ",@") {
-		return out, badRequest("id must have the form NAME/FOLDER")
+		return out, badRequest("id: NAME/FOLDER")
 	}
 	for _, a := range []string{in.Listen, in.API} {
 		if _, _, err := net.SplitHostPort(a); err != nil || len(a) > duty.MaxNameBytes || strings.Contains(a, ",") {
-			return out, badRequest("%q is not a valid host:port", a)
+			return out, badRequest("%q is not a host and a port", a)
 		}
 	}
 	if in.Fleet != s.cfg.Fleet {
-		return out, statusError{http.StatusForbidden, fmt.Errorf("this steward belongs to fleet %q", s.cfg.Fleet)}
+		return out, statusError{http.StatusForbidden, fmt.Errorf("this is fleet %q", s.cfg.Fleet)}
 	}
 	if err := s.verify.confirmLeader(ctx); err != nil {
 		return out, ErrNotLeader
@@ -198,7 +198,7 @@
 		}
 	}
 	if len(all) >= maxStewards {
-		return out, statusError{http.StatusConflict, fmt.Errorf("limit of %d stewards reached", maxStewards)}
+		return out, statusError{http.StatusConflict, fmt.Errorf("%d stewards are as many as there may be", maxStewards)}
 	}
 	if err := s.raft.AddVoter(raft.ServerID(in.ID), address, 0, applyTimeout).Error(); err != nil {
 		return out, fmt.Errorf("%w: add %s: %w", errOutcomeUnknown, in.ID, err)
@@ -246,7 +246,7 @@
 			continue
 		}
 		if len(all) == 1 {
-			return out, statusError{http.StatusConflict, errors.New("the last steward cannot be removed")}
+			return out, statusError{http.StatusConflict, errors.New("it is the last one")}
 		}
 		if err := s.raft.RemoveServer(x.ID, 0, applyTimeout).Error(); err != nil {
 			return out, fmt.Errorf("%w: remove %s: %w", errOutcomeUnknown, x.ID, err)
--- a/internal/duty/steward/node.go
+++ b/internal/duty/steward/node.go
@@ -276,7 +276,7 @@
 	}
 	f := s.raft.Apply(data, applyTimeout)
 	if err := f.Error(); err != nil {
-		return duty.Result{}, fmt.Errorf("steward: commit %s of %s: %w", c.Op, c.Duty, err)
+		return duty.Result{}, fmt.Errorf("steward: agree on %s of %s: %w", c.Op, c.Duty, err)
 	}
 	return f.Response().(duty.Result), nil
 }
--- a/internal/duty/steward/schedule.go
+++ b/internal/duty/steward/schedule.go
@@ -21,10 +21,10 @@
 	ErrNotLeader = errors.New("this steward does not lead")
 	// ErrRemoved is returned by Run after the other stewards have removed this one.
 	ErrRemoved        = errors.New("the other stewards have removed this one")
-	errTooManyWaiting = errors.New("too many requests are waiting")
-	errNotHeld        = errors.New("the duty is not held by this holder under this epoch")
-	errNoHolder       = errors.New("the duty has no holder")
-	errOutcomeUnknown = errors.New("the outcome is unknown; try again")
+	errTooManyWaiting = errors.New("too many wait already")
+	errNotHeld        = errors.New("not the holder")
+	errNoHolder       = errors.New("nobody holds it")
+	errOutcomeUnknown = errors.New("what becomes of it is not known; ask again")
 )
 
 // waiter is a claim that waits for duties.
--- a/internal/duty/steward/stream.go
+++ b/internal/duty/steward/stream.go
@@ -99,7 +99,7 @@
 	c.SetDeadline(time.Now().Add(helloTimeout))
 	h, err := readHello(c)
 	if err == nil && h.To != s.id.ID() {
-		err = fmt.Errorf("the id of this steward is %s", s.id.ID())
+		err = fmt.Errorf("this is %s", s.id.ID())
 	}
 	if cluster, _ := s.id.cluster(); err == nil && cluster == "" && h.Fleet == s.fleet && h.Cluster != "" {
 		// A peer that knows the id of this folder has been asked to add it and has done so.
@@ -144,7 +144,7 @@
 
 func (s *streamLayer) check(h hello) error {
 	if h.Fleet != s.fleet {
-		return fmt.Errorf("it belongs to fleet %q, this steward to %q", h.Fleet, s.fleet)
+		return fmt.Errorf("it belongs to fleet %q, this one to %q", h.Fleet, s.fleet)
 	}
 	return s.id.checkPeer(h)
 }
@@ -250,13 +250,13 @@
 	in := bufio.NewReaderSize(io.LimitReader(r, maxHelloBytes), maxHelloBytes)
 	line, err := in.ReadSlice('\n')
 	if err != nil {
-		return h, fmt.Errorf("invalid hello: %w", err)
+		return h, fmt.Errorf("no hello: %w", err)
 	}
 	if in.Buffered() > 0 {
-		return h, errors.New("data after the hello") // a peer waits for the answer before it sends more
+		return h, errors.New("more than a hello") // a peer waits for the answer before it sends more
 	}
 	if err := json.Unmarshal(line, &h); err != nil {
-		return h, fmt.Errorf("invalid hello: %w", err)
+		return h, fmt.Errorf("no hello: %w", err)
 	}
 	return h, nil
 }
--- a/internal/duty/table.go
+++ b/internal/duty/table.go
@@ -87,11 +87,11 @@
 
 // The reasons to refuse a command.
 var (
-	ErrStaleTerm     = errors.New("the command was issued in an earlier term")
-	ErrConflict      = errors.New("the duty has been granted or released since")
-	ErrHeld          = errors.New("the duty is held by another process")
-	ErrClaimEnded    = errors.New("the claim has already ended")
-	ErrBarred        = errors.New("the holder was made to step down and is still barred")
+	ErrStaleTerm     = errors.New("decided on in an earlier reign")
+	ErrConflict      = errors.New("the duty has moved on")
+	ErrHeld          = errors.New("held by another")
+	ErrClaimEnded    = errors.New("this claim is over")
+	ErrBarred        = errors.New("made to step down, and barred for a time")
 	ErrTooManyDuties = errors.New("too many duties")
 )
 
@@ -202,7 +202,7 @@
 		g.vacate()
 		g.Quick, g.To = 0, c.To
 	default:
-		return Result{Err: fmt.Errorf("unknown command %q", c.Op)}
+		return Result{Err: fmt.Errorf("no command %q", c.Op)}
 	}
 	return Result{Grant: g.clone()}
 }
@@ -271,11 +271,11 @@
 // CheckName checks the name of a duty, a holder or a claim: 1 to MaxNameBytes bytes, printable, without spaces.
 func CheckName(s string) error {
 	if s == "" || len(s) > MaxNameBytes {
-		return fmt.Errorf("a name must have 1 to %d bytes", MaxNameBytes)
+		return fmt.Errorf("a name has 1 to %d bytes", MaxNameBytes)
 	}
 	for _, r := range s {
 		if r <= ' ' || r == 0x7f || r > 0xff && r == 0xfffd {
-			return fmt.Errorf("%q is not a valid name", s)
+			return fmt.Errorf("%q is no name", s)
 		}
 	}
 	return nil
