--- a/internal/duty/figures/figures.go
+++ b/internal/duty/figures/figures.go
@@ -31,7 +31,7 @@
 	sumInterval           = 2 * time.Second
 	requestTimeout        = time.Second
 	maxConcurrentRequests = 16
-	maxTextBytes          = 64 << 10
+	maxAnswerBytes        = 64 << 10
 	maxAge                = 3 * sumInterval // after which a sum is no longer served
 )
 
@@ -115,7 +115,7 @@
 	var all sync.WaitGroup
 	heard, asked := 0, 0
 	total := map[string]float64{}
-	kind := map[string]string{}
+	types := map[string]string{}
 	semaphore := make(chan struct{}, maxConcurrentRequests)
 	for _, m := range members {
 		if m.Admin == "" {
@@ -125,7 +125,7 @@
 		all.Go(func() {
 			semaphore <- struct{}{}
 			defer func() { <-semaphore }()
-			values, kinds, err := f.fetch(ctx, m.Admin)
+			values, metricTypes, err := f.fetch(ctx, m.Admin)
 			if err != nil {
 				return
 			}
@@ -135,21 +135,21 @@
 			for name, v := range values {
 				total[name] += v
 			}
-			maps.Copy(kind, kinds)
+			maps.Copy(types, metricTypes)
 		})
 	}
 	all.Wait()
 	var b strings.Builder
 	fmt.Fprintf(&b, "fleet.members:%d|g\nfleet.heard:%d|g\nfleet.silent:%d|g\nfleet.epoch:%d|g", len(members), heard, len(members)-heard, epoch)
 	for _, name := range slices.Sorted(maps.Keys(total)) {
-		fmt.Fprintf(&b, "\n%s:%s|%s", name, strconv.FormatFloat(total[name], 'f', -1, 64), cmp.Or(kind[name], "g"))
+		fmt.Fprintf(&b, "\n%s:%s|%s", name, strconv.FormatFloat(total[name], 'f', -1, 64), cmp.Or(types[name], "g"))
 	}
 	return b.String()
 }
 
 // fetch reads one relay's figures. Figures about the fleet are skipped: every relay reports the same, so they must not
 // be summed.
-func (f *Figures) fetch(ctx context.Context, addr string) (values map[string]float64, kinds map[string]string, err error) {
+func (f *Figures) fetch(ctx context.Context, addr string) (values map[string]float64, types map[string]string, err error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+addr+"/api/telemetry", nil)
 	if err != nil {
 		return nil, nil, err
@@ -162,16 +162,16 @@
 	if res.StatusCode != http.StatusOK {
 		return nil, nil, fmt.Errorf("%s answers %s", addr, res.Status)
 	}
-	values, kinds = map[string]float64{}, map[string]string{}
-	in := bufio.NewScanner(io.LimitReader(res.Body, maxTextBytes))
+	values, types = map[string]float64{}, map[string]string{}
+	in := bufio.NewScanner(io.LimitReader(res.Body, maxAnswerBytes))
 	for in.Scan() {
 		name, rest, ok := strings.Cut(in.Text(), ":")
-		value, k, ok2 := strings.Cut(rest, "|")
+		value, typ, ok2 := strings.Cut(rest, "|")
 		v, err := strconv.ParseFloat(value, 64)
 		if !ok || !ok2 || err != nil || !strings.HasPrefix(name, "relay.") {
 			continue
 		}
-		values[name], kinds[name] = v, k
+		values[name], types[name] = v, typ
 	}
-	return values, kinds, in.Err()
+	return values, types, in.Err()
 }
--- a/internal/duty/figures/figures_test.go
+++ b/internal/duty/figures/figures_test.go
@@ -10,7 +10,7 @@
 	"onyxroad.dev/onyxroad/internal/membership"
 )
 
-func TestSumTellsHowManyWereHeard(t *testing.T) {
+func TestSumReportsHowManyAnswered(t *testing.T) {
 	answers := func(text string, status int) membership.Process {
 		s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 			w.WriteHeader(status)
--- a/internal/duty/holder/holder.go
+++ b/internal/duty/holder/holder.go
@@ -54,12 +54,12 @@
 	cfg Config
 
 	mu     sync.Mutex
-	duties map[string]*candidate
+	duties map[string]*wantedDuty
 	wake   chan struct{} // closed and replaced when the wanted or held duties change
 }
 
-// candidate is a duty that this process wants to hold.
-type candidate struct {
+// wantedDuty is a duty that this process wants to hold.
+type wantedDuty struct {
 	name      string
 	work      Work
 	claimID   string // id of the pending claim; empty: none
@@ -114,14 +114,14 @@
 
 // New returns a holder without duties.
 func New(cfg Config) *Holder {
-	return &Holder{cfg: cfg, duties: map[string]*candidate{}, wake: make(chan struct{})}
+	return &Holder{cfg: cfg, duties: map[string]*wantedDuty{}, wake: make(chan struct{})}
 }
 
 // Register makes the holder claim a duty from now on, and run work whenever it holds it.
 func (h *Holder) Register(duty string, work Work) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.duties[duty] = &candidate{name: duty, work: work, claimID: newID(), claimedAt: time.Now()}
+	h.duties[duty] = &wantedDuty{name: duty, work: work, claimID: newID(), claimedAt: time.Now()}
 	h.notifyChanged()
 }
 
@@ -158,12 +158,12 @@
 
 // Run claims, renews and performs duties until ctx ends, then releases those that it holds.
 func (h *Holder) Run(ctx context.Context) {
-	work, stop := context.WithCancel(ctx)
+	workCtx, stop := context.WithCancel(ctx)
 	defer stop()
 	var works, loops sync.WaitGroup
-	loops.Go(func() { h.claimLoop(work, &works) })
-	loops.Go(func() { h.renewLoop(context.WithoutCancel(ctx), work) })
-	loops.Go(func() { h.watchLoop(work) })
+	loops.Go(func() { h.claimLoop(workCtx, &works) })
+	loops.Go(func() { h.renewLoop(context.WithoutCancel(ctx), workCtx) })
+	loops.Go(func() { h.watchLoop(workCtx) })
 	loops.Wait()
 	works.Wait()
 }
@@ -207,8 +207,8 @@
 
 // superviseClaim cancels a waiting claim when the wanted duties change, so that the new ones are claimed at once, or
 // when its steward no longer answers.
-func (h *Holder) superviseClaim(ctx context.Context, end context.CancelFunc, wake <-chan struct{}) {
-	defer end()
+func (h *Holder) superviseClaim(ctx context.Context, cancel context.CancelFunc, wake <-chan struct{}) {
+	defer cancel()
 	check := time.NewTicker(leaderCheckInterval)
 	defer check.Stop()
 	for {
@@ -272,7 +272,7 @@
 }
 
 // runWork runs the work of a term and ends the term.
-func (h *Holder) runWork(ctx context.Context, c *candidate, t *Term) {
+func (h *Holder) runWork(ctx context.Context, c *wantedDuty, t *Term) {
 	began := time.Now()
 	err := c.work(ctx, t)
 	cause := context.Cause(ctx)
@@ -309,7 +309,7 @@
 }
 
 // claimAfter claims a duty again after a pause.
-func (h *Holder) claimAfter(ctx context.Context, c *candidate, pause time.Duration) {
+func (h *Holder) claimAfter(ctx context.Context, c *wantedDuty, pause time.Duration) {
 	time.AfterFunc(pause, func() {
 		h.mu.Lock()
 		defer h.mu.Unlock()
@@ -342,15 +342,15 @@
 }
 
 // renewLoop renews leases until work ends, and until the terms that are still ending then have ended.
-func (h *Holder) renewLoop(ctx, work context.Context) {
-	every := h.cfg.Lease / renewalsPerLease
+func (h *Holder) renewLoop(ctx, workCtx context.Context) {
+	interval := h.cfg.Lease / renewalsPerLease
 	var out sync.WaitGroup
 	defer out.Wait()
 	for {
 		terms, wake := h.activeTerms()
 		if len(terms) == 0 {
 			select {
-			case <-work.Done():
+			case <-workCtx.Done():
 				return
 			case <-wake:
 			}
@@ -359,7 +359,7 @@
 		// In the background: a slow request must not delay the next one.
 		out.Go(func() { h.renew(ctx, terms) })
 		select {
-		case <-time.After(every):
+		case <-time.After(interval):
 		case <-wake:
 		}
 	}
--- a/internal/duty/leases.go
+++ b/internal/duty/leases.go
@@ -54,14 +54,14 @@
 
 // timingOf returns the timing of a duty.
 func (l *Leases) timingOf(g *Grant) *timing {
-	c := l.timings[g.Duty]
-	if c == nil {
+	t := l.timings[g.Duty]
+	if t == nil {
 		// Granted in an earlier term: the times restart, and the time of the grant is unknown.
-		c = &timing{epoch: g.Epoch, grantedAt: l.termBegan.Add(-earlyEndLeases * g.Lease), expiresAt: l.termBegan.Add(g.Lease), endedAt: l.termBegan,
+		t = &timing{epoch: g.Epoch, grantedAt: l.termBegan.Add(-earlyEndLeases * g.Lease), expiresAt: l.termBegan.Add(g.Lease), endedAt: l.termBegan,
 			bars: map[string]time.Time{}}
-		l.timings[g.Duty] = c
+		l.timings[g.Duty] = t
 	}
-	return c
+	return t
 }
 
 // Renew extends the lease of a grant. Before calling it, the leader must have confirmed that it was still the leader at
@@ -71,44 +71,44 @@
 	if g == nil || g.Epoch != epoch || g.Holder != holder {
 		return false
 	}
-	c := l.timingOf(g)
-	if l.inFlight[duty] || !now.Before(c.expiresAt) {
+	t := l.timingOf(g)
+	if l.inFlight[duty] || !now.Before(t.expiresAt) {
 		return false // may be promised to another process
 	}
-	if a, asked := l.stepDowns[duty]; asked && a.Epoch == epoch && !now.Before(a.At.Add(g.Lease)) {
+	if req, asked := l.stepDowns[duty]; asked && req.Epoch == epoch && !now.Before(req.At.Add(g.Lease)) {
 		return false // the time to step down is over
 	}
-	c.expiresAt = now.Add(g.Lease)
+	t.expiresAt = now.Add(g.Lease)
 	return true
 }
 
 // RequestStepDown records that the holder of a duty is to step down; false if the duty has no holder.
-func (l *Leases) RequestStepDown(duty string, a StepDownRequest) bool {
+func (l *Leases) RequestStepDown(duty string, req StepDownRequest) bool {
 	g := l.table.duties[duty]
 	if g == nil || g.Holder == "" {
 		return false
 	}
-	a.Epoch = g.Epoch
-	if old, ok := l.stepDowns[duty]; ok && old.Epoch == a.Epoch {
-		a.At = old.At // a repeated request does not extend the time
+	req.Epoch = g.Epoch
+	if old, ok := l.stepDowns[duty]; ok && old.Epoch == req.Epoch {
+		req.At = old.At // a repeated request does not extend the time
 	}
-	l.stepDowns[duty] = a
+	l.stepDowns[duty] = req
 	return true
 }
 
 // StepDownRequested reports whether the holder of a grant is to step down.
 func (l *Leases) StepDownRequested(duty string, epoch uint64) bool {
-	a, ok := l.stepDowns[duty]
-	return ok && a.Epoch == epoch
+	req, ok := l.stepDowns[duty]
+	return ok && req.Epoch == epoch
 }
 
 // EndCommand returns the command that ends a grant for its holder: a step-down if one was requested, else a release.
 func (l *Leases) EndCommand(duty string, epoch uint64, holder, to string) Command {
 	c := Command{Op: Release, Term: l.Term, Duty: duty, After: epoch, Holder: holder, To: to}
-	if a, ok := l.stepDowns[duty]; ok && a.Epoch == epoch {
-		c.Op, c.Bar = StepDown, a.Bar
-		if a.To != "" {
-			c.To = a.To
+	if req, ok := l.stepDowns[duty]; ok && req.Epoch == epoch {
+		c.Op, c.Bar = StepDown, req.Bar
+		if req.To != "" {
+			c.To = req.To
 		}
 	}
 	return c
@@ -147,7 +147,7 @@
 	if g == nil {
 		return claim(wishes[0]), 0
 	}
-	k := l.timingOf(g)
+	t := l.timingOf(g)
 	if i := slices.IndexFunc(wishes, func(w Wish) bool { return g.Holder == w.Holder && g.ID == w.ID }); i >= 0 {
 		return c, i
 	}
@@ -158,7 +158,7 @@
 		if until, barred := l.barredUntil(g, w.Holder); barred && now.Before(until) {
 			return false
 		}
-		return g.To == "" || g.To == w.Holder || !now.Before(k.endedAt.Add(handoverGrace))
+		return g.To == "" || g.To == w.Holder || !now.Before(t.endedAt.Add(handoverGrace))
 	})
 	if i < 0 {
 		return c, -1
@@ -171,26 +171,26 @@
 
 // endedEarly reports whether a grant whose lease has expired ended early, without a release.
 func (l *Leases) endedEarly(g *Grant) bool {
-	c := l.timingOf(g)
-	return g.Holder != "" && c.expiresAt.Sub(c.grantedAt) < earlyEndLeases*g.Lease
+	t := l.timingOf(g)
+	return g.Holder != "" && t.expiresAt.Sub(t.grantedAt) < earlyEndLeases*g.Lease
 }
 
 // availableAt returns when a duty can be granted: immediately if it has no holder, else when the lease expires, with a
 // delay after repeated early ends.
 func (l *Leases) availableAt(g *Grant) time.Time {
-	c := l.timingOf(g)
+	t := l.timingOf(g)
 	if g.Holder == "" {
-		return c.endedAt
+		return t.endedAt
 	}
 	n := g.Quick
 	if l.endedEarly(g) {
 		n++
 	}
 	if n < pauseAfterEarlyEnds {
-		return c.expiresAt
+		return t.expiresAt
 	}
 	pause := g.Lease << min(n-pauseAfterEarlyEnds, 10)
-	return c.expiresAt.Add(min(pause, maxPause))
+	return t.expiresAt.Add(min(pause, maxPause))
 }
 
 // barredUntil returns until when a process is barred from a duty.
@@ -199,11 +199,11 @@
 	if !barred {
 		return until, false
 	}
-	c := l.timingOf(g)
-	if _, ok := c.bars[holder]; !ok {
-		c.bars[holder] = l.termBegan
+	t := l.timingOf(g)
+	if _, ok := t.bars[holder]; !ok {
+		t.bars[holder] = l.termBegan
 	}
-	return c.bars[holder].Add(d), true
+	return t.bars[holder].Add(d), true
 }
 
 // Begin marks a command on a duty as in flight; false if there already is one.
@@ -228,27 +228,27 @@
 	}
 	switch c.Op {
 	case Claim:
-		if a, ok := l.stepDowns[c.Duty]; ok && a.Epoch != g.Epoch {
+		if req, ok := l.stepDowns[c.Duty]; ok && req.Epoch != g.Epoch {
 			delete(l.stepDowns, c.Duty)
 		}
-		if k := l.timings[c.Duty]; k == nil || k.epoch != g.Epoch {
-			n := &timing{epoch: g.Epoch, grantedAt: now, expiresAt: now.Add(g.Lease), endedAt: now, bars: map[string]time.Time{}}
-			if k != nil {
-				n.bars = k.bars
-				delete(n.bars, c.Holder)
+		if old := l.timings[c.Duty]; old == nil || old.epoch != g.Epoch {
+			t := &timing{epoch: g.Epoch, grantedAt: now, expiresAt: now.Add(g.Lease), endedAt: now, bars: map[string]time.Time{}}
+			if old != nil {
+				t.bars = old.bars
+				delete(t.bars, c.Holder)
 			}
-			l.timings[c.Duty] = n
+			l.timings[c.Duty] = t
 		}
 	case Release, StepDown:
-		if a, ok := l.stepDowns[c.Duty]; ok && a.Epoch == c.After {
+		if req, ok := l.stepDowns[c.Duty]; ok && req.Epoch == c.After {
 			delete(l.stepDowns, c.Duty)
 		}
-		k := l.timingOf(g)
-		k.endedAt = now
+		t := l.timingOf(g)
+		t.endedAt = now
 		if c.Op == StepDown {
 			for h := range g.Bars {
-				if _, ok := k.bars[h]; !ok {
-					k.bars[h] = now
+				if _, ok := t.bars[h]; !ok {
+					t.bars[h] = now
 				}
 			}
 		}
@@ -271,8 +271,8 @@
 		if until, barred := l.barredUntil(g, w.Holder); barred && until.After(t) {
 			t = until
 		}
-		if hand := l.timingOf(g).endedAt.Add(handoverGrace); g.To != "" && g.To != w.Holder && hand.After(t) {
-			t = hand
+		if reservedUntil := l.timingOf(g).endedAt.Add(handoverGrace); g.To != "" && g.To != w.Holder && reservedUntil.After(t) {
+			t = reservedUntil
 		}
 		if next.IsZero() || t.Before(next) {
 			next = t
--- a/internal/duty/steward/api.go
+++ b/internal/duty/steward/api.go
@@ -213,12 +213,12 @@
 	ctx, cancel := context.WithTimeout(ctx, wait)
 	defer cancel()
 	all, err := s.claim(ctx, wishes)
-	for _, a := range all {
-		x := call.Granted{Duty: a.wish.Duty, ID: a.wish.ID, Epoch: a.epoch}
-		if a.err != nil {
-			x.Epoch, x.Refused = 0, a.err.Error()
+	for _, result := range all {
+		granted := call.Granted{Duty: result.wish.Duty, ID: result.wish.ID, Epoch: result.epoch}
+		if result.err != nil {
+			granted.Epoch, granted.Refused = 0, result.err.Error()
 		}
-		out.Granted = append(out.Granted, x)
+		out.Granted = append(out.Granted, granted)
 	}
 	return out, err
 }
@@ -295,14 +295,14 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	r := s.currentLeadership()
-	if r == nil {
+	l := s.currentLeadership()
+	if l == nil {
 		return out, ErrNotLeader
 	}
 	now := time.Now()
 	out.Last = s.table.LastEpoch()
 	for _, g := range s.table.All() {
-		out.Duties = append(out.Duties, call.Duty{Grant: g, Left: r.Remaining(g.Duty, now), Asked: r.StepDownRequested(g.Duty, g.Epoch), Waiting: len(r.waiters[g.Duty])})
+		out.Duties = append(out.Duties, call.Duty{Grant: g, Left: l.Remaining(g.Duty, now), Asked: l.StepDownRequested(g.Duty, g.Epoch), Waiting: len(l.waiters[g.Duty])})
 	}
 	return out, nil
 }
--- a/internal/duty/steward/members.go
+++ b/internal/duty/steward/members.go
@@ -150,8 +150,8 @@
 		if _, err := client.DoAt(ctx, api, call.PathStewards, nil, &out, 0); err != nil || out.Cluster != cluster {
 			continue
 		}
-		led := slices.ContainsFunc(out.Stewards, func(o call.Steward) bool { return o.Leader })
-		if led && !slices.ContainsFunc(out.Stewards, func(o call.Steward) bool { return o.ID == s.id.ID() }) {
+		hasLeader := slices.ContainsFunc(out.Stewards, func(o call.Steward) bool { return o.Leader })
+		if hasLeader && !slices.ContainsFunc(out.Stewards, func(o call.Steward) bool { return o.ID == s.id.ID() }) {
 			return true
 		}
 	}
@@ -204,10 +204,10 @@
 		return out, fmt.Errorf("%w: add %s: %w", errOutcomeUnknown, in.ID, err)
 	}
 	s.cfg.Log.Info("steward added", "member", in.ID)
-	return out, s.forgetRemoved()
+	return out, s.forgetRemovedPeers()
 }
 
-func (s *Steward) forgetRemoved() error {
+func (s *Steward) forgetRemovedPeers() error {
 	all, err := s.servers()
 	if err != nil {
 		return err
@@ -252,7 +252,7 @@
 			return out, fmt.Errorf("%w: remove %s: %w", errOutcomeUnknown, x.ID, err)
 		}
 		s.cfg.Log.Info("steward removed", "member", x.ID)
-		return out, s.forgetRemoved()
+		return out, s.forgetRemovedPeers()
 	}
 	return out, statusError{http.StatusNotFound, fmt.Errorf("no steward %q", in.ID)}
 }
--- a/internal/duty/steward/schedule.go
+++ b/internal/duty/steward/schedule.go
@@ -50,25 +50,25 @@
 func (s *Steward) claim(ctx context.Context, wishes []duty.Wish) (all []claimResult, err error) {
 	w := &waiter{make(chan claimResult, len(wishes))}
 	s.mu.Lock()
-	r := s.currentLeadership()
-	if r == nil {
+	l := s.currentLeadership()
+	if l == nil {
 		s.mu.Unlock()
 		return nil, ErrNotLeader
 	}
-	if r.waitingWishes+len(wishes) > maxWaitingWishes {
+	if l.waitingWishes+len(wishes) > maxWaitingWishes {
 		s.mu.Unlock()
 		return nil, errTooManyWaiting
 	}
-	r.waitingWishes += len(wishes)
+	l.waitingWishes += len(wishes)
 	// Check only what these wishes may change: hundreds may wait for the same duty.
 	wake, now := false, time.Now()
 	for _, x := range wishes {
-		r.waiters[x.Duty] = append(r.waiters[x.Duty], waitingWish{w, x})
+		l.waiters[x.Duty] = append(l.waiters[x.Duty], waitingWish{w, x})
 		own := []duty.Wish{x}
-		if _, i := r.PickClaim(own, now); i >= 0 {
-			r.dirty[x.Duty], wake = true, true
-		} else if at, due := r.NextChange(own, now), r.nextCheck[x.Duty]; !at.IsZero() && (due.IsZero() || at.Before(due)) {
-			r.nextCheck[x.Duty], wake = at, true
+		if _, i := l.PickClaim(own, now); i >= 0 {
+			l.dirty[x.Duty], wake = true, true
+		} else if at, due := l.NextChange(own, now), l.nextCheck[x.Duty]; !at.IsZero() && (due.IsZero() || at.Before(due)) {
+			l.nextCheck[x.Duty], wake = at, true
 		}
 	}
 	s.mu.Unlock()
@@ -78,17 +78,17 @@
 	defer func() {
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		r.waitingWishes -= len(wishes)
+		l.waitingWishes -= len(wishes)
 		for _, x := range wishes {
-			r.removeWaiter(x.Duty, w)
+			l.removeWaiter(x.Duty, w)
 		}
 	}()
 	select {
-	case a := <-w.results:
-		all = append(all, a)
+	case result := <-w.results:
+		all = append(all, result)
 	case <-ctx.Done():
 		return nil, nil
-	case <-r.ended:
+	case <-l.ended:
 		return nil, ErrNotLeader
 	}
 	for {
@@ -129,58 +129,58 @@
 func (s *Steward) grant(ctx context.Context, now time.Time) (next time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	r := s.currentLeadership()
-	if r == nil {
+	l := s.currentLeadership()
+	if l == nil {
 		return next
 	}
-	for name, at := range r.nextCheck {
+	for name, at := range l.nextCheck {
 		if !now.Before(at) {
-			r.dirty[name] = true
+			l.dirty[name] = true
 		}
 	}
-	for name := range r.dirty {
-		delete(r.dirty, name)
-		delete(r.nextCheck, name)
-		if c, due := r.RevokeCommand(name, now); due {
-			r.Begin(c)
-			go s.execute(r, c, nil)
+	for name := range l.dirty {
+		delete(l.dirty, name)
+		delete(l.nextCheck, name)
+		if c, due := l.RevokeCommand(name, now); due {
+			l.Begin(c)
+			go s.execute(l, c, nil)
 			continue
 		}
-		ws := r.wishesFor(name)
-		c, i := r.PickClaim(ws, now)
+		ws := l.wishesFor(name)
+		c, i := l.PickClaim(ws, now)
 		switch {
 		case i < 0:
-			at := r.NextChange(ws, now)
-			if left := r.Remaining(name, now); left > 0 && r.StepDownRequested(name, s.table.Get(name).Epoch) && (at.IsZero() || now.Add(left).Before(at)) {
+			at := l.NextChange(ws, now)
+			if left := l.Remaining(name, now); left > 0 && l.StepDownRequested(name, s.table.Get(name).Epoch) && (at.IsZero() || now.Add(left).Before(at)) {
 				at = now.Add(left)
 			}
 			if !at.IsZero() {
-				r.nextCheck[name] = at
+				l.nextCheck[name] = at
 			}
 		case c.Op == "": // already granted
-			w := r.waiters[name][i].waiter
+			w := l.waiters[name][i].waiter
 			w.results <- claimResult{ws[i], s.table.Get(name).Epoch, nil}
-			r.removeWaiter(name, w)
-			r.dirty[name] = true // check again for the other wishes
+			l.removeWaiter(name, w)
+			l.dirty[name] = true // check again for the other wishes
 		default:
-			r.Begin(c)
-			w := r.waiters[name][i].waiter
-			go s.execute(r, c, func(res duty.Result) {
-				if !slices.ContainsFunc(r.waiters[name], func(o waitingWish) bool { return o.waiter == w }) {
+			l.Begin(c)
+			w := l.waiters[name][i].waiter
+			go s.execute(l, c, func(res duty.Result) {
+				if !slices.ContainsFunc(l.waiters[name], func(o waitingWish) bool { return o.waiter == w }) {
 					return // the claimant has gone: the grant stands until its lease expires
 				}
 				if errors.Is(res.Err, duty.ErrConflict) || errors.Is(res.Err, duty.ErrStaleTerm) {
 					return // it keeps waiting
 				}
 				w.results <- claimResult{ws[i], res.Grant.Epoch, res.Err}
-				r.removeWaiter(name, w)
+				l.removeWaiter(name, w)
 			})
 		}
 	}
-	for name := range r.dirty { // answered above; another wish may be next
-		r.nextCheck[name] = now
+	for name := range l.dirty { // answered above; another wish may be next
+		l.nextCheck[name] = now
 	}
-	for _, at := range r.nextCheck {
+	for _, at := range l.nextCheck {
 		if next.IsZero() || at.Before(next) {
 			next = at
 		}
@@ -189,23 +189,23 @@
 }
 
 // wishesFor returns the wishes that wait for a duty, in order of arrival.
-func (r *leadership) wishesFor(name string) []duty.Wish {
-	ws := make([]duty.Wish, 0, len(r.waiters[name]))
-	for _, w := range r.waiters[name] {
+func (l *leadership) wishesFor(name string) []duty.Wish {
+	ws := make([]duty.Wish, 0, len(l.waiters[name]))
+	for _, w := range l.waiters[name] {
 		ws = append(ws, w.wish)
 	}
 	return ws
 }
 
 // removeWaiter stops a waiter waiting for a duty.
-func (r *leadership) removeWaiter(name string, w *waiter) {
-	if r.waiters[name] = slices.DeleteFunc(r.waiters[name], func(o waitingWish) bool { return o.waiter == w }); len(r.waiters[name]) == 0 {
-		delete(r.waiters, name)
+func (l *leadership) removeWaiter(name string, w *waiter) {
+	if l.waiters[name] = slices.DeleteFunc(l.waiters[name], func(o waitingWish) bool { return o.waiter == w }); len(l.waiters[name]) == 0 {
+		delete(l.waiters, name)
 	}
 }
 
 // execute commits a command that was passed to Begin. then, if not nil, is called with its result while s.mu is held.
-func (s *Steward) execute(r *leadership, c duty.Command, then func(duty.Result)) (duty.Result, error) {
+func (s *Steward) execute(l *leadership, c duty.Command, then func(duty.Result)) (duty.Result, error) {
 	res, err := s.apply(c)
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -214,8 +214,8 @@
 		// It may still be committed. If it is within this term, the table shows it; see duty.Command.After.
 		res.Err = fmt.Errorf("%w: %w", errOutcomeUnknown, err)
 	}
-	r.Finish(c, res, now)
-	r.dirty[c.Duty] = true
+	l.Finish(c, res, now)
+	l.dirty[c.Duty] = true
 	if err == nil && then != nil {
 		then(res)
 	}
@@ -231,15 +231,15 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	r := s.currentLeadership()
-	if r == nil {
+	l := s.currentLeadership()
+	if l == nil {
 		return nil, ErrNotLeader
 	}
 	now := time.Now()
 	for i := range held {
 		h := &held[i]
-		h.OK = r.Renew(h.Duty, h.Epoch, holder, now)
-		h.Asked = h.OK && r.StepDownRequested(h.Duty, h.Epoch)
+		h.OK = l.Renew(h.Duty, h.Epoch, holder, now)
+		h.Asked = h.OK && l.StepDownRequested(h.Duty, h.Epoch)
 	}
 	return held, nil
 }
@@ -247,8 +247,8 @@
 // release ends a grant at the request of its holder.
 func (s *Steward) release(holder, name string, epoch uint64, to string) error {
 	s.mu.Lock()
-	r := s.currentLeadership()
-	if r == nil {
+	l := s.currentLeadership()
+	if l == nil {
 		s.mu.Unlock()
 		return ErrNotLeader
 	}
@@ -257,13 +257,13 @@
 		s.mu.Unlock()
 		return errNotHeld
 	}
-	c := r.EndCommand(name, epoch, holder, to)
-	if !r.Begin(c) {
+	c := l.EndCommand(name, epoch, holder, to)
+	if !l.Begin(c) {
 		s.mu.Unlock()
 		return errOutcomeUnknown
 	}
 	s.mu.Unlock()
-	_, err := s.execute(r, c, nil)
+	_, err := s.execute(l, c, nil)
 	return err
 }
 
@@ -276,17 +276,17 @@
 // stepDown asks the holder of a duty to step down, and waits until it has released the duty or its lease has expired.
 func (s *Steward) stepDown(ctx context.Context, name, to string, bar time.Duration) (duty.Grant, error) {
 	s.mu.Lock()
-	r := s.currentLeadership()
-	if r == nil {
+	l := s.currentLeadership()
+	if l == nil {
 		s.mu.Unlock()
 		return duty.Grant{}, ErrNotLeader
 	}
 	g := s.table.Get(name)
-	if !r.RequestStepDown(name, duty.StepDownRequest{To: to, Bar: bar, At: time.Now()}) {
+	if !l.RequestStepDown(name, duty.StepDownRequest{To: to, Bar: bar, At: time.Now()}) {
 		s.mu.Unlock()
 		return g, errNoHolder
 	}
-	for w := range r.watches {
+	for w := range l.watches {
 		if w.holder == g.Holder {
 			select {
 			case w.asked <- struct{}{}:
@@ -294,7 +294,7 @@
 			}
 		}
 	}
-	r.dirty[name] = true
+	l.dirty[name] = true
 	s.mu.Unlock()
 	s.wakeScheduler()
 	tick := time.NewTicker(10 * time.Millisecond)
@@ -310,7 +310,7 @@
 		case <-tick.C:
 		case <-ctx.Done():
 			return now, errOutcomeUnknown
-		case <-r.ended:
+		case <-l.ended:
 			return now, errOutcomeUnknown
 		}
 	}
@@ -320,18 +320,18 @@
 func (s *Steward) watchStepDown(ctx context.Context, holder string) error {
 	w := &watch{holder, make(chan struct{}, 1)}
 	s.mu.Lock()
-	r := s.currentLeadership()
+	l := s.currentLeadership()
 	switch {
-	case r == nil:
+	case l == nil:
 		s.mu.Unlock()
 		return ErrNotLeader
-	case len(r.watches) >= maxWatches:
+	case len(l.watches) >= maxWatches:
 		s.mu.Unlock()
 		return errTooManyWaiting
 	}
-	r.watches[w] = struct{}{}
+	l.watches[w] = struct{}{}
 	for _, g := range s.table.All() {
-		if g.Holder == holder && r.StepDownRequested(g.Duty, g.Epoch) {
+		if g.Holder == holder && l.StepDownRequested(g.Duty, g.Epoch) {
 			w.asked <- struct{}{}
 			break
 		}
@@ -339,13 +339,13 @@
 	s.mu.Unlock()
 	defer func() {
 		s.mu.Lock()
-		delete(r.watches, w)
+		delete(l.watches, w)
 		s.mu.Unlock()
 	}()
 	select {
 	case <-w.asked:
 	case <-ctx.Done():
-	case <-r.ended:
+	case <-l.ended:
 		return ErrNotLeader
 	}
 	return nil
--- a/internal/duty/steward/steward_test.go
+++ b/internal/duty/steward/steward_test.go
@@ -169,11 +169,11 @@
 	// A second steward under the name of a running one is refused.
 	twin := startSteward(t, "s1", t.TempDir(), all[0].cfg.API)
 	defer twin.stop()
-	var no *call.Refusal
+	var refusal *call.Refusal
 	eventually(t, "the twin is refused", func() bool {
 		err := client.Do(t.Context(), call.PathJoin, call.JoinIn{ID: twin.id.ID(), Listen: twin.cfg.Listen, API: twin.cfg.API, Fleet: "test"},
 			&call.JoinOut{}, 5*time.Second)
-		return errors.As(err, &no) && no.Status == http.StatusConflict
+		return errors.As(err, &refusal) && refusal.Status == http.StatusConflict
 	})
 	// A removed steward ends.
 	if err := client.Do(t.Context(), call.PathRemove, call.RemoveIn{ID: "s2"}, &call.Empty{}, 5*time.Second); err != nil {
--- a/internal/duty/steward/stream.go
+++ b/internal/duty/steward/stream.go
@@ -135,11 +135,11 @@
 	stream *streamLayer
 }
 
-func (g peerConn) Close() error {
-	g.stream.mu.Lock()
-	delete(g.stream.open, g.Conn)
-	g.stream.mu.Unlock()
-	return g.Conn.Close()
+func (c peerConn) Close() error {
+	c.stream.mu.Lock()
+	delete(c.stream.open, c.Conn)
+	c.stream.mu.Unlock()
+	return c.Conn.Close()
 }
 
 func (s *streamLayer) check(h hello) error {
--- a/internal/membership/view_test.go
+++ b/internal/membership/view_test.go
@@ -203,7 +203,7 @@
 	}
 }
 
-func TestIdentify(t *testing.T) {
+func TestBeginIncarnation(t *testing.T) {
 	dir := t.TempDir()
 	folder, one, err := BeginIncarnation(dir, noon)
 	if err != nil {
