--- a/internal/duty/call/call.go
+++ b/internal/duty/call/call.go
@@ -246,8 +246,8 @@
 // Close closes idle connections.
 func (c *Client) Close() { c.http.CloseIdleConnections() }
 
-// Do sends a call to the leader and retries until it has an answer or ctx ends. wait is how long the steward may hold
-// the call. A Refusal counts as an answer.
+// Do sends a call to the leader and retries until it has an answer or ctx ends. wait is how long the steward may wait
+// before it answers. A Refusal counts as an answer.
 func (c *Client) Do(ctx context.Context, path string, in, out any, wait time.Duration) error {
 	var last error
 	for pause := minPause; ; pause = min(2*pause, maxPause) {
@@ -298,7 +298,7 @@
 
 // doWithRedirect sends a call to one steward, and to the leader that it names.
 func (c *Client) doWithRedirect(ctx context.Context, addr, path string, in, out any, wait time.Duration) error {
-	c.updateLeader("", addr) // assume that a steward that holds the call leads
+	c.updateLeader("", addr) // a steward that holds the call usually leads, and LeaderAnswers needs its address
 	leader, err := c.DoAt(ctx, addr, path, in, out, wait)
 	if leader != "" && leader != addr {
 		c.updateLeader(addr, leader)
--- a/internal/duty/duty_test.go
+++ b/internal/duty/duty_test.go
@@ -18,7 +18,7 @@
 
 func wish(holder, id string) []Wish { return []Wish{{Duty: "d", Holder: holder, ID: id, Lease: lease}} }
 
-// leader is a leader that executes its commands immediately.
+// leader executes its commands immediately, without replication.
 type leader struct {
 	*Leases
 	t *testing.T
@@ -41,7 +41,7 @@
 func (l leader) apply(c Command, now time.Time) Result {
 	l.t.Helper()
 	if !l.Begin(c) {
-		l.t.Fatal("busy")
+		l.t.Fatal("a command on this duty is already in flight")
 	}
 	res := l.table.Apply(c, l.Term)
 	l.Finish(c, res, now)
@@ -103,7 +103,7 @@
 	l := newLeader(t)
 	one := l.claim("a", "1", noon)
 	if !l.RequestStepDown("d", StepDownRequest{To: "c", Bar: time.Minute, At: noon}) || !l.StepDownRequested("d", one) {
-		t.Fatal("not asked")
+		t.Fatal("the request to step down is not recorded")
 	}
 	// The holder keeps the duty until it releases it, for one lease at most.
 	if !l.Renew("d", one, "a", noon.Add(time.Second)) || l.claim("b", "2", noon.Add(time.Second)) != 0 {
--- a/internal/duty/fence.go
+++ b/internal/duty/fence.go
@@ -18,7 +18,8 @@
 	MaxFencedDuties = 64
 )
 
-// ErrFenced refuses an effect whose epoch is older than one already seen.
+// ErrFenced refuses an effect whose epoch is older than one already seen. Its text is sent to the process that requested
+// the effect.
 var ErrFenced = errors.New("an order with a newer epoch has come already")
 
 // Fence stores the highest epoch of each duty at a receiver of effects, in a file that survives restarts. Its methods
@@ -31,7 +32,7 @@
 }
 
 // OpenFence reads the epochs stored in dir; if dir is empty, nothing is stored. An unreadable file is an error: without
-// the epochs, orders of an old holder would be accepted.
+// the epochs, effects of a former holder would be accepted.
 func OpenFence(dir string) (*Fence, error) {
 	f := &Fence{dir: dir, epochs: map[string]uint64{}}
 	if dir == "" {
--- a/internal/duty/figures/figures.go
+++ b/internal/duty/figures/figures.go
@@ -1,5 +1,5 @@
-// Package figures implements the duty of summing the figures of all relays: the relay that holds it queries the others,
-// serves the sums, and reports how many relays answered.
+// Package figures implements the duty of summing the metrics ("figures") of all relays: the relay that holds it queries
+// every relay, serves the sums, and reports how many relays answered.
 package figures
 
 import (
@@ -109,7 +109,7 @@
 	return f.text, true
 }
 
-// sum queries every member and adds up the answers.
+// sum queries every member and returns the sums, and how many members answered, in the format of a relay's metrics.
 func (f *Figures) sum(ctx context.Context, members []membership.Process, epoch uint64) string {
 	var mu sync.Mutex
 	var all sync.WaitGroup
@@ -147,8 +147,8 @@
 	return b.String()
 }
 
-// fetch reads one relay's figures. Figures about the fleet are skipped: every relay reports the same, so they must not
-// be summed.
+// fetch returns the values and types of one relay's metrics, by name. Metrics of the fleet are skipped: every relay
+// reports the same, so they must not be summed.
 func (f *Figures) fetch(ctx context.Context, addr string) (values map[string]float64, types map[string]string, err error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+addr+"/api/telemetry", nil)
 	if err != nil {
--- a/internal/duty/holder/holder.go
+++ b/internal/duty/holder/holder.go
@@ -15,17 +15,17 @@
 )
 
 const (
-	// A lease is renewed this often in its length, so that the loss of a leader, which takes up to two seconds to
-	// overcome, costs no duty with a lease of three seconds.
+	// A lease is renewed this many times per lease length, so that no duty with a lease of three seconds is lost during
+	// the election of a new leader, which takes up to two seconds.
 	renewalsPerLease = 6
-	// This fraction of a lease is not used, to allow for clocks whose rates differ by 10% and more.
+	// The last 1/marginDivisor of a lease is not used, to allow for clocks whose rates differ by 10% and more.
 	marginDivisor = 10
-	// A hung steward gives no sign, so waiting for one is bounded. Claims wait long, so that few are made; in between the
-	// holder checks every leaderCheckInterval whether the steward still answers.
+	// A hung steward does not close its connections, so waiting for one is bounded. Claims wait long, so that few are made;
+	// in between the holder checks every leaderCheckInterval whether the steward still answers.
 	claimWait           = 15 * time.Second
 	leaderCheckInterval = 3 * time.Second
 	watchWait           = 2 * time.Second
-	minPause            = time.Second // after failed work, doubling
+	minPause            = time.Second // after failed work; doubles with each failure up to maxPause
 	maxPause            = time.Minute
 	releaseTimeout      = 500 * time.Millisecond
 )
@@ -394,7 +394,7 @@
 	}
 }
 
-// watchLoop learns without delay that a duty is to be handed back.
+// watchLoop waits for requests to step down, so that they take effect before the next renewal.
 func (h *Holder) watchLoop(ctx context.Context) {
 	for ctx.Err() == nil {
 		terms, wake := h.activeTerms()
@@ -408,7 +408,7 @@
 		in := call.WatchIn{Holder: h.cfg.Name, WaitMS: watchWait.Milliseconds()}
 		began := time.Now()
 		if err := h.cfg.Client.Do(ctx, call.PathWatch, in, &call.Empty{}, watchWait); err == nil && time.Since(began) < watchWait {
-			h.renew(ctx, terms) // returns which duty
+			h.renew(ctx, terms) // its answer says which duty
 		}
 		select { // limits the rate if the stewards answer immediately every time
 		case <-ctx.Done():
--- a/internal/duty/leases.go
+++ b/internal/duty/leases.go
@@ -6,7 +6,7 @@
 )
 
 const (
-	// handoverGrace is how long a duty that was handed over is reserved for the named process.
+	// handoverGrace is how long a duty that was handed over is reserved for the process that is to have it next.
 	handoverGrace = 2 * time.Second
 	// A grant whose lease expired within this many lease lengths of the grant ended early.
 	earlyEndLeases = 2
--- a/internal/duty/model_test.go
+++ b/internal/duty/model_test.go
@@ -7,13 +7,13 @@
 	"time"
 )
 
-// A model checker for duties: holders, a sequence of leaders, and a receiver, whose messages are delivered independently.
-// It explores every state that can be reached within a number of steps, in any order of the steps. Table and Leases are
-// the real code and the fence's rule is the real rule; the model adds the network, time in whole ticks, and the behaviour
-// of holders.
+// A model checker for duties: holders, a sequence of leaders, and a receiver, whose messages are delivered
+// independently. It explores every state that can be reached within a number of steps, in any order of the steps. Table
+// and Leases are the real code and the fence's rule is the real rule; the model adds the network, time in whole ticks,
+// and the behaviour of holders.
 //
-// Invariants: at most one holder at a time has a lease that is valid by its own clock; epochs increase and have one holder
-// each; an effect of a holder with a valid lease is never refused.
+// Invariants: at most one holder at a time has a lease that is valid by its own clock; epochs increase and have one
+// holder each; an effect of a holder with a valid lease is never refused.
 
 const (
 	modelLease = 2 // ticks
@@ -220,7 +220,8 @@
 	return b.String()
 }
 
-// explore visits every state within depth steps. If one violates an invariant, it returns the steps that lead to it.
+// explore visits every state within depth steps and returns their number. If one violates an invariant, it also returns
+// the steps that lead to it and the invariant.
 func explore(holders, depth int, broken func(*world)) (trace []string, states int, what string) {
 	type node struct {
 		parent int
--- a/internal/duty/steward/api.go
+++ b/internal/duty/steward/api.go
@@ -29,8 +29,6 @@
 	writeSlack         = 5 * time.Second // added to the longest requested waiting time
 )
 
-type heldDuty = call.Held
-
 // Serve answers relays, tools and operators on l until ctx ends.
 func (s *Steward) Serve(ctx context.Context, l net.Listener) error {
 	server := &http.Server{Handler: s.handler(), ReadHeaderTimeout: headerTimeout, ReadTimeout: readTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: maxHeaderBytes,
--- a/internal/duty/steward/schedule.go
+++ b/internal/duty/steward/schedule.go
@@ -8,6 +8,7 @@
 	"time"
 
 	"onyxroad.dev/onyxroad/internal/duty"
+	"onyxroad.dev/onyxroad/internal/duty/call"
 )
 
 const (
@@ -15,7 +16,7 @@
 	maxWatches       = 1024
 )
 
-// The reasons to refuse a request.
+// The reasons to refuse a request. Their texts are sent in error responses.
 var (
 	// ErrNotLeader refuses a request that only the leader can answer.
 	ErrNotLeader = errors.New("this steward does not lead")
@@ -224,7 +225,7 @@
 }
 
 // renew extends leases, and reports for each whether it is still held and whether its holder is asked to step down.
-func (s *Steward) renew(ctx context.Context, holder string, held []heldDuty) ([]heldDuty, error) {
+func (s *Steward) renew(ctx context.Context, holder string, held []call.Held) ([]call.Held, error) {
 	// First confirm that this steward led at a moment after the request: a later leader restarts all leases later.
 	if err := s.verify.confirmLeader(ctx); err != nil {
 		return nil, ErrNotLeader
@@ -267,7 +268,7 @@
 	return err
 }
 
-// watch is a holder that waits until it is asked to step down.
+// watch is a call of a holder that waits until it is asked to step down.
 type watch struct {
 	holder string
 	asked  chan struct{}
--- a/internal/duty/steward/steward_test.go
+++ b/internal/duty/steward/steward_test.go
@@ -181,7 +181,7 @@
 	}
 	all[2].done.Wait()
 	if !errors.Is(all[2].err, ErrRemoved) {
-		t.Errorf("ended with %v", all[2].err)
+		t.Errorf("the removed steward ended with %v", all[2].err)
 	}
 	all = all[:2]
 }
--- a/internal/duty/steward/stream.go
+++ b/internal/duty/steward/stream.go
@@ -21,7 +21,8 @@
 	acceptQueue     = 16
 )
 
-// hello is the message that two stewards exchange before any other, one line of JSON in each direction.
+// hello is the message that two stewards exchange before any other, one line of JSON in each direction. Error states why
+// the sender refuses the connection.
 type hello struct {
 	Fleet   string `json:"fleet"`
 	Cluster string `json:"cluster"`
--- a/internal/duty/table.go
+++ b/internal/duty/table.go
@@ -24,7 +24,7 @@
 
 // Limits of what stewards store, whatever they are asked.
 const (
-	MaxNameBytes   = 64  // length of a duty's, a holder's or a claim's name
+	MaxNameBytes   = 64  // length of the name of a duty or a holder, of the id of a claim, or of an address
 	MaxDuties      = 512 // known duties; to make room, unheld duties are forgotten
 	maxBars        = 16  // barred processes per duty
 	maxEndedClaims = 8   // ended claims remembered per duty
@@ -85,7 +85,7 @@
 	Epoch uint64
 }
 
-// The reasons to refuse a command.
+// The reasons to refuse a command. Their texts are sent to claimants and in error responses.
 var (
 	ErrStaleTerm     = errors.New("decided on in an earlier reign")
 	ErrConflict      = errors.New("the duty has moved on")
@@ -261,14 +261,15 @@
 	t := &Table{last: s.Last, duties: map[string]*Grant{}}
 	for _, g := range s.Duties {
 		if g.Epoch > t.last {
-			return nil, fmt.Errorf("duty: snapshot: epoch %[2]d of %[1]s exceeds the last epoch, %[3]d", g.Duty, g.Epoch, t.last)
+			return nil, fmt.Errorf("duty: snapshot: epoch %d of %s exceeds the last epoch, %d", g.Epoch, g.Duty, t.last)
 		}
 		t.duties[g.Duty] = &g
 	}
 	return t, nil
 }
 
-// CheckName checks the name of a duty, a holder or a claim: 1 to MaxNameBytes bytes, printable, without spaces.
+// CheckName checks the name of a duty or a holder, or the id of a claim: 1 to MaxNameBytes bytes, printable, without
+// spaces.
 func CheckName(s string) error {
 	if s == "" || len(s) > MaxNameBytes {
 		return fmt.Errorf("a name has 1 to %d bytes", MaxNameBytes)
--- a/internal/membership/gossip/fleet.go
+++ b/internal/membership/gossip/fleet.go
@@ -44,7 +44,7 @@
 	maxDialProbes       = 2 // away members whose addresses are probed each second
 	dialProbeTimeout    = time.Second
 	leaveTimeout        = 500 * time.Millisecond
-	maxMetaBytes        = 256 // size of the metadata that a process announces
+	maxMetaBytes        = 256 // size of the metadata that a process announces, and of a digest message
 	maxNameBytes        = 64
 
 	// Failure detection. Each member is probed every probeInterval and then has suspicionTimeout to refute the
@@ -56,7 +56,8 @@
 	// members of a hundred end within a second, sixty messages are sent, eight to a packet and each a dozen times.
 	gossipFanout   = 4
 	gossipInterval = 100 * time.Millisecond
-	gossipToDead   = 10 * time.Second
+	// Changes are still gossiped to a dead member for this long, so that it can refute its death.
+	gossipToDead = 10 * time.Second
 )
 
 // Fleet implements membership.Fleet.
