--- a/internal/duty/fence.go
+++ b/internal/duty/fence.go
@@ -18,8 +18,9 @@
 	MaxFencedDuties = 64
 )
 
-// ErrFenced refuses an effect whose epoch is older than one already seen.
-var ErrFenced = errors.New("an order with a newer epoch has been received")
+// ErrFenced refuses an effect whose epoch is older than one already seen. Its text is sent to the process that requested
+// the effect.
+var ErrFenced = errors.New("an order with a newer epoch has come already")
 
 // Fence stores the highest epoch of each duty at a receiver of effects, in a file that survives restarts. Its methods
 // may be called from any goroutine.
@@ -31,7 +32,7 @@
 }
 
 // OpenFence reads the epochs stored in dir; if dir is empty, nothing is stored. An unreadable file is an error: without
-// the epochs, orders of an old holder would be accepted.
+// the epochs, effects of a former holder would be accepted.
 func OpenFence(dir string) (*Fence, error) {
 	f := &Fence{dir: dir, epochs: map[string]uint64{}}
 	if dir == "" {
@@ -63,7 +64,7 @@
 	case epoch == seen:
 		return nil
 	case !known && len(f.epochs) >= MaxFencedDuties:
-		return fmt.Errorf("duty: fence: limit of %d duties reached, no room for %s", MaxFencedDuties, duty)
+		return fmt.Errorf("duty: fence: epochs of %d duties are kept, %s is one more", MaxFencedDuties, duty)
 	}
 	f.epochs[duty] = epoch
 	if err := f.save(); err != nil {
--- a/internal/duty/table.go
+++ b/internal/duty/table.go
@@ -24,7 +24,7 @@
 
 // Limits of what stewards store, whatever they are asked.
 const (
-	MaxNameBytes   = 64  // length of a duty's, a holder's or a claim's name
+	MaxNameBytes   = 64  // length of the name of a duty or a holder, of the id of a claim, or of an address
 	MaxDuties      = 512 // known duties; to make room, unheld duties are forgotten
 	maxBars        = 16  // barred processes per duty
 	maxEndedClaims = 8   // ended claims remembered per duty
@@ -85,13 +85,13 @@
 	Epoch uint64
 }
 
-// The reasons to refuse a command.
+// The reasons to refuse a command. Their texts are sent to claimants and in error responses.
 var (
-	ErrStaleTerm     = errors.New("the command was issued in an earlier term")
-	ErrConflict      = errors.New("the duty has been granted or released since")
-	ErrHeld          = errors.New("the duty is held by another process")
-	ErrClaimEnded    = errors.New("the claim has already ended")
-	ErrBarred        = errors.New("the holder was made to step down and is still barred")
+	ErrStaleTerm     = errors.New("decided on in an earlier reign")
+	ErrConflict      = errors.New("the duty has moved on")
+	ErrHeld          = errors.New("held by another")
+	ErrClaimEnded    = errors.New("this claim is over")
+	ErrBarred        = errors.New("made to step down, and barred for a time")
 	ErrTooManyDuties = errors.New("too many duties")
 )
 
@@ -202,7 +202,7 @@
 		g.vacate()
 		g.Quick, g.To = 0, c.To
 	default:
-		return Result{Err: fmt.Errorf("unknown command %q", c.Op)}
+		return Result{Err: fmt.Errorf("no command %q", c.Op)}
 	}
 	return Result{Grant: g.clone()}
 }
@@ -261,21 +261,22 @@
 	t := &Table{last: s.Last, duties: map[string]*Grant{}}
 	for _, g := range s.Duties {
 		if g.Epoch > t.last {
-			return nil, fmt.Errorf("duty: snapshot: epoch %[2]d of %[1]s exceeds the last epoch, %[3]d", g.Duty, g.Epoch, t.last)
+			return nil, fmt.Errorf("duty: snapshot: epoch %d of %s exceeds the last epoch, %d", g.Epoch, g.Duty, t.last)
 		}
 		t.duties[g.Duty] = &g
 	}
 	return t, nil
 }
 
-// CheckName checks the name of a duty, a holder or a claim: 1 to MaxNameBytes bytes, printable, without spaces.
+// CheckName checks the name of a duty or a holder, or the id of a claim: 1 to MaxNameBytes bytes, printable, without
+// spaces.
 func CheckName(s string) error {
 	if s == "" || len(s) > MaxNameBytes {
-		return fmt.Errorf("a name must have 1 to %d bytes", MaxNameBytes)
+		return fmt.Errorf("a name has 1 to %d bytes", MaxNameBytes)
 	}
 	for _, r := range s {
 		if r <= ' ' || r == 0x7f || r > 0xff && r == 0xfffd {
-			return fmt.Errorf("%q is not a valid name", s)
+			return fmt.Errorf("%q is no name", s)
 		}
 	}
 	return nil
