--- a/cmd/testbed/duties.go
+++ b/cmd/testbed/duties.go
@@ -27,7 +27,7 @@
 }
 
 func (c *workCmd) Run(ctx context.Context) error {
-	return duties.Work(ctx, duties.WorkerOptions{Name: c.Name, Count: c.Count, Stewards: c.Stewards, Duties: c.Duties, Lease: c.Lease,
+	return duties.RunWorker(ctx, duties.WorkerOptions{Name: c.Name, Count: c.Count, Stewards: c.Stewards, Duties: c.Duties, Lease: c.Lease,
 		Receivers: c.Receivers, Every: c.Every, Local: c.Local, Record: c.Record})
 }
 
--- a/internal/testbed/duties/fleet.go
+++ b/internal/testbed/duties/fleet.go
@@ -23,19 +23,19 @@
 )
 
 const (
-	beginFor = 20 * time.Second // for all stewards to have joined
-	endFor   = 3 * time.Second
-	// operatorAfter is how long a steward that may take no part is left alone before its folder is emptied, as an operator would.
-	operatorAfter = 6 * time.Second
-	copyEvery     = 5 * time.Second // that the folders are copied, as by a backup
+	joinTimeout = 20 * time.Second // for all stewards to have joined
+	stopTimeout   = 3 * time.Second
+	// operatorDelay is how long a steward that may take no part is left alone before its folder is emptied, as an operator would.
+	operatorDelay = 6 * time.Second
+	backupInterval     = 5 * time.Second // that the folders are copied, as by a backup
 )
 
 // Places of a fleet's parties among its addresses: 127.F.P.x, x being 1 inside and 3 where the others find it.
 const (
-	placeSteward  = 1
-	placeWorker   = 20
-	placeReceiver = 40
-	placeOperator = 50
+	octetSteward  = 1
+	octetWorker   = 20
+	octetReceiver = 40
+	octetOperator = 50
 
 	portRaft = iota + 5
 	portAPI
@@ -45,24 +45,24 @@
 // node is one party that runs as a process, or one that the testbed plays.
 type node struct {
 	name  string
-	place int
-	home  string
+	octet int
+	dir  string
 
 	mu    sync.Mutex // held over a whole restart
 	cmd   *exec.Cmd
-	ended chan struct{}
-	count int
+	exited chan struct{}
+	starts int
 }
 
 // fleet is one fleet of stewards, workers and receivers, with the network between them.
 type fleet struct {
 	index     int
 	dir       string
-	base      int // port
+	basePort      int // port
 	programs  Programs
 	lease     time.Duration
 	duties    int
-	start     *process.Starter
+	starter     *process.Starter
 	ctx       context.Context
 	cancel    context.CancelFunc
 	work      sync.WaitGroup
@@ -70,19 +70,19 @@
 	workers   []*node
 	receivers []*receiver
 	client    *call.Client
-	forward   []*network.Forwarder
+	forwarders   []*network.Forwarder
 
 	mu    sync.Mutex
-	links map[[2]int]*network.Path // by the places of both sides, the lower first
-	away  sync.Mutex               // one steward at a time loses its folder
+	paths map[[2]int]*network.Path // by the places of both sides, the lower first
+	replacing  sync.Mutex               // one steward at a time loses its folder
 }
 
 func (f *fleet) ip(place int, last byte) net.IP {
 	return net.IPv4(127, byte(100+f.index), byte(place), last)
 }
 
-func (f *fleet) at(place int, last byte, port int) string {
-	return fmt.Sprintf("%v:%d", f.ip(place, last), f.base+port)
+func (f *fleet) addr(place int, last byte, port int) string {
+	return fmt.Sprintf("%v:%d", f.ip(place, last), f.basePort+port)
 }
 
 // path is the way between two parties, the same object either way: each direction has conditions of its own.
@@ -90,71 +90,71 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	k := [2]int{from, to}
-	p := f.links[k]
+	p := f.paths[k]
 	if p == nil {
 		p = network.NewPath(network.Conditions{}, uint64(f.index)<<32+uint64(from)<<8+uint64(to))
-		f.links[k] = p
+		f.paths[k] = p
 	}
 	return p
 }
 
-// open puts a forwarder before a party's port: others speak to it, and each has a path of its own.
-func (f *fleet) open(place, port int) error {
-	x := &network.Forwarder{Target: f.at(place, 1, port), Choose: func(from netip.AddrPort) *network.Path {
+// openForwarder puts a forwarder before a party's port: others speak to it, and each has a path of its own.
+func (f *fleet) openForwarder(place, port int) error {
+	x := &network.Forwarder{Target: f.addr(place, 1, port), Choose: func(from netip.AddrPort) *network.Path {
 		ip := from.Addr().Unmap().As4()
 		return f.path(int(ip[2]), place)
 	}}
-	if err := x.ForwardTCP(f.at(place, 3, port)); err != nil {
+	if err := x.ForwardTCP(f.addr(place, 3, port)); err != nil {
 		return err
 	}
-	f.forward = append(f.forward, x)
+	f.forwarders = append(f.forwarders, x)
 	return nil
 }
 
-// apis are the stewards' addresses as the others know them.
-func (f *fleet) apis() (all []string) {
+// stewardAddrs are the stewards' addresses as the others know them.
+func (f *fleet) stewardAddrs() (all []string) {
 	for _, s := range f.stewards {
-		all = append(all, f.at(s.place, 3, portAPI))
+		all = append(all, f.addr(s.octet, 3, portAPI))
 	}
 	return all
 }
 
-// up starts everything and waits until the stewards are one cluster.
-func (f *fleet) up(ctx context.Context, stewards, workers, perWorker int, noFence bool) error {
+// startAll starts everything and waits until the stewards are one cluster.
+func (f *fleet) startAll(ctx context.Context, stewards, workers, perWorker int, noFence bool) error {
 	f.ctx, f.cancel = context.WithCancel(context.Background())
-	f.links = map[[2]int]*network.Path{}
+	f.paths = map[[2]int]*network.Path{}
 	for i := range stewards {
-		f.stewards = append(f.stewards, &node{name: fmt.Sprintf("steward-%d", i), place: placeSteward + i})
+		f.stewards = append(f.stewards, &node{name: fmt.Sprintf("steward-%d", i), octet: octetSteward + i})
 	}
 	for i := range workers {
-		f.workers = append(f.workers, &node{name: fmt.Sprintf("worker-%d", i), place: placeWorker + i})
+		f.workers = append(f.workers, &node{name: fmt.Sprintf("worker-%d", i), octet: octetWorker + i})
 	}
 	for _, s := range f.stewards {
-		if err := errors.Join(f.open(s.place, portRaft), f.open(s.place, portAPI)); err != nil {
+		if err := errors.Join(f.openForwarder(s.octet, portRaft), f.openForwarder(s.octet, portAPI)); err != nil {
 			return err
 		}
 	}
-	for i := range receivers {
-		r, err := newReceiver(i, f.at(placeReceiver+i, 1, portEffects), filepath.Join(f.dir, fmt.Sprintf("receiver-%d", i)), noFence)
+	for i := range receiversPerFleet {
+		r, err := newReceiver(i, f.addr(octetReceiver+i, 1, portEffects), filepath.Join(f.dir, fmt.Sprintf("receiver-%d", i)), noFence)
 		if err != nil {
 			return err
 		}
 		f.receivers = append(f.receivers, r)
-		if err := f.open(placeReceiver+i, portEffects); err != nil {
+		if err := f.openForwarder(octetReceiver+i, portEffects); err != nil {
 			return err
 		}
 	}
-	f.client = call.NewClient(f.apis(), f.ip(placeOperator, 1))
+	f.client = call.NewClient(f.stewardAddrs(), f.ip(octetOperator, 1))
 	for _, s := range f.stewards {
-		s.home = filepath.Join(f.dir, s.name)
+		s.dir = filepath.Join(f.dir, s.name)
 		if err := f.startSteward(s); err != nil {
 			return err
 		}
 	}
-	ctx, cancel := context.WithTimeout(ctx, beginFor)
+	ctx, cancel := context.WithTimeout(ctx, joinTimeout)
 	defer cancel()
-	if err := f.until(ctx, func() error {
-		_, err := f.client.One(ctx, f.apis()[0], call.PathBegin, call.Done{}, &call.JoinOut{}, 2*time.Second)
+	if err := f.retry(ctx, func() error {
+		_, err := f.client.One(ctx, f.stewardAddrs()[0], call.PathBegin, call.Done{}, &call.JoinOut{}, 2*time.Second)
 		var no *call.Refusal
 		if errors.As(err, &no) {
 			return nil // begun already
@@ -163,21 +163,21 @@
 	}); err != nil {
 		return fmt.Errorf("duties: begin: %w", err)
 	}
-	if err := f.until(ctx, func() error { return f.complete(ctx) }); err != nil {
+	if err := f.retry(ctx, func() error { return f.checkAllJoined(ctx) }); err != nil {
 		return fmt.Errorf("duties: fleet %d: %w", f.index, err)
 	}
 	for _, w := range f.workers {
-		w.home = filepath.Join(f.dir, w.name)
+		w.dir = filepath.Join(f.dir, w.name)
 		if err := f.startWorker(w, perWorker); err != nil {
 			return err
 		}
 	}
-	f.work.Go(f.copies)
+	f.work.Go(f.backupLoop)
 	return nil
 }
 
-// until tries until something works or ctx ends.
-func (f *fleet) until(ctx context.Context, try func() error) error {
+// retry tries retry something works or ctx ends.
+func (f *fleet) retry(ctx context.Context, try func() error) error {
 	for {
 		err := try()
 		if err == nil {
@@ -189,8 +189,8 @@
 	}
 }
 
-// complete returns nil if every steward has its place.
-func (f *fleet) complete(ctx context.Context) error {
+// checkAllJoined returns nil if every steward has its place.
+func (f *fleet) checkAllJoined(ctx context.Context) error {
 	var out call.StewardsOut
 	var duties call.DutiesOut
 	if err := f.client.Do(ctx, call.PathDuties, nil, &duties, time.Second); err != nil { // there is a leader
@@ -200,7 +200,7 @@
 	if err != nil {
 		return err
 	}
-	if _, err := f.client.One(ctx, f.at(leader.place, 3, portAPI), call.PathStewards, nil, &out, time.Second); err != nil {
+	if _, err := f.client.One(ctx, f.addr(leader.octet, 3, portAPI), call.PathStewards, nil, &out, time.Second); err != nil {
 		return err
 	}
 	if len(out.Stewards) != len(f.stewards) {
@@ -215,7 +215,7 @@
 	defer cancel()
 	for _, s := range f.stewards {
 		var out call.StewardsOut
-		if _, err := f.client.One(ctx, f.at(s.place, 3, portAPI), call.PathStewards, nil, &out, 0); err != nil {
+		if _, err := f.client.One(ctx, f.addr(s.octet, 3, portAPI), call.PathStewards, nil, &out, 0); err != nil {
 			continue
 		}
 		for _, x := range out.Stewards {
@@ -228,17 +228,17 @@
 }
 
 func (f *fleet) startSteward(s *node) error {
-	dir := filepath.Join(s.home, "dir")
+	dir := filepath.Join(s.dir, "dir")
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return fmt.Errorf("duties: %w", err)
 	}
-	seeds, err := json.Marshal(f.apis())
+	seeds, err := json.Marshal(f.stewardAddrs())
 	if err != nil {
 		return fmt.Errorf("duties: %w", err)
 	}
 	text := fmt.Sprintf("log_format = \"json\"\n[steward]\nname = %q\nfleet = \"testbed\"\nlisten = %q\nadvertise = %q\napi = %q\nadvertise_api = %q\ndir = %q\nseeds = %s\n",
-		s.name, f.at(s.place, 1, portRaft), f.at(s.place, 3, portRaft), f.at(s.place, 1, portAPI), f.at(s.place, 3, portAPI), dir, seeds)
-	path := filepath.Join(s.home, "settings.toml")
+		s.name, f.addr(s.octet, 1, portRaft), f.addr(s.octet, 3, portRaft), f.addr(s.octet, 1, portAPI), f.addr(s.octet, 3, portAPI), dir, seeds)
+	path := filepath.Join(s.dir, "settings.toml")
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 		return fmt.Errorf("duties: %w", err)
 	}
@@ -246,34 +246,34 @@
 }
 
 func (f *fleet) startWorker(w *node, count int) error {
-	if err := os.MkdirAll(w.home, 0o700); err != nil {
+	if err := os.MkdirAll(w.dir, 0o700); err != nil {
 		return fmt.Errorf("duties: %w", err)
 	}
 	args := []string{"work", "--name", w.name, "--count", fmt.Sprint(count), "--duties", fmt.Sprint(f.duties), "--lease", f.lease.String(),
-		"--local", f.ip(w.place, 1).String(), "--record", filepath.Join(w.home, "record")}
-	for _, a := range f.apis() {
+		"--local", f.ip(w.octet, 1).String(), "--record", filepath.Join(w.dir, "record")}
+	for _, a := range f.stewardAddrs() {
 		args = append(args, "--stewards", a)
 	}
 	for i := range f.receivers {
-		args = append(args, "--receivers", f.at(placeReceiver+i, 3, portEffects))
+		args = append(args, "--receivers", f.addr(octetReceiver+i, 3, portEffects))
 	}
 	return f.launch(w, exec.Command(f.programs.Testbed, args...))
 }
 
 // launch starts a node's process.
 func (f *fleet) launch(n *node, cmd *exec.Cmd) error {
-	log, err := os.OpenFile(filepath.Join(n.home, "log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
+	log, err := os.OpenFile(filepath.Join(n.dir, "log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
 		return fmt.Errorf("duties: %w", err)
 	}
 	defer log.Close()
-	cmd.Stdout, cmd.Stderr, cmd.Dir = log, log, n.home
-	if err := f.start.Start(cmd); err != nil {
+	cmd.Stdout, cmd.Stderr, cmd.Dir = log, log, n.dir
+	if err := f.starter.Start(cmd); err != nil {
 		return fmt.Errorf("duties: start %s: %w", n.name, err)
 	}
-	n.cmd, n.ended = cmd, make(chan struct{})
-	n.count++
-	ended := n.ended
+	n.cmd, n.exited = cmd, make(chan struct{})
+	n.starts++
+	ended := n.exited
 	f.work.Go(func() { cmd.Wait(); close(ended) })
 	return nil
 }
@@ -282,10 +282,10 @@
 func (f *fleet) stop(n *node, s syscall.Signal) {
 	n.cmd.Process.Signal(s)
 	select {
-	case <-n.ended:
-	case <-time.After(endFor):
+	case <-n.exited:
+	case <-time.After(stopTimeout):
 		n.cmd.Process.Kill()
-		<-n.ended
+		<-n.exited
 	}
 }
 
@@ -302,7 +302,7 @@
 	if network.Sleep(f.ctx, pause) != nil {
 		return nil
 	}
-	if n.place >= placeWorker {
+	if n.octet >= octetWorker {
 		return f.startWorker(n, 1)
 	}
 	return f.startSteward(n)
@@ -318,8 +318,8 @@
 	cmd.Process.Signal(syscall.SIGCONT)
 }
 
-// cut has nothing pass between two sets of places.
-func (f *fleet) cut(a, b []int, d time.Duration, oneWay bool) {
+// partition has nothing pass between two sets of places.
+func (f *fleet) partition(a, b []int, d time.Duration, oneWay bool) {
 	set := func(cut bool) {
 		for _, x := range a {
 			for _, y := range b {
@@ -338,11 +338,11 @@
 	set(false)
 }
 
-// delay has everything that a worker sends to receivers take so long: orders that are in flight while their duty moves on.
-func (f *fleet) delay(w *node, by, d time.Duration) {
+// delayEffects has everything that a worker sends to receivers take so long: orders that are in flight while their duty moves on.
+func (f *fleet) delayEffects(w *node, by, d time.Duration) {
 	set := func(by time.Duration) {
 		for i := range f.receivers {
-			f.path(w.place, placeReceiver+i).Change(network.Out, func(c *network.Conditions) { c.Delay, c.Jitter = by, 0.5 })
+			f.path(w.octet, octetReceiver+i).Change(network.Out, func(c *network.Conditions) { c.Delay, c.Jitter = by, 0.5 })
 		}
 	}
 	set(by)
@@ -350,15 +350,15 @@
 	set(0)
 }
 
-// copies copies the stewards' folders now and then, as a backup would.
-func (f *fleet) copies() {
-	for network.Sleep(f.ctx, copyEvery) == nil {
+// backupLoop backupLoop the stewards' folders now and then, as a backup would.
+func (f *fleet) backupLoop() {
+	for network.Sleep(f.ctx, backupInterval) == nil {
 		for _, s := range f.stewards {
 			if s.mu.TryLock() {
-				os.RemoveAll(filepath.Join(s.home, "copy"))
-				err := os.CopyFS(filepath.Join(s.home, "copy"), os.DirFS(filepath.Join(s.home, "dir")))
+				os.RemoveAll(filepath.Join(s.dir, "copy"))
+				err := os.CopyFS(filepath.Join(s.dir, "copy"), os.DirFS(filepath.Join(s.dir, "dir")))
 				if err != nil { // changed meanwhile: no copy then
-					os.RemoveAll(filepath.Join(s.home, "copy"))
+					os.RemoveAll(filepath.Join(s.dir, "copy"))
 				}
 				s.mu.Unlock()
 			}
@@ -366,17 +366,17 @@
 	}
 }
 
-// lose has a steward lose its folder, or get an older one back. The others do without it until it has joined anew, which with an
+// replaceFolder has a steward replaceFolder its folder, or get an older one back. The others do without it until it has joined anew, which with an
 // older folder takes an operator who empties it.
-func (f *fleet) lose(s *node, pause time.Duration, older bool) error {
-	f.away.Lock()
-	defer f.away.Unlock()
-	dir := filepath.Join(s.home, "dir")
+func (f *fleet) replaceFolder(s *node, pause time.Duration, older bool) error {
+	f.replacing.Lock()
+	defer f.replacing.Unlock()
+	dir := filepath.Join(s.dir, "dir")
 	empty := func() error { return os.RemoveAll(dir) }
 	change := empty
 	if older {
 		change = func() error {
-			saved := filepath.Join(s.home, "copy")
+			saved := filepath.Join(s.dir, "copy")
 			if _, err := os.Stat(filepath.Join(saved, "steward.json")); err != nil {
 				return nil // no copy yet: it comes back as it was
 			}
@@ -387,14 +387,14 @@
 		return err
 	}
 	if older {
-		if network.Sleep(f.ctx, operatorAfter) != nil {
+		if network.Sleep(f.ctx, operatorDelay) != nil {
 			return nil
 		}
 		if err := f.restart(s, syscall.SIGKILL, 0, empty); err != nil {
 			return err
 		}
 	}
-	return f.until(f.ctx, func() error { return f.complete(f.ctx) })
+	return f.retry(f.ctx, func() error { return f.checkAllJoined(f.ctx) })
 }
 
 // holderOf is the worker that holds a duty, by the stewards.
@@ -416,8 +416,8 @@
 	return nil, call.Duty{}, fmt.Errorf("nobody holds %s", name)
 }
 
-// down ends everything.
-func (f *fleet) down() {
+// stopAll ends everything.
+func (f *fleet) stopAll() {
 	if f.cancel == nil {
 		return
 	}
@@ -426,12 +426,12 @@
 		n.mu.Lock()
 		if n.cmd != nil {
 			n.cmd.Process.Kill()
-			<-n.ended
+			<-n.exited
 		}
 		n.mu.Unlock()
 	}
 	f.work.Wait()
-	for _, x := range f.forward {
+	for _, x := range f.forwarders {
 		x.Close()
 	}
 	for _, r := range f.receivers {
@@ -445,7 +445,7 @@
 // history is what the fleet did. Its processes have ended.
 func (f *fleet) history() (h History, err error) {
 	for _, w := range f.workers {
-		data, err := os.ReadFile(filepath.Join(w.home, "record"))
+		data, err := os.ReadFile(filepath.Join(w.dir, "record"))
 		if err != nil && !errors.Is(err, os.ErrNotExist) {
 			return h, fmt.Errorf("duties: %w", err)
 		}
@@ -470,8 +470,8 @@
 	return h, nil
 }
 
-// some draws a share of nodes, one at least.
-func some(rng *rand.Rand, of []*node, share float64) []*node {
+// sample draws a share of nodes, one at least.
+func sample(rng *rand.Rand, of []*node, share float64) []*node {
 	order := rng.Perm(len(of))
 	n := min(len(of), max(1, int(share*float64(len(of))+0.5)))
 	var all []*node
@@ -481,9 +481,9 @@
 	return all
 }
 
-func places(of []*node) (all []int) {
+func octets(of []*node) (all []int) {
 	for _, n := range of {
-		all = append(all, n.place)
+		all = append(all, n.octet)
 	}
 	return all
 }
--- a/internal/testbed/duties/history_test.go
+++ b/internal/testbed/duties/history_test.go
@@ -7,8 +7,8 @@
 
 const ms = time.Millisecond
 
-// good is a history with a hand-over, in which an effect of the first holder comes late and is refused.
-func good() History {
+// validHistory is a history with a hand-over, in which an effect of the first holder comes late and is refused.
+func validHistory() History {
 	return History{
 		Claims: []Claim{{"a", "d", 3, 0, 10 * ms}, {"b", "d", 5, 5 * ms, 100 * ms}},
 		Effects: []Effect{
@@ -21,8 +21,8 @@
 }
 
 func TestAuditPassesWhatIsRight(t *testing.T) {
-	h := good()
-	if v := h.Audit(); !v.Linearizable || v.Unknown || v.OlderTaken+v.Overlaps+v.Reused != 0 {
+	h := validHistory()
+	if v := h.Audit(); !v.Linearizable || v.Unknown || v.StaleAccepted+v.LeaseOverlaps+v.ReusedEpochs != 0 {
 		t.Errorf("%+v", v)
 	}
 }
@@ -30,17 +30,17 @@
 func TestAuditFindsEachBreach(t *testing.T) {
 	for name, c := range map[string]struct {
 		change func(*History)
-		found  func(Verdict) bool
+		found  func(AuditResult) bool
 	}{
-		"an older effect is taken": {func(h *History) { h.Effects[2].Taken = true },
-			func(v Verdict) bool { return !v.Linearizable && v.OlderTaken == 1 }},
-		"a valid effect is refused": {func(h *History) { h.Effects[1].Taken = false }, func(v Verdict) bool { return !v.Linearizable }},
-		"an epoch goes back":        {func(h *History) { h.Claims[1].Epoch, h.Claims[1].Wished = 2, 50*ms }, func(v Verdict) bool { return !v.Linearizable }},
-		"an effect of no grant":     {func(h *History) { h.Effects[1].Epoch = 9 }, func(v Verdict) bool { return !v.Linearizable }},
-		"an epoch has two holders":  {func(h *History) { h.Claims[1].Epoch = 3 }, func(v Verdict) bool { return v.Reused == 1 }},
-		"two believe at one time":   {func(h *History) { h.Effects[2].Sent = 115 * ms }, func(v Verdict) bool { return v.Overlaps == 1 }},
+		"an older effect is taken": {func(h *History) { h.Effects[2].Accepted = true },
+			func(v AuditResult) bool { return !v.Linearizable && v.StaleAccepted == 1 }},
+		"a valid effect is refused": {func(h *History) { h.Effects[1].Accepted = false }, func(v AuditResult) bool { return !v.Linearizable }},
+		"an epoch goes back":        {func(h *History) { h.Claims[1].Epoch, h.Claims[1].Requested = 2, 50*ms }, func(v AuditResult) bool { return !v.Linearizable }},
+		"an effect of no grant":     {func(h *History) { h.Effects[1].Epoch = 9 }, func(v AuditResult) bool { return !v.Linearizable }},
+		"an epoch has two holders":  {func(h *History) { h.Claims[1].Epoch = 3 }, func(v AuditResult) bool { return v.ReusedEpochs == 1 }},
+		"two believe at one time":   {func(h *History) { h.Effects[2].Sent = 115 * ms }, func(v AuditResult) bool { return v.LeaseOverlaps == 1 }},
 	} {
-		h := good()
+		h := validHistory()
 		c.change(&h)
 		if v := h.Audit(); !c.found(v) {
 			t.Errorf("%s: %+v", name, v)
--- a/internal/testbed/duties/receiver.go
+++ b/internal/testbed/duties/receiver.go
@@ -33,13 +33,13 @@
 	if err := r.restart(); err != nil {
 		return nil, err
 	}
-	l, err := net.Listen("tcp4", addr)
+	listener, err := net.Listen("tcp4", addr)
 	if err != nil {
 		return nil, fmt.Errorf("duties: %w", err)
 	}
-	r.addr = l.Addr().String()
-	r.server = &http.Server{Handler: http.HandlerFunc(r.take)}
-	go r.server.Serve(l)
+	r.addr = listener.Addr().String()
+	r.server = &http.Server{Handler: http.HandlerFunc(r.handleEffect)}
+	go r.server.Serve(listener)
 	return r, nil
 }
 
@@ -51,21 +51,21 @@
 	return err
 }
 
-func (r *receiver) take(w http.ResponseWriter, req *http.Request) {
+func (r *receiver) handleEffect(w http.ResponseWriter, req *http.Request) {
 	var e effect
 	if err := json.NewDecoder(http.MaxBytesReader(w, req.Body, 4096)).Decode(&e); err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	came := Now()
+	received := MonotonicTime()
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	err := error(nil)
 	if !r.noFence {
 		err = r.fence.Pass(e.Duty, e.Epoch)
 	}
-	r.effects = append(r.effects, Effect{Worker: e.Worker, Duty: e.Duty, Receiver: r.index, Epoch: e.Epoch, Sent: e.Sent, Came: came,
-		Done: Now(), Taken: err == nil})
+	r.effects = append(r.effects, Effect{Worker: e.Worker, Duty: e.Duty, Receiver: r.index, Epoch: e.Epoch, Sent: e.Sent, Received: received,
+		Processed: MonotonicTime(), Accepted: err == nil})
 	if errors.Is(err, duty.ErrFenced) {
 		http.Error(w, err.Error(), http.StatusConflict)
 	} else if err != nil {
--- a/internal/testbed/duties/run.go
+++ b/internal/testbed/duties/run.go
@@ -24,10 +24,10 @@
 )
 
 const (
-	effectEvery = 50 * time.Millisecond
-	probeEvery  = 50 * time.Millisecond
-	afterKill   = 6 * time.Second // that claims are watched after a leader's end
-	settleFor   = 2 * time.Second
+	effectInterval = 50 * time.Millisecond
+	probeInterval  = 50 * time.Millisecond
+	leaderKillWindow   = 6 * time.Second // that claims are watched after a leader's end
+	settleTime   = 2 * time.Second
 )
 
 // Programs are the programs that a play needs.
@@ -63,22 +63,22 @@
 	}
 	defer ports.Release()
 	starter := process.NewStarter()
-	c := &play{x: x, length: length, faults: map[string]int{}, probes: map[int][]span{}, ends: map[int][]time.Duration{}}
+	c := &runner{experiment: x, length: length, faultCounts: map[string]int{}, probes: map[int][]interval{}, leaderKills: map[int][]time.Duration{}}
 	var all sync.WaitGroup
 	errs := make([]error, fleets)
 	histories := make([]History, fleets)
 	for i := range fleets {
-		f := &fleet{index: i, dir: filepath.Join(dir, fmt.Sprint(i)), base: ports.Base(), programs: programs, lease: s.Lease.D(),
-			duties: s.Duties.DrawInt(rng), start: starter}
+		f := &fleet{index: i, dir: filepath.Join(dir, fmt.Sprint(i)), basePort: ports.Base(), programs: programs, lease: s.Lease.D(),
+			duties: s.Duties.DrawInt(rng), starter: starter}
 		stewards, workers := s.Count.DrawInt(rng)|1, s.Workers.DrawInt(rng)
 		own := rand.New(rand.NewPCG(seed, uint64(i)+1))
 		all.Go(func() {
-			defer f.down()
-			if errs[i] = f.up(ctx, stewards, workers, max(1, s.Holders), s.NoFence); errs[i] != nil {
+			defer f.stopAll()
+			if errs[i] = f.startAll(ctx, stewards, workers, max(1, s.Holders), s.NoFence); errs[i] != nil {
 				return
 			}
-			c.play(ctx, f, own)
-			f.down()
+			c.injectFaults(ctx, f, own)
+			f.stopAll()
 			histories[i], errs[i] = f.history()
 		})
 	}
@@ -100,45 +100,45 @@
 	if err := ctx.Err(); err != nil {
 		return nil, err
 	}
-	return &Result{fleets, c.figures(histories, length)}, nil
+	return &Result{fleets, c.summarize(histories, length)}, nil
 }
 
-// play collects what is measured while fleets run.
-type play struct {
-	x      *experiment.Experiment
+// runner collects what is measured while fleets run.
+type runner struct {
+	experiment      *experiment.Experiment
 	length time.Duration
 
 	mu       sync.Mutex
-	takeover []float64 // seconds from a holder's SIGKILL to the next grant
-	handOn   []float64 // from an operator's word to the next grant
-	cpu      []float64 // share of a core that leaders took
-	faults   map[string]int
-	failed   []error
-	probes   map[int][]span          // claims, by fleet
-	ends     map[int][]time.Duration // of leaders
+	takeovers []float64 // seconds from a holder's SIGKILL to the next grant
+	handOns   []float64 // from an operator's word to the next grant
+	leaderCPU      []float64 // share of a core that leaders took
+	faultCounts   map[string]int
+	faultErrors   []error
+	probes   map[int][]interval          // claims, by fleet
+	leaderKills     map[int][]time.Duration // of leaders
 }
 
-type span struct{ from, to time.Duration }
+type interval struct{ from, to time.Duration }
 
-func (c *play) add(to *[]float64, v float64) {
+func (c *runner) addSample(to *[]float64, v float64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	*to = append(*to, v)
 }
 
-// event is one fault with its moment.
-type event struct {
+// scheduledFault is one fault with its moment.
+type scheduledFault struct {
 	at    time.Duration
 	fault experiment.Fault
 	draw  uint64
 }
 
-// draw draws when faults come.
-func (c *play) draw(rng *rand.Rand) (all []event) {
-	for _, x := range c.x.Faults {
+// drawSchedule draws when faults come.
+func (c *runner) drawSchedule(rng *rand.Rand) (all []scheduledFault) {
+	for _, x := range c.experiment.Faults {
 		times := 1
 		if n := x.Times.Draw(rng); n > 0 {
-			times = max(1, int(n*float64(c.length)/float64(c.x.Length.D())+0.5))
+			times = max(1, int(n*float64(c.length)/float64(c.experiment.Length.D())+0.5))
 		}
 		for i := range times {
 			part := rng.Float64()
@@ -146,33 +146,33 @@
 				part = (float64(i) + part/3) / float64(times)
 			}
 			at := time.Duration((x.At.Draw(rng) + part*x.Over.Draw(rng)) * float64(c.length))
-			all = append(all, event{at, x, rng.Uint64()})
+			all = append(all, scheduledFault{at, x, rng.Uint64()})
 		}
 	}
-	slices.SortFunc(all, func(a, b event) int { return int(a.at - b.at) })
+	slices.SortFunc(all, func(a, b scheduledFault) int { return int(a.at - b.at) })
 	return all
 }
 
-// play has faults come over one fleet.
-func (c *play) play(ctx context.Context, f *fleet, rng *rand.Rand) {
-	network.Sleep(ctx, settleFor)
-	events := c.draw(rng)
+// injectFaults has faults come over one fleet.
+func (c *runner) injectFaults(ctx context.Context, f *fleet, rng *rand.Rand) {
+	network.Sleep(ctx, settleTime)
+	events := c.drawSchedule(rng)
 	began := time.Now()
 	ctx, cancel := context.WithTimeout(ctx, c.length)
 	defer cancel()
 	var all sync.WaitGroup
-	if c.x.Stewards.Probe {
+	if c.experiment.Stewards.Probe {
 		all.Go(func() { c.probe(ctx, f) })
 	}
-	all.Go(func() { c.measure(ctx, f) })
+	all.Go(func() { c.sampleLeaderCPU(ctx, f) })
 	for _, e := range events {
 		if network.Sleep(ctx, time.Until(began.Add(e.at))) != nil {
 			break
 		}
 		all.Go(func() {
-			if err := c.begin(ctx, f, e); err != nil && f.ctx.Err() == nil && ctx.Err() == nil {
+			if err := c.inject(ctx, f, e); err != nil && f.ctx.Err() == nil && ctx.Err() == nil {
 				c.mu.Lock()
-				c.failed = append(c.failed, fmt.Errorf("%s: %w", e.fault.Kind, err))
+				c.faultErrors = append(c.faultErrors, fmt.Errorf("%s: %w", e.fault.Kind, err))
 				c.mu.Unlock()
 			}
 		})
@@ -182,37 +182,37 @@
 	all.Wait()
 }
 
-// begin has one fault come, and returns when it is over.
-func (c *play) begin(ctx context.Context, f *fleet, e event) error {
+// inject has one fault come, and returns when it is over.
+func (c *runner) inject(ctx context.Context, f *fleet, e scheduledFault) error {
 	x, rng := e.fault, rand.New(rand.NewPCG(e.draw, 1))
 	d := x.For.Draw(rng)
 	share := x.Share.Draw(rng)
 	c.mu.Lock()
-	c.faults[x.Kind]++
+	c.faultCounts[x.Kind]++
 	c.mu.Unlock()
-	var struck []*node
+	var targets []*node
 	switch x.Of {
 	case "leader":
 		n, err := f.leader(ctx)
 		if err != nil {
 			return nil // there is none to strike
 		}
-		struck = []*node{n}
+		targets = []*node{n}
 	case "holder":
 		n, _, err := f.holderOf(ctx, fmt.Sprintf("duty-%d", rng.IntN(f.duties)))
 		if err != nil {
 			return nil
 		}
-		struck = []*node{n}
+		targets = []*node{n}
 	case "workers":
-		struck = some(rng, f.workers, share)
+		targets = sample(rng, f.workers, share)
 	default:
-		struck = some(rng, f.stewards, share)
+		targets = sample(rng, f.stewards, share)
 	}
-	rest := func() (all []int) {
+	otherOctets := func() (all []int) {
 		for _, n := range slices.Concat(f.stewards, f.workers) {
-			if !slices.Contains(struck, n) {
-				all = append(all, n.place)
+			if !slices.Contains(targets, n) {
+				all = append(all, n.octet)
 			}
 		}
 		return all
@@ -226,25 +226,25 @@
 		switch x.Of {
 		case "leader":
 			c.mu.Lock()
-			c.ends[f.index] = append(c.ends[f.index], Now())
+			c.leaderKills[f.index] = append(c.leaderKills[f.index], MonotonicTime())
 			c.mu.Unlock()
 		case "holder":
-			c.watchTakeover(ctx, f, struck[0])
+			c.watchTakeover(ctx, f, targets[0])
 		}
-		return f.each(struck, func(n *node) error { return f.restart(n, sig, d, nil) })
+		return f.forEach(targets, func(n *node) error { return f.restart(n, sig, d, nil) })
 	case "empty", "older":
-		return f.lose(struck[0], d, x.Kind == "older")
+		return f.replaceFolder(targets[0], d, x.Kind == "older")
 	case "pause":
-		return f.each(struck, func(n *node) error { f.pause(n, d); return nil })
+		return f.forEach(targets, func(n *node) error { f.pause(n, d); return nil })
 	case "cut", "one-way":
-		f.cut(places(struck), rest(), d, x.Kind == "one-way")
+		f.partition(octets(targets), otherOctets(), d, x.Kind == "one-way")
 	case "delay":
-		return f.each(struck, func(n *node) error {
-			f.delay(n, time.Duration(x.Size.Draw(rng)*float64(time.Second)), d)
+		return f.forEach(targets, func(n *node) error {
+			f.delayEffects(n, time.Duration(x.Size.Draw(rng)*float64(time.Second)), d)
 			return nil
 		})
 	case "forget":
-		return f.receivers[rng.IntN(receivers)].restart()
+		return f.receivers[rng.IntN(receiversPerFleet)].restart()
 	case "step-down":
 		name := fmt.Sprintf("duty-%d", rng.IntN(f.duties))
 		_, g, err := f.holderOf(ctx, name)
@@ -256,8 +256,8 @@
 		if err := f.client.Do(ctx, call.PathStepDown, in, &call.Duty{}, call.WaitMost); err != nil {
 			return nil // under other faults
 		}
-		if c.next(ctx, f, name, g.Epoch) {
-			c.add(&c.handOn, time.Since(began).Seconds())
+		if c.awaitNewerGrant(ctx, f, name, g.Epoch) {
+			c.addSample(&c.handOns, time.Since(began).Seconds())
 		}
 	default:
 		return errors.New("no such fault of stewards and workers")
@@ -265,7 +265,7 @@
 	return nil
 }
 
-func (f *fleet) each(of []*node, do func(*node) error) error {
+func (f *fleet) forEach(of []*node, do func(*node) error) error {
 	errs := make([]error, len(of))
 	var all sync.WaitGroup
 	for i, n := range of {
@@ -275,8 +275,8 @@
 	return errors.Join(errs...)
 }
 
-// next waits until a duty has a newer grant.
-func (c *play) next(ctx context.Context, f *fleet, name string, epoch uint64) bool {
+// awaitNewerGrant waits until a duty has a newer grant.
+func (c *runner) awaitNewerGrant(ctx context.Context, f *fleet, name string, epoch uint64) bool {
 	for ctx.Err() == nil {
 		var out call.DutiesOut
 		if err := f.client.Do(ctx, call.PathDuties, nil, &out, time.Second); err == nil {
@@ -292,7 +292,7 @@
 }
 
 // watchTakeover kills a holder and measures how long each of its duties is without one.
-func (c *play) watchTakeover(ctx context.Context, f *fleet, n *node) {
+func (c *runner) watchTakeover(ctx context.Context, f *fleet, n *node) {
 	var out call.DutiesOut
 	if f.client.Do(ctx, call.PathDuties, nil, &out, time.Second) != nil {
 		return
@@ -304,8 +304,8 @@
 	for _, d := range out.Duties {
 		if len(d.Holder) > len(n.name) && d.Holder[:len(n.name)+1] == n.name+"." {
 			f.work.Go(func() {
-				if c.next(ctx, f, d.Duty, d.Epoch) {
-					c.add(&c.takeover, time.Since(began).Seconds())
+				if c.awaitNewerGrant(ctx, f, d.Duty, d.Epoch) {
+					c.addSample(&c.takeovers, time.Since(began).Seconds())
 				}
 			})
 		}
@@ -313,26 +313,26 @@
 }
 
 // probe claims a duty of its own and gives it up, over and over: how long that takes tells whether claims go on.
-func (c *play) probe(ctx context.Context, f *fleet) {
-	client := call.NewClient(f.apis(), f.ip(placeOperator, 1))
+func (c *runner) probe(ctx context.Context, f *fleet) {
+	client := call.NewClient(f.stewardAddrs(), f.ip(octetOperator, 1))
 	defer client.Close()
 	for n := 0; ctx.Err() == nil; n++ {
-		began := Now()
+		began := MonotonicTime()
 		in := call.ClaimIn{Holder: "probe", WaitMS: 2000, Wishes: []call.Wish{{Duty: "probe", ID: fmt.Sprint("probe-", n), LeaseMS: 500}}}
 		var out call.ClaimOut
 		err := client.Do(ctx, call.PathClaim, in, &out, 2*time.Second)
 		if err == nil && len(out.Granted) == 1 && out.Granted[0].Epoch > 0 {
 			c.mu.Lock()
-			c.probes[f.index] = append(c.probes[f.index], span{began, Now()})
+			c.probes[f.index] = append(c.probes[f.index], interval{began, MonotonicTime()})
 			c.mu.Unlock()
 			client.Do(ctx, call.PathRelease, call.ReleaseIn{Holder: "probe", Duty: "probe", Epoch: out.Granted[0].Epoch}, &call.Done{}, 0)
 		}
-		network.Sleep(ctx, probeEvery)
+		network.Sleep(ctx, probeInterval)
 	}
 }
 
-// measure samples what leaders take of a core.
-func (c *play) measure(ctx context.Context, f *fleet) {
+// sampleLeaderCPU samples what leaders take of a core.
+func (c *runner) sampleLeaderCPU(ctx context.Context, f *fleet) {
 	var last *node
 	used := time.Duration(0)
 	for at := time.Now(); network.Sleep(ctx, 2*time.Second) == nil; at = time.Now() {
@@ -345,65 +345,65 @@
 		now := process.ProcessorTime(n.cmd.Process.Pid)
 		n.mu.Unlock()
 		if n == last && now > used {
-			c.add(&c.cpu, (now-used).Seconds()/time.Since(at).Seconds())
+			c.addSample(&c.leaderCPU, (now-used).Seconds()/time.Since(at).Seconds())
 		}
 		last, used = n, now
 	}
 }
 
-// figures sums the play up.
-func (c *play) figures(histories []History, length time.Duration) map[string]float64 {
-	fig := map[string]float64{"fault_seconds": float64(len(histories)) * length.Seconds(), "linearizable": 1, "unknown": 0,
-		"lost_to_leaders_end": 0, "fenced": 0, "effects": 0, "claims": 0, "faults_failed": float64(len(c.failed))}
-	for _, err := range c.failed {
+// summarize sums the play up.
+func (c *runner) summarize(histories []History, length time.Duration) map[string]float64 {
+	figures := map[string]float64{"fault_seconds": float64(len(histories)) * length.Seconds(), "linearizable": 1, "unknown": 0,
+		"lost_to_leaders_end": 0, "fenced": 0, "effects": 0, "claims": 0, "faults_failed": float64(len(c.faultErrors))}
+	for _, err := range c.faultErrors {
 		fmt.Fprintln(os.Stderr, "testbed:", err)
 	}
-	var longest []float64
+	var claimTimes []float64
 	for i, h := range histories {
 		v := h.Audit()
 		if !v.Linearizable {
-			fig["linearizable"] = 0
+			figures["linearizable"] = 0
 		}
 		if v.Unknown {
-			fig["unknown"]++
+			figures["unknown"]++
 		}
-		fig["older_taken"] += float64(v.OlderTaken)
-		fig["lease_overlaps"] += float64(v.Overlaps)
-		fig["epochs_reused"] += float64(v.Reused)
-		fig["claims"] += float64(len(h.Claims))
+		figures["older_taken"] += float64(v.StaleAccepted)
+		figures["lease_overlaps"] += float64(v.LeaseOverlaps)
+		figures["epochs_reused"] += float64(v.ReusedEpochs)
+		figures["claims"] += float64(len(h.Claims))
 		for _, e := range h.Effects {
-			if fig["effects"]++; !e.Taken {
-				fig["fenced"]++
+			if figures["effects"]++; !e.Accepted {
+				figures["fenced"]++
 			}
 		}
-		for _, at := range c.ends[i] {
+		for _, at := range c.leaderKills[i] {
 			for _, e := range h.Ends {
-				if e.Lost && e.At > at && e.At < at+afterKill {
-					fig["lost_to_leaders_end"]++
+				if e.Lost && e.At > at && e.At < at+leaderKillWindow {
+					figures["lost_to_leaders_end"]++
 				}
 			}
-			most := time.Duration(0)
+			longest := time.Duration(0)
 			for _, p := range c.probes[i] {
-				if p.to > at && p.from < at+afterKill {
-					most = max(most, p.to-p.from)
+				if p.to > at && p.from < at+leaderKillWindow {
+					longest = max(longest, p.to-p.from)
 				}
 			}
 			if len(c.probes[i]) > 0 {
-				longest = append(longest, most.Seconds())
+				claimTimes = append(claimTimes, longest.Seconds())
 			}
 		}
 	}
-	for kind, n := range c.faults {
-		fig["faults_"+kind] = float64(n)
+	for kind, n := range c.faultCounts {
+		figures["faults_"+kind] = float64(n)
 	}
-	fig["takeovers"], fig["hand_ons"], fig["leaders_ended"] = float64(len(c.takeover)), float64(len(c.handOn)), float64(len(longest))
-	fig["takeover_p99_s"], fig["hand_on_p99_s"], fig["claim_p99_s"] = top(c.takeover), top(c.handOn), top(longest)
-	fig["takeover_p50_s"], fig["hand_on_p50_s"], fig["claim_p50_s"] = quantile(c.takeover, 0.5), quantile(c.handOn, 0.5), quantile(longest, 0.5)
-	fig["leader_cpu"] = quantile(c.cpu, 0.5)
-	return fig
+	figures["takeovers"], figures["hand_ons"], figures["leaders_ended"] = float64(len(c.takeovers)), float64(len(c.handOns)), float64(len(claimTimes))
+	figures["takeover_p99_s"], figures["hand_on_p99_s"], figures["claim_p99_s"] = p99(c.takeovers), p99(c.handOns), p99(claimTimes)
+	figures["takeover_p50_s"], figures["hand_on_p50_s"], figures["claim_p50_s"] = quantile(c.takeovers, 0.5), quantile(c.handOns, 0.5), quantile(claimTimes, 0.5)
+	figures["leader_cpu"] = quantile(c.leaderCPU, 0.5)
+	return figures
 }
 
-func top(v []float64) float64 { return quantile(v, 0.99) }
+func p99(v []float64) float64 { return quantile(v, 0.99) }
 
 // quantile of values in any order; -1 of none.
 func quantile(v []float64, q float64) float64 {
--- a/internal/testbed/duties/worker.go
+++ b/internal/testbed/duties/worker.go
@@ -19,11 +19,11 @@
 	"onyxroad.dev/onyxroad/internal/duty/holder"
 )
 
-// receivers is how many there are of each fleet.
-const receivers = 2
+// receiversPerFleet is how many there are of each fleet.
+const receiversPerFleet = 2
 
-// Now is the machine's monotonic clock.
-func Now() time.Duration {
+// MonotonicTime is the machine's monotonic clock.
+func MonotonicTime() time.Duration {
 	var t unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_MONOTONIC, &t); err != nil {
 		panic(err) // every Linux has it
@@ -51,8 +51,8 @@
 	Sent         time.Duration
 }
 
-// Work claims duties, and has effects while it holds them, until ctx ends. It is a process of its own in the testbed.
-func Work(ctx context.Context, o WorkerOptions) error {
+// RunWorker claims duties, and has effects while it holds them, until ctx ends. It is a process of its own in the testbed.
+func RunWorker(ctx context.Context, o WorkerOptions) error {
 	var out io.Writer = io.Discard
 	if o.Record != "" {
 		f, err := os.OpenFile(o.Record, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
@@ -63,7 +63,7 @@
 		out = f
 	}
 	local := net.ParseIP(o.Local)
-	w := &worker{o: o, out: out, http: &http.Client{Timeout: 10 * time.Second, Transport: &http.Transport{
+	w := &worker{options: o, recordFile: out, http: &http.Client{Timeout: 10 * time.Second, Transport: &http.Transport{
 		DialContext: (&net.Dialer{LocalAddr: &net.TCPAddr{IP: local}}).DialContext, MaxIdleConnsPerHost: 16}}}
 	var all sync.WaitGroup
 	for i := range max(1, o.Count) {
@@ -74,7 +74,7 @@
 		h := holder.New(holder.Config{Client: call.NewClient(o.Stewards, local), Name: name, Lease: o.Lease,
 			Log: slog.New(slog.NewTextHandler(os.Stderr, nil))})
 		for d := range o.Duties {
-			h.Want(fmt.Sprintf("duty-%d", d), func(ctx context.Context, t *holder.Term) error { return w.work(ctx, name, t) })
+			h.Want(fmt.Sprintf("duty-%d", d), func(ctx context.Context, t *holder.Term) error { return w.holdDuty(ctx, name, t) })
 		}
 		all.Go(func() { h.Run(ctx) })
 	}
@@ -83,21 +83,21 @@
 }
 
 type worker struct {
-	o    WorkerOptions
+	options    WorkerOptions
 	http *http.Client
 	mu   sync.Mutex
-	out  io.Writer
+	recordFile  io.Writer
 }
 
-// write puts a line down: whole, since a line is one write, and there after SIGKILL.
-func (w *worker) write(v any) {
+// writeRecord puts a line down: whole, since a line is one writeRecord, and there after SIGKILL.
+func (w *worker) writeRecord(v any) {
 	data, err := json.Marshal(v)
 	if err != nil {
 		panic(err) // plain fields only
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.out.Write(append(data, '\n'))
+	w.recordFile.Write(append(data, '\n'))
 }
 
 // record is a line of a worker's file.
@@ -106,26 +106,26 @@
 	End   *End   `json:"end,omitempty"`
 }
 
-func (w *worker) work(ctx context.Context, name string, t *holder.Term) error {
-	ago := func(at time.Time) time.Duration { return Now() - time.Since(at) }
-	w.write(record{Claim: &Claim{name, t.Duty, t.Epoch, ago(t.Wished), Now()}})
+func (w *worker) holdDuty(ctx context.Context, name string, t *holder.Term) error {
+	ago := func(at time.Time) time.Duration { return MonotonicTime() - time.Since(at) }
+	w.writeRecord(record{Claim: &Claim{name, t.Duty, t.Epoch, ago(t.Wished), MonotonicTime()}})
 	var out sync.WaitGroup
 	for n := 0; ctx.Err() == nil; n++ {
-		e := effect{name, t.Duty, t.Epoch, Now()}
+		e := effect{name, t.Duty, t.Epoch, MonotonicTime()}
 		if !t.Valid() {
 			break
 		}
-		if len(w.o.Receivers) > 0 {
+		if len(w.options.Receivers) > 0 {
 			// An effect that takes long to arrive does not hold up the next one, nor the end of the term.
-			to := w.o.Receivers[n%len(w.o.Receivers)]
+			to := w.options.Receivers[n%len(w.options.Receivers)]
 			out.Go(func() { w.send(to, e) })
 		}
 		select {
 		case <-ctx.Done():
-		case <-time.After(w.o.Every):
+		case <-time.After(w.options.Every):
 		}
 	}
-	w.write(record{End: &End{name, t.Duty, t.Epoch, Now(), context.Cause(ctx) == holder.ErrLost}})
+	w.writeRecord(record{End: &End{name, t.Duty, t.Epoch, MonotonicTime(), context.Cause(ctx) == holder.ErrLost}})
 	return nil
 }
 
--- a/internal/testbed/run/run.go
+++ b/internal/testbed/run/run.go
@@ -119,7 +119,7 @@
 	if n := o.Experiment.Fleet.Stewards; n > 0 {
 		starter := process.NewStarter()
 		defer starter.End()
-		c.stewards, err = duties.StartBeside(ctx, n, filepath.Join(filepath.Dir(o.Program), build.Steward), home, ports.Base(), starter)
+		c.stewards, err = duties.StartStewards(ctx, n, filepath.Join(filepath.Dir(o.Program), build.Steward), home, ports.Base(), starter)
 		if err != nil {
 			return nil, err
 		}
@@ -128,7 +128,7 @@
 	c.fleet = process.New(p, c.book, ports, c.platform, o.Program, home)
 	defer c.fleet.Close()
 	if c.stewards != nil {
-		c.fleet.Stewards = c.stewards.APIs()
+		c.fleet.Stewards = c.stewards.Addresses()
 	}
 	c.load = load.New(p, c.book, ports.Relay, c.fleet.Alive)
 	c.platform.Ended = c.load.Ended
@@ -160,7 +160,7 @@
 	book        *ledger.Ledger
 	platform    *platform.Platform
 	fleet       *process.Fleet
-	stewards    *duties.Beside // nil: none
+	stewards    *duties.StewardCluster // nil: none
 	load        *load.Load
 	offset, end time.Duration
 }
@@ -235,7 +235,7 @@
 		return
 	}
 	if f.Kind == "stewards" {
-		if err := c.stewards.Down(ctx, f.For); err != nil {
+		if err := c.stewards.Outage(ctx, f.For); err != nil {
 			fmt.Fprintf(os.Stderr, "testbed: %s: %v\n", f.Kind, err)
 		}
 		return
