--- a/internal/testbed/duties/cluster.go
+++ b/internal/testbed/duties/cluster.go
@@ -11,10 +11,10 @@
 	"onyxroad.dev/onyxroad/internal/testbed/process"
 )
 
-// StewardCluster is the stewards of a fleet of relays.
+// StewardCluster runs the stewards that a fleet of relays uses, without workers or receivers.
 type StewardCluster struct{ f *fleet }
 
-// StartStewards starts so many stewards, whose ports count from base, and waits until they are one cluster.
+// StartStewards starts n stewards, with ports numbered from base, and waits until they have formed one cluster.
 func StartStewards(ctx context.Context, n int, program, dir string, base int, start *process.Starter) (*StewardCluster, error) {
 	f := &fleet{dir: filepath.Join(dir, "stewards"), basePort: base, programs: Programs{Steward: program}, starter: start}
 	b := &StewardCluster{f}
@@ -25,10 +25,10 @@
 	return b, nil
 }
 
-// Addresses are where relays find them.
+// Addresses returns the API addresses of the stewards, as relays see them.
 func (b *StewardCluster) Addresses() []string { return b.f.stewardAddrs() }
 
-// Outage has all of them gone for a time.
+// Outage kills all stewards, waits for d and starts them again.
 func (b *StewardCluster) Outage(ctx context.Context, d time.Duration) error {
 	var all sync.WaitGroup
 	for _, s := range b.f.stewards {
@@ -49,5 +49,5 @@
 	})
 }
 
-// Close ends them.
+// Close stops all stewards.
 func (b *StewardCluster) Close() { b.f.stopAll() }
--- a/internal/testbed/duties/fleet.go
+++ b/internal/testbed/duties/fleet.go
@@ -23,14 +23,16 @@
 )
 
 const (
-	joinTimeout = 20 * time.Second // for all stewards to have joined
-	stopTimeout   = 3 * time.Second
-	// operatorDelay is how long a steward that may take no part is left alone before its folder is emptied, as an operator would.
-	operatorDelay = 6 * time.Second
-	backupInterval     = 5 * time.Second // that the folders are copied, as by a backup
+	joinTimeout = 20 * time.Second // for all stewards to join the cluster
+	stopTimeout = 3 * time.Second
+	// operatorDelay is how long a steward that was refused by the cluster keeps running before its folder is emptied, which
+	// stands for an operator's reaction.
+	operatorDelay  = 6 * time.Second
+	backupInterval = 5 * time.Second // between copies of the stewards' folders
 )
 
-// Places of a fleet's parties among its addresses: 127.F.P.x, x being 1 inside and 3 where the others find it.
+// Third octets of the addresses in a fleet. A node has the addresses 127.F.P.x, where F is 100 plus the fleet's index, P is the
+// node's octet, and x is 1 for the address it listens on and 3 for the forwarder that others connect to.
 const (
 	octetSteward  = 1
 	octetWorker   = 20
@@ -42,50 +44,50 @@
 	portEffects
 )
 
-// node is one party that runs as a process, or one that the testbed plays.
+// node is a steward or a worker that runs as a process.
 type node struct {
 	name  string
 	octet int
-	dir  string
+	dir   string
 
-	mu    sync.Mutex // held over a whole restart
-	cmd   *exec.Cmd
+	mu     sync.Mutex // held during a whole restart
+	cmd    *exec.Cmd
 	exited chan struct{}
 	starts int
 }
 
-// fleet is one fleet of stewards, workers and receivers, with the network between them.
+// fleet is a set of stewards, workers and receivers with a simulated network between them.
 type fleet struct {
-	index     int
-	dir       string
-	basePort      int // port
-	programs  Programs
-	lease     time.Duration
-	duties    int
-	starter     *process.Starter
-	ctx       context.Context
-	cancel    context.CancelFunc
-	work      sync.WaitGroup
-	stewards  []*node
-	workers   []*node
-	receivers []*receiver
-	client    *call.Client
-	forwarders   []*network.Forwarder
-
-	mu    sync.Mutex
-	paths map[[2]int]*network.Path // by the places of both sides, the lower first
-	replacing  sync.Mutex               // one steward at a time loses its folder
+	index      int
+	dir        string
+	basePort   int
+	programs   Programs
+	lease      time.Duration
+	duties     int
+	starter    *process.Starter
+	ctx        context.Context
+	cancel     context.CancelFunc
+	work       sync.WaitGroup
+	stewards   []*node
+	workers    []*node
+	receivers  []*receiver
+	client     *call.Client
+	forwarders []*network.Forwarder
+
+	mu        sync.Mutex
+	paths     map[[2]int]*network.Path // by the octets of client and server
+	replacing sync.Mutex               // held while a steward's folder is replaced: one at a time
 }
 
-func (f *fleet) ip(place int, last byte) net.IP {
-	return net.IPv4(127, byte(100+f.index), byte(place), last)
+func (f *fleet) ip(octet int, last byte) net.IP {
+	return net.IPv4(127, byte(100+f.index), byte(octet), last)
 }
 
-func (f *fleet) addr(place int, last byte, port int) string {
-	return fmt.Sprintf("%v:%d", f.ip(place, last), f.basePort+port)
+func (f *fleet) addr(octet int, last byte, port int) string {
+	return fmt.Sprintf("%v:%d", f.ip(octet, last), f.basePort+port)
 }
 
-// path is the way between two parties, the same object either way: each direction has conditions of its own.
+// path returns the network path for connections from one node to another. Its two directions have separate conditions.
 func (f *fleet) path(from, to int) *network.Path {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -98,20 +100,20 @@
 	return p
 }
 
-// openForwarder puts a forwarder before a party's port: others speak to it, and each has a path of its own.
-func (f *fleet) openForwarder(place, port int) error {
-	x := &network.Forwarder{Target: f.addr(place, 1, port), Choose: func(from netip.AddrPort) *network.Path {
+// openForwarder starts a forwarder in front of a node's port. Others connect through it, each over its own path.
+func (f *fleet) openForwarder(octet, port int) error {
+	x := &network.Forwarder{Target: f.addr(octet, 1, port), Choose: func(from netip.AddrPort) *network.Path {
 		ip := from.Addr().Unmap().As4()
-		return f.path(int(ip[2]), place)
+		return f.path(int(ip[2]), octet)
 	}}
-	if err := x.ForwardTCP(f.addr(place, 3, port)); err != nil {
+	if err := x.ForwardTCP(f.addr(octet, 3, port)); err != nil {
 		return err
 	}
 	f.forwarders = append(f.forwarders, x)
 	return nil
 }
 
-// stewardAddrs are the stewards' addresses as the others know them.
+// stewardAddrs returns the stewards' API addresses, as others see them.
 func (f *fleet) stewardAddrs() (all []string) {
 	for _, s := range f.stewards {
 		all = append(all, f.addr(s.octet, 3, portAPI))
@@ -119,7 +121,7 @@
 	return all
 }
 
-// startAll starts everything and waits until the stewards are one cluster.
+// startAll starts all nodes and waits until the stewards have formed one cluster.
 func (f *fleet) startAll(ctx context.Context, stewards, workers, perWorker int, noFence bool) error {
 	f.ctx, f.cancel = context.WithCancel(context.Background())
 	f.paths = map[[2]int]*network.Path{}
@@ -157,11 +159,11 @@
 		_, err := f.client.One(ctx, f.stewardAddrs()[0], call.PathBegin, call.Done{}, &call.JoinOut{}, 2*time.Second)
 		var no *call.Refusal
 		if errors.As(err, &no) {
-			return nil // begun already
+			return nil // the cluster exists already
 		}
 		return err
 	}); err != nil {
-		return fmt.Errorf("duties: begin: %w", err)
+		return fmt.Errorf("duties: create the cluster: %w", err)
 	}
 	if err := f.retry(ctx, func() error { return f.checkAllJoined(ctx) }); err != nil {
 		return fmt.Errorf("duties: fleet %d: %w", f.index, err)
@@ -176,7 +178,7 @@
 	return nil
 }
 
-// retry tries retry something works or ctx ends.
+// retry calls try until it succeeds or ctx ends.
 func (f *fleet) retry(ctx context.Context, try func() error) error {
 	for {
 		err := try()
@@ -189,11 +191,11 @@
 	}
 }
 
-// checkAllJoined returns nil if every steward has its place.
+// checkAllJoined returns nil if there is a leader and every steward has joined the cluster.
 func (f *fleet) checkAllJoined(ctx context.Context) error {
 	var out call.StewardsOut
 	var duties call.DutiesOut
-	if err := f.client.Do(ctx, call.PathDuties, nil, &duties, time.Second); err != nil { // there is a leader
+	if err := f.client.Do(ctx, call.PathDuties, nil, &duties, time.Second); err != nil { // fails without a leader
 		return err
 	}
 	leader, err := f.leader(ctx)
@@ -204,12 +206,12 @@
 		return err
 	}
 	if len(out.Stewards) != len(f.stewards) {
-		return fmt.Errorf("%d stewards of %d have joined", len(out.Stewards), len(f.stewards))
+		return fmt.Errorf("%d of %d stewards have joined", len(out.Stewards), len(f.stewards))
 	}
 	return nil
 }
 
-// leader is the steward that leads, by what they say.
+// leader returns the steward that reports itself as the leader.
 func (f *fleet) leader(ctx context.Context) (*node, error) {
 	ctx, cancel := context.WithTimeout(ctx, time.Second)
 	defer cancel()
@@ -224,7 +226,7 @@
 			}
 		}
 	}
-	return nil, errors.New("no steward leads")
+	return nil, errors.New("no steward reports itself as the leader")
 }
 
 func (f *fleet) startSteward(s *node) error {
@@ -278,7 +280,7 @@
 	return nil
 }
 
-// stop ends a node's process and waits until it has.
+// stop signals a node's process and waits until it has exited, with SIGKILL after stopTimeout.
 func (f *fleet) stop(n *node, s syscall.Signal) {
 	n.cmd.Process.Signal(s)
 	select {
@@ -289,7 +291,7 @@
 	}
 }
 
-// restart ends a node's process and starts the next one after a while; change may change its folder in between.
+// restart stops a node's process and starts a new one after a pause. change, unless nil, modifies the node's folder in between.
 func (f *fleet) restart(n *node, s syscall.Signal, pause time.Duration, change func() error) error {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -308,7 +310,7 @@
 	return f.startSteward(n)
 }
 
-// pause has a node's process stand still.
+// pause suspends a node's process for d.
 func (f *fleet) pause(n *node, d time.Duration) {
 	n.mu.Lock()
 	cmd := n.cmd
@@ -318,7 +320,7 @@
 	cmd.Process.Signal(syscall.SIGCONT)
 }
 
-// partition has nothing pass between two sets of places.
+// partition drops all traffic between two sets of octets for d; with oneWay only that from a to b.
 func (f *fleet) partition(a, b []int, d time.Duration, oneWay bool) {
 	set := func(cut bool) {
 		for _, x := range a {
@@ -338,7 +340,7 @@
 	set(false)
 }
 
-// delayEffects has everything that a worker sends to receivers take so long: orders that are in flight while their duty moves on.
+// delayEffects delays everything that a worker sends to receivers, so that effects are in flight while their duty changes hands.
 func (f *fleet) delayEffects(w *node, by, d time.Duration) {
 	set := func(by time.Duration) {
 		for i := range f.receivers {
@@ -350,14 +352,14 @@
 	set(0)
 }
 
-// backupLoop backupLoop the stewards' folders now and then, as a backup would.
+// backupLoop copies the stewards' folders periodically, as a backup would.
 func (f *fleet) backupLoop() {
 	for network.Sleep(f.ctx, backupInterval) == nil {
 		for _, s := range f.stewards {
 			if s.mu.TryLock() {
 				os.RemoveAll(filepath.Join(s.dir, "copy"))
 				err := os.CopyFS(filepath.Join(s.dir, "copy"), os.DirFS(filepath.Join(s.dir, "dir")))
-				if err != nil { // changed meanwhile: no copy then
+				if err != nil { // the folder changed during the copy
 					os.RemoveAll(filepath.Join(s.dir, "copy"))
 				}
 				s.mu.Unlock()
@@ -366,8 +368,8 @@
 	}
 }
 
-// replaceFolder has a steward replaceFolder its folder, or get an older one back. The others do without it until it has joined anew, which with an
-// older folder takes an operator who empties it.
+// replaceFolder restarts a steward with an empty folder, or with an older copy of it, and waits until it has joined the cluster
+// again. With an older copy the cluster refuses it until the folder is emptied, which is done after operatorDelay.
 func (f *fleet) replaceFolder(s *node, pause time.Duration, older bool) error {
 	f.replacing.Lock()
 	defer f.replacing.Unlock()
@@ -378,7 +380,7 @@
 		change = func() error {
 			saved := filepath.Join(s.dir, "copy")
 			if _, err := os.Stat(filepath.Join(saved, "steward.json")); err != nil {
-				return nil // no copy yet: it comes back as it was
+				return nil // there is no copy yet: the folder is kept
 			}
 			return errors.Join(os.RemoveAll(dir), os.Rename(saved, dir))
 		}
@@ -397,7 +399,7 @@
 	return f.retry(f.ctx, func() error { return f.checkAllJoined(f.ctx) })
 }
 
-// holderOf is the worker that holds a duty, by the stewards.
+// holderOf returns the worker that holds a duty, as the stewards report it.
 func (f *fleet) holderOf(ctx context.Context, name string) (*node, call.Duty, error) {
 	var out call.DutiesOut
 	if err := f.client.Do(ctx, call.PathDuties, nil, &out, time.Second); err != nil {
@@ -413,10 +415,10 @@
 			}
 		}
 	}
-	return nil, call.Duty{}, fmt.Errorf("nobody holds %s", name)
+	return nil, call.Duty{}, fmt.Errorf("duty %s has no holder", name)
 }
 
-// stopAll ends everything.
+// stopAll kills all processes and closes forwarders and receivers.
 func (f *fleet) stopAll() {
 	if f.cancel == nil {
 		return
@@ -442,7 +444,7 @@
 	}
 }
 
-// history is what the fleet did. Its processes have ended.
+// history collects what workers and receivers recorded. The workers must have exited.
 func (f *fleet) history() (h History, err error) {
 	for _, w := range f.workers {
 		data, err := os.ReadFile(filepath.Join(w.dir, "record"))
@@ -452,7 +454,7 @@
 		for in := bufio.NewScanner(bytes.NewReader(data)); in.Scan(); {
 			var r record
 			if json.Unmarshal(in.Bytes(), &r) != nil {
-				continue // cut off by SIGKILL
+				continue // a line cut short by SIGKILL
 			}
 			if r.Claim != nil {
 				h.Claims = append(h.Claims, *r.Claim)
@@ -470,7 +472,7 @@
 	return h, nil
 }
 
-// sample draws a share of nodes, one at least.
+// sample draws a share of the nodes at random, at least one.
 func sample(rng *rand.Rand, of []*node, share float64) []*node {
 	order := rng.Perm(len(of))
 	n := min(len(of), max(1, int(share*float64(len(of))+0.5)))
--- a/internal/testbed/duties/history.go
+++ b/internal/testbed/duties/history.go
@@ -8,65 +8,65 @@
 	"github.com/anishathalye/porcupine"
 )
 
-// Claim is a term that a worker began, as the worker wrote it down before its first effect.
+// Claim is the beginning of a term. The worker records it before the term's first effect.
 type Claim struct {
-	Worker  string        `json:"worker"`
-	Duty    string        `json:"duty"`
-	Epoch   uint64        `json:"epoch"`
-	Requested  time.Duration `json:"wished"`  // when the claim was first made
-	Granted time.Duration `json:"granted"` // when its holder began
+	Worker    string        `json:"worker"`
+	Duty      string        `json:"duty"`
+	Epoch     uint64        `json:"epoch"`
+	Requested time.Duration `json:"wished"`  // when the claim was first made
+	Granted   time.Duration `json:"granted"` // when the worker learned of the grant
 }
 
-// End is how a term ended, as the worker saw it.
+// End is the end of a term as the worker recorded it.
 type End struct {
 	Worker string        `json:"worker"`
 	Duty   string        `json:"duty"`
 	Epoch  uint64        `json:"epoch"`
 	At     time.Duration `json:"at"`
-	Lost   bool          `json:"lost"` // its lease was over
+	Lost   bool          `json:"lost"` // the lease expired
 }
 
-// Effect is one effect as its receiver saw it.
+// Effect is an effect as its receiver recorded it.
 type Effect struct {
-	Worker, Duty string
-	Receiver     int
-	Epoch        uint64
-	Sent         time.Duration // by the worker, which found its lease valid after that moment
-	Received, Processed   time.Duration
-	Accepted        bool
+	Worker, Duty        string
+	Receiver            int
+	Epoch               uint64
+	Sent                time.Duration // by the worker, which checked its lease after taking this time
+	Received, Processed time.Duration
+	Accepted            bool
 }
 
-// History is what one fleet did. Times are of the machine's monotonic clock, which all processes share.
+// History is everything that one fleet recorded. Times are from the machine's monotonic clock, which all processes share.
 type History struct {
 	Claims  []Claim
 	Ends    []End
 	Effects []Effect
 }
 
-// AuditResult is what an audit of a history says. It shares no code with the programs that made it.
+// AuditResult is the result of auditing a history. The audit shares no code with the programs under test.
 type AuditResult struct {
-	Linearizable bool // by porcupine, every duty
-	Unknown      bool // it could not be told in time
-	StaleAccepted   int  // effects that were taken after one with a newer epoch, at one receiver
-	LeaseOverlaps     int  // effects that were sent under a valid lease after another holder had begun to
-	ReusedEpochs       int  // epochs that were granted twice
+	Linearizable  bool // porcupine's verdict over all duties
+	Unknown       bool // porcupine reached checkTimeout
+	StaleAccepted int  // effects accepted after one with a newer epoch at the same receiver
+	LeaseOverlaps int  // effects sent under a valid lease after a newer holder had sent one
+	ReusedEpochs  int  // epochs granted more than once
 }
 
-// dutyState is what the model knows of one duty: which epochs were granted, and the highest that each receiver took.
+// dutyState is the model's state of one duty: the highest epoch granted, and the highest that each receiver accepted.
 type dutyState struct {
-	granted uint64
-	accepted   [receiversPerFleet]uint64
+	granted  uint64
+	accepted [receiversPerFleet]uint64
 }
 
-// operation is one operation: a grant, or an effect at a receiver.
+// operation is the input of a step of the model: a grant, or an effect at a receiver.
 type operation struct {
 	effect   bool
 	receiver int
 	epoch    uint64
 }
 
-// model is a duty as it ought to be: epochs grow with each grant, a receiver takes an effect if its epoch was granted and none
-// newer was taken there, and refuses it only if one was.
+// model is the sequential specification of a duty: epochs grow with each grant; a receiver accepts an effect if its epoch was
+// granted and it has accepted none with a newer one, and refuses it only if it has.
 var model = porcupine.Model{
 	Init: func() any { return dutyState{} },
 	Step: func(s, in, out any) (bool, any) {
@@ -90,7 +90,7 @@
 
 const checkTimeout = 30 * time.Second
 
-// Audit judges a history.
+// Audit checks a history against the model and counts violations of the rules for epochs and leases.
 func (h *History) Audit() (result AuditResult) {
 	result.Linearizable = true
 	ops := map[string][]porcupine.Operation{}
--- a/internal/testbed/duties/history_test.go
+++ b/internal/testbed/duties/history_test.go
@@ -7,7 +7,7 @@
 
 const ms = time.Millisecond
 
-// validHistory is a history with a hand-over, in which an effect of the first holder comes late and is refused.
+// validHistory returns a history with a change of holder, in which an effect of the first holder arrives late and is refused.
 func validHistory() History {
 	return History{
 		Claims: []Claim{{"a", "d", 3, 0, 10 * ms}, {"b", "d", 5, 5 * ms, 100 * ms}},
@@ -15,7 +15,7 @@
 			{"a", "d", 0, 3, 20 * ms, 21 * ms, 22 * ms, true},
 			{"b", "d", 0, 5, 110 * ms, 111 * ms, 112 * ms, true},
 			{"a", "d", 0, 3, 60 * ms, 120 * ms, 121 * ms, false},
-			{"a", "d", 1, 3, 70 * ms, 130 * ms, 131 * ms, true}, // that receiver has seen nothing newer
+			{"a", "d", 1, 3, 70 * ms, 130 * ms, 131 * ms, true}, // this receiver has accepted nothing newer
 		},
 	}
 }
@@ -32,13 +32,13 @@
 		change func(*History)
 		found  func(AuditResult) bool
 	}{
-		"an older effect is taken": {func(h *History) { h.Effects[2].Accepted = true },
+		"a stale effect is accepted": {func(h *History) { h.Effects[2].Accepted = true },
 			func(v AuditResult) bool { return !v.Linearizable && v.StaleAccepted == 1 }},
 		"a valid effect is refused": {func(h *History) { h.Effects[1].Accepted = false }, func(v AuditResult) bool { return !v.Linearizable }},
 		"an epoch goes back":        {func(h *History) { h.Claims[1].Epoch, h.Claims[1].Requested = 2, 50*ms }, func(v AuditResult) bool { return !v.Linearizable }},
 		"an effect of no grant":     {func(h *History) { h.Effects[1].Epoch = 9 }, func(v AuditResult) bool { return !v.Linearizable }},
 		"an epoch has two holders":  {func(h *History) { h.Claims[1].Epoch = 3 }, func(v AuditResult) bool { return v.ReusedEpochs == 1 }},
-		"two believe at one time":   {func(h *History) { h.Effects[2].Sent = 115 * ms }, func(v AuditResult) bool { return v.LeaseOverlaps == 1 }},
+		"two holders at one time":   {func(h *History) { h.Effects[2].Sent = 115 * ms }, func(v AuditResult) bool { return v.LeaseOverlaps == 1 }},
 	} {
 		h := validHistory()
 		c.change(&h)
--- a/internal/testbed/duties/receiver.go
+++ b/internal/testbed/duties/receiver.go
@@ -12,7 +12,7 @@
 	"onyxroad.dev/onyxroad/internal/duty"
 )
 
-// receiver takes effects, and keeps the highest epoch of each duty as everything does that takes any: by a duty.Fence.
+// receiver accepts effects over HTTP and refuses those with an old epoch by a duty.Fence, as every receiver of effects does.
 type receiver struct {
 	index   int
 	dir     string
@@ -43,7 +43,7 @@
 	return r, nil
 }
 
-// restart has it forget all that is not on disk.
+// restart simulates a restart: the fence is read from disk again.
 func (r *receiver) restart() (err error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/testbed/duties/run.go
+++ b/internal/testbed/duties/run.go
@@ -1,6 +1,6 @@
-// Package duties plays stewards and processes that hold duties, in several fleets at once, with faults between them, and judges
-// what they did: that their history is linearizable, that no effect of an older holder was taken after one of a newer, and how
-// long it took until another took over.
+// Package duties runs stewards and workers that hold duties, in several fleets at once, under injected faults. It checks that
+// the recorded history is linearizable and that no effect of an older holder was accepted after one of a newer holder, and
+// measures how long takeovers take.
 package duties
 
 import (
@@ -24,25 +24,25 @@
 )
 
 const (
-	effectInterval = 50 * time.Millisecond
-	probeInterval  = 50 * time.Millisecond
-	leaderKillWindow   = 6 * time.Second // that claims are watched after a leader's end
-	settleTime   = 2 * time.Second
+	effectInterval   = 50 * time.Millisecond
+	probeInterval    = 50 * time.Millisecond
+	leaderKillWindow = 6 * time.Second // for which claims are observed after a leader was stopped
+	settleTime       = 2 * time.Second
 )
 
-// Programs are the programs that a play needs.
+// Programs are the paths of the executables that an experiment runs.
 type Programs struct {
 	Steward string
-	Testbed string // this one
+	Testbed string // runs the workers
 }
 
-// Result is what a play came to.
+// Result is the outcome of an experiment.
 type Result struct {
 	Fleets  int
 	Figures map[string]float64
 }
 
-// Run plays an experiment.
+// Run runs an experiment with one seed and reports its figures.
 func Run(ctx context.Context, x *experiment.Experiment, seed uint64, quick bool, programs Programs, progress func(string)) (*Result, error) {
 	s := x.Stewards
 	rng := rand.New(rand.NewPCG(seed, 0x6475747973))
@@ -103,19 +103,19 @@
 	return &Result{fleets, c.summarize(histories, length)}, nil
 }
 
-// runner collects what is measured while fleets run.
+// runner injects faults into the fleets of an experiment and collects measurements.
 type runner struct {
-	experiment      *experiment.Experiment
-	length time.Duration
+	experiment *experiment.Experiment
+	length     time.Duration
 
-	mu       sync.Mutex
-	takeovers []float64 // seconds from a holder's SIGKILL to the next grant
-	handOns   []float64 // from an operator's word to the next grant
-	leaderCPU      []float64 // share of a core that leaders took
-	faultCounts   map[string]int
-	faultErrors   []error
-	probes   map[int][]interval          // claims, by fleet
-	leaderKills     map[int][]time.Duration // of leaders
+	mu          sync.Mutex
+	takeovers   []float64 // seconds from a holder's SIGKILL to the next grant
+	handOns     []float64 // seconds from an operator's step-down request to the next grant
+	leaderCPU   []float64 // leaders' processor time, in cores
+	faultCounts map[string]int
+	faultErrors []error
+	probes      map[int][]interval      // duration of each probe's claim, by fleet
+	leaderKills map[int][]time.Duration // when leaders were stopped, by fleet
 }
 
 type interval struct{ from, to time.Duration }
@@ -126,14 +126,14 @@
 	*to = append(*to, v)
 }
 
-// scheduledFault is one fault with its moment.
+// scheduledFault is a fault and when it starts. draw seeds its random choices.
 type scheduledFault struct {
 	at    time.Duration
 	fault experiment.Fault
 	draw  uint64
 }
 
-// drawSchedule draws when faults come.
+// drawSchedule draws the times at which faults start, in order.
 func (c *runner) drawSchedule(rng *rand.Rand) (all []scheduledFault) {
 	for _, x := range c.experiment.Faults {
 		times := 1
@@ -153,7 +153,7 @@
 	return all
 }
 
-// injectFaults has faults come over one fleet.
+// injectFaults runs the schedule of faults against one fleet and takes measurements meanwhile.
 func (c *runner) injectFaults(ctx context.Context, f *fleet, rng *rand.Rand) {
 	network.Sleep(ctx, settleTime)
 	events := c.drawSchedule(rng)
@@ -178,11 +178,11 @@
 		})
 	}
 	<-ctx.Done()
-	f.cancel() // ends what still lasts
+	f.cancel() // ends faults that are still active
 	all.Wait()
 }
 
-// inject has one fault come, and returns when it is over.
+// inject applies one fault and returns when it is over.
 func (c *runner) inject(ctx context.Context, f *fleet, e scheduledFault) error {
 	x, rng := e.fault, rand.New(rand.NewPCG(e.draw, 1))
 	d := x.For.Draw(rng)
@@ -195,7 +195,7 @@
 	case "leader":
 		n, err := f.leader(ctx)
 		if err != nil {
-			return nil // there is none to strike
+			return nil // there is no leader at the moment
 		}
 		targets = []*node{n}
 	case "holder":
@@ -254,13 +254,13 @@
 		began := time.Now()
 		in := call.StepDownIn{Duty: name, BarMS: int64(x.Size.Draw(rng) * 1000)}
 		if err := f.client.Do(ctx, call.PathStepDown, in, &call.Duty{}, call.WaitMost); err != nil {
-			return nil // under other faults
+			return nil // may fail because of other faults
 		}
 		if c.awaitNewerGrant(ctx, f, name, g.Epoch) {
 			c.addSample(&c.handOns, time.Since(began).Seconds())
 		}
 	default:
-		return errors.New("no such fault of stewards and workers")
+		return fmt.Errorf("fault %q does not apply to stewards and workers", x.Kind)
 	}
 	return nil
 }
@@ -275,7 +275,7 @@
 	return errors.Join(errs...)
 }
 
-// awaitNewerGrant waits until a duty has a newer grant.
+// awaitNewerGrant waits until a duty has a holder with a newer epoch. It returns false if ctx ends first.
 func (c *runner) awaitNewerGrant(ctx context.Context, f *fleet, name string, epoch uint64) bool {
 	for ctx.Err() == nil {
 		var out call.DutiesOut
@@ -291,7 +291,7 @@
 	return false
 }
 
-// watchTakeover kills a holder and measures how long each of its duties is without one.
+// watchTakeover kills a worker and measures, for each duty it held, how long it takes until the next grant.
 func (c *runner) watchTakeover(ctx context.Context, f *fleet, n *node) {
 	var out call.DutiesOut
 	if f.client.Do(ctx, call.PathDuties, nil, &out, time.Second) != nil {
@@ -312,7 +312,7 @@
 	}
 }
 
-// probe claims a duty of its own and gives it up, over and over: how long that takes tells whether claims go on.
+// probe repeatedly claims and releases a duty of its own, and records how long each claim takes.
 func (c *runner) probe(ctx context.Context, f *fleet) {
 	client := call.NewClient(f.stewardAddrs(), f.ip(octetOperator, 1))
 	defer client.Close()
@@ -331,7 +331,7 @@
 	}
 }
 
-// sampleLeaderCPU samples what leaders take of a core.
+// sampleLeaderCPU samples the leader's use of processor time, in cores.
 func (c *runner) sampleLeaderCPU(ctx context.Context, f *fleet) {
 	var last *node
 	used := time.Duration(0)
@@ -351,7 +351,7 @@
 	}
 }
 
-// summarize sums the play up.
+// summarize audits the histories and computes the figures.
 func (c *runner) summarize(histories []History, length time.Duration) map[string]float64 {
 	figures := map[string]float64{"fault_seconds": float64(len(histories)) * length.Seconds(), "linearizable": 1, "unknown": 0,
 		"lost_to_leaders_end": 0, "fenced": 0, "effects": 0, "claims": 0, "faults_failed": float64(len(c.faultErrors))}
@@ -405,7 +405,7 @@
 
 func p99(v []float64) float64 { return quantile(v, 0.99) }
 
-// quantile of values in any order; -1 of none.
+// quantile returns the q-quantile of v, which need not be sorted; -1 if v is empty.
 func quantile(v []float64, q float64) float64 {
 	if len(v) == 0 {
 		return -1
--- a/internal/testbed/duties/worker.go
+++ b/internal/testbed/duties/worker.go
@@ -19,39 +19,38 @@
 	"onyxroad.dev/onyxroad/internal/duty/holder"
 )
 
-// receiversPerFleet is how many there are of each fleet.
 const receiversPerFleet = 2
 
-// MonotonicTime is the machine's monotonic clock.
+// MonotonicTime returns the time of the machine's monotonic clock.
 func MonotonicTime() time.Duration {
 	var t unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_MONOTONIC, &t); err != nil {
-		panic(err) // every Linux has it
+		panic(err) // CLOCK_MONOTONIC exists on every Linux
 	}
 	return time.Duration(t.Nano())
 }
 
-// WorkerOptions say what a worker does.
+// WorkerOptions configure a worker.
 type WorkerOptions struct {
 	Name      string
-	Count     int // holders in this process, with names of their own
+	Count     int // holders in this process, each with its own name
 	Stewards  []string
 	Duties    int
 	Lease     time.Duration
 	Receivers []string
 	Every     time.Duration // between effects
-	Local     string        // address that its connections come from
-	Record    string        // file that it writes its terms to; empty: none
+	Local     string        // local IP address of its connections
+	Record    string        // file to which its terms are written; empty for none
 }
 
-// effect is what a worker sends to a receiver.
+// effect is the message that a worker sends to a receiver.
 type effect struct {
 	Worker, Duty string
 	Epoch        uint64
 	Sent         time.Duration
 }
 
-// RunWorker claims duties, and has effects while it holds them, until ctx ends. It is a process of its own in the testbed.
+// RunWorker claims duties and sends effects while it holds them, until ctx ends. The testbed runs it in a separate process.
 func RunWorker(ctx context.Context, o WorkerOptions) error {
 	var out io.Writer = io.Discard
 	if o.Record != "" {
@@ -84,23 +83,23 @@
 
 type worker struct {
 	options    WorkerOptions
-	http *http.Client
-	mu   sync.Mutex
-	recordFile  io.Writer
+	http       *http.Client
+	mu         sync.Mutex
+	recordFile io.Writer
 }
 
-// writeRecord puts a line down: whole, since a line is one writeRecord, and there after SIGKILL.
+// writeRecord appends a line to the record file. A line is written by one system call, so that it is complete and survives SIGKILL.
 func (w *worker) writeRecord(v any) {
 	data, err := json.Marshal(v)
 	if err != nil {
-		panic(err) // plain fields only
+		panic(err) // can't fail: plain fields only
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.recordFile.Write(append(data, '\n'))
 }
 
-// record is a line of a worker's file.
+// record is a line of a worker's record file.
 type record struct {
 	Claim *Claim `json:"claim,omitempty"`
 	End   *End   `json:"end,omitempty"`
@@ -116,7 +115,7 @@
 			break
 		}
 		if len(w.options.Receivers) > 0 {
-			// An effect that takes long to arrive does not hold up the next one, nor the end of the term.
+			// In the background: a slow effect must not delay the next one or the end of the term.
 			to := w.options.Receivers[n%len(w.options.Receivers)]
 			out.Go(func() { w.send(to, e) })
 		}
