--- a/internal/testbed/scale/capacity/reckon.go
+++ b/internal/testbed/scale/capacity/reckon.go
@@ -60,10 +60,10 @@
 }
 
 // figure finds what was measured.
-func (m *Model) figure(slope, name string) (scale.Grown, []int, bool) {
+func (m *Model) figure(slope, name string) (scale.FigureResult, []int, bool) {
 	r := m.Results[slope]
 	if r == nil {
-		return scale.Grown{}, nil, false
+		return scale.FigureResult{}, nil, false
 	}
 	g, ok := r.Figure(name)
 	return g, r.Sizes, ok
--- a/internal/testbed/scale/fit.go
+++ b/internal/testbed/scale/fit.go
@@ -25,20 +25,20 @@
 var Laws = []Law{Constant, Linear, Linearithmic, Quadratic}
 
 const (
-	// Wrong is the error of prediction beyond which a law is not used.
-	Wrong = 0.25
-	// fewestSizes are those that a law is fitted to, with the one that it predicts.
-	fewestSizes = 5
-	// growth is what a growing law's left-out error may be of the constant one's, and steeper what a steeper law's may be of
-	// those that grow less, to be chosen instead: a draw goes to the law with less freedom, and then to less growth.
-	growth, steeper = 0.7, 0.85
-	// chance is how probable it may be that a figure which doesn't grow looks as if it did, by an F test, for a law to be
+	// MaxPredictionError is the error of prediction beyond which a law is not used.
+	MaxPredictionError = 0.25
+	// minSizes are those that a law is fitted to, with the one that it predicts.
+	minSizes = 5
+	// growthMargin is what a growing law's left-out error may be of the constant one's, and steeperMargin what a steeperMargin law's may be of
+	// those that grow less, to be chosen instead: a draw goes to the law with less freedom, and then to less growthMargin.
+	growthMargin, steeperMargin = 0.7, 0.85
+	// significance is how probable it may be that a figure which doesn't grow looks as if it did, by an F test, for a law to be
 	// chosen over the constant one.
-	chance = 0.02
-	// alike is a left-out error below which no law is told from another.
-	alike = 0.005
-	// floor keeps the small sizes from counting for more than a twentieth of the largest value would.
-	floor = 0.05
+	significance = 0.02
+	// errorFloor is a left-out error below which no law is told from another.
+	errorFloor = 0.005
+	// scaleFloor keeps the small sizes from counting for more than a twentieth of the largest value would.
+	scaleFloor = 0.05
 )
 
 // term is what of a law goes with n.
@@ -116,22 +116,22 @@
 	Error     float64 `json:"error"` // |predicted-measured|/measured
 }
 
-// Right tells whether a law that predicts so well is used.
-func (p Prediction) Right() bool { return p.Error <= Wrong }
+// WithinTolerance tells whether a law that predicts so well is used.
+func (p Prediction) WithinTolerance() bool { return p.Error <= MaxPredictionError }
 
-// Choose finds the law that points of rising size follow: the one with the least error at points that were left out of its
+// ChooseFit finds the law that points of rising size follow: the one with the least error at points that were left out of its
 // fit, errors taken as shares of the values, as noise of measured figures grows with them. A law grows: a figure that
 // falls with the size comes out constant, and its prediction tells how well that holds.
-func Choose(points []Point) Fit {
+func ChooseFit(points []Point) Fit {
 	best := regress(Constant, points)
-	still, least := leftOut(Constant, points), math.Inf(1)
+	constantError, leastError := crossValidationError(Constant, points), math.Inf(1)
 	for _, l := range Laws[1:] {
-		f, e := regress(l, points), leftOut(l, points)
-		if e >= steeper*least {
+		f, e := regress(l, points), crossValidationError(l, points)
+		if e >= steeperMargin*leastError {
 			continue
 		}
-		least = e
-		if f.B > 0 && e < growth*still && luck(f, points) < chance {
+		leastError = e
+		if f.B > 0 && e < growthMargin*constantError && pValue(f, points) < significance {
 			best = f
 		}
 	}
@@ -141,7 +141,7 @@
 // Predict tells how well points of rising size are foretold: law and coefficients come from all but the last.
 func Predict(points []Point) Prediction {
 	last := points[len(points)-1]
-	f := Choose(points[:len(points)-1])
+	f := ChooseFit(points[:len(points)-1])
 	p := Prediction{Law: f.Law, Predicted: f.At(last.Size), Measured: last.Value}
 	switch {
 	case p.Measured != 0:
@@ -156,7 +156,7 @@
 func regress(l Law, points []Point) Fit {
 	x, y, w := make([]float64, len(points)), make([]float64, len(points)), make([]float64, len(points))
 	for i, p := range points {
-		x[i], y[i], w[i] = l.term(p.Size), p.Value, math.Pow(unit(p, points), -2)
+		x[i], y[i], w[i] = l.term(p.Size), p.Value, math.Pow(errorScale(p, points), -2)
 	}
 	if l == Constant {
 		return Fit{Law: l, A: stat.Mean(y, w)}
@@ -165,22 +165,22 @@
 	return Fit{Law: l, A: a, B: b}
 }
 
-// leftOut is the error of a law at points that it was not fitted to: the root of the mean square, as a share.
-func leftOut(l Law, points []Point) float64 {
+// crossValidationError is the error of a law at points that it was not fitted to: the root of the mean square, as a share.
+func crossValidationError(l Law, points []Point) float64 {
 	sum := 0.0
 	for i, p := range points {
 		f := regress(l, slices.Concat(points[:i], points[i+1:]))
-		e := (f.A + f.B*l.term(p.Size) - p.Value) / unit(p, points)
+		e := (f.A + f.B*l.term(p.Size) - p.Value) / errorScale(p, points)
 		sum += e * e
 	}
-	return math.Sqrt(sum/float64(len(points)) + alike*alike)
+	return math.Sqrt(sum/float64(len(points)) + errorFloor*errorFloor)
 }
 
-// luck is the probability that points which don't grow are fitted so much better by a law with one more freedom.
-func luck(f Fit, points []Point) float64 {
+// pValue is the probability that points which don't grow are fitted so much better by a law with one more freedom.
+func pValue(f Fit, points []Point) float64 {
 	squares := func(f Fit) (sum float64) {
 		for _, p := range points {
-			sum += math.Pow((f.A+f.B*f.Law.term(p.Size)-p.Value)/unit(p, points), 2)
+			sum += math.Pow((f.A+f.B*f.Law.term(p.Size)-p.Value)/errorScale(p, points), 2)
 		}
 		return sum
 	}
@@ -192,13 +192,13 @@
 	return distuv.F{D1: 1, D2: free}.Survival(max(0, squares(regress(Constant, points))-with) / (with / free))
 }
 
-// unit is what an error at a point is a share of.
-func unit(p Point, points []Point) float64 {
+// errorScale is what an error at a point is a share of.
+func errorScale(p Point, points []Point) float64 {
 	most := slices.MaxFunc(points, func(a, b Point) int { return cmp.Compare(a.Value, b.Value) }).Value
 	if most <= 0 {
 		return 1
 	}
-	return max(p.Value, floor*most)
+	return max(p.Value, scaleFloor*most)
 }
 
 // Median is the middle of some samples, or the mean of the two in the middle.
--- a/internal/testbed/scale/fit_test.go
+++ b/internal/testbed/scale/fit_test.go
@@ -9,8 +9,8 @@
 // sizes are as far apart as a slope's.
 var sizes = []float64{500, 1000, 2000, 4000, 8000, 16000}
 
-// draw makes points of a law with noise, each the median of three samples.
-func draw(f func(n float64) float64, noise float64, seed uint64) []Point {
+// noisyPoints makes points of a law with noise, each the median of three samples.
+func noisyPoints(f func(n float64) float64, noise float64, seed uint64) []Point {
 	rng := rand.New(rand.NewPCG(seed, 7))
 	var points []Point
 	for _, n := range sizes {
@@ -38,11 +38,11 @@
 	} {
 		found, wrong := 0, 0
 		for seed := range uint64(200) {
-			points := draw(c.fit.At, c.noise, seed)
-			if Choose(points).Law == c.fit.Law {
+			points := noisyPoints(c.fit.At, c.noise, seed)
+			if ChooseFit(points).Law == c.fit.Law {
 				found++
 			}
-			if !Predict(points).Right() {
+			if !Predict(points).WithinTolerance() {
 				wrong++
 			}
 		}
@@ -60,12 +60,12 @@
 		"bends last": func(n float64) float64 { return n + math.Max(0, n-8000) },
 		"levels off": func(n float64) float64 { return math.Min(n, 8000) },
 	} {
-		points := draw(f, 0.01, 1)
-		if p := Predict(points); p.Right() {
+		points := noisyPoints(f, 0.01, 1)
+		if p := Predict(points); p.WithinTolerance() {
 			t.Errorf("%s: predicted %g by %s, measured %g, and it is used", name, p.Predicted, p.Law, p.Measured)
 		}
 		for n := 1.0; n < 1e8; n *= 10 {
-			if v := Choose(points).At(n); v < 0 {
+			if v := ChooseFit(points).At(n); v < 0 {
 				t.Errorf("%s: %g at %g", name, v, n)
 			}
 		}
--- a/internal/testbed/scale/locate.go
+++ b/internal/testbed/scale/locate.go
@@ -9,16 +9,16 @@
 	"strings"
 )
 
-// located are the keys of a JSON text by their paths, "figures[2].unit" say, in order.
-type located []struct {
+// keyPositions are the keys of a JSON text by their paths, "figures[2].unit" say, in order.
+type keyPositions []struct {
 	path string
 	line int
 }
 
-// locate finds the keys, and refuses what is no JSON, has a key twice, or goes on behind its end. Its errors begin with
+// locateKeys finds the keys, and refuses what is no JSON, has a key twice, or goes on behind its end. Its errors begin with
 // the line.
-func locate(data []byte) (located, error) {
-	var keys located
+func locateKeys(data []byte) (keyPositions, error) {
+	var keys keyPositions
 	seen := map[string]bool{}
 	d := json.NewDecoder(bytes.NewReader(data))
 	var value func(path string) error
@@ -77,7 +77,7 @@
 }
 
 // line is where a key stands, or the last of those above it that is there.
-func (l located) line(path string) int {
+func (l keyPositions) line(path string) int {
 	for ; path != ""; path = path[:max(0, strings.LastIndexAny(path, ".["))] {
 		for _, k := range l {
 			if k.path == path {
@@ -88,10 +88,10 @@
 	return 1
 }
 
-// strict refuses keys that a type's JSON form hasn't, and the lack of those that it has.
-func (l located) strict(of any) error {
+// checkKeys refuses keys that a type's JSON form hasn't, and the lack of those that it has.
+func (l keyPositions) checkKeys(of any) error {
 	known := map[string][]string{}
-	describe(reflect.TypeOf(of), "", known)
+	collectKeys(reflect.TypeOf(of), "", known)
 	has := map[string]bool{}
 	objects := []string{""}
 	for _, k := range l {
@@ -110,12 +110,12 @@
 		}
 	}
 	for _, k := range l {
-		if !names[general(k.path)] {
+		if !names[dropIndexes(k.path)] {
 			return fmt.Errorf(":%d: unknown key %s", k.line, k.path)
 		}
 	}
 	for _, o := range objects {
-		for _, key := range known[general(o)] {
+		for _, key := range known[dropIndexes(o)] {
 			if path := strings.TrimPrefix(o+"."+key, "."); !has[path] {
 				return fmt.Errorf(":%d: %s: is missing", l.line(o), path)
 			}
@@ -124,8 +124,8 @@
 	return nil
 }
 
-// general leaves the places out of a path: "figures[2].unit" is "figures[].unit".
-func general(path string) string {
+// dropIndexes leaves the places out of a path: "figures[2].unit" is "figures[].unit".
+func dropIndexes(path string) string {
 	for from := 0; ; {
 		i := strings.IndexByte(path[from:], '[')
 		if i < 0 {
@@ -137,16 +137,16 @@
 	}
 }
 
-// describe notes the keys of a type and of those within it, by their object's path.
-func describe(t reflect.Type, path string, into map[string][]string) {
+// collectKeys notes the keys of a type and of those within it, by their object's path.
+func collectKeys(t reflect.Type, path string, into map[string][]string) {
 	switch t.Kind() {
 	case reflect.Slice:
-		describe(t.Elem(), path+"[]", into)
+		collectKeys(t.Elem(), path+"[]", into)
 	case reflect.Struct:
 		for i := range t.NumField() {
 			key, _, _ := strings.Cut(t.Field(i).Tag.Get("json"), ",")
 			into[path] = append(into[path], key)
-			describe(t.Field(i).Type, strings.TrimPrefix(path+"."+key, "."), into)
+			collectKeys(t.Field(i).Type, strings.TrimPrefix(path+"."+key, "."), into)
 		}
 	}
 }
--- a/internal/testbed/scale/result.go
+++ b/internal/testbed/scale/result.go
@@ -18,8 +18,8 @@
 	"cores": "seconds of processor time a second", "1": "a count", "1/s": "a count a second",
 }
 
-// endings say what unit a figure's name promises.
-var endings = []struct{ ending, unit string }{
+// unitSuffixes say what unit a figure's name promises.
+var unitSuffixes = []struct{ ending, unit string }{
 	{"_us", "us"}, {"_ms", "ms"}, {"bytes_s", "bytes/s"}, {"_bytes", "bytes"}, {"cores", "cores"},
 }
 
@@ -28,7 +28,7 @@
 	if _, ok := Units[unit]; !ok {
 		return fmt.Errorf("%q is no unit", unit)
 	}
-	for _, e := range endings {
+	for _, e := range unitSuffixes {
 		if strings.HasSuffix(name, e.ending) && unit != e.unit {
 			return fmt.Errorf("%q makes no sense for %s, which is in %s", unit, name, e.unit)
 		}
@@ -48,11 +48,11 @@
 	LoadEnd   float64  `json:"load_end"`
 	Sizes     []int    `json:"sizes"` // rising
 	Seeds     []uint64 `json:"seeds"`
-	Figures   []Grown  `json:"figures"`
+	Figures   []FigureResult  `json:"figures"`
 }
 
-// Grown is one figure over the sizes, with its law.
-type Grown struct {
+// FigureResult is one figure over the sizes, with its law.
+type FigureResult struct {
 	Name       string      `json:"name"`
 	Unit       string      `json:"unit"`
 	About      string      `json:"about"`
@@ -63,7 +63,7 @@
 }
 
 // Points are the medians over the seeds.
-func (g Grown) Points(sizes []int) []Point {
+func (g FigureResult) Points(sizes []int) []Point {
 	points := make([]Point, len(sizes))
 	for i, n := range sizes {
 		points[i] = Point{Size: float64(n), Value: Median(g.Samples[i])}
@@ -71,18 +71,18 @@
 	return points
 }
 
-// assess fits and judges.
-func (g *Grown) assess(sizes []int) {
+// fitAndPredict fits and judges.
+func (g *FigureResult) fitAndPredict(sizes []int) {
 	points := g.Points(sizes)
-	g.Fit, g.Prediction = Choose(points), Predict(points)
-	g.Used = g.Prediction.Right()
+	g.Fit, g.Prediction = ChooseFit(points), Predict(points)
+	g.Used = g.Prediction.WithinTolerance()
 }
 
 // Figure finds a figure by its name.
-func (r *Result) Figure(name string) (Grown, bool) {
-	i := slices.IndexFunc(r.Figures, func(g Grown) bool { return g.Name == name })
+func (r *Result) Figure(name string) (FigureResult, bool) {
+	i := slices.IndexFunc(r.Figures, func(g FigureResult) bool { return g.Name == name })
 	if i < 0 {
-		return Grown{}, false
+		return FigureResult{}, false
 	}
 	return r.Figures[i], true
 }
@@ -97,7 +97,7 @@
 			r.Revision, r.Cores, r.Go, later.Revision, later.Cores, later.Go)
 	case slices.ContainsFunc(later.Seeds, func(s uint64) bool { return slices.Contains(r.Seeds, s) }):
 		return fmt.Errorf("scale: %s was measured on some of the seeds %d before", r.Slope, later.Seeds)
-	case !slices.EqualFunc(r.Figures, later.Figures, func(a, b Grown) bool { return a.Name == b.Name && a.Unit == b.Unit }):
+	case !slices.EqualFunc(r.Figures, later.Figures, func(a, b FigureResult) bool { return a.Name == b.Name && a.Unit == b.Unit }):
 		return fmt.Errorf("scale: %s was measured in other figures", r.Slope)
 	}
 	r.Seeds, r.LoadEnd = append(r.Seeds, later.Seeds...), later.LoadEnd
@@ -105,7 +105,7 @@
 		for j := range r.Sizes {
 			r.Figures[i].Samples[j] = append(r.Figures[i].Samples[j], later.Figures[i].Samples[j]...)
 		}
-		r.Figures[i].assess(r.Sizes)
+		r.Figures[i].fitAndPredict(r.Sizes)
 	}
 	return nil
 }
@@ -147,11 +147,11 @@
 // ParseResult reads the text of the file at path, strictly: what is unknown, missing or makes no sense is an error that
 // names file, line and key, and so is a law that the samples don't give.
 func ParseResult(path string, data []byte) (*Result, error) {
-	keys, err := locate(data)
+	keys, err := locateKeys(data)
 	if err != nil {
 		return nil, fmt.Errorf("%s%w", path, err)
 	}
-	if err := keys.strict(Result{}); err != nil {
+	if err := keys.checkKeys(Result{}); err != nil {
 		return nil, fmt.Errorf("%s%w", path, err)
 	}
 	var r Result
@@ -195,7 +195,7 @@
 	}
 	for i, g := range r.Figures {
 		at := func(key string) string { return fmt.Sprintf("figures[%d].%s", i, key) }
-		if g.Name == "" || slices.ContainsFunc(r.Figures[:i], func(b Grown) bool { return b.Name == g.Name }) {
+		if g.Name == "" || slices.ContainsFunc(r.Figures[:i], func(b FigureResult) bool { return b.Name == g.Name }) {
 			return at("name"), fmt.Errorf("%q is empty or stands twice", g.Name)
 		}
 		if err := checkUnit(g.Name, g.Unit); err != nil {
@@ -210,7 +210,7 @@
 			}
 		}
 		want := g
-		want.assess(r.Sizes)
+		want.fitAndPredict(r.Sizes)
 		for _, c := range []struct {
 			key       string
 			has, want any
@@ -221,7 +221,7 @@
 			{"prediction.measured", g.Prediction.Measured, want.Prediction.Measured},
 			{"prediction.error", g.Prediction.Error, want.Prediction.Error}, {"used", g.Used, want.Used},
 		} {
-			if !same(c.has, c.want) {
+			if !nearlyEqual(c.has, c.want) {
 				return at(c.key), fmt.Errorf("the samples give %v, not %v", c.want, c.has)
 			}
 		}
@@ -229,8 +229,8 @@
 	return "", nil
 }
 
-// same compares, with room for the last digits, in which processors differ.
-func same(a, b any) bool {
+// nearlyEqual compares, with room for the last digits, in which processors differ.
+func nearlyEqual(a, b any) bool {
 	x, ok := a.(float64)
 	if !ok {
 		return a == b
@@ -241,8 +241,8 @@
 
 // checkSizes tells whether a law can be fitted to the sizes, and proved.
 func checkSizes(sizes []int) error {
-	if len(sizes) < fewestSizes {
-		return fmt.Errorf("%d sizes are too few, a law needs %d", len(sizes), fewestSizes)
+	if len(sizes) < minSizes {
+		return fmt.Errorf("%d sizes are too few, a law needs %d", len(sizes), minSizes)
 	}
 	for i, n := range sizes {
 		if n < 1 || i > 0 && n <= sizes[i-1] {
--- a/internal/testbed/scale/result_test.go
+++ b/internal/testbed/scale/result_test.go
@@ -8,9 +8,9 @@
 	"testing"
 )
 
-func drawn(t *testing.T, seeds ...uint64) *Result {
+func measuredResult(t *testing.T, seeds ...uint64) *Result {
 	t.Helper()
-	r, err := run(t.Context(), quiet(), []int{500, 1000, 2000, 4000, 8000}, seeds, quietEnv(t), Limits{1 << 30, 300})
+	r, err := run(t.Context(), rigWithoutMemory(), []int{500, 1000, 2000, 4000, 8000}, seeds, testEnv(t), Limits{1 << 30, 300})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -19,7 +19,7 @@
 }
 
 func TestResultsAreReadAsWritten(t *testing.T) {
-	r := drawn(t, 1, 2, 3)
+	r := measuredResult(t, 1, 2, 3)
 	path, err := r.Write(t.TempDir())
 	if err != nil {
 		t.Fatal(err)
@@ -36,11 +36,11 @@
 }
 
 func TestJoin(t *testing.T) {
-	r, later := drawn(t, 1, 2), drawn(t, 3)
+	r, later := measuredResult(t, 1, 2), measuredResult(t, 3)
 	if err := r.Join(later); err != nil {
 		t.Fatal(err)
 	}
-	all := drawn(t, 1, 2, 3)
+	all := measuredResult(t, 1, 2, 3)
 	all.LoadBegin, all.LoadEnd = r.LoadBegin, r.LoadEnd
 	a, _ := r.Encode()
 	b, _ := all.Encode()
@@ -50,7 +50,7 @@
 	if err := r.Join(later); err == nil {
 		t.Error("a seed was joined twice")
 	}
-	later = drawn(t, 4)
+	later = measuredResult(t, 4)
 	later.Revision = "def5678"
 	if err := r.Join(later); err == nil {
 		t.Error("another revision's samples were joined")
@@ -59,7 +59,7 @@
 
 // Each of these changes makes a good file bad, and the error names file, line and key.
 func TestBadResultsAreRefused(t *testing.T) {
-	data, err := drawn(t, 1).Encode()
+	data, err := measuredResult(t, 1).Encode()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -105,7 +105,7 @@
 
 // A change of any one sample is seen where there is one seed, as it changes the law.
 func TestChangedSamplesGiveAnotherLaw(t *testing.T) {
-	r := drawn(t, 1)
+	r := measuredResult(t, 1)
 	for i, g := range r.Figures {
 		for j := range g.Samples {
 			was := g.Samples[j][0]
--- a/internal/testbed/scale/rig.go
+++ b/internal/testbed/scale/rig.go
@@ -29,12 +29,12 @@
 		Cost: func(size int) Cost { return Cost{Memory: int64(size) << 10} },
 		Measure: func(_ context.Context, size int, seed uint64, _ Env) (map[string]float64, error) {
 			rng := rand.New(rand.NewPCG(seed, uint64(size)))
-			before := heap()
+			before := heapInUse()
 			things := make([][]byte, size)
 			for i := range things {
 				things[i] = make([]byte, 1<<10)
 			}
-			measured := map[string]float64{"heap_bytes": math.Max(0, heap()-before)}
+			measured := map[string]float64{"heap_bytes": math.Max(0, heapInUse()-before)}
 			runtime.KeepAlive(things)
 			for _, d := range drawn {
 				measured[d.Name] = d.At(float64(size)) * (1 + 0.03*rng.NormFloat64())
@@ -44,8 +44,8 @@
 	}
 }
 
-// heap is what is in use after a collection, in bytes.
-func heap() float64 {
+// heapInUse is what is in use after a collection, in bytes.
+func heapInUse() float64 {
 	runtime.GC()
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
--- a/internal/testbed/scale/run.go
+++ b/internal/testbed/scale/run.go
@@ -78,10 +78,10 @@
 	r := &Result{Slope: s.Name, About: s.About, Variable: s.Variable, Cores: runtime.NumCPU(), Go: runtime.Version(),
 		Sizes: sizes, Seeds: seeds}
 	for _, f := range s.Figures {
-		r.Figures = append(r.Figures, Grown{Name: f.Name, Unit: f.Unit, About: f.About, Samples: make([][]float64, len(sizes))})
+		r.Figures = append(r.Figures, FigureResult{Name: f.Name, Unit: f.Unit, About: f.About, Samples: make([][]float64, len(sizes))})
 	}
 	var err error
-	if r.LoadBegin, err = load(); err != nil {
+	if r.LoadBegin, err = loadAverage(); err != nil {
 		return nil, err
 	}
 	for j, seed := range seeds {
@@ -98,11 +98,11 @@
 				"seed", seed, "took", time.Since(begin).Round(time.Millisecond))
 		}
 	}
-	if r.LoadEnd, err = load(); err != nil {
+	if r.LoadEnd, err = loadAverage(); err != nil {
 		return nil, err
 	}
 	for k := range r.Figures {
-		r.Figures[k].assess(sizes)
+		r.Figures[k].fitAndPredict(sizes)
 	}
 	return r, nil
 }
@@ -131,8 +131,8 @@
 	return figures, nil
 }
 
-// load is the machine's, over the last minute.
-func load() (float64, error) {
+// loadAverage is the machine's, over the last minute.
+func loadAverage() (float64, error) {
 	data, err := os.ReadFile("/proc/loadavg")
 	if err != nil {
 		return 0, fmt.Errorf("scale: %w", err)
--- a/internal/testbed/scale/run_test.go
+++ b/internal/testbed/scale/run_test.go
@@ -9,18 +9,18 @@
 	"testing"
 )
 
-// quiet is the rig without the memory, which is measured and so differs from play to play.
-func quiet() Slope {
+// rigWithoutMemory is the rig without the memory, which is measured and so differs from play to play.
+func rigWithoutMemory() Slope {
 	s := Rig()
 	s.Figures = s.Figures[1:]
 	return s
 }
 
-func quietEnv(t *testing.T) Env { return Env{Dir: t.TempDir(), Log: slog.New(slog.DiscardHandler)} }
+func testEnv(t *testing.T) Env { return Env{Dir: t.TempDir(), Log: slog.New(slog.DiscardHandler)} }
 
 func TestRigFindsItsLaws(t *testing.T) {
 	s := Rig()
-	r, err := Run(t.Context(), s, s.Small, s.Seeds[:1], quietEnv(t))
+	r, err := Run(t.Context(), s, s.Small, s.Seeds[:1], testEnv(t))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -49,13 +49,13 @@
 		{func(s *Slope) { s.Cost = func(n int) Cost { return Cost{Processes: n} } }, []int{1, 2, 3, 4, 301}, []uint64{1},
 			"rig at 301 takes 301 processes, 300 at most"},
 	} {
-		s := quiet()
+		s := rigWithoutMemory()
 		s.Measure = func(context.Context, int, uint64, Env) (map[string]float64, error) {
 			t.Errorf("%s: it was started", c.want)
 			return nil, errors.New("started")
 		}
 		c.change(&s)
-		if _, err := run(t.Context(), s, c.sizes, c.seeds, quietEnv(t), Limits{64 << 20, 300}); err == nil || !strings.Contains(err.Error(), c.want) {
+		if _, err := run(t.Context(), s, c.sizes, c.seeds, testEnv(t), Limits{64 << 20, 300}); err == nil || !strings.Contains(err.Error(), c.want) {
 			t.Errorf("%v, want %s", err, c.want)
 		}
 	}
@@ -65,7 +65,7 @@
 }
 
 func TestRunCleansUp(t *testing.T) {
-	s, env := quiet(), quietEnv(t)
+	s, env := rigWithoutMemory(), testEnv(t)
 	measure := s.Measure
 	s.Measure = func(ctx context.Context, n int, seed uint64, e Env) (map[string]float64, error) {
 		if e.Dir == env.Dir {
