--- a/internal/testbed/scale/fit.go
+++ b/internal/testbed/scale/fit.go
@@ -10,10 +10,10 @@
 	"gonum.org/v1/gonum/stat/distuv"
 )
 
-// Law is a growth law: what a figure is made of at size n.
+// Law is a growth law: the form of the function that gives a figure at size n.
 type Law string
 
-// The laws, in the order in which they are preferred where they fit alike.
+// The laws, in order of preference if they fit equally well.
 const (
 	Constant     Law = "constant"  // a
 	Linear       Law = "linear"    // a + b n
@@ -21,27 +21,28 @@
 	Quadratic    Law = "n squared" // a + b n²
 )
 
-// Laws are all of them.
+// Laws lists all laws, in order of preference.
 var Laws = []Law{Constant, Linear, Linearithmic, Quadratic}
 
 const (
-	// MaxPredictionError is the error of prediction beyond which a law is not used.
+	// MaxPredictionError is the largest relative error of the prediction with which a law is still used.
 	MaxPredictionError = 0.25
-	// minSizes are those that a law is fitted to, with the one that it predicts.
+	// minSizes is the smallest number of sizes, including the one that the law has to predict.
 	minSizes = 5
-	// growthMargin is what a growing law's left-out error may be of the constant one's, and steeperMargin what a steeperMargin law's may be of
-	// those that grow less, to be chosen instead: a draw goes to the law with less freedom, and then to less growthMargin.
+	// A growing law replaces the constant one only if its cross-validation error is below growthMargin of the constant law's, and
+	// a steeper law replaces a flatter one only below steeperMargin of the flatter law's error. If the errors are similar, the law
+	// with fewer parameters is preferred, and then the one that grows less.
 	growthMargin, steeperMargin = 0.7, 0.85
-	// significance is how probable it may be that a figure which doesn't grow looks as if it did, by an F test, for a law to be
-	// chosen over the constant one.
+	// significance is the p-value of an F test against the constant law below which a growing law may be chosen.
 	significance = 0.02
-	// errorFloor is a left-out error below which no law is told from another.
+	// errorFloor is added to cross-validation errors, in quadrature, so that laws with negligible errors count as equal.
 	errorFloor = 0.005
-	// scaleFloor keeps the small sizes from counting for more than a twentieth of the largest value would.
+	// scaleFloor bounds the weight of small values: errors are relative to the value, or to this share of the largest value if
+	// that is more.
 	scaleFloor = 0.05
 )
 
-// term is what of a law goes with n.
+// term returns the part of the law that depends on n.
 func (l Law) term(n float64) float64 {
 	switch l {
 	case Linear:
@@ -54,21 +55,21 @@
 	return 0
 }
 
-// Point is what was measured at one size: the median over the seeds.
+// Point is a measurement at one size: the median over the seeds.
 type Point struct{ Size, Value float64 }
 
-// Fit is a law with its coefficients, in the figure's unit.
+// Fit is a law with its coefficients, in the unit of the figure.
 type Fit struct {
 	Law Law     `json:"law"`
 	A   float64 `json:"a"`
 	B   float64 `json:"b"`
 }
 
-// At is what the law says of size n, and never less than nothing.
+// At returns the value of the law at size n, at least 0.
 func (f Fit) At(n float64) float64 { return max(0, f.A+f.B*f.Law.term(n)) }
 
-// Reaches is the size at which the law comes to a value; false if it never passes it. A law that lies above the value
-// from the start reaches it at 0.
+// Reaches returns the size at which the law reaches value, or false if it never exceeds it. It returns 0 if the law is above
+// the value from the start.
 func (f Fit) Reaches(value float64) (n float64, ok bool) {
 	if f.A >= value {
 		return 0, f.A > value
@@ -83,7 +84,7 @@
 	case Quadratic:
 		return math.Sqrt(want), true
 	}
-	// n ln n grows from 1 on; Newton's steps from above stay above, so that they end.
+	// Newton's method for n ln n = want. The function is convex and increasing for n >= 1, so that steps from above converge.
 	n = max(want, math.E)
 	for range 100 {
 		next := n - (n*math.Log(n)-want)/(math.Log(n)+1)
@@ -95,7 +96,7 @@
 	return n, true
 }
 
-// Formula is the law with its coefficients, for a reader.
+// Formula formats the law with its coefficients.
 func (f Fit) Formula() string {
 	switch f.Law {
 	case Linear:
@@ -108,7 +109,7 @@
 	return fmt.Sprintf("%.4g", f.A)
 }
 
-// Prediction is what a law, chosen and fitted without the largest size, says of that size.
+// Prediction compares the largest size's measurement with the value of a law that was chosen and fitted without it.
 type Prediction struct {
 	Law       Law     `json:"law"`
 	Predicted float64 `json:"predicted"`
@@ -116,12 +117,12 @@
 	Error     float64 `json:"error"` // |predicted-measured|/measured
 }
 
-// WithinTolerance tells whether a law that predicts so well is used.
+// WithinTolerance reports whether the prediction is accurate enough for the law to be used.
 func (p Prediction) WithinTolerance() bool { return p.Error <= MaxPredictionError }
 
-// ChooseFit finds the law that points of rising size follow: the one with the least error at points that were left out of its
-// fit, errors taken as shares of the values, as noise of measured figures grows with them. A law grows: a figure that
-// falls with the size comes out constant, and its prediction tells how well that holds.
+// ChooseFit finds the law that best describes points of rising size: the one with the least leave-one-out error. Errors are
+// relative to the values, because the noise of measured figures grows with them. A law never falls: a figure that falls with
+// the size gets the constant law, and its prediction shows how good that is.
 func ChooseFit(points []Point) Fit {
 	best := regress(Constant, points)
 	constantError, leastError := crossValidationError(Constant, points), math.Inf(1)
@@ -138,7 +139,7 @@
 	return best
 }
 
-// Predict tells how well points of rising size are foretold: law and coefficients come from all but the last.
+// Predict chooses and fits a law for all points but the last, and predicts the last. Points are of rising size.
 func Predict(points []Point) Prediction {
 	last := points[len(points)-1]
 	f := ChooseFit(points[:len(points)-1])
@@ -152,7 +153,7 @@
 	return p
 }
 
-// regress fits one law by least squares of the errors' shares.
+// regress fits one law by least squares of relative errors.
 func regress(l Law, points []Point) Fit {
 	x, y, w := make([]float64, len(points)), make([]float64, len(points)), make([]float64, len(points))
 	for i, p := range points {
@@ -165,7 +166,7 @@
 	return Fit{Law: l, A: a, B: b}
 }
 
-// crossValidationError is the error of a law at points that it was not fitted to: the root of the mean square, as a share.
+// crossValidationError is the root mean square of the relative errors at points that were left out of the fit one by one.
 func crossValidationError(l Law, points []Point) float64 {
 	sum := 0.0
 	for i, p := range points {
@@ -176,7 +177,8 @@
 	return math.Sqrt(sum/float64(len(points)) + errorFloor*errorFloor)
 }
 
-// pValue is the probability that points which don't grow are fitted so much better by a law with one more freedom.
+// pValue is the probability, by an F test, that points of a constant figure are fitted so much better by a law with one more
+// parameter.
 func pValue(f Fit, points []Point) float64 {
 	squares := func(f Fit) (sum float64) {
 		for _, p := range points {
@@ -192,7 +194,7 @@
 	return distuv.F{D1: 1, D2: free}.Survival(max(0, squares(regress(Constant, points))-with) / (with / free))
 }
 
-// errorScale is what an error at a point is a share of.
+// errorScale returns the value that an error at p is divided by.
 func errorScale(p Point, points []Point) float64 {
 	most := slices.MaxFunc(points, func(a, b Point) int { return cmp.Compare(a.Value, b.Value) }).Value
 	if most <= 0 {
@@ -201,7 +203,7 @@
 	return max(p.Value, scaleFloor*most)
 }
 
-// Median is the middle of some samples, or the mean of the two in the middle.
+// Median returns the median of samples.
 func Median(samples []float64) float64 {
 	s := slices.Sorted(slices.Values(samples))
 	if n := len(s); n%2 == 0 {
--- a/internal/testbed/scale/fit_test.go
+++ b/internal/testbed/scale/fit_test.go
@@ -6,10 +6,10 @@
 	"testing"
 )
 
-// sizes are as far apart as a slope's.
+// sizes are spaced like those of a real slope.
 var sizes = []float64{500, 1000, 2000, 4000, 8000, 16000}
 
-// noisyPoints makes points of a law with noise, each the median of three samples.
+// noisyPoints returns points of a function with relative noise, each the median of three samples.
 func noisyPoints(f func(n float64) float64, noise float64, seed uint64) []Point {
 	rng := rand.New(rand.NewPCG(seed, 7))
 	var points []Point
@@ -27,12 +27,12 @@
 	for _, c := range []struct {
 		fit   Fit
 		noise float64
-		least int // times of 200 that the law is found
+		least int // of 200 runs, how many have to find the law
 	}{
 		{Fit{Constant, 2.3, 0}, 0.05, 190},
 		{Fit{Constant, 0, 0}, 0, 200},
 		{Fit{Linear, 100, 0.5}, 0.03, 190},
-		{Fit{Linear, 2e7, 50}, 0.001, 195}, // memory that is mostly the program's own
+		{Fit{Linear, 2e7, 50}, 0.001, 195}, // memory that is mostly the program's fixed part
 		{Fit{Linearithmic, 20, 0.01}, 0.01, 180},
 		{Fit{Quadratic, 3, 2e-4}, 0.05, 195},
 	} {
@@ -47,12 +47,12 @@
 			}
 		}
 		if found < c.least || wrong > 2 {
-			t.Errorf("%v with %g of noise was found %d times of 200 and refused %d times, want %d and 2", c.fit, c.noise, found, wrong, c.least)
+			t.Errorf("%v with noise %g: found in %d of 200 runs, prediction rejected in %d; want at least %d and at most 2", c.fit, c.noise, found, wrong, c.least)
 		}
 	}
 }
 
-// A law that holds up to the last size but one, and not there, is not used: nor is the best of the wrong ones.
+// A law is not used if the largest size deviates from it, nor if no law describes the figure and the best one is wrong.
 func TestWrongLawsAreRefused(t *testing.T) {
 	for name, f := range map[string]func(float64) float64{
 		"cubic":      func(n float64) float64 { return n * n * n },
@@ -62,11 +62,11 @@
 	} {
 		points := noisyPoints(f, 0.01, 1)
 		if p := Predict(points); p.WithinTolerance() {
-			t.Errorf("%s: predicted %g by %s, measured %g, and it is used", name, p.Predicted, p.Law, p.Measured)
+			t.Errorf("%s: accepted though %s predicted %g and %g was measured", name, p.Law, p.Predicted, p.Measured)
 		}
 		for n := 1.0; n < 1e8; n *= 10 {
 			if v := ChooseFit(points).At(n); v < 0 {
-				t.Errorf("%s: %g at %g", name, v, n)
+				t.Errorf("%s: negative value %g at %g", name, v, n)
 			}
 		}
 	}
@@ -81,9 +81,9 @@
 		}
 	}
 	if n, ok := (Fit{Constant, 5, 0}).Reaches(6); ok {
-		t.Errorf("a constant of 5 passes 6 at %g", n)
+		t.Errorf("a constant of 5 exceeds 6 at %g", n)
 	}
 	if n, ok := (Fit{Linear, 5, 1}).Reaches(4); !ok || n != 0 {
-		t.Errorf("a law from 5 on passes 4 at %g, %v", n, ok)
+		t.Errorf("a law that starts at 5 exceeds 4 at %g, %v; want 0", n, ok)
 	}
 }
--- a/internal/testbed/scale/locate.go
+++ b/internal/testbed/scale/locate.go
@@ -9,14 +9,14 @@
 	"strings"
 )
 
-// keyPositions are the keys of a JSON text by their paths, "figures[2].unit" say, in order.
+// keyPositions lists the keys of a JSON text with their lines, in order. A path is, for example, "figures[2].unit".
 type keyPositions []struct {
 	path string
 	line int
 }
 
-// locateKeys finds the keys, and refuses what is no JSON, has a key twice, or goes on behind its end. Its errors begin with
-// the line.
+// locateKeys finds the keys of a JSON text. It rejects invalid JSON, duplicate keys and trailing data, with errors that begin
+// with the line.
 func locateKeys(data []byte) (keyPositions, error) {
 	var keys keyPositions
 	seen := map[string]bool{}
@@ -41,7 +41,7 @@
 				inner = strings.TrimPrefix(fmt.Sprintf("%s.%s", path, k), ".")
 				line := lineAt(data, d.InputOffset())
 				if seen[inner] {
-					return fmt.Errorf(":%d: %s: stands twice", line, inner)
+					return fmt.Errorf(":%d: %s: duplicate key", line, inner)
 				}
 				seen[inner] = true
 				keys = append(keys, struct {
@@ -64,19 +64,19 @@
 	case err != nil && strings.HasPrefix(err.Error(), ":"):
 		return nil, err
 	case err != nil:
-		return nil, fmt.Errorf(":%d: ends too early: %w", lineAt(data, int64(len(data))), err)
+		return nil, fmt.Errorf(":%d: unexpected end: %w", lineAt(data, int64(len(data))), err)
 	case d.More():
-		return nil, fmt.Errorf(":%d: something stands behind the end", lineAt(data, d.InputOffset()))
+		return nil, fmt.Errorf(":%d: unexpected data after the end", lineAt(data, d.InputOffset()))
 	}
 	return keys, nil
 }
 
-// lineAt is the line of an offset, from 1.
+// lineAt returns the line of an offset, counted from 1.
 func lineAt(data []byte, offset int64) int {
 	return 1 + bytes.Count(data[:min(max(offset, 0), int64(len(data)))], []byte("\n"))
 }
 
-// line is where a key stands, or the last of those above it that is there.
+// line returns the line of a key, or of its closest enclosing key that exists.
 func (l keyPositions) line(path string) int {
 	for ; path != ""; path = path[:max(0, strings.LastIndexAny(path, ".["))] {
 		for _, k := range l {
@@ -88,7 +88,7 @@
 	return 1
 }
 
-// checkKeys refuses keys that a type's JSON form hasn't, and the lack of those that it has.
+// checkKeys rejects unknown and missing keys, by the JSON tags of a type.
 func (l keyPositions) checkKeys(of any) error {
 	known := map[string][]string{}
 	collectKeys(reflect.TypeOf(of), "", known)
@@ -117,14 +117,14 @@
 	for _, o := range objects {
 		for _, key := range known[dropIndexes(o)] {
 			if path := strings.TrimPrefix(o+"."+key, "."); !has[path] {
-				return fmt.Errorf(":%d: %s: is missing", l.line(o), path)
+				return fmt.Errorf(":%d: %s: missing", l.line(o), path)
 			}
 		}
 	}
 	return nil
 }
 
-// dropIndexes leaves the places out of a path: "figures[2].unit" is "figures[].unit".
+// dropIndexes removes the indexes from a path: "figures[2].unit" becomes "figures[].unit".
 func dropIndexes(path string) string {
 	for from := 0; ; {
 		i := strings.IndexByte(path[from:], '[')
@@ -137,7 +137,7 @@
 	}
 }
 
-// collectKeys notes the keys of a type and of those within it, by their object's path.
+// collectKeys collects the JSON keys of a type and of the types within it, by the path of their object.
 func collectKeys(t reflect.Type, path string, into map[string][]string) {
 	switch t.Kind() {
 	case reflect.Slice:
--- a/internal/testbed/scale/result.go
+++ b/internal/testbed/scale/result.go
@@ -12,57 +12,57 @@
 	"strings"
 )
 
-// Units are what figures are counted in, with what they mean.
+// Units are the units of figures, with their meaning.
 var Units = map[string]string{
 	"us": "microseconds", "ms": "milliseconds", "s": "seconds", "bytes": "bytes", "bytes/s": "bytes a second",
 	"cores": "seconds of processor time a second", "1": "a count", "1/s": "a count a second",
 }
 
-// unitSuffixes say what unit a figure's name promises.
+// unitSuffixes map the suffix of a figure's name to the unit that it has to have.
 var unitSuffixes = []struct{ ending, unit string }{
 	{"_us", "us"}, {"_ms", "ms"}, {"bytes_s", "bytes/s"}, {"_bytes", "bytes"}, {"cores", "cores"},
 }
 
-// checkUnit tells what is wrong with a figure's unit.
+// checkUnit checks that a unit exists and matches the figure's name.
 func checkUnit(name, unit string) error {
 	if _, ok := Units[unit]; !ok {
-		return fmt.Errorf("%q is no unit", unit)
+		return fmt.Errorf("unknown unit %q", unit)
 	}
 	for _, e := range unitSuffixes {
 		if strings.HasSuffix(name, e.ending) && unit != e.unit {
-			return fmt.Errorf("%q makes no sense for %s, which is in %s", unit, name, e.unit)
+			return fmt.Errorf("%q is the wrong unit for %s, want %s", unit, name, e.unit)
 		}
 	}
 	return nil
 }
 
-// Result is what a slope measured, as it stands in a file of capacity/. Every sample is kept as it was measured.
+// Result is the measurement of a slope, as stored in a file of capacity/. It has every sample as it was measured.
 type Result struct {
-	Slope     string   `json:"slope"`
-	About     string   `json:"about"`
-	Variable  string   `json:"variable"` // what a size counts
-	Revision  string   `json:"revision"` // with + behind it where the work differed
-	Cores     int      `json:"cores"`    // of the machine
-	Go        string   `json:"go"`
-	LoadBegin float64  `json:"load_begin"` // the machine's load over the minute before
-	LoadEnd   float64  `json:"load_end"`
-	Sizes     []int    `json:"sizes"` // rising
-	Seeds     []uint64 `json:"seeds"`
-	Figures   []FigureResult  `json:"figures"`
+	Slope     string         `json:"slope"`
+	About     string         `json:"about"`
+	Variable  string         `json:"variable"` // what a size counts
+	Revision  string         `json:"revision"` // with a trailing + if the working tree had changes
+	Cores     int            `json:"cores"`    // of the machine
+	Go        string         `json:"go"`
+	LoadBegin float64        `json:"load_begin"` // the machine's load average over one minute
+	LoadEnd   float64        `json:"load_end"`
+	Sizes     []int          `json:"sizes"` // rising
+	Seeds     []uint64       `json:"seeds"`
+	Figures   []FigureResult `json:"figures"`
 }
 
-// FigureResult is one figure over the sizes, with its law.
+// FigureResult is the result of one figure: its samples at all sizes, and the law fitted to them.
 type FigureResult struct {
 	Name       string      `json:"name"`
 	Unit       string      `json:"unit"`
 	About      string      `json:"about"`
-	Samples    [][]float64 `json:"samples"` // of each size, those of each seed
+	Samples    [][]float64 `json:"samples"` // by size, then by seed
 	Fit        Fit         `json:"fit"`
 	Prediction Prediction  `json:"prediction"`
-	Used       bool        `json:"used"` // the prediction was right, so that the law may be
+	Used       bool        `json:"used"` // whether the prediction was accurate enough to use the law
 }
 
-// Points are the medians over the seeds.
+// Points returns the medians over the seeds at each size.
 func (g FigureResult) Points(sizes []int) []Point {
 	points := make([]Point, len(sizes))
 	for i, n := range sizes {
@@ -71,14 +71,14 @@
 	return points
 }
 
-// fitAndPredict fits and judges.
+// fitAndPredict fits the law and checks it by its prediction.
 func (g *FigureResult) fitAndPredict(sizes []int) {
 	points := g.Points(sizes)
 	g.Fit, g.Prediction = ChooseFit(points), Predict(points)
 	g.Used = g.Prediction.WithinTolerance()
 }
 
-// Figure finds a figure by its name.
+// Figure returns a figure by its name.
 func (r *Result) Figure(name string) (FigureResult, bool) {
 	i := slices.IndexFunc(r.Figures, func(g FigureResult) bool { return g.Name == name })
 	if i < 0 {
@@ -87,7 +87,7 @@
 	return r.Figures[i], true
 }
 
-// Join adds the samples of other seeds, measured later at the same revision and sizes.
+// Join adds the samples of other seeds that were measured later at the same revision and sizes.
 func (r *Result) Join(later *Result) error {
 	switch {
 	case r.Slope != later.Slope || r.Variable != later.Variable || !slices.Equal(r.Sizes, later.Sizes):
@@ -96,9 +96,9 @@
 		return fmt.Errorf("scale: %s was measured at %s on %d cores with %s, not at %s on %d with %s", r.Slope,
 			r.Revision, r.Cores, r.Go, later.Revision, later.Cores, later.Go)
 	case slices.ContainsFunc(later.Seeds, func(s uint64) bool { return slices.Contains(r.Seeds, s) }):
-		return fmt.Errorf("scale: %s was measured on some of the seeds %d before", r.Slope, later.Seeds)
+		return fmt.Errorf("scale: %s has results for some of the seeds %d already", r.Slope, later.Seeds)
 	case !slices.EqualFunc(r.Figures, later.Figures, func(a, b FigureResult) bool { return a.Name == b.Name && a.Unit == b.Unit }):
-		return fmt.Errorf("scale: %s was measured in other figures", r.Slope)
+		return fmt.Errorf("scale: %s was measured with other figures", r.Slope)
 	}
 	r.Seeds, r.LoadEnd = append(r.Seeds, later.Seeds...), later.LoadEnd
 	for i := range r.Figures {
@@ -110,7 +110,7 @@
 	return nil
 }
 
-// Encode is the file's text: the same for the same result.
+// Encode returns the result as JSON. The encoding is deterministic.
 func (r *Result) Encode() ([]byte, error) {
 	var b bytes.Buffer
 	e := json.NewEncoder(&b)
@@ -122,7 +122,7 @@
 	return b.Bytes(), nil
 }
 
-// Write puts the result into its file in a folder and returns the file's path.
+// Write writes the result to its file in dir and returns the file's path.
 func (r *Result) Write(dir string) (string, error) {
 	data, err := r.Encode()
 	if err != nil {
@@ -135,7 +135,7 @@
 	return path, nil
 }
 
-// ReadResult reads the file at path.
+// ReadResult reads a result from the file at path.
 func ReadResult(path string) (*Result, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -144,8 +144,8 @@
 	return ParseResult(path, data)
 }
 
-// ParseResult reads the text of the file at path, strictly: what is unknown, missing or makes no sense is an error that
-// names file, line and key, and so is a law that the samples don't give.
+// ParseResult parses the content of the file at path strictly. Unknown and missing keys, invalid values and laws that don't
+// follow from the samples are errors that name file, line and key.
 func ParseResult(path string, data []byte) (*Result, error) {
 	keys, err := locateKeys(data)
 	if err != nil {
@@ -158,7 +158,7 @@
 	if err := json.Unmarshal(data, &r); err != nil {
 		var wrong *json.UnmarshalTypeError
 		if errors.As(err, &wrong) {
-			return nil, fmt.Errorf("%s:%d: %s: %s is not what stands there", path, lineAt(data, wrong.Offset), wrong.Field, wrong.Value)
+			return nil, fmt.Errorf("%s:%d: %s: unexpected JSON %s", path, lineAt(data, wrong.Offset), wrong.Field, wrong.Value)
 		}
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
@@ -166,23 +166,23 @@
 		return nil, fmt.Errorf("%s:%d: %s: %w", path, keys.line(key), key, err)
 	}
 	if want := strings.TrimSuffix(filepath.Base(path), ".json"); r.Slope != want {
-		return nil, fmt.Errorf("%s:%d: slope: %q belongs in a file of its own name", path, keys.line("slope"), r.Slope)
+		return nil, fmt.Errorf("%s:%d: slope: %q does not match the file's name", path, keys.line("slope"), r.Slope)
 	}
 	return &r, nil
 }
 
-// check tells the first key that makes no sense, and why.
+// check returns the first key with an invalid value, and the reason.
 func (r *Result) check() (key string, err error) {
 	for key, text := range map[string]string{"variable": r.Variable, "revision": r.Revision, "go": r.Go} {
 		if text == "" {
-			return key, errors.New("is empty")
+			return key, errors.New("empty")
 		}
 	}
 	if r.Cores < 1 {
-		return "cores", fmt.Errorf("%d is no machine's", r.Cores)
+		return "cores", fmt.Errorf("%d is below 1", r.Cores)
 	}
 	if r.LoadBegin < 0 || r.LoadEnd < 0 {
-		return "load_begin", errors.New("a load is not below 0")
+		return "load_begin", errors.New("negative load")
 	}
 	if err := checkSizes(r.Sizes); err != nil {
 		return "sizes", err
@@ -191,22 +191,22 @@
 		return "seeds", err
 	}
 	if len(r.Figures) == 0 {
-		return "figures", errors.New("none was measured")
+		return "figures", errors.New("no figures")
 	}
 	for i, g := range r.Figures {
 		at := func(key string) string { return fmt.Sprintf("figures[%d].%s", i, key) }
 		if g.Name == "" || slices.ContainsFunc(r.Figures[:i], func(b FigureResult) bool { return b.Name == g.Name }) {
-			return at("name"), fmt.Errorf("%q is empty or stands twice", g.Name)
+			return at("name"), fmt.Errorf("%q is empty or a duplicate", g.Name)
 		}
 		if err := checkUnit(g.Name, g.Unit); err != nil {
 			return at("unit"), err
 		}
 		if len(g.Samples) != len(r.Sizes) {
-			return at("samples"), fmt.Errorf("%d sizes have samples, and %d were measured", len(g.Samples), len(r.Sizes))
+			return at("samples"), fmt.Errorf("there are samples of %d sizes, want %d", len(g.Samples), len(r.Sizes))
 		}
 		for j, s := range g.Samples {
 			if len(s) != len(r.Seeds) {
-				return at("samples"), fmt.Errorf("size %d has %d samples of %d seeds", r.Sizes[j], len(s), len(r.Seeds))
+				return at("samples"), fmt.Errorf("size %d has %d samples, want one for each of %d seeds", r.Sizes[j], len(s), len(r.Seeds))
 			}
 		}
 		want := g
@@ -229,7 +229,7 @@
 	return "", nil
 }
 
-// nearlyEqual compares, with room for the last digits, in which processors differ.
+// nearlyEqual compares values, numbers with a tolerance because their last digits may differ between processors.
 func nearlyEqual(a, b any) bool {
 	x, ok := a.(float64)
 	if !ok {
@@ -239,26 +239,26 @@
 	return math.Abs(x-y) <= 1e-6*max(math.Abs(x), math.Abs(y), 1e-9)
 }
 
-// checkSizes tells whether a law can be fitted to the sizes, and proved.
+// checkSizes checks that there are enough sizes to fit a law and to test it, and that they rise.
 func checkSizes(sizes []int) error {
 	if len(sizes) < minSizes {
-		return fmt.Errorf("%d sizes are too few, a law needs %d", len(sizes), minSizes)
+		return fmt.Errorf("%d sizes are too few to fit a law, need %d", len(sizes), minSizes)
 	}
 	for i, n := range sizes {
 		if n < 1 || i > 0 && n <= sizes[i-1] {
-			return fmt.Errorf("%d is not a size above the one before", n)
+			return fmt.Errorf("%d is not above the size before it", n)
 		}
 	}
 	return nil
 }
 
-// checkSeeds tells whether there are any, each once.
+// checkSeeds checks that there are seeds, without duplicates.
 func checkSeeds(seeds []uint64) error {
 	if len(seeds) == 0 {
-		return errors.New("none is named")
+		return errors.New("no seeds given")
 	}
 	if len(slices.Compact(slices.Sorted(slices.Values(seeds)))) != len(seeds) {
-		return fmt.Errorf("%d has one twice", seeds)
+		return fmt.Errorf("duplicate in %d", seeds)
 	}
 	return nil
 }
--- a/internal/testbed/scale/result_test.go
+++ b/internal/testbed/scale/result_test.go
@@ -31,7 +31,7 @@
 	a, errA := r.Encode()
 	b, errB := back.Encode()
 	if errA != nil || errB != nil || !bytes.Equal(a, b) {
-		t.Errorf("what was read is not what was written: %v, %v\n%s\n%s", errA, errB, a, b)
+		t.Errorf("result changed by writing and reading: %v, %v\n%s\n%s", errA, errB, a, b)
 	}
 }
 
@@ -45,42 +45,42 @@
 	a, _ := r.Encode()
 	b, _ := all.Encode()
 	if !bytes.Equal(a, b) {
-		t.Errorf("joined:\n%s\nat once:\n%s", a, b)
+		t.Errorf("joined:\n%s\nmeasured in one run:\n%s", a, b)
 	}
 	if err := r.Join(later); err == nil {
-		t.Error("a seed was joined twice")
+		t.Error("joined the same seed twice")
 	}
 	later = measuredResult(t, 4)
 	later.Revision = "def5678"
 	if err := r.Join(later); err == nil {
-		t.Error("another revision's samples were joined")
+		t.Error("joined samples of another revision")
 	}
 }
 
-// Each of these changes makes a good file bad, and the error names file, line and key.
+// Each change makes a valid file invalid, and the error names file, line and key.
 func TestBadResultsAreRefused(t *testing.T) {
 	data, err := measuredResult(t, 1).Encode()
 	if err != nil {
 		t.Fatal(err)
 	}
 	good := string(data)
-	for _, c := range []struct{ old, new, at, want string }{ // at: what stands at the line that the error names
+	for _, c := range []struct{ old, new, at, want string }{ // at: text on the line that the error names
 		{`"cores": `, `"hearts": 1, "cores": `, `"hearts"`, "unknown key hearts"},
 		{`"unit": "us",`, `"unit": "us", "color": 3,`, `"color"`, "unknown key figures[0].color"},
-		{`      "unit": "us",` + "\n", ``, `"figures"`, "figures[0].unit: is missing"},
-		{`"unit": "us"`, `"unit": "furlongs"`, `furlongs`, `figures[0].unit: "furlongs" is no unit`},
-		{`"unit": "us"`, `"unit": "bytes"`, `"bytes"`, `figures[0].unit: "bytes" makes no sense for constant_us, which is in us`},
-		{"    500,\n", "", `"sizes"`, "sizes: 4 sizes are too few, a law needs 5"},
-		{"    500,\n", "    500,\n    700,\n", `"samples"`, "figures[0].samples: 5 sizes have samples, and 6 were measured"},
-		{"    500,\n", "    5000,\n", `"sizes"`, "sizes: 1000 is not a size above the one before"},
-		{`"slope": "rig"`, `"slope": "other"`, `"slope"`, `slope: "other" belongs in a file of its own name`},
+		{`      "unit": "us",` + "\n", ``, `"figures"`, "figures[0].unit: missing"},
+		{`"unit": "us"`, `"unit": "furlongs"`, `furlongs`, `figures[0].unit: unknown unit "furlongs"`},
+		{`"unit": "us"`, `"unit": "bytes"`, `"bytes"`, `figures[0].unit: "bytes" is the wrong unit for constant_us, want us`},
+		{"    500,\n", "", `"sizes"`, "sizes: 4 sizes are too few to fit a law, need 5"},
+		{"    500,\n", "    500,\n    700,\n", `"samples"`, "figures[0].samples: there are samples of 5 sizes, want 6"},
+		{"    500,\n", "    5000,\n", `"sizes"`, "sizes: 1000 is not above the size before it"},
+		{`"slope": "rig"`, `"slope": "other"`, `"slope"`, `slope: "other" does not match the file's name`},
 		{`"go": "`, `"go": 1, "was": "`, `"was"`, "unknown key was"},
-		{`"revision": "abc1234"`, `"revision": ""`, `"revision"`, "revision: is empty"},
+		{`"revision": "abc1234"`, `"revision": ""`, `"revision"`, "revision: empty"},
 		{`"used": true`, `"used": false`, `"used"`, "figures[0].used: the samples give true, not false"},
 		{`"law": "constant",`, `"law": "linear",`, `"law"`, "figures[0].fit.law: the samples give constant, not linear"},
-		{`"seeds": [`, `"seeds": [1,`, `"seeds"`, "seeds: [1 1] has one twice"},
-		{`"revision": "abc1234"`, `"revision": 7`, `"revision"`, "revision: number is not what stands there"},
-		{`"revision": "abc1234"`, `"revision": "a", "revision": "b"`, `"revision"`, "revision: stands twice"},
+		{`"seeds": [`, `"seeds": [1,`, `"seeds"`, "seeds: duplicate in [1 1]"},
+		{`"revision": "abc1234"`, `"revision": 7`, `"revision"`, "revision: unexpected JSON number"},
+		{`"revision": "abc1234"`, `"revision": "a", "revision": "b"`, `"revision"`, "revision: duplicate key"},
 		{`"cores": `, `"cores" `, `"cores"`, ""},
 	} {
 		text := strings.Replace(good, c.old, c.new, 1)
@@ -93,17 +93,17 @@
 		}
 	}
 	if _, err := ParseResult("rig.json", []byte(good+"{}")); err == nil {
-		t.Error("something behind the end was read")
+		t.Error("a file with trailing data was accepted")
 	}
 	if _, err := ParseResult("rig.json", []byte(good[:len(good)/2])); err == nil {
-		t.Error("half a file was read")
+		t.Error("half a file was accepted")
 	}
 	if _, err := ReadResult(filepath.Join(t.TempDir(), "none.json")); err == nil {
-		t.Error("no file was read")
+		t.Error("a missing file was accepted")
 	}
 }
 
-// A change of any one sample is seen where there is one seed, as it changes the law.
+// With one seed, changing any sample by 1% changes the law, so that the file is rejected.
 func TestChangedSamplesGiveAnotherLaw(t *testing.T) {
 	r := measuredResult(t, 1)
 	for i, g := range r.Figures {
--- a/internal/testbed/scale/rig.go
+++ b/internal/testbed/scale/rig.go
@@ -7,7 +7,7 @@
 	"runtime"
 )
 
-// Rig is a slope that checks slopes: figures drawn from each law with 3% of noise, and memory that is really taken.
+// Rig is a slope that checks the runner: figures computed from each law with 3% of noise, and memory that is really allocated.
 func Rig() Slope {
 	drawn := []struct {
 		Figure
@@ -44,7 +44,7 @@
 	}
 }
 
-// heapInUse is what is in use after a collection, in bytes.
+// heapInUse returns the size of the heap after a garbage collection, in bytes.
 func heapInUse() float64 {
 	runtime.GC()
 	var m runtime.MemStats
--- a/internal/testbed/scale/run.go
+++ b/internal/testbed/scale/run.go
@@ -13,10 +13,10 @@
 	"time"
 )
 
-// Limits are what all that a play starts may take of the machine.
+// Limits bound what a measurement may use of the machine.
 type Limits Cost
 
-// MachineLimits are half of the machine's memory, and 300 processes.
+// MachineLimits returns limits of half of the machine's memory and 300 processes.
 func MachineLimits() (Limits, error) {
 	data, err := os.ReadFile("/proc/meminfo")
 	if err != nil {
@@ -26,15 +26,16 @@
 		if f := strings.Fields(line); len(f) == 3 && f[0] == "MemTotal:" && f[2] == "kB" {
 			kb, err := strconv.ParseInt(f[1], 10, 64)
 			if err != nil {
-				return Limits{}, fmt.Errorf("scale: the machine's memory: %w", err)
+				return Limits{}, fmt.Errorf("scale: parse /proc/meminfo: %w", err)
 			}
 			return Limits{Memory: kb << 10 / 2, Processes: 300}, nil
 		}
 	}
-	return Limits{}, errors.New("scale: the machine does not tell its memory")
+	return Limits{}, errors.New("scale: /proc/meminfo has no MemTotal")
 }
 
-// Check refuses what makes no sense of a slope, or would pass the limits, before anything starts.
+// Check returns an error if sizes, seeds or units are invalid or if a size would exceed the limits. It runs before anything
+// starts.
 func (l Limits) Check(s Slope, sizes []int, seeds []uint64) error {
 	if err := checkSizes(sizes); err != nil {
 		return fmt.Errorf("scale: %s: sizes: %w", s.Name, err)
@@ -50,19 +51,19 @@
 	for _, n := range sizes {
 		c := s.Cost(n)
 		if c.Memory > l.Memory {
-			return fmt.Errorf("scale: %s at %d takes %d MB of memory, and %d are half of the machine's", s.Name, n,
+			return fmt.Errorf("scale: %s at %d needs %d MB of memory, the limit is %d MB, half of the machine's", s.Name, n,
 				c.Memory>>20, l.Memory>>20)
 		}
 		if c.Processes > l.Processes {
-			return fmt.Errorf("scale: %s at %d takes %d processes, %d at most", s.Name, n, c.Processes, l.Processes)
+			return fmt.Errorf("scale: %s at %d needs %d processes, the limit is %d", s.Name, n, c.Processes, l.Processes)
 		}
 	}
 	return nil
 }
 
-// Run measures a slope at sizes and on seeds, within the machine's limits, and fits its laws. It plays all sizes on one
-// seed before the next, so that a machine that slows down does so to all sizes. Each play has a scratch folder of its own
-// in env.Dir, or in the system's. The revision is left to the caller.
+// Run measures a slope at each size with each seed, within the machine's limits, and fits its laws. It measures all sizes with
+// one seed before the next seed, so that a machine that slows down affects all sizes. Each measurement has its own scratch
+// folder in env.Dir, or in the system's folder for temporary files. The caller sets the revision.
 func Run(ctx context.Context, s Slope, sizes []int, seeds []uint64, env Env) (*Result, error) {
 	limits, err := MachineLimits()
 	if err != nil {
@@ -89,7 +90,7 @@
 			begin := time.Now()
 			figures, err := measure(ctx, s, n, seed, env)
 			if err != nil {
-				return nil, fmt.Errorf("scale: %s at %d on seed %d: %w", s.Name, n, seed, err)
+				return nil, fmt.Errorf("scale: %s at %d with seed %d: %w", s.Name, n, seed, err)
 			}
 			for k := range r.Figures {
 				r.Figures[k].Samples[i] = append(r.Figures[k].Samples[i], figures[r.Figures[k].Name])
@@ -107,7 +108,7 @@
 	return r, nil
 }
 
-// measure plays once, with what earlier plays left in memory out of the way.
+// measure runs one measurement, after returning the memory of earlier ones to the system.
 func measure(ctx context.Context, s Slope, size int, seed uint64, env Env) (figures map[string]float64, err error) {
 	if err := ctx.Err(); err != nil {
 		return nil, err
@@ -125,13 +126,13 @@
 	for _, f := range s.Figures {
 		v, ok := figures[f.Name]
 		if !ok || math.IsNaN(v) || math.IsInf(v, 0) {
-			return nil, fmt.Errorf("%s was not measured, or as %v", f.Name, v)
+			return nil, fmt.Errorf("%s is missing or not finite: %v", f.Name, v)
 		}
 	}
 	return figures, nil
 }
 
-// loadAverage is the machine's, over the last minute.
+// loadAverage returns the machine's load average over the last minute.
 func loadAverage() (float64, error) {
 	data, err := os.ReadFile("/proc/loadavg")
 	if err != nil {
@@ -140,7 +141,7 @@
 	first, _, _ := strings.Cut(string(data), " ")
 	v, err := strconv.ParseFloat(first, 64)
 	if err != nil {
-		return 0, fmt.Errorf("scale: the machine's load: %w", err)
+		return 0, fmt.Errorf("scale: parse /proc/loadavg: %w", err)
 	}
 	return v, nil
 }
--- a/internal/testbed/scale/run_test.go
+++ b/internal/testbed/scale/run_test.go
@@ -9,7 +9,7 @@
 	"testing"
 )
 
-// rigWithoutMemory is the rig without the memory, which is measured and so differs from play to play.
+// rigWithoutMemory is Rig without its memory figure, which is really measured and differs between runs.
 func rigWithoutMemory() Slope {
 	s := Rig()
 	s.Figures = s.Figures[1:]
@@ -38,20 +38,20 @@
 		seeds  []uint64
 		want   string
 	}{
-		{func(s *Slope) {}, []int{1, 2, 3, 4}, []uint64{1}, "4 sizes are too few, a law needs 5"},
-		{func(s *Slope) {}, []int{1, 2, 3, 4, 4}, []uint64{1}, "4 is not a size above the one before"},
-		{func(s *Slope) {}, []int{0, 1, 2, 3, 4}, []uint64{1}, "0 is not a size above the one before"},
-		{func(s *Slope) {}, []int{1, 2, 3, 4, 5}, nil, "none is named"},
-		{func(s *Slope) {}, []int{1, 2, 3, 4, 5}, []uint64{2, 2}, "[2 2] has one twice"},
-		{func(s *Slope) { s.Figures[0].Unit = "bytes" }, []int{1, 2, 3, 4, 5}, []uint64{1}, "which is in us"},
+		{func(s *Slope) {}, []int{1, 2, 3, 4}, []uint64{1}, "4 sizes are too few to fit a law, need 5"},
+		{func(s *Slope) {}, []int{1, 2, 3, 4, 4}, []uint64{1}, "4 is not above the size before it"},
+		{func(s *Slope) {}, []int{0, 1, 2, 3, 4}, []uint64{1}, "0 is not above the size before it"},
+		{func(s *Slope) {}, []int{1, 2, 3, 4, 5}, nil, "no seeds given"},
+		{func(s *Slope) {}, []int{1, 2, 3, 4, 5}, []uint64{2, 2}, "duplicate in [2 2]"},
+		{func(s *Slope) { s.Figures[0].Unit = "bytes" }, []int{1, 2, 3, 4, 5}, []uint64{1}, `"bytes" is the wrong unit for constant_us, want us`},
 		{func(s *Slope) { s.Cost = func(n int) Cost { return Cost{Memory: int64(n) << 20} } }, []int{1, 2, 3, 4, 65}, []uint64{1},
-			"rig at 65 takes 65 MB of memory, and 64 are half of the machine's"},
+			"rig at 65 needs 65 MB of memory, the limit is 64 MB, half of the machine's"},
 		{func(s *Slope) { s.Cost = func(n int) Cost { return Cost{Processes: n} } }, []int{1, 2, 3, 4, 301}, []uint64{1},
-			"rig at 301 takes 301 processes, 300 at most"},
+			"rig at 301 needs 301 processes, the limit is 300"},
 	} {
 		s := rigWithoutMemory()
 		s.Measure = func(context.Context, int, uint64, Env) (map[string]float64, error) {
-			t.Errorf("%s: it was started", c.want)
+			t.Errorf("%s: the measurement was started", c.want)
 			return nil, errors.New("started")
 		}
 		c.change(&s)
@@ -60,7 +60,7 @@
 		}
 	}
 	if l, err := MachineLimits(); err != nil || l.Memory < 1<<20 || l.Processes != 300 {
-		t.Errorf("the machine's limits are %+v, %v", l, err)
+		t.Errorf("machine limits: %+v, %v", l, err)
 	}
 }
 
@@ -69,10 +69,10 @@
 	measure := s.Measure
 	s.Measure = func(ctx context.Context, n int, seed uint64, e Env) (map[string]float64, error) {
 		if e.Dir == env.Dir {
-			t.Error("a play has no folder of its own")
+			t.Error("a measurement has no scratch folder of its own")
 		}
 		if left, err := os.ReadDir(e.Dir); err != nil || len(left) > 0 {
-			t.Errorf("a play's folder has %v, %v", left, err)
+			t.Errorf("a new scratch folder has %v, %v", left, err)
 		}
 		if err := os.WriteFile(e.Dir+"/file", nil, 0o600); err != nil {
 			t.Error(err)
@@ -82,19 +82,19 @@
 		}
 		return measure(ctx, n, seed, e)
 	}
-	if _, err := Run(t.Context(), s, s.Small, s.Seeds, env); err == nil || !strings.Contains(err.Error(), "at 8000 on seed 1: broken") {
+	if _, err := Run(t.Context(), s, s.Small, s.Seeds, env); err == nil || !strings.Contains(err.Error(), "at 8000 with seed 1: broken") {
 		t.Errorf("%v", err)
 	}
 	if left, err := os.ReadDir(env.Dir); err != nil || len(left) > 0 {
-		t.Errorf("left behind: %v, %v", left, err)
+		t.Errorf("not removed: %v, %v", left, err)
 	}
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
 	if _, err := Run(ctx, s, s.Small, s.Seeds, env); !errors.Is(err, context.Canceled) {
-		t.Errorf("ended by %v", err)
+		t.Errorf("got %v, want context.Canceled", err)
 	}
 	s.Measure = func(context.Context, int, uint64, Env) (map[string]float64, error) { return nil, nil }
-	if _, err := Run(t.Context(), s, s.Small, s.Seeds, env); err == nil || !strings.Contains(err.Error(), "constant_us was not measured") {
+	if _, err := Run(t.Context(), s, s.Small, s.Seeds, env); err == nil || !strings.Contains(err.Error(), "constant_us is missing or not finite") {
 		t.Errorf("%v", err)
 	}
 }
