--- a/internal/testbed/scale/relayslope/child.go
+++ b/internal/testbed/scale/relayslope/child.go
@@ -30,20 +30,20 @@
 
 // job is what a child is told: to be a relay, or to open a log.
 type job struct {
-	Relay *plainConfig
+	Relay *relayJob
 	Log   *logJob
 }
 
-// plainConfig is a relay's configuration without what can't be written down: the fields that stand here hide those of the
+// relayJob is a relay's configuration without what can't be written down: the fields that stand here hide those of the
 // same name, and a hollow relay has none of them.
-type plainConfig struct {
+type relayJob struct {
 	relay.Config
 	Join, Membership, Disk, Duties *struct{}
-	Backlog                        *shelf // but for this one
+	Backlog                        *backlogConfig // but for this one
 }
 
-// state is what a child tells of itself: what it has used since it began.
-type state struct {
+// childState is what a child tells of itself: what it has used since it began.
+type childState struct {
 	CPU      time.Duration // processor time of the process
 	Wall     time.Duration
 	Loop     time.Duration // processor time of the relay's loop, since its thread is known
@@ -55,14 +55,14 @@
 
 // The words that a child understands, a line each.
 const (
-	askUsage = "usage"
-	askHeap  = "heap" // and collects what is free
+	queryUsage = "usage"
+	queryHeap  = "heap" // and collects what is free
 )
 
 // Child is the whole of a child process: it does the job that the file at path describes, tells that it is ready with a
 // line on out, and answers every line that comes in. It ends with in, or with ctx.
 func Child(ctx context.Context, path string, in io.Reader, out io.Writer) error {
-	began, spent := time.Now(), processTime()
+	began, spent := time.Now(), processCPUTime()
 	data, err := os.ReadFile(path)
 	if err != nil {
 		return fmt.Errorf("relayslope: %w", err)
@@ -77,16 +77,16 @@
 		if err != nil {
 			return err
 		}
-		return enc.Encode(state{Log: s})
+		return enc.Encode(childState{Log: s})
 	}
 	if j.Relay == nil {
 		return fmt.Errorf("relayslope: %s: no job", path)
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	spy := &spy{ready: make(chan state, 1), began: began, spent: spent, loop: &atomic.Int64{}}
+	spy := &logObserver{ready: make(chan childState, 1), started: began, cpuAtStart: spent, loopThread: &atomic.Int64{}}
 	cfg := j.Relay.Config
-	cfg.Backlog = j.Relay.Backlog.backlog(cfg.Name)
+	cfg.Backlog = j.Relay.Backlog.relayBacklog(cfg.Name)
 	debug.SetMemoryLimit(int64(cfg.Limits.MemoryMB * heapShare * (1 << 20)))
 	runtime.GOMAXPROCS(max(1, int(cfg.Limits.Cores)))
 	data, j = nil, job{} // else the list would count as the relay's
@@ -108,8 +108,8 @@
 	lines := bufio.NewScanner(in)
 	for lines.Scan() {
 		s := spy.state()
-		if lines.Text() == askHeap {
-			s.Heap = heap()
+		if lines.Text() == queryHeap {
+			s.Heap = heapInUse()
 		}
 		if err := enc.Encode(s); err != nil {
 			return err
@@ -119,8 +119,8 @@
 	return errors.Join(lines.Err(), <-ended)
 }
 
-// heap collects what is free and tells the bytes that are left.
-func heap() int64 {
+// heapInUse collects what is free and tells the bytes that are left.
+func heapInUse() int64 {
 	runtime.GC()
 	runtime.GC() // what has a finalizer goes with the second
 	var m runtime.MemStats
@@ -128,51 +128,51 @@
 	return int64(m.HeapAlloc)
 }
 
-// spy reads from a relay's log what it does not tell otherwise: when it serves, and which thread its loop is on.
-type spy struct {
-	ready chan state
-	began time.Time
-	spent time.Duration // of processor time when it began
-	loop  *atomic.Int64 // the number of the loop's thread; 0: not known
+// logObserver reads from a relay's log what it does not tell otherwise: when it serves, and which thread its loop is on.
+type logObserver struct {
+	ready chan childState
+	started time.Time
+	cpuAtStart time.Duration // of processor time when it began
+	loopThread  *atomic.Int64 // the number of the loop's thread; 0: not known
 }
 
-// The relay's own words. The loop says loopWord itself, when it is told of an entry that it can't read.
+// The relay's own words. The loop says loopMessage itself, when it is told of an entry that it can't read.
 const (
-	servingWord = "serving"
-	loopWord    = "unreadable entry of the list"
+	servingMessage = "serving"
+	loopMessage    = "unreadable entry of the list"
 )
 
-func (s *spy) Enabled(context.Context, slog.Level) bool { return true }
-func (s *spy) WithAttrs([]slog.Attr) slog.Handler       { return s }
-func (s *spy) WithGroup(string) slog.Handler            { return s }
+func (s *logObserver) Enabled(context.Context, slog.Level) bool { return true }
+func (s *logObserver) WithAttrs([]slog.Attr) slog.Handler       { return s }
+func (s *logObserver) WithGroup(string) slog.Handler            { return s }
 
 // Handle is called by the goroutine that logs.
-func (s *spy) Handle(_ context.Context, r slog.Record) error {
+func (s *logObserver) Handle(_ context.Context, r slog.Record) error {
 	switch r.Message {
-	case servingWord:
+	case servingMessage:
 		select {
 		case s.ready <- s.state():
 		default:
 		}
-	case loopWord:
-		if s.loop.Load() == 0 {
+	case loopMessage:
+		if s.loopThread.Load() == 0 {
 			runtime.LockOSThread() // for good: nothing else runs on the loop's thread from here on
-			s.loop.Store(int64(unix.Gettid()))
+			s.loopThread.Store(int64(unix.Gettid()))
 		}
 	}
 	return nil
 }
 
-func (s *spy) state() state {
-	x := state{CPU: processTime() - s.spent, Wall: time.Since(s.began), Resident: resident()}
-	if tid := s.loop.Load(); tid != 0 {
-		x.Loop, x.LoopSeen = threadTime(tid), true
+func (s *logObserver) state() childState {
+	x := childState{CPU: processCPUTime() - s.cpuAtStart, Wall: time.Since(s.started), Resident: residentMemory()}
+	if tid := s.loopThread.Load(); tid != 0 {
+		x.Loop, x.LoopSeen = threadCPUTime(tid), true
 	}
 	return x
 }
 
-// processTime is the processor time that this process has used.
-func processTime() time.Duration {
+// processCPUTime is the processor time that this process has used.
+func processCPUTime() time.Duration {
 	var t unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_PROCESS_CPUTIME_ID, &t); err != nil {
 		return 0 // it can't fail on Linux
@@ -180,16 +180,16 @@
 	return time.Duration(t.Nano())
 }
 
-// threadTime is the processor time that a thread of this process has used.
-func threadTime(tid int64) time.Duration {
+// threadCPUTime is the processor time that a thread of this process has used.
+func threadCPUTime(tid int64) time.Duration {
 	data, _ := os.ReadFile(fmt.Sprintf("/proc/self/task/%d/schedstat", tid))
 	first, _, _ := bytes.Cut(data, []byte(" "))
 	n, _ := strconv.ParseInt(string(first), 10, 64)
 	return time.Duration(n)
 }
 
-// resident is the memory of this process that is in use, in bytes.
-func resident() int64 {
+// residentMemory is the memory of this process that is in use, in bytes.
+func residentMemory() int64 {
 	data, _ := os.ReadFile("/proc/self/statm")
 	fields := bytes.Fields(data)
 	if len(fields) < 2 {
--- a/internal/testbed/scale/relayslope/hollow.go
+++ b/internal/testbed/scale/relayslope/harness.go
@@ -26,16 +26,16 @@
 	// Messages that are delivered, and messages that are held. What is held has to be in time for longer than the waits
 	// that are told.
 	classQuick, classHeld = "order", "held"
-	quickFor              = 30 * time.Second
-	heldFor               = 8 * time.Hour
+	quickLifetime              = 30 * time.Second
+	heldLifetime               = 8 * time.Hour
 
-	routesEach   = 2
+	routesPerDest   = 2
 	firstVersion = 1000 // of the list that a relay is started with
 	cores        = 2    // that a relay may use
 	memoryMB     = 4096 // and its memory: no collection of garbage comes sooner for want of it
-	// patience is how long anything of a hollow relay may take to settle.
-	patience = 30 * time.Second
-	pollEach = 20 * time.Millisecond
+	// settleTimeout is how long anything of a hollow relay may take to settle.
+	settleTimeout = 30 * time.Second
+	pollInterval = 20 * time.Millisecond
 )
 
 // Spec is a hollow relay: a real one, in a process of its own, with a platform around it that does next to nothing.
@@ -43,22 +43,22 @@
 	Healthy int // destinations listed that take all
 	Down    int // destinations listed that take none
 	Held    int // messages held over those that are down, untried but for the first of each destination
-	// HandedIn is how many of them are handed in by HTTP; the others are in the log that the relay is started on.
-	HandedIn int
+	// Submitted is how many of them are handed in by HTTP; the others are in the log that the relay is started on.
+	Submitted int
 	// Refused has those that are down refuse connections, so that each is tried again and again; else they tell a wait of
 	// hours, and each is tried once.
 	Refused bool
 	// Owed is how many messages lie in the backlog over those that are down when the relay starts, on the shelf.
 	Owed  int
-	shelf *shelf
+	backlog *backlogConfig
 	// Change changes the relay's configuration before the start; nil: nothing of it.
 	Change func(*relay.Config)
 }
 
-// hollow is a running hollow relay.
-type hollow struct {
+// harness is a running harness relay.
+type harness struct {
 	Spec
-	*platform
+	*stubPlatform
 	*child
 	cfg   relay.Config
 	rng   *rand.Rand
@@ -66,78 +66,78 @@
 	added int // entries that were added to the list
 }
 
-// places counts the hollow relays of this process: each has ports of its own.
-var places atomic.Uint32
+// portCounter counts the hollow relays of this process: each has ports of its own.
+var portCounter atomic.Uint32
 
-// address is an address that nobody else in this process has, on a loopback address of the process's own.
-func address() string {
+// uniqueAddr is an uniqueAddr that nobody else in this process has, on a loopback uniqueAddr of the process's own.
+func uniqueAddr() string {
 	pid := os.Getpid()
-	return fmt.Sprintf("127.%d.%d.%d:%d", 64+pid>>16&63, pid>>8&255, pid&255, 20000+places.Add(1)%10000)
+	return fmt.Sprintf("127.%d.%d.%d:%d", 64+pid>>16&63, pid>>8&255, pid&255, 20000+portCounter.Add(1)%10000)
 }
 
-// run starts a hollow relay, and waits until it holds all that it is to hold.
-func (s Spec) run(ctx context.Context, seed uint64, env scale.Env) (h *hollow, err error) {
-	h = &hollow{Spec: s, rng: rand.New(rand.NewPCG(seed, 0x736c6f7065))}
-	if h.platform, err = newPlatform(ctx, firstVersion); err != nil {
+// start starts a hollow relay, and waits until it holds all that it is to hold.
+func (s Spec) start(ctx context.Context, seed uint64, env scale.Env) (h *harness, err error) {
+	h = &harness{Spec: s, rng: rand.New(rand.NewPCG(seed, 0x736c6f7065))}
+	if h.stubPlatform, err = newPlatform(ctx, firstVersion); err != nil {
 		return nil, err
 	}
 	defer func() {
 		if err != nil {
-			err = errors.Join(err, h.end())
+			err = errors.Join(err, h.shutdown())
 			h = nil
 		}
 	}()
 	if s.Refused {
-		if err := h.platform.refuse(); err != nil {
+		if err := h.stubPlatform.refuseConnections(); err != nil {
 			return h, err
 		}
 	}
-	if h.cfg, err = s.configure(h.platform, seed, env.Dir); err != nil {
+	if h.cfg, err = s.configure(h.stubPlatform, seed, env.Dir); err != nil {
 		return h, err
 	}
 	if s.Change != nil {
 		s.Change(&h.cfg)
 	}
-	if err := h.seed(s.Held - s.HandedIn); err != nil {
+	if err := h.seedLog(s.Held - s.Submitted); err != nil {
 		return h, err
 	}
-	if s.shelf != nil {
+	if s.backlog != nil {
 		h.cfg.Segments = true
-		if err := s.shelf.stock(ctx, h.cfg.Name, s.Owed, h.rng, func(i int) int { return h.Healthy + i%h.Down }); err != nil {
+		if err := s.backlog.fill(ctx, h.cfg.Name, s.Owed, h.rng, func(i int) int { return h.Healthy + i%h.Down }); err != nil {
 			return h, err
 		}
 	}
-	if h.child, err = start(ctx, env.Dir, h.job()); err != nil {
+	if h.child, err = startChild(ctx, env.Dir, h.job()); err != nil {
 		return h, err
 	}
-	return h, h.settle(ctx)
+	return h, h.awaitReady(ctx)
 }
 
 // job is what the relay's process is told.
-func (h *hollow) job() job { return job{Relay: &plainConfig{Config: h.cfg, Backlog: h.shelf}} }
+func (h *harness) job() job { return job{Relay: &relayJob{Config: h.cfg, Backlog: h.backlog}} }
 
-// end ends all that the hollow relay is made of.
-func (h *hollow) end() (err error) {
+// shutdown ends all that the hollow relay is made of.
+func (h *harness) shutdown() (err error) {
 	if h.child != nil {
-		err = h.child.end()
+		err = h.child.kill()
 	}
-	return errors.Join(err, h.platform.close())
+	return errors.Join(err, h.stubPlatform.close())
 }
 
 // configure makes the relay's configuration, with a list that it knows from the start.
-func (s Spec) configure(p *platform, seed uint64, dir string) (c relay.Config, err error) {
+func (s Spec) configure(p *stubPlatform, seed uint64, dir string) (c relay.Config, err error) {
 	state := filepath.Join(dir, "state")
 	if err := os.MkdirAll(state, 0o700); err != nil {
 		return c, fmt.Errorf("relayslope: %w", err)
 	}
 	c = relay.Config{
-		Name: "hollow", Listen: address(), Admin: address(), Discovery: p.agent, StateDir: state, Seed: seed,
+		Name: "hollow", Listen: uniqueAddr(), Admin: uniqueAddr(), Discovery: p.agentAddr, StateDir: state, Seed: seed,
 		// A message held takes some 600 bytes of the log, which may be filled by a third.
 		Limits: relay.Limits{Cores: cores, MemoryMB: memoryMB, Sockets: 1024, DiskMB: 64 + float64(s.Held)*4000/1e6},
 		Settings: policy.Settings{
 			Classes: []policy.Class{
-				{Effect: policy.Keyed, Window: 10 * time.Second, Aim: quickFor / 3, GiveUp: quickFor, Value: 1},
-				{Effect: policy.Keyed, Window: 10 * time.Second, Aim: heldFor * 3 / 4, GiveUp: heldFor, Value: 1},
+				{Effect: policy.Keyed, Window: 10 * time.Second, Aim: quickLifetime / 3, GiveUp: quickLifetime, Value: 1},
+				{Effect: policy.Keyed, Window: 10 * time.Second, Aim: heldLifetime * 3 / 4, GiveUp: heldLifetime, Value: 1},
 			},
 			Kinds: []policy.Kind{{PerCall: 1}}, Customers: []policy.Customer{{}}, Senders: 1, Slots: 64,
 			MaxHeld: 10_000 + 2*s.Held, MaxRetryAfter: 3 * time.Second, WarmWithin: 14 * time.Second, ColdShare: 0.18,
@@ -148,7 +148,7 @@
 		Known: relay.List{Version: firstVersion, Full: true},
 	}
 	for d := range s.Healthy + s.Down {
-		for k := range routesEach {
+		for k := range routesPerDest {
 			raw, err := json.Marshal(s.entry(p, d, k))
 			if err != nil {
 				return c, fmt.Errorf("relayslope: %w", err)
@@ -160,25 +160,25 @@
 }
 
 // entry is a route of a destination in the list. Those that are down come after those that are not.
-func (s Spec) entry(p *platform, d, k int) entry {
-	addr := p.healthy
+func (s Spec) entry(p *stubPlatform, d, k int) entry {
+	addr := p.healthyAddr
 	if d >= s.Healthy {
-		addr = p.none
+		addr = p.downAddr
 	}
 	return entry{ID: fmt.Sprintf("s-%06x%02x", d, k), Addr: addr, Zone: string(rune('a' + k%2)), Kind: "m1", Cell: d, State: "ready",
 		Weight: 500}
 }
 
 // listBytes is what the whole list weighs as discovery would tell it.
-func (h *hollow) listBytes() (n int) {
+func (h *harness) listBytes() (n int) {
 	for _, e := range h.cfg.Known.Entries {
 		n += len(e) + 1
 	}
 	return n + len(`{"version":1000,"full":true,"servers":[]}`)
 }
 
-// seed writes the log of a relay that has taken n messages on and has tried none.
-func (h *hollow) seed(n int) error {
+// seedLog writes the log of a relay that has taken n messages on and has tried none.
+func (h *harness) seedLog(n int) error {
 	if n == 0 {
 		return nil
 	}
@@ -196,13 +196,13 @@
 		return fmt.Errorf("relayslope: %w", err)
 	}
 	const batch = 250
-	deadline := time.Now().Add(heldFor)
+	deadline := time.Now().Add(heldLifetime)
 	for i := 0; i < n; {
 		var ms []*wal.Message
 		for ; len(ms) < batch && i < n; i++ {
-			trace := traceText(seeded, i)
+			trace := formatTrace(seededRun, i)
 			class, dest := place(i)
-			ms = append(ms, &wal.Message{ID: uint32(i + 1), Trace: trace, Key: keyText(trace), Class: class, Dest: dest,
+			ms = append(ms, &wal.Message{ID: uint32(i + 1), Trace: trace, Key: idempotencyKey(trace), Class: class, Dest: dest,
 				Deadline: deadline, Body: make([]byte, bodyBytes)})
 		}
 		if err := l.Accept(ms...); err != nil {
@@ -215,35 +215,35 @@
 	return nil
 }
 
-// seeded is in the traces of messages that were in the log at the start; loads count from 1.
-const seeded = 0
+// seededRun is in the traces of messages that were in the log at the start; loads count from 1.
+const seededRun = 0
 
-// settle waits until the relay follows the list, holds all, and has heard of every destination that is down.
-func (h *hollow) settle(ctx context.Context) error {
-	if err := until(ctx, "the relay follows the list", func() (bool, error) { return h.watched(), nil }); err != nil {
+// awaitReady waits until the relay follows the list, holds all, and has heard of every destination that is down.
+func (h *harness) awaitReady(ctx context.Context) error {
+	if err := poll(ctx, "the relay follows the list", func() (bool, error) { return h.hasWatch(), nil }); err != nil {
 		return err
 	}
-	if h.HandedIn > 0 {
+	if h.Submitted > 0 {
 		h.loads++
-		l := newLoad(h.cfg.Listen, h.loads, h.HandedIn, classHeld, heldFor, func(i int) int { return h.Healthy + i%h.Down })
-		if err := l.handIn(ctx, 0); err != nil {
+		l := newLoad(h.cfg.Listen, h.loads, h.Submitted, classHeld, heldLifetime, func(i int) int { return h.Healthy + i%h.Down })
+		if err := l.submitAll(ctx, 0); err != nil {
 			return err
 		}
 	}
 	if h.Held+h.Owed > 0 && !h.Refused {
 		tried := int64(min(h.Down, h.Held+h.Owed))
-		if err := until(ctx, "each destination that is down has told so", func() (bool, error) { return h.turned.Load() >= tried, nil }); err != nil {
-			return fmt.Errorf("%w: %d of %d", err, h.turned.Load(), tried)
+		if err := poll(ctx, "each destination that is down has told so", func() (bool, error) { return h.rejected.Load() >= tried, nil }); err != nil {
+			return fmt.Errorf("%w: %d of %d", err, h.rejected.Load(), tried)
 		}
 	}
-	return h.holds(ctx)
+	return h.awaitHeld(ctx)
 }
 
-// holds waits until the relay holds what it is to hold, no more and no less.
-func (h *hollow) holds(ctx context.Context) error {
+// awaitHeld waits until the relay awaitHeld what it is to hold, no more and no less.
+func (h *harness) awaitHeld(ctx context.Context) error {
 	held := int64(0)
-	err := until(ctx, "the relay holds what it is to hold", func() (bool, error) {
-		x, err := h.figures(ctx)
+	err := poll(ctx, "the relay holds what it is to hold", func() (bool, error) {
+		x, err := h.telemetry(ctx)
 		held = x["relay.current"]
 		return held == int64(h.Held+h.Owed), err
 	})
@@ -256,8 +256,8 @@
 	return nil
 }
 
-// figures are those that operators read.
-func (h *hollow) figures(ctx context.Context) (map[string]int64, error) {
+// telemetry are those that operators read.
+func (h *harness) telemetry(ctx context.Context) (map[string]int64, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+h.cfg.Admin+"/api/telemetry", nil)
 	if err != nil {
 		return nil, fmt.Errorf("relayslope: %w", err)
@@ -283,9 +283,9 @@
 	return all, nil
 }
 
-// until waits until something holds.
-func until(ctx context.Context, what string, ok func() (bool, error)) error {
-	late := time.NewTimer(patience)
+// poll waits poll something holds.
+func poll(ctx context.Context, what string, ok func() (bool, error)) error {
+	late := time.NewTimer(settleTimeout)
 	defer late.Stop()
 	for {
 		if yes, err := ok(); yes || err != nil {
@@ -296,17 +296,17 @@
 			return ctx.Err()
 		case <-late.C:
 			return errors.New("relayslope: never: " + what)
-		case <-time.After(pollEach):
+		case <-time.After(pollInterval):
 		}
 	}
 }
 
-// pin has the relay's loop keep a thread of its own, so that its processor time can be told: an entry that nobody can read
+// pinLoop has the relay's loop keep a thread of its own, so that its processor time can be told: an entry that nobody can read
 // has it say where it is. The thread costs a few microseconds more each time that the loop is woken.
-func (h *hollow) pin(ctx context.Context) error {
-	h.change("no entry")
-	return until(ctx, "the relay's loop is known", func() (bool, error) {
-		s, err := h.ask(askUsage)
+func (h *harness) pinLoop(ctx context.Context) error {
+	h.publish("no entry")
+	return poll(ctx, "the relay's loop is known", func() (bool, error) {
+		s, err := h.query(queryUsage)
 		return s.LoopSeen, err
 	})
 }
@@ -314,9 +314,9 @@
 // usage is what a relay used over a time.
 type usage struct{ wall, cpu, loop time.Duration }
 
-// over tells what the relay uses while do is done.
-func (h *hollow) over(do func() error) (u usage, err error) {
-	from, err := h.ask(askUsage)
+// measureUsage tells what the relay uses while do is done.
+func (h *harness) measureUsage(do func() error) (u usage, err error) {
+	from, err := h.query(queryUsage)
 	if err != nil {
 		return u, err
 	}
@@ -325,13 +325,13 @@
 		return u, err
 	}
 	u.wall = time.Since(began)
-	to, err := h.ask(askUsage)
+	to, err := h.query(queryUsage)
 	u.cpu, u.loop = to.CPU-from.CPU, to.Loop-from.Loop
 	return u, err
 }
 
-// rest lets a time pass.
-func rest(ctx context.Context, d time.Duration) error {
+// sleep lets a time pass.
+func sleep(ctx context.Context, d time.Duration) error {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
 	select {
@@ -342,43 +342,43 @@
 	}
 }
 
-// deliver has a steady load delivered to destinations that take all, and returns it with what it cost the relay.
-func (h *hollow) deliver(ctx context.Context, rate float64, d time.Duration) (*load, usage, error) {
+// deliverLoad has a steady load delivered to destinations that take all, and returns it with what it cost the relay.
+func (h *harness) deliverLoad(ctx context.Context, rate float64, d time.Duration) (*load, usage, error) {
 	h.loads++
 	offset := h.rng.IntN(h.Healthy)
-	l := newLoad(h.cfg.Listen, h.loads, int(rate*d.Seconds()), classQuick, quickFor, func(i int) int { return (offset + i) % min(h.Healthy, busy) })
+	l := newLoad(h.cfg.Listen, h.loads, int(rate*d.Seconds()), classQuick, quickLifetime, func(i int) int { return (offset + i) % min(h.Healthy, loadedDests) })
 	h.load.Store(l)
 	defer h.load.Store(nil)
-	u, err := h.over(func() error {
-		if err := l.handIn(ctx, time.Duration(float64(time.Second)/rate)); err != nil {
+	u, err := h.measureUsage(func() error {
+		if err := l.submitAll(ctx, time.Duration(float64(time.Second)/rate)); err != nil {
 			return err
 		}
-		return l.all(ctx)
+		return l.awaitDelivered(ctx)
 	})
 	return l, u, err
 }
 
-// busy is to how many destinations a load goes.
-const busy = 20
+// loadedDests is to how many destinations a load goes.
+const loadedDests = 20
 
-// changes has one entry of the list change n times, and returns what that costs the relay.
-func (h *hollow) changes(ctx context.Context, n int, each time.Duration) (usage, error) {
-	return h.over(func() error {
+// measureChanges has one entry of the list change n times, and returns what that costs the relay.
+func (h *harness) measureChanges(ctx context.Context, n int, each time.Duration) (usage, error) {
+	return h.measureUsage(func() error {
 		for i := range n {
-			e := h.entry(h.platform, h.rng.IntN(h.Healthy), 1)
+			e := h.entry(h.stubPlatform, h.rng.IntN(h.Healthy), 1)
 			e.Weight = 400 + float64(i%2)
-			h.change(e)
-			if err := rest(ctx, each); err != nil {
+			h.publish(e)
+			if err := sleep(ctx, each); err != nil {
 				return err
 			}
 		}
 		// The last one adds a route, so that it shows when all are taken.
 		h.added++
-		last := h.entry(h.platform, h.Healthy-1, routesEach-1+h.added)
-		h.change(last)
+		last := h.entry(h.stubPlatform, h.Healthy-1, routesPerDest-1+h.added)
+		h.publish(last)
 		want := int64(len(h.cfg.Known.Entries) + h.added)
-		return until(ctx, "the relay has taken the changes", func() (bool, error) {
-			x, err := h.figures(ctx)
+		return poll(ctx, "the relay has taken the changes", func() (bool, error) {
+			x, err := h.telemetry(ctx)
 			return x["relay.cluster_size"] == want, err
 		})
 	})
--- a/internal/testbed/scale/relayslope/load.go
+++ b/internal/testbed/scale/relayslope/load.go
@@ -17,10 +17,10 @@
 
 const (
 	bodyBytes = 200 // of each message
-	// clientMost bounds the clients that wait for their answers at once.
-	clientMost = 256
-	// deliverWithin is the most that the last delivery may come after the last hand-in.
-	deliverWithin = 20 * time.Second
+	// maxClients bounds the clients that wait for their answers at once.
+	maxClients = 256
+	// deliverTimeout is the most that the last delivery may come after the last hand-in.
+	deliverTimeout = 20 * time.Second
 )
 
 // load hands messages in at a steady rate, each by itself, whatever becomes of the ones before, and looks out for them at
@@ -30,11 +30,11 @@
 	client *http.Client
 	class  string
 	expire time.Duration
-	place  func(i int) (dest int) // of a message
+	destOf  func(i int) (dest int) // of a message
 
-	run   uint64 // in the traces: no two loads of a relay have one in common
-	began []atomic.Int64
-	left  atomic.Int64
+	runID   uint64 // in the traces: no two loads of a relay have one in common
+	startTimes []atomic.Int64
+	remaining  atomic.Int64
 	done  chan struct{} // closed when all are delivered
 
 	mu    sync.Mutex
@@ -44,27 +44,27 @@
 
 // newLoad is a load of n messages, none of which is handed in yet.
 func newLoad(addr string, run uint64, n int, class string, expire time.Duration, place func(int) int) *load {
-	l := &load{began: make([]atomic.Int64, n), addr: addr, run: run, class: class, expire: expire, place: place, done: make(chan struct{}),
+	l := &load{startTimes: make([]atomic.Int64, n), addr: addr, runID: run, class: class, expire: expire, destOf: place, done: make(chan struct{}),
 		times: hdrhistogram.New(1, (time.Minute).Microseconds(), 3), start: time.Now(),
-		client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: clientMost, MaxConnsPerHost: clientMost}}}
-	l.left.Store(int64(n))
+		client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: maxClients, MaxConnsPerHost: maxClients}}}
+	l.remaining.Store(int64(n))
 	return l
 }
 
-// traceText is the trace of a load's message.
-func traceText(run uint64, i int) string { return fmt.Sprintf("%08x%08x", uint32(run), uint32(i)) }
+// formatTrace is the trace of a load's message.
+func formatTrace(run uint64, i int) string { return fmt.Sprintf("%08x%08x", uint32(run), uint32(i)) }
 
-// handIn hands all messages in, one in each interval; 0: as fast as they are taken. It returns once each has its answer.
-func (l *load) handIn(ctx context.Context, interval time.Duration) error {
+// submitAll hands all messages in, one in each interval; 0: as fast as they are taken. It returns once each has its answer.
+func (l *load) submitAll(ctx context.Context, interval time.Duration) error {
 	defer l.client.CloseIdleConnections()
 	tick := time.NewTicker(max(interval, time.Microsecond))
 	defer tick.Stop()
 	var work sync.WaitGroup
 	var mu sync.Mutex
 	var failed error
-	room := make(chan struct{}, clientMost)
+	room := make(chan struct{}, maxClients)
 	first := time.Now()
-	for i := range l.began {
+	for i := range l.startTimes {
 		// Behind its time, several go at once: the rate is kept.
 		for interval > 0 && time.Since(first) < time.Duration(i)*interval {
 			select {
@@ -77,7 +77,7 @@
 		room <- struct{}{}
 		work.Go(func() {
 			defer func() { <-room }()
-			if err := l.one(ctx, i); err != nil {
+			if err := l.submit(ctx, i); err != nil {
 				mu.Lock()
 				failed = errors.Join(failed, err)
 				mu.Unlock()
@@ -94,17 +94,17 @@
 	return failed
 }
 
-func (l *load) one(ctx context.Context, i int) error {
+func (l *load) submit(ctx context.Context, i int) error {
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+l.addr+"/"+l.class, bytes.NewReader(make([]byte, bodyBytes)))
 	if err != nil {
 		return fmt.Errorf("relayslope: %w", err)
 	}
-	trace := traceText(l.run, i)
+	trace := formatTrace(l.runID, i)
 	req.Header = http.Header{
-		"X-Trace-Id": {trace}, "X-Qos": {l.class}, "X-Customer": {customer}, "Idempotency-Key": {keyText(trace)},
-		"X-Expires-In-Ms": {strconv.FormatInt(l.expire.Milliseconds(), 10)}, "Envelope": {"dest=" + strconv.Itoa(l.place(i))},
+		"X-Trace-Id": {trace}, "X-Qos": {l.class}, "X-Customer": {customer}, "Idempotency-Key": {idempotencyKey(trace)},
+		"X-Expires-In-Ms": {strconv.FormatInt(l.expire.Milliseconds(), 10)}, "Envelope": {"dest=" + strconv.Itoa(l.destOf(i))},
 	}
-	l.began[i].Store(int64(time.Since(l.start)))
+	l.startTimes[i].Store(int64(time.Since(l.start)))
 	res, err := l.client.Do(req)
 	if err != nil {
 		return fmt.Errorf("relayslope: hand in: %w", err)
@@ -119,14 +119,14 @@
 	return nil
 }
 
-// keyText is the idempotency key of a message.
-func keyText(trace string) string { return trace + trace }
+// idempotencyKey is the idempotency key of a message.
+func idempotencyKey(trace string) string { return trace + trace }
 
-// delivered notes a call at the endpoint. A message's second counts for nothing.
-func (l *load) delivered(trace string) {
+// recordDelivery notes a call at the endpoint. A message's second counts for nothing.
+func (l *load) recordDelivery(trace string) {
 	n, err := strconv.ParseUint(trace, 16, 64)
-	if i := int(uint32(n)); err == nil && uint32(n>>32) == uint32(l.run) && i < len(l.began) {
-		began := l.began[i].Swap(0)
+	if i := int(uint32(n)); err == nil && uint32(n>>32) == uint32(l.runID) && i < len(l.startTimes) {
+		began := l.startTimes[i].Swap(0)
 		if began == 0 {
 			return
 		}
@@ -134,21 +134,21 @@
 		l.mu.Lock()
 		l.times.RecordValue(max(1, min(took, time.Minute).Microseconds()))
 		l.mu.Unlock()
-		if l.left.Add(-1) == 0 {
+		if l.remaining.Add(-1) == 0 {
 			close(l.done)
 		}
 	}
 }
 
-// all waits until all messages are delivered.
-func (l *load) all(ctx context.Context) error {
-	late := time.NewTimer(deliverWithin)
+// awaitDelivered waits until awaitDelivered messages are delivered.
+func (l *load) awaitDelivered(ctx context.Context) error {
+	late := time.NewTimer(deliverTimeout)
 	defer late.Stop()
 	select {
 	case <-ctx.Done():
 		return ctx.Err()
 	case <-late.C:
-		return fmt.Errorf("relayslope: %d messages of %d are not delivered", l.left.Load(), len(l.began))
+		return fmt.Errorf("relayslope: %d messages of %d are not delivered", l.remaining.Load(), len(l.startTimes))
 	case <-l.done:
 		return nil
 	}
--- a/internal/testbed/scale/relayslope/log.go
+++ b/internal/testbed/scale/relayslope/log.go
@@ -43,26 +43,26 @@
 
 // run opens the log, tells what it took, and goes on until the log compacts itself.
 func (j *logJob) run() (*logState, error) {
-	before := heap()
+	before := heapInUse()
 	o := j.options()
-	files := &counted{FS: disk.Dir(j.Dir)}
+	files := &countingFS{FS: disk.Dir(j.Dir)}
 	o.FS = files
-	began, spent := time.Now(), processTime()
+	began, spent := time.Now(), processCPUTime()
 	l, found, err := wal.OpenWith(o)
-	s := &logState{OpenWall: time.Since(began), OpenCPU: processTime() - spent, Held: len(found.Messages)}
+	s := &logState{OpenWall: time.Since(began), OpenCPU: processCPUTime() - spent, Held: len(found.Messages)}
 	if err != nil {
 		return nil, fmt.Errorf("relayslope: %w", err)
 	}
-	if s.Heap = heap() - before; s.Held == 0 {
+	if s.Heap = heapInUse() - before; s.Held == 0 {
 		return nil, errors.Join(errors.New("relayslope: the log holds nothing"), l.Close())
 	}
-	if s.Disk, err = onDisk(j.Dir); err != nil {
+	if s.Disk, err = diskUsage(j.Dir); err != nil {
 		return nil, errors.Join(err, l.Close())
 	}
 	// Outcomes fill the log until it is compacted; what is held stays as it is.
-	files.beside.Store(0)
-	files.put.Store(false)
-	for at := time.Now(); !files.put.Load(); {
+	files.tmpBytes.Store(0)
+	files.renamed.Store(false)
+	for at := time.Now(); !files.renamed.Load(); {
 		var sends []wal.Send
 		for i := range min(250, s.Held) {
 			m := found.Messages[i]
@@ -75,44 +75,44 @@
 			l.NeverRan(x.Message, x.Attempt.N)
 		}
 	}
-	s.Compact = files.beside.Load()
+	s.Compact = files.tmpBytes.Load()
 	return s, l.Close()
 }
 
-// counted counts what is written to files that are then put in the place of others: a compaction's.
-type counted struct {
+// countingFS counts what is written to files that are then put in the place of others: a compaction's.
+type countingFS struct {
 	disk.FS
-	beside atomic.Int64 // bytes
-	put    atomic.Bool
+	tmpBytes atomic.Int64 // bytes
+	renamed    atomic.Bool
 }
 
 // Open opens a file. Only what is made for a compaction is renamed later.
-func (c *counted) Open(name string) (disk.File, error) {
+func (c *countingFS) Open(name string) (disk.File, error) {
 	f, err := c.FS.Open(name)
 	if filepath.Ext(name) == ".tmp" && err == nil {
-		f = countedFile{f, c}
+		f = countingFile{f, c}
 	}
 	return f, err
 }
 
-func (c *counted) Rename(from, to string) error {
-	c.put.Store(true)
+func (c *countingFS) Rename(from, to string) error {
+	c.renamed.Store(true)
 	return c.FS.Rename(from, to)
 }
 
-type countedFile struct {
+type countingFile struct {
 	disk.File
-	c *counted
+	fs *countingFS
 }
 
-func (f countedFile) WriteAt(p []byte, off int64) (int, error) {
+func (f countingFile) WriteAt(p []byte, off int64) (int, error) {
 	n, err := f.File.WriteAt(p, off)
-	f.c.beside.Add(int64(n))
+	f.fs.tmpBytes.Add(int64(n))
 	return n, err
 }
 
-// onDisk is what the files of a folder take, in bytes.
-func onDisk(dir string) (n int64, err error) {
+// diskUsage is what the files of a folder take, in bytes.
+func diskUsage(dir string) (n int64, err error) {
 	entries, err := os.ReadDir(dir)
 	if err != nil {
 		return 0, fmt.Errorf("relayslope: %w", err)
@@ -140,14 +140,14 @@
 	if err := writeLog(j.options(), held, func(i int) (class, dest int) { return 1, i % 2000 }); err != nil {
 		return nil, err
 	}
-	c, err := start(ctx, env.Dir, job{Log: j})
+	c, err := startChild(ctx, env.Dir, job{Log: j})
 	if err != nil {
 		return nil, err
 	}
-	if err := c.end(); err != nil {
+	if err := c.kill(); err != nil {
 		return nil, err
 	}
-	s := c.first.Log
+	s := c.initial.Log
 	if s == nil || s.Held != held {
 		return nil, fmt.Errorf("relayslope: the log does not hold %d messages: %+v", held, s)
 	}
--- a/internal/testbed/scale/relayslope/owed.go
+++ b/internal/testbed/scale/relayslope/owed.go
@@ -17,8 +17,8 @@
 
 // What a relay costs that owes messages on disk.
 
-// shelf is a hollow relay's backlog.
-type shelf struct {
+// backlogConfig is a hollow relay's backlog.
+type backlogConfig struct {
 	Dir    string
 	Window int
 	Share  float64
@@ -26,15 +26,15 @@
 }
 
 const (
-	owedBytes  = 2000 // of disk for a message, at most
-	stockBytes = 400  // of memory for a message of the stock
+	diskPerOwed  = 2000 // of disk for a message, at most
+	memoryPerOwed = 400  // of memory for a message of the stock
 	owedWindow = 4096
 	owedShare  = 1.0 / 16
-	bothRate   = 1000.0 // messages a second that are taken for the disk, and as many that are delivered
+	mixedRate   = 1000.0 // messages a second that are taken for the disk, and as many that are delivered
 )
 
-// backlog is what the relay is told of it.
-func (s *shelf) backlog(name string) *relay.Backlog {
+// relayBacklog is what the relay is told of it.
+func (s *backlogConfig) relayBacklog(name string) *relay.Backlog {
 	if s == nil {
 		return nil
 	}
@@ -48,15 +48,15 @@
 	}}
 }
 
-// stock puts messages on disk that a relay has taken on and has not tried.
-func (s *shelf) stock(ctx context.Context, name string, n int, rng *rand.Rand, dest func(i int) int) (err error) {
+// fill puts messages on disk that a relay has taken on and has not tried.
+func (s *backlogConfig) fill(ctx context.Context, name string, n int, rng *rand.Rand, dest func(i int) int) (err error) {
 	store, _, err := backlog.Open(backlog.Options{Dir: s.Dir, Limit: s.Limit, Name: name})
 	if err != nil {
 		return fmt.Errorf("relayslope: %w", err)
 	}
 	defer func() { err = errors.Join(err, store.Close()) }()
 	const batch = 2000
-	until := time.Now().Add(heldFor)
+	until := time.Now().Add(heldLifetime)
 	for i := 0; i < n && ctx.Err() == nil; {
 		var put []owed.Entry
 		for ; len(put) < batch && i < n; i++ {
@@ -65,7 +65,7 @@
 			for k := range body {
 				body[k] = byte(rng.Uint32())
 			}
-			m := &wal.Message{ID: uint32(i + 1), Trace: trace, Key: keyText(trace), Class: 1, Dest: dest(i),
+			m := &wal.Message{ID: uint32(i + 1), Trace: trace, Key: idempotencyKey(trace), Class: 1, Dest: dest(i),
 				Deadline: until.Add(time.Duration(i) * time.Millisecond), Body: body}
 			m.Rank = m.Deadline.UnixNano()
 			put = append(put, owed.Entry{Ref: owed.Ref{ID: m.ID, Trace: trace, Dest: m.Dest, Rank: m.Rank, Deadline: m.Rank}, Data: wal.Marshal(m)})
@@ -77,80 +77,80 @@
 	return ctx.Err()
 }
 
-// owing is a relay that owes messages on disk.
-func owing() scale.Slope {
+// owedSlope is a relay that owes messages on disk.
+func owedSlope() scale.Slope {
 	return scale.Slope{
 		Name: "backlog-owed", Variable: "messages owed",
 		About: "a real relay in a process of its own, started on a backlog of messages for 2,000 destinations that told it to wait for hours, " +
 			"with a window of 4,096 in memory",
 		Sizes: []int{50_000, 100_000, 200_000, 400_000, 800_000}, Small: []int{10_000, 20_000, 30_000, 40_000, 50_000}, Seeds: []uint64{1},
-		Figures: []scale.Figure{heapBytes, resBytes, stepCPU, eventCPU, idle, startCPU, startMS,
+		Figures: []scale.Figure{heapBytes, residentBytes, stepCPU, eventCPU, idleCores, startCPU, startMS,
 			{Name: "kill_start_ms", Unit: "ms", About: "time from the process's beginning until clients are let in, after SIGKILL under that"},
 			{Name: "disk_bytes", Unit: "bytes", About: "what the backlog takes of the disk"},
 			{Name: "both_p99_ms", Unit: "ms", About: "99th percentile, on the clock, of the time from a hand-in to the call at the endpoint, while 1,000 " +
 				"messages a second are delivered and 1,000 others are taken on for the disk"},
 			{Name: "both_cores", Unit: "cores", About: "processor time of the whole relay in a second of that"}},
 		// Beside the relay the stock is written by this process, and the machine keeps of its files what it has memory for.
-		Cost: func(n int) scale.Cost { return scale.Cost{Memory: 1<<29 + int64(n)*stockBytes, Processes: 1} },
+		Cost: func(n int) scale.Cost { return scale.Cost{Memory: 1<<29 + int64(n)*memoryPerOwed, Processes: 1} },
 		Measure: func(ctx context.Context, n int, seed uint64, env scale.Env) (map[string]float64, error) {
-			return measureOwed(ctx, Spec{Healthy: someHealth, Down: 2000, Owed: n}, seed, env)
+			return measureOwed(ctx, Spec{Healthy: healthyCount, Down: 2000, Owed: n}, seed, env)
 		},
 	}
 }
 
 func measureOwed(ctx context.Context, s Spec, seed uint64, env scale.Env) (x map[string]float64, err error) {
-	s.shelf = &shelf{Dir: filepath.Join(env.Dir, "backlog"), Window: owedWindow, Share: owedShare, Limit: 1<<30 + int64(s.Owed)*owedBytes}
-	h, err := s.run(ctx, seed, env)
+	s.backlog = &backlogConfig{Dir: filepath.Join(env.Dir, "backlog"), Window: owedWindow, Share: owedShare, Limit: 1<<30 + int64(s.Owed)*diskPerOwed}
+	h, err := s.start(ctx, seed, env)
 	if err != nil {
 		return nil, err
 	}
-	defer func() { err = endWith(err, h) }()
-	if err := h.pin(ctx); err != nil {
+	defer func() { err = closeRelay(err, h) }()
+	if err := h.pinLoop(ctx); err != nil {
 		return nil, err
 	}
-	quiet, err := h.over(func() error { return rest(ctx, idleFor) })
+	quiet, err := h.measureUsage(func() error { return sleep(ctx, idleDuration) })
 	if err != nil {
 		return nil, err
 	}
-	x = map[string]float64{"start_cpu_ms": millis(h.first.CPU), "start_ms": millis(h.first.Wall),
+	x = map[string]float64{"start_cpu_ms": millis(h.initial.CPU), "start_ms": millis(h.initial.Wall),
 		"idle_cores": quiet.cpu.Seconds() / quiet.wall.Seconds()}
-	if err := h.loaded(ctx, x, steadyRate, steadyFor); err != nil {
+	if err := h.measureLoad(ctx, x, steadyRate, steadyDuration); err != nil {
 		return nil, err
 	}
-	if err := h.both(ctx, x); err != nil {
+	if err := h.measureMixed(ctx, x); err != nil {
 		return nil, err
 	}
-	end, err := h.ask(askHeap)
+	end, err := h.query(queryHeap)
 	if err != nil {
 		return nil, err
 	}
 	x["resident_bytes"], x["heap_bytes"] = float64(end.Resident), float64(end.Heap)
-	told, err := h.figures(ctx)
+	told, err := h.telemetry(ctx)
 	x["disk_bytes"] = float64(told["relay.backlog.bytes"])
 	delete(x, "cores")
 	delete(x, "p99_ms")
-	if err := h.holds(ctx); err != nil {
+	if err := h.awaitHeld(ctx); err != nil {
 		return nil, err
 	}
 	// All is there again after SIGKILL.
-	if err := h.child.end(); err != nil {
+	if err := h.child.kill(); err != nil {
 		return nil, err
 	}
-	if h.child, err = start(ctx, env.Dir, h.job()); err != nil {
+	if h.child, err = startChild(ctx, env.Dir, h.job()); err != nil {
 		return nil, err
 	}
-	x["kill_start_ms"] = millis(h.first.Wall)
-	return x, h.holds(ctx)
+	x["kill_start_ms"] = millis(h.initial.Wall)
+	return x, h.awaitHeld(ctx)
 }
 
-// both has as many messages taken for the disk as are delivered.
-func (h *hollow) both(ctx context.Context, x map[string]float64) error {
-	const n = int(bothRate) * 3
+// measureMixed has as many messages taken for the disk as are delivered.
+func (h *harness) measureMixed(ctx context.Context, x map[string]float64) error {
+	const n = int(mixedRate) * 3
 	h.loads++
-	in := newLoad(h.cfg.Listen, h.loads, n, classHeld, heldFor, func(i int) int { return h.Healthy + i%h.Down })
+	in := newLoad(h.cfg.Listen, h.loads, n, classHeld, heldLifetime, func(i int) int { return h.Healthy + i%h.Down })
 	taken := make(chan error, 1)
-	go func() { taken <- in.handIn(ctx, time.Second/time.Duration(bothRate)) }()
-	l, u, err := h.deliver(ctx, bothRate, time.Duration(n)*time.Second/time.Duration(bothRate))
+	go func() { taken <- in.submitAll(ctx, time.Second/time.Duration(mixedRate)) }()
+	l, u, err := h.deliverLoad(ctx, mixedRate, time.Duration(n)*time.Second/time.Duration(mixedRate))
 	if err = errors.Join(err, <-taken); err != nil {
 		return err
 	}
--- a/internal/testbed/scale/relayslope/platform.go
+++ b/internal/testbed/scale/relayslope/platform.go
@@ -18,9 +18,9 @@
 // The hollow platform: discovery's agent, one endpoint that answers all it is called with, and one that takes nothing. All
 // routes lead to one of the two, since a relay tells routes apart by their names.
 
-// toldWait is how long the endpoint that takes nothing has a relay wait: longer than any measurement takes, and shorter
+// retryAfter is how long the endpoint that takes nothing has a relay wait: longer than any measurement takes, and shorter
 // than the messages' time, which would have them refused.
-const toldWait = 2 * time.Hour
+const retryAfter = 2 * time.Hour
 
 // entry is one entry of discovery's list.
 type entry struct {
@@ -42,37 +42,37 @@
 	Servers []any `json:"servers"`
 }
 
-// platform is all that a relay speaks with, but for its clients.
-type platform struct {
+// stubPlatform is all that a relay speaks with, but for its clients.
+type stubPlatform struct {
 	servers []*http.Server
 	serving sync.WaitGroup
-	shut    int // a socket that is bound and never listens
+	closedFD    int // a socket that is bound and never listens
 
-	agent, healthy, none string // addresses
+	agentAddr, healthyAddr, downAddr string // addresses
 
 	load    atomic.Pointer[load] // that is told of what is delivered; nil: none runs
-	turned  atomic.Int64         // calls that were turned away
+	rejected  atomic.Int64         // calls that were turned away
 	notices atomic.Int64         // messages that were ended by a notice
 
 	mu      sync.Mutex
 	version int64
-	told    []list // changes that watches are yet to tell, as their version goes
+	published    []list // changes that watches are yet to tell, as their version goes
 	changed chan struct{}
-	watches int
+	watchCount int
 }
 
 // newPlatform serves a platform whose list has a version; its relay knows that list already.
-func newPlatform(ctx context.Context, version int64) (*platform, error) {
-	p := &platform{version: version, changed: make(chan struct{}), shut: -1}
+func newPlatform(ctx context.Context, version int64) (*stubPlatform, error) {
+	p := &stubPlatform{version: version, changed: make(chan struct{}), closedFD: -1}
 	agent := http.NewServeMux()
-	agent.HandleFunc("GET /catalog/members", p.watch)
-	agent.HandleFunc("POST /v2/finals", p.finals)
+	agent.HandleFunc("GET /catalog/members", p.handleWatch)
+	agent.HandleFunc("POST /v2/finals", p.handleNotices)
 	var err error
-	if p.agent, err = p.serve(ctx, agent); err == nil {
-		p.healthy, err = p.serve(ctx, http.HandlerFunc(p.take))
+	if p.agentAddr, err = p.serve(ctx, agent); err == nil {
+		p.healthyAddr, err = p.serve(ctx, http.HandlerFunc(p.handleCall))
 	}
 	if err == nil {
-		p.none, err = p.serve(ctx, http.HandlerFunc(p.turnAway))
+		p.downAddr, err = p.serve(ctx, http.HandlerFunc(p.rejectCall))
 	}
 	if err != nil {
 		return nil, errors.Join(err, p.close())
@@ -80,7 +80,7 @@
 	return p, nil
 }
 
-func (p *platform) serve(ctx context.Context, h http.Handler) (addr string, err error) {
+func (p *stubPlatform) serve(ctx context.Context, h http.Handler) (addr string, err error) {
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		return "", fmt.Errorf("relayslope: %w", err)
@@ -91,13 +91,13 @@
 	return l.Addr().String(), nil
 }
 
-// refuse has the endpoint that takes nothing refuse connections: its address is bound, and nobody listens there.
-func (p *platform) refuse() error {
+// refuseConnections has the endpoint that takes nothing refuseConnections connections: its address is bound, and nobody listens there.
+func (p *stubPlatform) refuseConnections() error {
 	fd, err := unix.Socket(unix.AF_INET, unix.SOCK_STREAM|unix.SOCK_CLOEXEC, 0)
 	if err != nil {
 		return fmt.Errorf("relayslope: %w", err)
 	}
-	p.shut = fd
+	p.closedFD = fd
 	if err := unix.Bind(fd, &unix.SockaddrInet4{Addr: [4]byte{127, 0, 0, 1}}); err != nil {
 		return fmt.Errorf("relayslope: %w", err)
 	}
@@ -105,39 +105,39 @@
 	if err != nil {
 		return fmt.Errorf("relayslope: %w", err)
 	}
-	p.none = net.JoinHostPort("127.0.0.1", strconv.Itoa(at.(*unix.SockaddrInet4).Port))
+	p.downAddr = net.JoinHostPort("127.0.0.1", strconv.Itoa(at.(*unix.SockaddrInet4).Port))
 	return nil
 }
 
 // close ends all that is served, and waits for it.
-func (p *platform) close() (err error) {
+func (p *stubPlatform) close() (err error) {
 	for _, s := range p.servers {
 		err = errors.Join(err, s.Close())
 	}
 	p.serving.Wait()
-	if p.shut >= 0 {
-		err = errors.Join(err, unix.Close(p.shut))
+	if p.closedFD >= 0 {
+		err = errors.Join(err, unix.Close(p.closedFD))
 	}
 	return err
 }
 
-// take answers a call.
-func (p *platform) take(w http.ResponseWriter, r *http.Request) {
+// handleCall answers a call.
+func (p *stubPlatform) handleCall(w http.ResponseWriter, r *http.Request) {
 	if l := p.load.Load(); l != nil {
-		l.delivered(r.Header.Get("X-Trace-Id"))
+		l.recordDelivery(r.Header.Get("X-Trace-Id"))
 	}
 	w.WriteHeader(http.StatusOK)
 }
 
-// turnAway answers a call of a destination that takes none.
-func (p *platform) turnAway(w http.ResponseWriter, _ *http.Request) {
-	w.Header().Set("Retry-After", strconv.Itoa(int(toldWait.Seconds())))
+// rejectCall answers a call of a destination that takes none.
+func (p *stubPlatform) rejectCall(w http.ResponseWriter, _ *http.Request) {
+	w.Header().Set("Retry-After", strconv.Itoa(int(retryAfter.Seconds())))
 	w.Header().Set("Connection", "close")
 	w.WriteHeader(http.StatusTooManyRequests)
-	p.turned.Add(1)
+	p.rejected.Add(1)
 }
 
-func (p *platform) finals(w http.ResponseWriter, r *http.Request) {
+func (p *stubPlatform) handleNotices(w http.ResponseWriter, r *http.Request) {
 	for dec := json.NewDecoder(r.Body); ; {
 		var n struct{ ID string }
 		if dec.Decode(&n) != nil {
@@ -148,15 +148,15 @@
 	w.WriteHeader(http.StatusNoContent)
 }
 
-// watch tells what has changed since a version. A relay here is never told the whole list: it was started with it.
-func (p *platform) watch(w http.ResponseWriter, r *http.Request) {
+// handleWatch tells what has changed since a version. A relay here is never told the whole list: it was started with it.
+func (p *stubPlatform) handleWatch(w http.ResponseWriter, r *http.Request) {
 	known, err := strconv.ParseInt(r.FormValue("index"), 10, 64)
 	if err != nil || r.FormValue("stream") != "1" {
 		http.Error(w, "the hollow platform has watches alone", http.StatusNotFound)
 		return
 	}
 	p.mu.Lock()
-	p.watches++
+	p.watchCount++
 	p.mu.Unlock()
 	empty := time.NewTicker(2 * time.Second) // as the protocol has it
 	defer empty.Stop()
@@ -166,7 +166,7 @@
 		p.mu.Lock()
 		changed := p.changed
 		var news []list
-		for _, l := range p.told {
+		for _, l := range p.published {
 			if l.Version > known {
 				news = append(news, l)
 			}
@@ -193,19 +193,19 @@
 	}
 }
 
-// change has the list change: entries are an entry or, to be unreadable, anything else.
-func (p *platform) change(entries ...any) {
+// publish has the list publish: entries are an entry or, to be unreadable, anything else.
+func (p *stubPlatform) publish(entries ...any) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.version++
-	p.told = append(p.told, list{Version: p.version, Servers: entries})
+	p.published = append(p.published, list{Version: p.version, Servers: entries})
 	close(p.changed)
 	p.changed = make(chan struct{})
 }
 
-// watched tells whether a relay follows the list.
-func (p *platform) watched() bool {
+// hasWatch tells whether a relay follows the list.
+func (p *stubPlatform) hasWatch() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.watches > 0
+	return p.watchCount > 0
 }
--- a/internal/testbed/scale/relayslope/process.go
+++ b/internal/testbed/scale/relayslope/process.go
@@ -20,11 +20,11 @@
 	in      io.WriteCloser
 	out     *bufio.Scanner
 	starter *process.Starter
-	first   state // what it told when it was ready
+	initial   childState // what it told when it was ready
 }
 
-// start starts this program once more as a child with a job, and waits until it is ready. dir is where its job is written.
-func start(ctx context.Context, dir string, j job) (*child, error) {
+// startChild starts this program once more as a child with a job, and waits until it is ready. dir is where its job is written.
+func startChild(ctx context.Context, dir string, j job) (*child, error) {
 	data, err := json.Marshal(j)
 	if err != nil {
 		return nil, fmt.Errorf("relayslope: %w", err)
@@ -52,21 +52,21 @@
 		c.starter.End()
 		return nil, fmt.Errorf("relayslope: child: %w", err)
 	}
-	if c.first, err = c.read(); err != nil {
-		return nil, errors.Join(err, c.end())
+	if c.initial, err = c.readState(); err != nil {
+		return nil, errors.Join(err, c.kill())
 	}
 	return c, nil
 }
 
-// ask has the child answer a word.
-func (c *child) ask(word string) (state, error) {
+// query has the child answer a word.
+func (c *child) query(word string) (childState, error) {
 	if _, err := fmt.Fprintln(c.in, word); err != nil {
-		return state{}, fmt.Errorf("relayslope: child: %w", err)
+		return childState{}, fmt.Errorf("relayslope: child: %w", err)
 	}
-	return c.read()
+	return c.readState()
 }
 
-func (c *child) read() (s state, err error) {
+func (c *child) readState() (s childState, err error) {
 	if !c.out.Scan() {
 		return s, errors.Join(errors.New("relayslope: the child says nothing"), c.out.Err())
 	}
@@ -76,8 +76,8 @@
 	return s, nil
 }
 
-// end ends the child at once: nothing that it holds is wanted any more.
-func (c *child) end() error {
+// kill ends the child at once: nothing that it holds is wanted any more.
+func (c *child) kill() error {
 	err := c.cmd.Process.Kill()
 	if errors.Is(err, os.ErrProcessDone) {
 		err = nil
--- a/internal/testbed/scale/relayslope/slopes.go
+++ b/internal/testbed/scale/relayslope/slopes.go
@@ -13,18 +13,18 @@
 
 const (
 	steadyRate = 200.0 // messages a second under which a step is measured
-	steadyFor  = 3 * time.Second
-	idleFor    = time.Second
-	eventsFor  = 4 * time.Second
-	changesNo  = 150
-	changeEach = 10 * time.Millisecond
-	// refusedFor is how long a destination has to refuse until it is tried as seldom as it will be: skips of 2 s to 10 s.
-	refusedFor = 30 * time.Second
-	// skipFor is the longest pause between two tries and a half: tries come in waves, since all began at one time.
-	skipFor = 15 * time.Second
-	// downHeld is how many messages are held for a destination that is down: 61 billion over 11,000 relays and 104,000 of these.
-	downHeld   = 55
-	someHealth = 20 // destinations that take all, beside those that take none
+	steadyDuration  = 3 * time.Second
+	idleDuration    = time.Second
+	eventsDuration  = 4 * time.Second
+	changeCount  = 150
+	changeInterval = 10 * time.Millisecond
+	// refusalWarmup is how long a destination has to refuse until it is tried as seldom as it will be: skips of 2 s to 10 s.
+	refusalWarmup = 30 * time.Second
+	// refusalDuration is the longest pause between two tries and a half: tries come in waves, since all began at one time.
+	refusalDuration = 15 * time.Second
+	// heldPerDown is how many messages are held for a destination that is down: 61 billion over 11,000 relays and 104,000 of these.
+	heldPerDown   = 55
+	healthyCount = 20 // destinations that take all, beside those that take none
 )
 
 // Of what a relay takes, in bytes; of what the testbed's own process takes for it too.
@@ -39,19 +39,19 @@
 // Slopes returns the relay's and the log's slopes.
 func Slopes() []scale.Slope {
 	return []scale.Slope{
-		listed(), held("relay-held-few", 20), held("relay-held-many", 2000), events(), logged("log-single", false), logged("log-segments", true),
-		refusing(), owing(),
+		listedSlope(), heldSlope("relay-held-few", 20), heldSlope("relay-held-many", 2000), eventsSlope(), logSlope("log-single", false), logSlope("log-segments", true),
+		refusingSlope(), owedSlope(),
 	}
 }
 
 // Figures that several slopes have.
 var (
 	heapBytes = scale.Figure{Name: "heap_bytes", Unit: "bytes", About: "the relay's heap after a collection"}
-	resBytes  = scale.Figure{Name: "resident_bytes", Unit: "bytes", About: "the relay's resident memory under the steady load, garbage and all"}
+	residentBytes  = scale.Figure{Name: "resident_bytes", Unit: "bytes", About: "the relay's resident memory under the steady load, garbage and all"}
 	stepCPU   = scale.Figure{Name: "step_cpu_us", Unit: "us", About: "processor time of the loop's thread for each message of a steady 200 a second " +
 		"that is taken in and delivered: two steps or three of module, relay and log, and what is done between them"}
 	eventCPU = scale.Figure{Name: "event_cpu_us", Unit: "us", About: "processor time of the whole relay for each message that is taken in and delivered"}
-	idle     = scale.Figure{Name: "idle_cores", Unit: "cores", About: "processor time of the whole relay in a second without load"}
+	idleCores     = scale.Figure{Name: "idle_cores", Unit: "cores", About: "processor time of the whole relay in a second without load"}
 	startCPU = scale.Figure{Name: "start_cpu_ms", Unit: "ms", About: "processor time from the process's beginning until clients are let in"}
 	startMS  = scale.Figure{Name: "start_ms", Unit: "ms", About: "time from the process's beginning until clients are let in"}
 )
@@ -59,38 +59,38 @@
 // seeds are where chance has a part: in ports, in the relays' lots, in what the machine does meanwhile.
 var seeds = []uint64{1, 2, 3}
 
-func listed() scale.Slope {
+func listedSlope() scale.Slope {
 	return scale.Slope{
 		Name: "relay-listed", Variable: "destinations listed",
 		About: "a real relay in a process of its own that is started with a list, two routes to a destination, and holds nothing",
 		Sizes: []int{500, 1000, 2000, 4000, 8000, 16000}, Small: []int{50, 100, 200, 400, 800}, Seeds: seeds,
-		Figures: []scale.Figure{heapBytes, resBytes, startCPU, startMS,
+		Figures: []scale.Figure{heapBytes, residentBytes, startCPU, startMS,
 			{Name: "change_cpu_us", Unit: "us", About: "processor time of the whole relay for a change of one entry of the list, above what it uses idle"},
-			stepCPU, eventCPU, idle,
+			stepCPU, eventCPU, idleCores,
 			{Name: "list_bytes", Unit: "bytes", About: "what the whole list weighs as discovery tells it"}},
 		Cost: func(n int) scale.Cost { return scale.Cost{Memory: relayBytes + int64(n)*listedBytes, Processes: 1} },
 		Measure: func(ctx context.Context, n int, seed uint64, env scale.Env) (map[string]float64, error) {
-			return measure(ctx, Spec{Healthy: n}, seed, env)
+			return measureRelay(ctx, Spec{Healthy: n}, seed, env)
 		},
 	}
 }
 
-func held(name string, destinations int) scale.Slope {
+func heldSlope(name string, destinations int) scale.Slope {
 	return scale.Slope{
 		Name: name, Variable: "messages held",
 		About: "a real relay in a process of its own, started on a log of messages that it holds untried, for destinations that told it to wait for hours",
 		Sizes: []int{2000, 4000, 8000, 16000, 32000, 64000}, Small: []int{200, 400, 800, 1600, 3200}, Seeds: seeds,
-		Figures: []scale.Figure{heapBytes, resBytes, stepCPU, eventCPU, idle, startCPU, startMS},
+		Figures: []scale.Figure{heapBytes, residentBytes, stepCPU, eventCPU, idleCores, startCPU, startMS},
 		Cost: func(n int) scale.Cost {
 			return scale.Cost{Memory: relayBytes + int64(destinations)*listedBytes + int64(n)*heldBytes, Processes: 1}
 		},
 		Measure: func(ctx context.Context, n int, seed uint64, env scale.Env) (map[string]float64, error) {
-			return measure(ctx, Spec{Healthy: someHealth, Down: destinations, Held: n}, seed, env)
+			return measureRelay(ctx, Spec{Healthy: healthyCount, Down: destinations, Held: n}, seed, env)
 		},
 	}
 }
 
-func events() scale.Slope {
+func eventsSlope() scale.Slope {
 	return scale.Slope{
 		Name: "relay-events", Variable: "events a second",
 		About: "a real relay in a process of its own that takes messages in and delivers each at once, 20 destinations listed",
@@ -99,7 +99,7 @@
 			{Name: "cores", Unit: "cores", About: "processor time of the whole relay in a second"},
 			eventCPU, stepCPU,
 			{Name: "p99_ms", Unit: "ms", About: "99th percentile of the time from a hand-in to the call at the endpoint, on the clock"},
-			resBytes},
+			residentBytes},
 		Cost: func(n int) scale.Cost { return scale.Cost{Memory: relayBytes + int64(n)*eventBytes, Processes: 1} },
 		Measure: func(ctx context.Context, n int, seed uint64, env scale.Env) (map[string]float64, error) {
 			return measureEvents(ctx, float64(n), seed, env)
@@ -107,9 +107,9 @@
 	}
 }
 
-// refusing is a relay some of whose destinations refuse connections, with messages held for each as many as the target has: a
+// refusingSlope is a relay some of whose destinations refuse connections, with messages held for each as many as the target has: a
 // destination that is down is tried again and again, which costs what it costs without a message coming in.
-func refusing() scale.Slope {
+func refusingSlope() scale.Slope {
 	return scale.Slope{
 		Name: "relay-down", Variable: "destinations down",
 		About: "a real relay in a process of its own, with 55 messages held for each of the destinations that refuse connections, " +
@@ -118,50 +118,50 @@
 		Figures: []scale.Figure{
 			{Name: "cores", Unit: "cores", About: "processor time of the whole relay in a second without load"},
 			{Name: "loop_cores", Unit: "cores", About: "of that, the thread's of the relay's loop: module, relay and log"},
-			resBytes,
+			residentBytes,
 			{Name: "p99_ms", Unit: "ms", About: "99th percentile, on the clock, of the time from a hand-in to the call at an endpoint that answers, " +
 				"200 messages a second"}},
 		Cost: func(n int) scale.Cost {
-			return scale.Cost{Memory: relayBytes + int64(n)*(listedBytes+downHeld*heldBytes), Processes: 1}
+			return scale.Cost{Memory: relayBytes + int64(n)*(listedBytes+heldPerDown*heldBytes), Processes: 1}
 		},
 		Measure: func(ctx context.Context, n int, seed uint64, env scale.Env) (map[string]float64, error) {
-			return measureRefusing(ctx, Spec{Healthy: someHealth, Down: n, Held: downHeld * n, Refused: true}, seed, env)
+			return measureRefusing(ctx, Spec{Healthy: healthyCount, Down: n, Held: heldPerDown * n, Refused: true}, seed, env)
 		},
 	}
 }
 
 // measureRefusing measures what destinations that refuse connections cost.
 func measureRefusing(ctx context.Context, s Spec, seed uint64, env scale.Env) (x map[string]float64, err error) {
-	h, err := s.run(ctx, seed, env)
+	h, err := s.start(ctx, seed, env)
 	if err != nil {
 		return nil, err
 	}
-	defer func() { err = endWith(err, h) }()
-	if err := h.pin(ctx); err != nil {
+	defer func() { err = closeRelay(err, h) }()
+	if err := h.pinLoop(ctx); err != nil {
 		return nil, err
 	}
-	if err := rest(ctx, refusedFor); err != nil {
+	if err := sleep(ctx, refusalWarmup); err != nil {
 		return nil, err
 	}
-	quiet, err := h.over(func() error { return rest(ctx, skipFor) })
+	quiet, err := h.measureUsage(func() error { return sleep(ctx, refusalDuration) })
 	if err != nil {
 		return nil, err
 	}
-	l, _, err := h.deliver(ctx, steadyRate, steadyFor)
+	l, _, err := h.deliverLoad(ctx, steadyRate, steadyDuration)
 	if err != nil {
 		return nil, err
 	}
-	end, err := h.ask(askUsage)
+	end, err := h.query(queryUsage)
 	if err != nil {
 		return nil, err
 	}
 	return map[string]float64{
 		"cores": quiet.cpu.Seconds() / quiet.wall.Seconds(), "loop_cores": quiet.loop.Seconds() / quiet.wall.Seconds(),
 		"p99_ms": l.p99(), "resident_bytes": float64(end.Resident),
-	}, h.holds(ctx)
+	}, h.awaitHeld(ctx)
 }
 
-func logged(name string, segments bool) scale.Slope {
+func logSlope(name string, segments bool) scale.Slope {
 	about := "a log in one file, opened by a process of its own"
 	if segments {
 		about = "a log in segments, opened by a process of its own"
@@ -182,78 +182,78 @@
 	}
 }
 
-// measure measures all that a relay's size has a part in.
-func measure(ctx context.Context, s Spec, seed uint64, env scale.Env) (x map[string]float64, err error) {
-	h, err := s.run(ctx, seed, env)
+// measureRelay measures all that a relay's size has a part in.
+func measureRelay(ctx context.Context, s Spec, seed uint64, env scale.Env) (x map[string]float64, err error) {
+	h, err := s.start(ctx, seed, env)
 	if err != nil {
 		return nil, err
 	}
-	defer func() { err = endWith(err, h) }()
-	if err := h.pin(ctx); err != nil {
+	defer func() { err = closeRelay(err, h) }()
+	if err := h.pinLoop(ctx); err != nil {
 		return nil, err
 	}
-	quiet, err := h.over(func() error { return rest(ctx, idleFor) })
+	quiet, err := h.measureUsage(func() error { return sleep(ctx, idleDuration) })
 	if err != nil {
 		return nil, err
 	}
 	x = map[string]float64{
-		"start_cpu_ms": millis(h.first.CPU), "start_ms": millis(h.first.Wall),
+		"start_cpu_ms": millis(h.initial.CPU), "start_ms": millis(h.initial.Wall),
 		"idle_cores": quiet.cpu.Seconds() / quiet.wall.Seconds(), "list_bytes": float64(h.listBytes()),
 	}
 	if s.Held == 0 {
-		u, err := h.changes(ctx, changesNo, changeEach)
+		u, err := h.measureChanges(ctx, changeCount, changeInterval)
 		if err != nil {
 			return nil, err
 		}
-		x["change_cpu_us"] = max(0, micros(u.cpu)-x["idle_cores"]*micros(u.wall)) / (changesNo + 1)
+		x["change_cpu_us"] = max(0, micros(u.cpu)-x["idle_cores"]*micros(u.wall)) / (changeCount + 1)
 	}
-	if err := h.loaded(ctx, x, steadyRate, steadyFor); err != nil {
+	if err := h.measureLoad(ctx, x, steadyRate, steadyDuration); err != nil {
 		return nil, err
 	}
-	end, err := h.ask(askHeap)
+	end, err := h.query(queryHeap)
 	x["resident_bytes"], x["heap_bytes"] = float64(end.Resident), float64(end.Heap)
 	if err != nil {
 		return nil, err
 	}
-	return x, h.holds(ctx)
+	return x, h.awaitHeld(ctx)
 }
 
-// loaded measures a steady load.
-func (h *hollow) loaded(ctx context.Context, x map[string]float64, rate float64, d time.Duration) error {
-	if _, _, err := h.deliver(ctx, rate, d/3); err != nil { // connections and heap are as they stay
+// measureLoad measures a steady load.
+func (h *harness) measureLoad(ctx context.Context, x map[string]float64, rate float64, d time.Duration) error {
+	if _, _, err := h.deliverLoad(ctx, rate, d/3); err != nil { // connections and heap are as they stay
 		return err
 	}
-	l, u, err := h.deliver(ctx, rate, d)
+	l, u, err := h.deliverLoad(ctx, rate, d)
 	if err != nil {
 		return err
 	}
-	n := float64(len(l.began))
+	n := float64(len(l.startTimes))
 	x["step_cpu_us"], x["event_cpu_us"] = micros(u.loop)/n, micros(u.cpu)/n
 	x["cores"], x["p99_ms"] = u.cpu.Seconds()/u.wall.Seconds(), l.p99()
 	return nil
 }
 
 func measureEvents(ctx context.Context, rate float64, seed uint64, env scale.Env) (x map[string]float64, err error) {
-	h, err := Spec{Healthy: someHealth}.run(ctx, seed, env)
+	h, err := Spec{Healthy: healthyCount}.start(ctx, seed, env)
 	if err != nil {
 		return nil, err
 	}
-	defer func() { err = endWith(err, h) }()
-	if err := h.pin(ctx); err != nil {
+	defer func() { err = closeRelay(err, h) }()
+	if err := h.pinLoop(ctx); err != nil {
 		return nil, err
 	}
 	x = map[string]float64{}
-	if err := h.loaded(ctx, x, rate, eventsFor); err != nil {
+	if err := h.measureLoad(ctx, x, rate, eventsDuration); err != nil {
 		return nil, err
 	}
-	end, err := h.ask(askUsage)
+	end, err := h.query(queryUsage)
 	x["resident_bytes"] = float64(end.Resident)
 	return x, err
 }
 
-// endWith ends a hollow relay, and returns the error of what was done with it before that of its end.
-func endWith(err error, h *hollow) error {
-	if e := h.end(); err == nil {
+// closeRelay ends a hollow relay, and returns the error of what was done with it before that of its end.
+func closeRelay(err error, h *harness) error {
+	if e := h.shutdown(); err == nil {
 		err = e
 	}
 	return err
--- a/internal/testbed/scale/relayslope/slopes_test.go
+++ b/internal/testbed/scale/relayslope/slopes_test.go
@@ -43,25 +43,25 @@
 func TestAHollowRelayHolds(t *testing.T) {
 	for name, s := range map[string]Spec{
 		"from the log":  {Healthy: 3, Down: 4, Held: 60},
-		"half by HTTP":  {Healthy: 3, Down: 4, Held: 60, HandedIn: 30},
-		"all by HTTP":   {Healthy: 3, Down: 4, Held: 60, HandedIn: 60},
+		"half by HTTP":  {Healthy: 3, Down: 4, Held: 60, Submitted: 30},
+		"all by HTTP":   {Healthy: 3, Down: 4, Held: 60, Submitted: 60},
 		"in segments":   {Healthy: 3, Down: 4, Held: 60, Change: func(c *relay.Config) { c.Segments = true }},
 		"with refusals": {Healthy: 3, Down: 4, Held: 60, Refused: true},
 	} {
 		t.Run(name, func(t *testing.T) {
-			h, err := s.run(t.Context(), 1, testEnv(t))
+			h, err := s.start(t.Context(), 1, testEnv(t))
 			must(t, err)
-			defer func() { must(t, h.end()) }()
-			must(t, h.pin(t.Context()))
-			l, u, err := h.deliver(t.Context(), 500, 100*time.Millisecond)
+			defer func() { must(t, h.shutdown()) }()
+			must(t, h.pinLoop(t.Context()))
+			l, u, err := h.deliverLoad(t.Context(), 500, 100*time.Millisecond)
 			must(t, err)
 			if u.cpu <= 0 || u.loop <= 0 || u.loop > u.cpu || l.p99() <= 0 {
 				t.Errorf("50 messages took %v of processor time, the loop %v of it, p99 %v ms", u.cpu, u.loop, l.p99())
 			}
-			_, err = h.changes(t.Context(), 5, time.Millisecond)
+			_, err = h.measureChanges(t.Context(), 5, time.Millisecond)
 			must(t, err)
-			must(t, h.holds(t.Context()))
-			x, err := h.figures(t.Context())
+			must(t, h.awaitHeld(t.Context()))
+			x, err := h.telemetry(t.Context())
 			must(t, err)
 			if x["relay.current"] != 60 || x["relay.cluster_size"] != 15 {
 				t.Errorf("holds %d, lists %d routes", x["relay.current"], x["relay.cluster_size"])
@@ -70,10 +70,10 @@
 			least, most := int64(4), int64(4)
 			if s.Refused {
 				least, most = 0, 0
-			} else if s.HandedIn > 0 {
-				most = 4 * routesEach * 2
+			} else if s.Submitted > 0 {
+				most = 4 * routesPerDest * 2
 			}
-			if n := h.turned.Load(); n < least || n > most {
+			if n := h.rejected.Load(); n < least || n > most {
 				t.Errorf("%d calls were turned away, for 4 destinations that told a wait: %d to %d", n, least, most)
 			}
 		})
@@ -83,13 +83,13 @@
 // A relay that holds more takes more, in its own process.
 func TestAChildTellsItsOwnMemory(t *testing.T) {
 	heapOf := func(held int) int64 {
-		h, err := Spec{Healthy: 1, Down: 20, Held: held}.run(t.Context(), 1, testEnv(t))
+		h, err := Spec{Healthy: 1, Down: 20, Held: held}.start(t.Context(), 1, testEnv(t))
 		must(t, err)
-		defer func() { must(t, h.end()) }()
-		s, err := h.ask(askHeap)
+		defer func() { must(t, h.shutdown()) }()
+		s, err := h.query(queryHeap)
 		must(t, err)
-		if s.Heap <= 0 || s.Resident <= s.Heap || s.CPU <= h.first.CPU {
-			t.Errorf("state %+v, at first %+v", s, h.first)
+		if s.Heap <= 0 || s.Resident <= s.Heap || s.CPU <= h.initial.CPU {
+			t.Errorf("state %+v, at first %+v", s, h.initial)
 		}
 		return s.Heap
 	}
@@ -100,26 +100,26 @@
 
 // Whatever becomes of a start, nothing of it is left.
 func TestAHollowRelayEndsAllItStarted(t *testing.T) {
-	h, err := Spec{Healthy: 1}.run(t.Context(), 1, testEnv(t))
+	h, err := Spec{Healthy: 1}.start(t.Context(), 1, testEnv(t))
 	must(t, err)
 	pid := h.cmd.Process.Pid
-	must(t, h.end())
+	must(t, h.shutdown())
 	if err := syscall.Kill(pid, 0); !errors.Is(err, syscall.ESRCH) {
 		t.Errorf("the child is there still: %v", err)
 	}
-	for _, addr := range []string{h.agent, h.healthy, h.none, h.cfg.Listen, h.cfg.Admin} {
+	for _, addr := range []string{h.agentAddr, h.healthyAddr, h.downAddr, h.cfg.Listen, h.cfg.Admin} {
 		if c, err := net.Dial("tcp", addr); err == nil {
 			c.Close()
 			t.Errorf("something listens at %s", addr)
 		}
 	}
-	h, err = Spec{Healthy: 1, Change: func(c *relay.Config) { c.StateDir += "/missing" }}.run(t.Context(), 1, testEnv(t))
+	h, err = Spec{Healthy: 1, Change: func(c *relay.Config) { c.StateDir += "/missing" }}.start(t.Context(), 1, testEnv(t))
 	if err == nil || h != nil {
 		t.Errorf("a relay without a folder runs: %v", err)
 	}
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
-	if _, err := (Spec{Healthy: 1}).run(ctx, 1, testEnv(t)); !errors.Is(err, context.Canceled) {
+	if _, err := (Spec{Healthy: 1}).start(ctx, 1, testEnv(t)); !errors.Is(err, context.Canceled) {
 		t.Errorf("a start that was given up ends with %v", err)
 	}
 }
@@ -127,16 +127,16 @@
 // An endpoint is called once for a message, and what comes again, or of another load, counts for nothing.
 func TestALoadCountsEachDeliveryOnce(t *testing.T) {
 	l := newLoad("", 7, 2, classQuick, time.Second, nil)
-	l.began[0].Store(1)
-	l.began[1].Store(1)
-	for _, trace := range []string{traceText(7, 0), traceText(7, 0), traceText(8, 1), traceText(7, 2), "", "x"} {
-		l.delivered(trace)
+	l.startTimes[0].Store(1)
+	l.startTimes[1].Store(1)
+	for _, trace := range []string{formatTrace(7, 0), formatTrace(7, 0), formatTrace(8, 1), formatTrace(7, 2), "", "x"} {
+		l.recordDelivery(trace)
 	}
-	if n := l.left.Load(); n != 1 {
+	if n := l.remaining.Load(); n != 1 {
 		t.Errorf("%d are left, want 1", n)
 	}
-	l.delivered(traceText(7, 1))
-	must(t, l.all(t.Context()))
+	l.recordDelivery(formatTrace(7, 1))
+	must(t, l.awaitDelivered(t.Context()))
 }
 
 func TestALogGrowsAndIsCompacted(t *testing.T) {
