--- a/internal/testbed/scale/relayslope/child.go
+++ b/internal/testbed/scale/relayslope/child.go
@@ -21,46 +21,46 @@
 	"onyxroad.dev/onyxroad/internal/relay"
 )
 
-// ChildCommand is the argument with which a program that links this package runs itself as a child: it hands what follows,
-// one path, to Child.
+// ChildCommand is the argument with which a program that uses this package runs itself as a child process. The program passes
+// the argument after it, a path, to Child.
 const ChildCommand = "relay-child"
 
-// heapShare is the part of the memory limit that the relay's own program lets its heap grow to.
+// heapShare is the share of the memory limit that the Go runtime may use, as in the relay's own program.
 const heapShare = 0.7
 
-// job is what a child is told: to be a relay, or to open a log.
+// job tells a child process what to run: a relay, or a log alone.
 type job struct {
 	Relay *relayJob
 	Log   *logJob
 }
 
-// relayJob is a relay's configuration without what can't be written down: the fields that stand here hide those of the
-// same name, and a hollow relay has none of them.
+// relayJob is a relay's configuration without the fields that can't be encoded as JSON. The fields declared here shadow those
+// of relay.Config; the relay under test uses none of them except the backlog.
 type relayJob struct {
 	relay.Config
 	Join, Membership, Disk, Duties *struct{}
-	Backlog                        *backlogConfig // but for this one
+	Backlog                        *backlogConfig
 }
 
-// childState is what a child tells of itself: what it has used since it began.
+// childState is a child's report about itself: what it has used since its start.
 type childState struct {
 	CPU      time.Duration // processor time of the process
 	Wall     time.Duration
-	Loop     time.Duration // processor time of the relay's loop, since its thread is known
-	LoopSeen bool          // it is known
-	Heap     int64         // bytes that are reached, after a collection; 0 unless asked for
+	Loop     time.Duration // processor time of the thread of the relay's loop
+	LoopSeen bool          // whether that thread is known
+	Heap     int64         // bytes, after a garbage collection; 0 unless asked for
 	Resident int64         // bytes
-	Log      *logState     // of a child that opened a log
+	Log      *logState     // result of a logJob
 }
 
-// The words that a child understands, a line each.
+// Commands that a child understands, one per line.
 const (
 	queryUsage = "usage"
-	queryHeap  = "heap" // and collects what is free
+	queryHeap  = "heap" // usage with the heap's size after a garbage collection
 )
 
-// Child is the whole of a child process: it does the job that the file at path describes, tells that it is ready with a
-// line on out, and answers every line that comes in. It ends with in, or with ctx.
+// Child is the main function of a child process. It runs the job in the file at path, writes a line to out when it is ready,
+// and answers every line of in with its state. It returns when in or ctx ends.
 func Child(ctx context.Context, path string, in io.Reader, out io.Writer) error {
 	began, spent := time.Now(), processCPUTime()
 	data, err := os.ReadFile(path)
@@ -89,7 +89,7 @@
 	cfg.Backlog = j.Relay.Backlog.relayBacklog(cfg.Name)
 	debug.SetMemoryLimit(int64(cfg.Limits.MemoryMB * heapShare * (1 << 20)))
 	runtime.GOMAXPROCS(max(1, int(cfg.Limits.Cores)))
-	data, j = nil, job{} // else the list would count as the relay's
+	data, j = nil, job{} // otherwise the decoded list would count as the relay's memory
 	r, err := relay.New(ctx, cfg, slog.New(spy))
 	if err != nil {
 		return err
@@ -99,7 +99,7 @@
 	go func() { ended <- r.Run(ctx) }()
 	select {
 	case err := <-ended:
-		return errors.Join(err, errors.New("relayslope: the relay ended before it served"))
+		return errors.Join(err, errors.New("relayslope: the relay ended before it was serving"))
 	case s := <-spy.ready:
 		if err := enc.Encode(s); err != nil {
 			return err
@@ -119,24 +119,24 @@
 	return errors.Join(lines.Err(), <-ended)
 }
 
-// heapInUse collects what is free and tells the bytes that are left.
+// heapInUse returns the size of the heap after a garbage collection, in bytes.
 func heapInUse() int64 {
 	runtime.GC()
-	runtime.GC() // what has a finalizer goes with the second
+	runtime.GC() // objects with finalizers are freed by the second collection
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
 	return int64(m.HeapAlloc)
 }
 
-// logObserver reads from a relay's log what it does not tell otherwise: when it serves, and which thread its loop is on.
+// logObserver is a log handler that learns from the relay's log lines when it is serving and which thread runs its loop.
 type logObserver struct {
-	ready chan childState
-	started time.Time
-	cpuAtStart time.Duration // of processor time when it began
-	loopThread  *atomic.Int64 // the number of the loop's thread; 0: not known
+	ready      chan childState
+	started    time.Time
+	cpuAtStart time.Duration // processor time used at the start
+	loopThread *atomic.Int64 // thread ID of the loop; 0 if unknown
 }
 
-// The relay's own words. The loop says loopMessage itself, when it is told of an entry that it can't read.
+// Log messages of the relay. The loop's goroutine logs loopMessage when it receives an entry that it can't read.
 const (
 	servingMessage = "serving"
 	loopMessage    = "unreadable entry of the list"
@@ -146,7 +146,7 @@
 func (s *logObserver) WithAttrs([]slog.Attr) slog.Handler       { return s }
 func (s *logObserver) WithGroup(string) slog.Handler            { return s }
 
-// Handle is called by the goroutine that logs.
+// Handle implements slog.Handler. It runs on the goroutine that logs.
 func (s *logObserver) Handle(_ context.Context, r slog.Record) error {
 	switch r.Message {
 	case servingMessage:
@@ -156,7 +156,7 @@
 		}
 	case loopMessage:
 		if s.loopThread.Load() == 0 {
-			runtime.LockOSThread() // for good: nothing else runs on the loop's thread from here on
+			runtime.LockOSThread() // never unlocked: from here on the thread runs nothing but the loop
 			s.loopThread.Store(int64(unix.Gettid()))
 		}
 	}
@@ -171,16 +171,16 @@
 	return x
 }
 
-// processCPUTime is the processor time that this process has used.
+// processCPUTime returns the processor time that this process has used.
 func processCPUTime() time.Duration {
 	var t unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_PROCESS_CPUTIME_ID, &t); err != nil {
-		return 0 // it can't fail on Linux
+		return 0 // can't fail on Linux
 	}
 	return time.Duration(t.Nano())
 }
 
-// threadCPUTime is the processor time that a thread of this process has used.
+// threadCPUTime returns the processor time that a thread of this process has used.
 func threadCPUTime(tid int64) time.Duration {
 	data, _ := os.ReadFile(fmt.Sprintf("/proc/self/task/%d/schedstat", tid))
 	first, _, _ := bytes.Cut(data, []byte(" "))
@@ -188,7 +188,7 @@
 	return time.Duration(n)
 }
 
-// residentMemory is the memory of this process that is in use, in bytes.
+// residentMemory returns the resident memory of this process, in bytes.
 func residentMemory() int64 {
 	data, _ := os.ReadFile("/proc/self/statm")
 	fields := bytes.Fields(data)
--- a/internal/testbed/scale/relayslope/harness.go
+++ b/internal/testbed/scale/relayslope/harness.go
@@ -23,39 +23,39 @@
 
 const (
 	customer = "acme"
-	// Messages that are delivered, and messages that are held. What is held has to be in time for longer than the waits
-	// that are told.
+	// The classes of messages that are delivered and of messages that are held. Held messages have to live longer than the
+	// Retry-After that their destinations send.
 	classQuick, classHeld = "order", "held"
-	quickLifetime              = 30 * time.Second
-	heldLifetime               = 8 * time.Hour
+	quickLifetime         = 30 * time.Second
+	heldLifetime          = 8 * time.Hour
 
-	routesPerDest   = 2
-	firstVersion = 1000 // of the list that a relay is started with
-	cores        = 2    // that a relay may use
-	memoryMB     = 4096 // and its memory: no collection of garbage comes sooner for want of it
-	// settleTimeout is how long anything of a hollow relay may take to settle.
+	routesPerDest = 2
+	firstVersion  = 1000 // of the list that the relay starts with
+	cores         = 2    // limit of the relay
+	memoryMB      = 4096 // limit of the relay: high enough not to trigger garbage collections
+	// settleTimeout bounds how long the relay may take to reach an expected state.
 	settleTimeout = 30 * time.Second
-	pollInterval = 20 * time.Millisecond
+	pollInterval  = 20 * time.Millisecond
 )
 
-// Spec is a hollow relay: a real one, in a process of its own, with a platform around it that does next to nothing.
+// Spec describes a relay under test: a real relay in a process of its own, with a stub platform around it.
 type Spec struct {
-	Healthy int // destinations listed that take all
-	Down    int // destinations listed that take none
-	Held    int // messages held over those that are down, untried but for the first of each destination
-	// Submitted is how many of them are handed in by HTTP; the others are in the log that the relay is started on.
+	Healthy int // listed destinations that accept everything
+	Down    int // listed destinations that accept nothing
+	Held    int // messages held for destinations that are down; only the first of each destination was attempted
+	// Submitted is how many of them are submitted over HTTP; the others are in the log with which the relay starts.
 	Submitted int
-	// Refused has those that are down refuse connections, so that each is tried again and again; else they tell a wait of
-	// hours, and each is tried once.
+	// Refused makes the destinations that are down refuse connections, so that each is retried. Otherwise they answer with a
+	// Retry-After of hours, and each is attempted once.
 	Refused bool
-	// Owed is how many messages lie in the backlog over those that are down when the relay starts, on the shelf.
-	Owed  int
+	// Owed is how many messages for destinations that are down are in the backlog when the relay starts.
+	Owed    int
 	backlog *backlogConfig
-	// Change changes the relay's configuration before the start; nil: nothing of it.
+	// Change, unless nil, modifies the relay's configuration before the start.
 	Change func(*relay.Config)
 }
 
-// harness is a running harness relay.
+// harness is a running relay under test with its stub platform.
 type harness struct {
 	Spec
 	*stubPlatform
@@ -63,19 +63,19 @@
 	cfg   relay.Config
 	rng   *rand.Rand
 	loads uint64
-	added int // entries that were added to the list
+	added int // entries added to the list
 }
 
-// portCounter counts the hollow relays of this process: each has ports of its own.
+// portCounter numbers the addresses given out by this process, so that each relay has its own ports.
 var portCounter atomic.Uint32
 
-// uniqueAddr is an uniqueAddr that nobody else in this process has, on a loopback uniqueAddr of the process's own.
+// uniqueAddr returns an address that is used only once in this process, on a loopback IP derived from the process ID.
 func uniqueAddr() string {
 	pid := os.Getpid()
 	return fmt.Sprintf("127.%d.%d.%d:%d", 64+pid>>16&63, pid>>8&255, pid&255, 20000+portCounter.Add(1)%10000)
 }
 
-// start starts a hollow relay, and waits until it holds all that it is to hold.
+// start starts a relay under test and waits until it holds all messages that it should hold.
 func (s Spec) start(ctx context.Context, seed uint64, env scale.Env) (h *harness, err error) {
 	h = &harness{Spec: s, rng: rand.New(rand.NewPCG(seed, 0x736c6f7065))}
 	if h.stubPlatform, err = newPlatform(ctx, firstVersion); err != nil {
@@ -113,10 +113,10 @@
 	return h, h.awaitReady(ctx)
 }
 
-// job is what the relay's process is told.
+// job returns the job of the relay's process.
 func (h *harness) job() job { return job{Relay: &relayJob{Config: h.cfg, Backlog: h.backlog}} }
 
-// shutdown ends all that the hollow relay is made of.
+// shutdown kills the relay and closes the platform.
 func (h *harness) shutdown() (err error) {
 	if h.child != nil {
 		err = h.child.kill()
@@ -124,7 +124,7 @@
 	return errors.Join(err, h.stubPlatform.close())
 }
 
-// configure makes the relay's configuration, with a list that it knows from the start.
+// configure builds the relay's configuration, with a list that it knows from the start.
 func (s Spec) configure(p *stubPlatform, seed uint64, dir string) (c relay.Config, err error) {
 	state := filepath.Join(dir, "state")
 	if err := os.MkdirAll(state, 0o700); err != nil {
@@ -132,7 +132,7 @@
 	}
 	c = relay.Config{
 		Name: "hollow", Listen: uniqueAddr(), Admin: uniqueAddr(), Discovery: p.agentAddr, StateDir: state, Seed: seed,
-		// A message held takes some 600 bytes of the log, which may be filled by a third.
+		// A held message uses some 600 bytes of the log, of which a third may be filled.
 		Limits: relay.Limits{Cores: cores, MemoryMB: memoryMB, Sockets: 1024, DiskMB: 64 + float64(s.Held)*4000/1e6},
 		Settings: policy.Settings{
 			Classes: []policy.Class{
@@ -159,7 +159,7 @@
 	return c, nil
 }
 
-// entry is a route of a destination in the list. Those that are down come after those that are not.
+// entry returns the list entry of route k of destination d. Destinations that are down come after the healthy ones.
 func (s Spec) entry(p *stubPlatform, d, k int) entry {
 	addr := p.healthyAddr
 	if d >= s.Healthy {
@@ -169,7 +169,7 @@
 		Weight: 500}
 }
 
-// listBytes is what the whole list weighs as discovery would tell it.
+// listBytes returns the size of the full list as discovery would send it.
 func (h *harness) listBytes() (n int) {
 	for _, e := range h.cfg.Known.Entries {
 		n += len(e) + 1
@@ -177,7 +177,7 @@
 	return n + len(`{"version":1000,"full":true,"servers":[]}`)
 }
 
-// seedLog writes the log of a relay that has taken n messages on and has tried none.
+// seedLog writes the log of a relay that has accepted n messages and attempted none.
 func (h *harness) seedLog(n int) error {
 	if n == 0 {
 		return nil
@@ -189,8 +189,8 @@
 	return writeLog(o, n, func(i int) (class, dest int) { return 1, h.Healthy + i%h.Down })
 }
 
-// writeLog writes the log of n messages that were taken on and are untried.
-func writeLog(o wal.Options, n int, place func(i int) (class, dest int)) error {
+// writeLog writes a log of n messages that were accepted and not attempted.
+func writeLog(o wal.Options, n int, classAndDest func(i int) (class, dest int)) error {
 	l, _, err := wal.OpenWith(o)
 	if err != nil {
 		return fmt.Errorf("relayslope: %w", err)
@@ -201,7 +201,7 @@
 		var ms []*wal.Message
 		for ; len(ms) < batch && i < n; i++ {
 			trace := formatTrace(seededRun, i)
-			class, dest := place(i)
+			class, dest := classAndDest(i)
 			ms = append(ms, &wal.Message{ID: uint32(i + 1), Trace: trace, Key: idempotencyKey(trace), Class: class, Dest: dest,
 				Deadline: deadline, Body: make([]byte, bodyBytes)})
 		}
@@ -215,12 +215,12 @@
 	return nil
 }
 
-// seededRun is in the traces of messages that were in the log at the start; loads count from 1.
+// seededRun is the run ID in the traces of messages that were in the log at the start; loads count from 1.
 const seededRun = 0
 
-// awaitReady waits until the relay follows the list, holds all, and has heard of every destination that is down.
+// awaitReady waits until the relay watches the list, holds all messages and was rejected by every destination that is down.
 func (h *harness) awaitReady(ctx context.Context) error {
-	if err := poll(ctx, "the relay follows the list", func() (bool, error) { return h.hasWatch(), nil }); err != nil {
+	if err := poll(ctx, "the relay watches the list", func() (bool, error) { return h.hasWatch(), nil }); err != nil {
 		return err
 	}
 	if h.Submitted > 0 {
@@ -232,31 +232,31 @@
 	}
 	if h.Held+h.Owed > 0 && !h.Refused {
 		tried := int64(min(h.Down, h.Held+h.Owed))
-		if err := poll(ctx, "each destination that is down has told so", func() (bool, error) { return h.rejected.Load() >= tried, nil }); err != nil {
+		if err := poll(ctx, "the relay was rejected by each destination that is down", func() (bool, error) { return h.rejected.Load() >= tried, nil }); err != nil {
 			return fmt.Errorf("%w: %d of %d", err, h.rejected.Load(), tried)
 		}
 	}
 	return h.awaitHeld(ctx)
 }
 
-// awaitHeld waits until the relay awaitHeld what it is to hold, no more and no less.
+// awaitHeld waits until the relay holds exactly the expected number of messages.
 func (h *harness) awaitHeld(ctx context.Context) error {
 	held := int64(0)
-	err := poll(ctx, "the relay holds what it is to hold", func() (bool, error) {
+	err := poll(ctx, "the relay holds the expected messages", func() (bool, error) {
 		x, err := h.telemetry(ctx)
 		held = x["relay.current"]
 		return held == int64(h.Held+h.Owed), err
 	})
 	if n := h.notices.Load(); n > 0 {
-		err = errors.Join(err, fmt.Errorf("relayslope: %d messages were ended by a notice", n))
+		err = errors.Join(err, fmt.Errorf("relayslope: %d messages ended with a notice", n))
 	}
 	if err != nil {
-		return fmt.Errorf("%w (%d held, to be %d)", err, held, h.Held+h.Owed)
+		return fmt.Errorf("%w (%d held, want %d)", err, held, h.Held+h.Owed)
 	}
 	return nil
 }
 
-// telemetry are those that operators read.
+// telemetry reads the gauges and counters that the relay exposes to operators.
 func (h *harness) telemetry(ctx context.Context) (map[string]int64, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+h.cfg.Admin+"/api/telemetry", nil)
 	if err != nil {
@@ -283,7 +283,7 @@
 	return all, nil
 }
 
-// poll waits poll something holds.
+// poll calls ok until it returns true or an error, for settleTimeout at most.
 func poll(ctx context.Context, what string, ok func() (bool, error)) error {
 	late := time.NewTimer(settleTimeout)
 	defer late.Stop()
@@ -295,26 +295,27 @@
 		case <-ctx.Done():
 			return ctx.Err()
 		case <-late.C:
-			return errors.New("relayslope: never: " + what)
+			return fmt.Errorf("relayslope: timeout after %v waiting until %s", settleTimeout, what)
 		case <-time.After(pollInterval):
 		}
 	}
 }
 
-// pinLoop has the relay's loop keep a thread of its own, so that its processor time can be told: an entry that nobody can read
-// has it say where it is. The thread costs a few microseconds more each time that the loop is woken.
+// pinLoop locks the relay's loop to a thread of its own, so that its processor time can be measured. It publishes an unreadable
+// entry, and the child locks the thread from which the loop logs about it. The separate thread adds a few microseconds to each
+// wake-up of the loop.
 func (h *harness) pinLoop(ctx context.Context) error {
 	h.publish("no entry")
-	return poll(ctx, "the relay's loop is known", func() (bool, error) {
+	return poll(ctx, "the thread of the relay's loop is known", func() (bool, error) {
 		s, err := h.query(queryUsage)
 		return s.LoopSeen, err
 	})
 }
 
-// usage is what a relay used over a time.
+// usage is what the relay used during a measurement: elapsed time, and processor time of the process and of the loop.
 type usage struct{ wall, cpu, loop time.Duration }
 
-// measureUsage tells what the relay uses while do is done.
+// measureUsage measures what the relay uses while do runs.
 func (h *harness) measureUsage(do func() error) (u usage, err error) {
 	from, err := h.query(queryUsage)
 	if err != nil {
@@ -330,7 +331,7 @@
 	return u, err
 }
 
-// sleep lets a time pass.
+// sleep waits for d or until ctx ends.
 func sleep(ctx context.Context, d time.Duration) error {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
@@ -342,7 +343,7 @@
 	}
 }
 
-// deliverLoad has a steady load delivered to destinations that take all, and returns it with what it cost the relay.
+// deliverLoad delivers a steady load to healthy destinations, and returns it with what it cost the relay.
 func (h *harness) deliverLoad(ctx context.Context, rate float64, d time.Duration) (*load, usage, error) {
 	h.loads++
 	offset := h.rng.IntN(h.Healthy)
@@ -358,10 +359,10 @@
 	return l, u, err
 }
 
-// loadedDests is to how many destinations a load goes.
+// loadedDests is the number of destinations of a load.
 const loadedDests = 20
 
-// measureChanges has one entry of the list change n times, and returns what that costs the relay.
+// measureChanges publishes n changes of one list entry each, at an interval, and returns what they cost the relay.
 func (h *harness) measureChanges(ctx context.Context, n int, each time.Duration) (usage, error) {
 	return h.measureUsage(func() error {
 		for i := range n {
@@ -372,12 +373,12 @@
 				return err
 			}
 		}
-		// The last one adds a route, so that it shows when all are taken.
+		// One more change adds a route, which shows in the telemetry when all changes are applied.
 		h.added++
 		last := h.entry(h.stubPlatform, h.Healthy-1, routesPerDest-1+h.added)
 		h.publish(last)
 		want := int64(len(h.cfg.Known.Entries) + h.added)
-		return poll(ctx, "the relay has taken the changes", func() (bool, error) {
+		return poll(ctx, "the relay has applied the changes", func() (bool, error) {
 			x, err := h.telemetry(ctx)
 			return x["relay.cluster_size"] == want, err
 		})
--- a/internal/testbed/scale/relayslope/load.go
+++ b/internal/testbed/scale/relayslope/load.go
@@ -17,44 +17,45 @@
 
 const (
 	bodyBytes = 200 // of each message
-	// maxClients bounds the clients that wait for their answers at once.
+	// maxClients bounds the requests that are outstanding at one time.
 	maxClients = 256
-	// deliverTimeout is the most that the last delivery may come after the last hand-in.
+	// deliverTimeout bounds the time from the last submission to the last delivery.
 	deliverTimeout = 20 * time.Second
 )
 
-// load hands messages in at a steady rate, each by itself, whatever becomes of the ones before, and looks out for them at
-// the endpoint.
+// load submits messages at a steady rate, independent of the answers to earlier ones, and tracks their delivery at the
+// endpoint.
 type load struct {
-	addr   string // the relay's
+	addr   string // of the relay
 	client *http.Client
 	class  string
 	expire time.Duration
-	destOf  func(i int) (dest int) // of a message
+	destOf func(i int) (dest int) // destination of message i
 
-	runID   uint64 // in the traces: no two loads of a relay have one in common
+	runID      uint64 // part of the trace IDs; unique among the loads of a relay
 	startTimes []atomic.Int64
 	remaining  atomic.Int64
-	done  chan struct{} // closed when all are delivered
+	done       chan struct{} // closed when all messages are delivered
 
 	mu    sync.Mutex
-	times *hdrhistogram.Histogram // us from hand-in to the call at the endpoint
+	times *hdrhistogram.Histogram // microseconds from submission to the call at the endpoint
 	start time.Time
 }
 
-// newLoad is a load of n messages, none of which is handed in yet.
-func newLoad(addr string, run uint64, n int, class string, expire time.Duration, place func(int) int) *load {
-	l := &load{startTimes: make([]atomic.Int64, n), addr: addr, runID: run, class: class, expire: expire, destOf: place, done: make(chan struct{}),
+// newLoad returns a load of n messages, none of which is submitted yet.
+func newLoad(addr string, run uint64, n int, class string, expire time.Duration, destOf func(int) int) *load {
+	l := &load{startTimes: make([]atomic.Int64, n), addr: addr, runID: run, class: class, expire: expire, destOf: destOf, done: make(chan struct{}),
 		times: hdrhistogram.New(1, (time.Minute).Microseconds(), 3), start: time.Now(),
 		client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: maxClients, MaxConnsPerHost: maxClients}}}
 	l.remaining.Store(int64(n))
 	return l
 }
 
-// formatTrace is the trace of a load's message.
+// formatTrace returns the trace ID of message i of a load.
 func formatTrace(run uint64, i int) string { return fmt.Sprintf("%08x%08x", uint32(run), uint32(i)) }
 
-// submitAll hands all messages in, one in each interval; 0: as fast as they are taken. It returns once each has its answer.
+// submitAll submits all messages, one per interval, or as fast as they are accepted if interval is 0. It returns when all are
+// answered.
 func (l *load) submitAll(ctx context.Context, interval time.Duration) error {
 	defer l.client.CloseIdleConnections()
 	tick := time.NewTicker(max(interval, time.Microsecond))
@@ -65,7 +66,7 @@
 	room := make(chan struct{}, maxClients)
 	first := time.Now()
 	for i := range l.startTimes {
-		// Behind its time, several go at once: the rate is kept.
+		// If this falls behind, several messages are submitted at once to keep the rate.
 		for interval > 0 && time.Since(first) < time.Duration(i)*interval {
 			select {
 			case <-ctx.Done():
@@ -107,22 +108,22 @@
 	l.startTimes[i].Store(int64(time.Since(l.start)))
 	res, err := l.client.Do(req)
 	if err != nil {
-		return fmt.Errorf("relayslope: hand in: %w", err)
+		return fmt.Errorf("relayslope: submit: %w", err)
 	}
 	defer res.Body.Close()
 	if _, err := io.Copy(io.Discard, res.Body); err != nil {
-		return fmt.Errorf("relayslope: hand in: %w", err)
+		return fmt.Errorf("relayslope: submit: %w", err)
 	}
 	if res.StatusCode != http.StatusAccepted {
-		return fmt.Errorf("relayslope: hand in: the relay answers %s", res.Status)
+		return fmt.Errorf("relayslope: submit: the relay answered %s", res.Status)
 	}
 	return nil
 }
 
-// idempotencyKey is the idempotency key of a message.
+// idempotencyKey returns the idempotency key of a message.
 func idempotencyKey(trace string) string { return trace + trace }
 
-// recordDelivery notes a call at the endpoint. A message's second counts for nothing.
+// recordDelivery records a call at the endpoint. It ignores repeated calls of a message and messages of other loads.
 func (l *load) recordDelivery(trace string) {
 	n, err := strconv.ParseUint(trace, 16, 64)
 	if i := int(uint32(n)); err == nil && uint32(n>>32) == uint32(l.runID) && i < len(l.startTimes) {
@@ -140,7 +141,7 @@
 	}
 }
 
-// awaitDelivered waits until awaitDelivered messages are delivered.
+// awaitDelivered waits until all messages are delivered.
 func (l *load) awaitDelivered(ctx context.Context) error {
 	late := time.NewTimer(deliverTimeout)
 	defer late.Stop()
@@ -148,13 +149,13 @@
 	case <-ctx.Done():
 		return ctx.Err()
 	case <-late.C:
-		return fmt.Errorf("relayslope: %d messages of %d are not delivered", l.remaining.Load(), len(l.startTimes))
+		return fmt.Errorf("relayslope: %d of %d messages were not delivered", l.remaining.Load(), len(l.startTimes))
 	case <-l.done:
 		return nil
 	}
 }
 
-// p99 is the 99th percentile of the times from hand-in to delivery, in ms.
+// p99 returns the 99th percentile of the times from submission to delivery, in milliseconds.
 func (l *load) p99() float64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/testbed/scale/relayslope/log.go
+++ b/internal/testbed/scale/relayslope/log.go
@@ -15,22 +15,20 @@
 	"onyxroad.dev/onyxroad/internal/wal"
 )
 
-// The log alone: a process that opens one, and has it compacted.
-
-// logJob is a log to be opened.
+// logJob tells a child process to open a log without a relay and to write to it until it is compacted.
 type logJob struct {
 	Dir      string
 	Limit    int64 // bytes
 	Segments bool
 }
 
-// logState is what opening it came to.
+// logState is the measurement of a logJob.
 type logState struct {
 	OpenCPU, OpenWall time.Duration
 	Held              int
-	Heap              int64 // bytes, after a collection, that the log and what it holds take
-	Disk              int64 // bytes, once it is open
-	Compact           int64 // bytes that a compaction wrote
+	Heap              int64 // bytes, after a garbage collection, that the log and the messages it holds use
+	Disk              int64 // bytes, after opening
+	Compact           int64 // bytes written by a compaction
 }
 
 func (j *logJob) options() wal.Options {
@@ -41,7 +39,7 @@
 	return o
 }
 
-// run opens the log, tells what it took, and goes on until the log compacts itself.
+// run opens the log, measures that, and writes to it until the log compacts itself.
 func (j *logJob) run() (*logState, error) {
 	before := heapInUse()
 	o := j.options()
@@ -54,12 +52,12 @@
 		return nil, fmt.Errorf("relayslope: %w", err)
 	}
 	if s.Heap = heapInUse() - before; s.Held == 0 {
-		return nil, errors.Join(errors.New("relayslope: the log holds nothing"), l.Close())
+		return nil, errors.Join(errors.New("relayslope: the log holds no messages"), l.Close())
 	}
 	if s.Disk, err = diskUsage(j.Dir); err != nil {
 		return nil, errors.Join(err, l.Close())
 	}
-	// Outcomes fill the log until it is compacted; what is held stays as it is.
+	// Attempts and their outcomes fill the log until it is compacted. The held messages stay as they are.
 	files.tmpBytes.Store(0)
 	files.renamed.Store(false)
 	for at := time.Now(); !files.renamed.Load(); {
@@ -79,14 +77,14 @@
 	return s, l.Close()
 }
 
-// countingFS counts what is written to files that are then put in the place of others: a compaction's.
+// countingFS counts the bytes written to temporary files, which a compaction renames over the log's files.
 type countingFS struct {
 	disk.FS
-	tmpBytes atomic.Int64 // bytes
-	renamed    atomic.Bool
+	tmpBytes atomic.Int64 // bytes written to temporary files
+	renamed  atomic.Bool
 }
 
-// Open opens a file. Only what is made for a compaction is renamed later.
+// Open opens a file and counts what is written to it if it is one of a compaction's temporary files.
 func (c *countingFS) Open(name string) (disk.File, error) {
 	f, err := c.FS.Open(name)
 	if filepath.Ext(name) == ".tmp" && err == nil {
@@ -111,7 +109,7 @@
 	return n, err
 }
 
-// diskUsage is what the files of a folder take, in bytes.
+// diskUsage returns the disk space allocated to the files of a folder, in bytes.
 func diskUsage(dir string) (n int64, err error) {
 	entries, err := os.ReadDir(dir)
 	if err != nil {
@@ -129,13 +127,13 @@
 	return n, nil
 }
 
-// measureLog measures a log with so many messages held.
+// measureLog measures a log that holds the given number of messages.
 func measureLog(ctx context.Context, held int, env scale.Env, segments bool) (map[string]float64, error) {
 	j := &logJob{Dir: filepath.Join(env.Dir, "log"), Segments: segments}
 	if err := os.Mkdir(j.Dir, 0o700); err != nil {
 		return nil, fmt.Errorf("relayslope: %w", err)
 	}
-	// As small as takes them all: it is compacted as soon as anything comes on top.
+	// The limit barely fits the held messages, so that the log is compacted soon after more is written.
 	j.Limit = 1<<20 + int64(held)*1700
 	if err := writeLog(j.options(), held, func(i int) (class, dest int) { return 1, i % 2000 }); err != nil {
 		return nil, err
@@ -149,7 +147,7 @@
 	}
 	s := c.initial.Log
 	if s == nil || s.Held != held {
-		return nil, fmt.Errorf("relayslope: the log does not hold %d messages: %+v", held, s)
+		return nil, fmt.Errorf("relayslope: the log should hold %d messages: %+v", held, s)
 	}
 	return map[string]float64{
 		"heap_bytes": float64(s.Heap), "disk_bytes": float64(s.Disk), "open_cpu_ms": millis(s.OpenCPU),
--- a/internal/testbed/scale/relayslope/owed.go
+++ b/internal/testbed/scale/relayslope/owed.go
@@ -15,9 +15,7 @@
 	"onyxroad.dev/onyxroad/internal/wal"
 )
 
-// What a relay costs that owes messages on disk.
-
-// backlogConfig is a hollow relay's backlog.
+// backlogConfig configures the backlog of the relay under test.
 type backlogConfig struct {
 	Dir    string
 	Window int
@@ -26,14 +24,14 @@
 }
 
 const (
-	diskPerOwed  = 2000 // of disk for a message, at most
-	memoryPerOwed = 400  // of memory for a message of the stock
-	owedWindow = 4096
-	owedShare  = 1.0 / 16
-	mixedRate   = 1000.0 // messages a second that are taken for the disk, and as many that are delivered
+	diskPerOwed   = 2000 // bytes of disk for an owed message, at most
+	memoryPerOwed = 400  // bytes of memory for an owed message
+	owedWindow    = 4096
+	owedShare     = 1.0 / 16
+	mixedRate     = 1000.0 // messages a second accepted into the backlog, and as many delivered
 )
 
-// relayBacklog is what the relay is told of it.
+// relayBacklog returns the relay's configuration of the backlog; nil without one.
 func (s *backlogConfig) relayBacklog(name string) *relay.Backlog {
 	if s == nil {
 		return nil
@@ -48,7 +46,7 @@
 	}}
 }
 
-// fill puts messages on disk that a relay has taken on and has not tried.
+// fill writes n messages to the backlog that a relay accepted and has not attempted yet.
 func (s *backlogConfig) fill(ctx context.Context, name string, n int, rng *rand.Rand, dest func(i int) int) (err error) {
 	store, _, err := backlog.Open(backlog.Options{Dir: s.Dir, Limit: s.Limit, Name: name})
 	if err != nil {
@@ -71,13 +69,13 @@
 			put = append(put, owed.Entry{Ref: owed.Ref{ID: m.ID, Trace: trace, Dest: m.Dest, Rank: m.Rank, Deadline: m.Rank}, Data: wal.Marshal(m)})
 		}
 		if err := store.Apply(put, nil); err != nil {
-			return fmt.Errorf("relayslope: stock the backlog: %w", err)
+			return fmt.Errorf("relayslope: fill the backlog: %w", err)
 		}
 	}
 	return ctx.Err()
 }
 
-// owedSlope is a relay that owes messages on disk.
+// owedSlope measures a relay that owes messages on disk.
 func owedSlope() scale.Slope {
 	return scale.Slope{
 		Name: "backlog-owed", Variable: "messages owed",
@@ -90,7 +88,7 @@
 			{Name: "both_p99_ms", Unit: "ms", About: "99th percentile, on the clock, of the time from a hand-in to the call at the endpoint, while 1,000 " +
 				"messages a second are delivered and 1,000 others are taken on for the disk"},
 			{Name: "both_cores", Unit: "cores", About: "processor time of the whole relay in a second of that"}},
-		// Beside the relay the stock is written by this process, and the machine keeps of its files what it has memory for.
+		// Besides the relay this counts the testbed, which writes the backlog. The page cache of its files isn't counted.
 		Cost: func(n int) scale.Cost { return scale.Cost{Memory: 1<<29 + int64(n)*memoryPerOwed, Processes: 1} },
 		Measure: func(ctx context.Context, n int, seed uint64, env scale.Env) (map[string]float64, error) {
 			return measureOwed(ctx, Spec{Healthy: healthyCount, Down: 2000, Owed: n}, seed, env)
@@ -125,14 +123,14 @@
 		return nil, err
 	}
 	x["resident_bytes"], x["heap_bytes"] = float64(end.Resident), float64(end.Heap)
-	told, err := h.telemetry(ctx)
-	x["disk_bytes"] = float64(told["relay.backlog.bytes"])
+	gauges, err := h.telemetry(ctx)
+	x["disk_bytes"] = float64(gauges["relay.backlog.bytes"])
 	delete(x, "cores")
 	delete(x, "p99_ms")
 	if err := h.awaitHeld(ctx); err != nil {
 		return nil, err
 	}
-	// All is there again after SIGKILL.
+	// After SIGKILL the relay holds everything again.
 	if err := h.child.kill(); err != nil {
 		return nil, err
 	}
@@ -143,7 +141,7 @@
 	return x, h.awaitHeld(ctx)
 }
 
-// measureMixed has as many messages taken for the disk as are delivered.
+// measureMixed measures the relay while it accepts messages into the backlog and delivers others at the same rate.
 func (h *harness) measureMixed(ctx context.Context, x map[string]float64) error {
 	const n = int(mixedRate) * 3
 	h.loads++
--- a/internal/testbed/scale/relayslope/platform.go
+++ b/internal/testbed/scale/relayslope/platform.go
@@ -15,14 +15,11 @@
 	"golang.org/x/sys/unix"
 )
 
-// The hollow platform: discovery's agent, one endpoint that answers all it is called with, and one that takes nothing. All
-// routes lead to one of the two, since a relay tells routes apart by their names.
-
-// retryAfter is how long the endpoint that takes nothing has a relay wait: longer than any measurement takes, and shorter
-// than the messages' time, which would have them refused.
+// retryAfter is the Retry-After of the endpoint that rejects everything: longer than any measurement, and shorter than the
+// lifetime of the messages, because they would be refused otherwise.
 const retryAfter = 2 * time.Hour
 
-// entry is one entry of discovery's list.
+// entry is an entry of discovery's list.
 type entry struct {
 	ID     string  `json:"id"`
 	Addr   string  `json:"addr,omitempty"`
@@ -31,37 +28,39 @@
 	Cell   int     `json:"cell"`
 	State  string  `json:"state"`
 	Weight float64 `json:"weight"`
-	// Started is the endpoint's last start, which no relay here goes by.
+	// Started is the time of the endpoint's last start, which the relays here don't use.
 	Started int64 `json:"started_ms"`
 }
 
-// list is the wire's form of discovery's list.
+// list is discovery's list, or a change of it, as sent on the wire.
 type list struct {
 	Version int64 `json:"version"`
 	Full    bool  `json:"full"`
 	Servers []any `json:"servers"`
 }
 
-// stubPlatform is all that a relay speaks with, but for its clients.
+// stubPlatform is everything that the relay communicates with, except its clients: discovery's agent, an endpoint that accepts
+// everything, and one that rejects everything. All routes lead to one of the two endpoints, which is possible because a relay
+// identifies routes by their IDs.
 type stubPlatform struct {
-	servers []*http.Server
-	serving sync.WaitGroup
-	closedFD    int // a socket that is bound and never listens
+	servers  []*http.Server
+	serving  sync.WaitGroup
+	closedFD int // a socket that is bound but does not listen; -1 if there is none
 
 	agentAddr, healthyAddr, downAddr string // addresses
 
-	load    atomic.Pointer[load] // that is told of what is delivered; nil: none runs
-	rejected  atomic.Int64         // calls that were turned away
-	notices atomic.Int64         // messages that were ended by a notice
+	load     atomic.Pointer[load] // the load whose deliveries are recorded; nil if none runs
+	rejected atomic.Int64         // calls rejected with a Retry-After
+	notices  atomic.Int64         // messages that ended with a notice
 
-	mu      sync.Mutex
-	version int64
-	published    []list // changes that watches are yet to tell, as their version goes
-	changed chan struct{}
+	mu         sync.Mutex
+	version    int64
+	published  []list // all changes so far; each watch sends those after its version
+	changed    chan struct{}
 	watchCount int
 }
 
-// newPlatform serves a platform whose list has a version; its relay knows that list already.
+// newPlatform starts a platform whose list has the given version. The relay knows that list already.
 func newPlatform(ctx context.Context, version int64) (*stubPlatform, error) {
 	p := &stubPlatform{version: version, changed: make(chan struct{}), closedFD: -1}
 	agent := http.NewServeMux()
@@ -91,7 +90,8 @@
 	return l.Addr().String(), nil
 }
 
-// refuseConnections has the endpoint that takes nothing refuseConnections connections: its address is bound, and nobody listens there.
+// refuseConnections replaces the rejecting endpoint by an address that refuses connections: it is bound, and nothing listens
+// there.
 func (p *stubPlatform) refuseConnections() error {
 	fd, err := unix.Socket(unix.AF_INET, unix.SOCK_STREAM|unix.SOCK_CLOEXEC, 0)
 	if err != nil {
@@ -109,7 +109,7 @@
 	return nil
 }
 
-// close ends all that is served, and waits for it.
+// close stops all servers and waits for them.
 func (p *stubPlatform) close() (err error) {
 	for _, s := range p.servers {
 		err = errors.Join(err, s.Close())
@@ -121,7 +121,7 @@
 	return err
 }
 
-// handleCall answers a call.
+// handleCall accepts a call and records its delivery.
 func (p *stubPlatform) handleCall(w http.ResponseWriter, r *http.Request) {
 	if l := p.load.Load(); l != nil {
 		l.recordDelivery(r.Header.Get("X-Trace-Id"))
@@ -129,7 +129,7 @@
 	w.WriteHeader(http.StatusOK)
 }
 
-// rejectCall answers a call of a destination that takes none.
+// rejectCall rejects a call with a Retry-After.
 func (p *stubPlatform) rejectCall(w http.ResponseWriter, _ *http.Request) {
 	w.Header().Set("Retry-After", strconv.Itoa(int(retryAfter.Seconds())))
 	w.Header().Set("Connection", "close")
@@ -148,17 +148,17 @@
 	w.WriteHeader(http.StatusNoContent)
 }
 
-// handleWatch tells what has changed since a version. A relay here is never told the whole list: it was started with it.
+// handleWatch streams the changes after a version. It never sends the full list, because the relay was started with it.
 func (p *stubPlatform) handleWatch(w http.ResponseWriter, r *http.Request) {
 	known, err := strconv.ParseInt(r.FormValue("index"), 10, 64)
 	if err != nil || r.FormValue("stream") != "1" {
-		http.Error(w, "the hollow platform has watches alone", http.StatusNotFound)
+		http.Error(w, "only streaming watches are supported", http.StatusNotFound)
 		return
 	}
 	p.mu.Lock()
 	p.watchCount++
 	p.mu.Unlock()
-	empty := time.NewTicker(2 * time.Second) // as the protocol has it
+	empty := time.NewTicker(2 * time.Second) // required by the discovery protocol
 	defer empty.Stop()
 	out := http.NewResponseController(w)
 	enc := json.NewEncoder(w)
@@ -193,7 +193,7 @@
 	}
 }
 
-// publish has the list publish: entries are an entry or, to be unreadable, anything else.
+// publish changes the list. Each of the entries is an entry or, to send something unreadable, any other value.
 func (p *stubPlatform) publish(entries ...any) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -203,7 +203,7 @@
 	p.changed = make(chan struct{})
 }
 
-// hasWatch tells whether a relay follows the list.
+// hasWatch reports whether a relay has started to watch the list.
 func (p *stubPlatform) hasWatch() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/testbed/scale/relayslope/process.go
+++ b/internal/testbed/scale/relayslope/process.go
@@ -14,16 +14,16 @@
 	"onyxroad.dev/onyxroad/internal/testbed/process"
 )
 
-// child is a child process as its parent sees it.
+// child is a child process, from the parent's side.
 type child struct {
 	cmd     *exec.Cmd
 	in      io.WriteCloser
 	out     *bufio.Scanner
 	starter *process.Starter
-	initial   childState // what it told when it was ready
+	initial childState // reported when it was ready
 }
 
-// startChild starts this program once more as a child with a job, and waits until it is ready. dir is where its job is written.
+// startChild starts this program as a child process with a job, and waits until it is ready. The job is written to a file in dir.
 func startChild(ctx context.Context, dir string, j job) (*child, error) {
 	data, err := json.Marshal(j)
 	if err != nil {
@@ -58,7 +58,7 @@
 	return c, nil
 }
 
-// query has the child answer a word.
+// query sends a command to the child and returns its answer.
 func (c *child) query(word string) (childState, error) {
 	if _, err := fmt.Fprintln(c.in, word); err != nil {
 		return childState{}, fmt.Errorf("relayslope: child: %w", err)
@@ -68,7 +68,7 @@
 
 func (c *child) readState() (s childState, err error) {
 	if !c.out.Scan() {
-		return s, errors.Join(errors.New("relayslope: the child says nothing"), c.out.Err())
+		return s, errors.Join(errors.New("relayslope: the child closed its output"), c.out.Err())
 	}
 	if err := json.Unmarshal(c.out.Bytes(), &s); err != nil {
 		return s, fmt.Errorf("relayslope: child: %w", err)
@@ -76,7 +76,7 @@
 	return s, nil
 }
 
-// kill ends the child at once: nothing that it holds is wanted any more.
+// kill kills the child and waits for it. Its state is not needed any more.
 func (c *child) kill() error {
 	err := c.cmd.Process.Kill()
 	if errors.Is(err, os.ErrProcessDone) {
--- a/internal/testbed/scale/relayslope/slopes.go
+++ b/internal/testbed/scale/relayslope/slopes.go
@@ -1,7 +1,7 @@
-// Package relayslope measures how a relay and its log grow: with what is listed, what is held, and what comes in. A real
-// relay, its decision module, network side and log, runs in a process of its own, so that what it uses can be told from
-// what the testbed does. Around it is a hollow platform on loopback: an agent with a list, an endpoint that answers at
-// once, and one that takes nothing. What is left out: slow partners, faults, other relays, the fleet.
+// Package relayslope measures how the cost of a relay and of its log grows with the destinations listed, the messages held and
+// the messages that arrive. A real relay, with decision module, network side and log, runs in a process of its own, so that its
+// use of resources is separate from the testbed's. Around it is a stub platform on loopback: an agent with a list, an endpoint
+// that answers at once, and one that rejects everything. Not covered: slow partners, faults, other relays, the fleet.
 package relayslope
 
 import (
@@ -12,31 +12,34 @@
 )
 
 const (
-	steadyRate = 200.0 // messages a second under which a step is measured
-	steadyDuration  = 3 * time.Second
-	idleDuration    = time.Second
-	eventsDuration  = 4 * time.Second
-	changeCount  = 150
+	steadyRate     = 200.0 // messages a second during the measurement of a step
+	steadyDuration = 3 * time.Second
+	idleDuration   = time.Second
+	eventsDuration = 4 * time.Second
+	changeCount    = 150
 	changeInterval = 10 * time.Millisecond
-	// refusalWarmup is how long a destination has to refuse until it is tried as seldom as it will be: skips of 2 s to 10 s.
+	// refusalWarmup is how long a destination has to refuse connections until the pauses between attempts have reached their
+	// longest: 2 s to 10 s.
 	refusalWarmup = 30 * time.Second
-	// refusalDuration is the longest pause between two tries and a half: tries come in waves, since all began at one time.
+	// refusalDuration is one and a half times the longest pause between attempts. Attempts come in waves, because all destinations
+	// started at the same time.
 	refusalDuration = 15 * time.Second
-	// heldPerDown is how many messages are held for a destination that is down: 61 billion over 11,000 relays and 104,000 of these.
-	heldPerDown   = 55
-	healthyCount = 20 // destinations that take all, beside those that take none
+	// heldPerDown is how many messages are held for each destination that is down: 61 billion messages over 11,000 relays and
+	// 104,000 such destinations.
+	heldPerDown  = 55
+	healthyCount = 20 // destinations that accept everything, besides those that accept nothing
 )
 
-// Of what a relay takes, in bytes; of what the testbed's own process takes for it too.
+// Estimates of memory use in bytes, of the relay and of the testbed's process together.
 const (
 	relayBytes  = 96 << 20
-	listedBytes = 24 << 10 // a destination listed, with two routes
-	heldBytes   = 8 << 10  // a message held
+	listedBytes = 24 << 10 // a listed destination with two routes
+	heldBytes   = 8 << 10  // a held message
 	eventBytes  = 64 << 10 // an event a second
-	loggedBytes = 8 << 10  // a message in a log alone
+	loggedBytes = 8 << 10  // a message in a log without a relay
 )
 
-// Slopes returns the relay's and the log's slopes.
+// Slopes returns the slopes of the relay and of the log.
 func Slopes() []scale.Slope {
 	return []scale.Slope{
 		listedSlope(), heldSlope("relay-held-few", 20), heldSlope("relay-held-many", 2000), eventsSlope(), logSlope("log-single", false), logSlope("log-segments", true),
@@ -44,19 +47,19 @@
 	}
 }
 
-// Figures that several slopes have.
+// Figures that several slopes share.
 var (
-	heapBytes = scale.Figure{Name: "heap_bytes", Unit: "bytes", About: "the relay's heap after a collection"}
-	residentBytes  = scale.Figure{Name: "resident_bytes", Unit: "bytes", About: "the relay's resident memory under the steady load, garbage and all"}
-	stepCPU   = scale.Figure{Name: "step_cpu_us", Unit: "us", About: "processor time of the loop's thread for each message of a steady 200 a second " +
+	heapBytes     = scale.Figure{Name: "heap_bytes", Unit: "bytes", About: "the relay's heap after a collection"}
+	residentBytes = scale.Figure{Name: "resident_bytes", Unit: "bytes", About: "the relay's resident memory under the steady load, garbage and all"}
+	stepCPU       = scale.Figure{Name: "step_cpu_us", Unit: "us", About: "processor time of the loop's thread for each message of a steady 200 a second " +
 		"that is taken in and delivered: two steps or three of module, relay and log, and what is done between them"}
-	eventCPU = scale.Figure{Name: "event_cpu_us", Unit: "us", About: "processor time of the whole relay for each message that is taken in and delivered"}
-	idleCores     = scale.Figure{Name: "idle_cores", Unit: "cores", About: "processor time of the whole relay in a second without load"}
-	startCPU = scale.Figure{Name: "start_cpu_ms", Unit: "ms", About: "processor time from the process's beginning until clients are let in"}
-	startMS  = scale.Figure{Name: "start_ms", Unit: "ms", About: "time from the process's beginning until clients are let in"}
+	eventCPU  = scale.Figure{Name: "event_cpu_us", Unit: "us", About: "processor time of the whole relay for each message that is taken in and delivered"}
+	idleCores = scale.Figure{Name: "idle_cores", Unit: "cores", About: "processor time of the whole relay in a second without load"}
+	startCPU  = scale.Figure{Name: "start_cpu_ms", Unit: "ms", About: "processor time from the process's beginning until clients are let in"}
+	startMS   = scale.Figure{Name: "start_ms", Unit: "ms", About: "time from the process's beginning until clients are let in"}
 )
 
-// seeds are where chance has a part: in ports, in the relays' lots, in what the machine does meanwhile.
+// seeds repeat the measurements that depend on chance: on ports, on a relay's random choices, on other work of the machine.
 var seeds = []uint64{1, 2, 3}
 
 func listedSlope() scale.Slope {
@@ -107,8 +110,8 @@
 	}
 }
 
-// refusingSlope is a relay some of whose destinations refuse connections, with messages held for each as many as the target has: a
-// destination that is down is tried again and again, which costs what it costs without a message coming in.
+// refusingSlope measures a relay some of whose destinations refuse connections, with as many messages held for each as at the
+// target. Destinations that are down are retried, which has a cost even if no message arrives.
 func refusingSlope() scale.Slope {
 	return scale.Slope{
 		Name: "relay-down", Variable: "destinations down",
@@ -130,7 +133,7 @@
 	}
 }
 
-// measureRefusing measures what destinations that refuse connections cost.
+// measureRefusing measures the cost of destinations that refuse connections.
 func measureRefusing(ctx context.Context, s Spec, seed uint64, env scale.Env) (x map[string]float64, err error) {
 	h, err := s.start(ctx, seed, env)
 	if err != nil {
@@ -182,7 +185,7 @@
 	}
 }
 
-// measureRelay measures all that a relay's size has a part in.
+// measureRelay measures start, idle load, changes of the list, steady load and memory of a relay.
 func measureRelay(ctx context.Context, s Spec, seed uint64, env scale.Env) (x map[string]float64, err error) {
 	h, err := s.start(ctx, seed, env)
 	if err != nil {
@@ -218,9 +221,9 @@
 	return x, h.awaitHeld(ctx)
 }
 
-// measureLoad measures a steady load.
+// measureLoad measures the relay under a steady load and adds the figures to x.
 func (h *harness) measureLoad(ctx context.Context, x map[string]float64, rate float64, d time.Duration) error {
-	if _, _, err := h.deliverLoad(ctx, rate, d/3); err != nil { // connections and heap are as they stay
+	if _, _, err := h.deliverLoad(ctx, rate, d/3); err != nil { // warm-up: connections and heap reach their steady state
 		return err
 	}
 	l, u, err := h.deliverLoad(ctx, rate, d)
@@ -251,7 +254,7 @@
 	return x, err
 }
 
-// closeRelay ends a hollow relay, and returns the error of what was done with it before that of its end.
+// closeRelay shuts the harness down. It returns err, or the error of the shutdown if err is nil.
 func closeRelay(err error, h *harness) error {
 	if e := h.shutdown(); err == nil {
 		err = e
--- a/internal/testbed/scale/relayslope/slopes_test.go
+++ b/internal/testbed/scale/relayslope/slopes_test.go
@@ -15,7 +15,7 @@
 	"onyxroad.dev/onyxroad/internal/testbed/scale"
 )
 
-// The children are this binary under another argument.
+// The child processes run this test binary with another argument.
 func TestMain(m *testing.M) {
 	if len(os.Args) == 3 && os.Args[1] == ChildCommand {
 		if err := Child(context.Background(), os.Args[2], os.Stdin, os.Stdout); err != nil {
@@ -38,9 +38,9 @@
 	}
 }
 
-// What is held is held untried but for the first of each destination, however it came and however the log is kept, and a relay
-// that holds it still delivers what it can.
-func TestAHollowRelayHolds(t *testing.T) {
+// Held messages stay unattempted except for the first of each destination, no matter how they arrived and which format the log
+// has, and the relay still delivers other messages.
+func TestRelayHoldsMessages(t *testing.T) {
 	for name, s := range map[string]Spec{
 		"from the log":  {Healthy: 3, Down: 4, Held: 60},
 		"half by HTTP":  {Healthy: 3, Down: 4, Held: 60, Submitted: 30},
@@ -56,7 +56,7 @@
 			l, u, err := h.deliverLoad(t.Context(), 500, 100*time.Millisecond)
 			must(t, err)
 			if u.cpu <= 0 || u.loop <= 0 || u.loop > u.cpu || l.p99() <= 0 {
-				t.Errorf("50 messages took %v of processor time, the loop %v of it, p99 %v ms", u.cpu, u.loop, l.p99())
+				t.Errorf("50 messages used %v of processor time, %v of it in the loop, with a p99 of %v ms", u.cpu, u.loop, l.p99())
 			}
 			_, err = h.measureChanges(t.Context(), 5, time.Millisecond)
 			must(t, err)
@@ -64,9 +64,9 @@
 			x, err := h.telemetry(t.Context())
 			must(t, err)
 			if x["relay.current"] != 60 || x["relay.cluster_size"] != 15 {
-				t.Errorf("holds %d, lists %d routes", x["relay.current"], x["relay.cluster_size"])
+				t.Errorf("the relay holds %d messages and lists %d routes, want 60 and 15", x["relay.current"], x["relay.cluster_size"])
 			}
-			// What comes all at once may go out twice to each of two routes before the first answer is back.
+			// If messages arrive all at once, two may be sent on each of two routes before the first answer is back.
 			least, most := int64(4), int64(4)
 			if s.Refused {
 				least, most = 0, 0
@@ -74,14 +74,14 @@
 				most = 4 * routesPerDest * 2
 			}
 			if n := h.rejected.Load(); n < least || n > most {
-				t.Errorf("%d calls were turned away, for 4 destinations that told a wait: %d to %d", n, least, most)
+				t.Errorf("%d calls were rejected for 4 destinations that are down, want %d to %d", n, least, most)
 			}
 		})
 	}
 }
 
-// A relay that holds more takes more, in its own process.
-func TestAChildTellsItsOwnMemory(t *testing.T) {
+// A relay that holds more messages reports more memory, measured in its own process.
+func TestChildReportsItsMemory(t *testing.T) {
 	heapOf := func(held int) int64 {
 		h, err := Spec{Healthy: 1, Down: 20, Held: held}.start(t.Context(), 1, testEnv(t))
 		must(t, err)
@@ -89,43 +89,43 @@
 		s, err := h.query(queryHeap)
 		must(t, err)
 		if s.Heap <= 0 || s.Resident <= s.Heap || s.CPU <= h.initial.CPU {
-			t.Errorf("state %+v, at first %+v", s, h.initial)
+			t.Errorf("implausible state %+v, initial state %+v", s, h.initial)
 		}
 		return s.Heap
 	}
 	if few, many := heapOf(100), heapOf(4100); many-few < 4000*bodyBytes {
-		t.Errorf("100 messages take %d bytes, 4,100 take %d: less than their bodies more", few, many)
+		t.Errorf("100 messages use %d bytes and 4,100 use %d: the difference is less than their bodies", few, many)
 	}
 }
 
-// Whatever becomes of a start, nothing of it is left.
-func TestAHollowRelayEndsAllItStarted(t *testing.T) {
+// After a shutdown, a failed start or a cancelled one, no process and no listener is left.
+func TestShutdownLeavesNothingRunning(t *testing.T) {
 	h, err := Spec{Healthy: 1}.start(t.Context(), 1, testEnv(t))
 	must(t, err)
 	pid := h.cmd.Process.Pid
 	must(t, h.shutdown())
 	if err := syscall.Kill(pid, 0); !errors.Is(err, syscall.ESRCH) {
-		t.Errorf("the child is there still: %v", err)
+		t.Errorf("the child is still running: %v", err)
 	}
 	for _, addr := range []string{h.agentAddr, h.healthyAddr, h.downAddr, h.cfg.Listen, h.cfg.Admin} {
 		if c, err := net.Dial("tcp", addr); err == nil {
 			c.Close()
-			t.Errorf("something listens at %s", addr)
+			t.Errorf("something still listens at %s", addr)
 		}
 	}
 	h, err = Spec{Healthy: 1, Change: func(c *relay.Config) { c.StateDir += "/missing" }}.start(t.Context(), 1, testEnv(t))
 	if err == nil || h != nil {
-		t.Errorf("a relay without a folder runs: %v", err)
+		t.Errorf("a relay without a state folder was started: %v", err)
 	}
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
 	if _, err := (Spec{Healthy: 1}).start(ctx, 1, testEnv(t)); !errors.Is(err, context.Canceled) {
-		t.Errorf("a start that was given up ends with %v", err)
+		t.Errorf("a cancelled start returned %v", err)
 	}
 }
 
-// An endpoint is called once for a message, and what comes again, or of another load, counts for nothing.
-func TestALoadCountsEachDeliveryOnce(t *testing.T) {
+// A load counts each delivery once, and ignores repeated calls and those of other loads.
+func TestLoadCountsEachDeliveryOnce(t *testing.T) {
 	l := newLoad("", 7, 2, classQuick, time.Second, nil)
 	l.startTimes[0].Store(1)
 	l.startTimes[1].Store(1)
@@ -133,13 +133,13 @@
 		l.recordDelivery(trace)
 	}
 	if n := l.remaining.Load(); n != 1 {
-		t.Errorf("%d are left, want 1", n)
+		t.Errorf("%d messages remain, want 1", n)
 	}
 	l.recordDelivery(formatTrace(7, 1))
 	must(t, l.awaitDelivered(t.Context()))
 }
 
-func TestALogGrowsAndIsCompacted(t *testing.T) {
+func TestLogGrowsAndIsCompacted(t *testing.T) {
 	for _, segments := range []bool{false, true} {
 		few, err := measureLog(t.Context(), 300, testEnv(t), segments)
 		must(t, err)
@@ -147,23 +147,23 @@
 		must(t, err)
 		for _, name := range []string{"heap_bytes", "disk_bytes", "compact_bytes"} {
 			if few[name] < 300*bodyBytes || many[name] < 5*few[name] || many[name] > 20*few[name] {
-				t.Errorf("segments %v: %s is %v with 300 messages and %v with 3,000", segments, name, few[name], many[name])
+				t.Errorf("segments=%v: %s is %v with 300 messages and %v with 3,000", segments, name, few[name], many[name])
 			}
 		}
 		if few["open_cpu_ms"] <= 0 || few["open_ms"] <= 0 {
-			t.Errorf("opened in %v ms, %v of processor time", few["open_ms"], few["open_cpu_ms"])
+			t.Errorf("opened in %v ms with %v ms of processor time", few["open_ms"], few["open_cpu_ms"])
 		}
 	}
 }
 
-// Every slope can be run at its sizes, within half of a machine of 24 GB.
-func TestSlopesMakeSense(t *testing.T) {
+// Every slope fits into half of a machine with 24 GB at its own sizes, and refuses a huge one.
+func TestSlopesFitLimits(t *testing.T) {
 	limits := scale.Limits{Memory: 12 << 30, Processes: 300}
 	for _, s := range Slopes() {
 		must(t, limits.Check(s, s.Sizes, s.Seeds))
 		must(t, limits.Check(s, s.Small, s.Seeds))
 		if limits.Check(s, append(s.Sizes, 1<<28), s.Seeds) == nil {
-			t.Errorf("%s would be tried at any size", s.Name)
+			t.Errorf("%s accepts any size", s.Name)
 		}
 	}
 }
