--- a/internal/testbed/scale/fleetslope/child.go
+++ b/internal/testbed/scale/fleetslope/child.go
@@ -18,7 +18,7 @@
 // child is a program that runs beside this one and ends with it.
 type child struct {
 	cmd   *exec.Cmd
-	ended chan struct{}
+	exited chan struct{}
 }
 
 // launch starts a program, whose output goes to a file in dir.
@@ -32,8 +32,8 @@
 	if err := start.Start(cmd); err != nil {
 		return nil, fmt.Errorf("fleetslope: start %s: %w", cmd.Path, err)
 	}
-	c := &child{cmd: cmd, ended: make(chan struct{})}
-	go func() { cmd.Wait(); close(c.ended) }()
+	c := &child{cmd: cmd, exited: make(chan struct{})}
+	go func() { cmd.Wait(); close(c.exited) }()
 	return c, nil
 }
 
@@ -42,11 +42,11 @@
 // kill ends it without a word.
 func (c *child) kill() {
 	c.cmd.Process.Signal(syscall.SIGKILL)
-	<-c.ended
+	<-c.exited
 }
 
-// until tries every few milliseconds until something works, ctx ends or too long has passed.
-func until(ctx context.Context, what string, most, every time.Duration, try func() error) error {
+// poll tries every few milliseconds poll something works, ctx ends or too long has passed.
+func poll(ctx context.Context, what string, most, every time.Duration, try func() error) error {
 	ctx, cancel := context.WithTimeout(ctx, most)
 	defer cancel()
 	for {
--- a/internal/testbed/scale/fleetslope/config.go
+++ b/internal/testbed/scale/fleetslope/config.go
@@ -22,17 +22,17 @@
 )
 
 const (
-	routesEach  = 2 // entries of the list for each destination
-	changesMade = 61
-	wholesMade  = 5
-	changeEvery = 20 * time.Millisecond // far beyond what a change takes, so that each is a step of its own
-	idleFor     = 2 * time.Second
-	heedMost    = 20 * time.Second
-	emptyLine   = 2 * time.Second // a watch with nothing to tell gives an empty line so often
+	routesPerDest  = 2 // entries of the list for each destination
+	changeCount = 61
+	fullListCount  = 5
+	changeInterval = 20 * time.Millisecond // far beyond what a change takes, so that each is a step of its own
+	idleDuration     = 2 * time.Second
+	applyTimeout    = 20 * time.Second
+	keepAliveInterval   = 2 * time.Second // a watch with nothing to tell gives an empty line so often
 )
 
-// configList measures how long a change at the agent takes to be heeded by a relay, and what it costs that relay.
-func configList() scale.Slope {
+// configListSlope measures how long a change at the agent takes to be heeded by a relay, and what it costs that relay.
+func configListSlope() scale.Slope {
 	return scale.Slope{
 		Name: "config-list",
 		About: "the relay's program and an agent that speaks the discovery protocol; no clients, no calls, one core; " +
@@ -48,14 +48,14 @@
 			{Name: "whole_cpu_ms", Unit: "ms", About: "the relay's processor time for a whole list, beyond what it takes idle"},
 		},
 		Cost: func(size int) scale.Cost {
-			return scale.Cost{Memory: 64<<20 + int64(size)*routesEach*(8<<10), Processes: 1}
+			return scale.Cost{Memory: 64<<20 + int64(size)*routesPerDest*(8<<10), Processes: 1}
 		},
-		Measure: measureConfig,
+		Measure: measureConfigList,
 	}
 }
 
-// listed is an entry of discovery's list.
-type listed struct {
+// listEntry is an entry of discovery's list.
+type listEntry struct {
 	ID     string `json:"id"`
 	Addr   string `json:"addr"`
 	Zone   string `json:"zone"`
@@ -69,29 +69,29 @@
 type list struct {
 	Version int      `json:"version"`
 	Full    bool     `json:"full"`
-	Servers []listed `json:"servers"`
+	Servers []listEntry `json:"servers"`
 }
 
-// entry is one route, to an address that nobody ever calls.
-func entry(id string, cell int, state string) listed {
-	return listed{ID: id, Addr: "127.0.0.1:9", Zone: "a", Kind: "platform", Cell: cell, State: state, Weight: 1}
+// newEntry is one route, to an address that nobody ever calls.
+func newEntry(id string, cell int, state string) listEntry {
+	return listEntry{ID: id, Addr: "127.0.0.1:9", Zone: "a", Kind: "platform", Cell: cell, State: state, Weight: 1}
 }
 
 // agent is discovery's agent: it says what it is told to, as soon as it is.
 type agent struct {
 	server  *httptest.Server
 	version int
-	entries []listed
+	entries []listEntry
 	lines   chan []byte
 }
 
 func newAgent(destinations int) *agent {
 	a := &agent{version: 1, lines: make(chan []byte)}
-	for i := range destinations * routesEach {
-		a.entries = append(a.entries, entry(fmt.Sprintf("s-%08x", i), i/routesEach, "ready"))
+	for i := range destinations * routesPerDest {
+		a.entries = append(a.entries, newEntry(fmt.Sprintf("s-%08x", i), i/routesPerDest, "ready"))
 	}
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET /catalog/members", a.members)
+	mux.HandleFunc("GET /catalog/members", a.handleWatch)
 	mux.HandleFunc("POST /v2/finals", func(w http.ResponseWriter, r *http.Request) {
 		io.Copy(io.Discard, r.Body)
 		w.WriteHeader(http.StatusNoContent)
@@ -105,8 +105,8 @@
 	a.server.Close()
 }
 
-// members is the watch: a relay that is told a list with its configuration asks for nothing else.
-func (a *agent) members(w http.ResponseWriter, r *http.Request) {
+// handleWatch is the watch: a relay that is told a list with its configuration asks for nothing else.
+func (a *agent) handleWatch(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Query().Get("stream") == "" {
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
@@ -120,28 +120,28 @@
 		case <-r.Context().Done():
 			return
 		case line = <-a.lines:
-		case <-time.After(emptyLine):
+		case <-time.After(keepAliveInterval):
 			line = []byte("\n")
 		}
 	}
 }
 
-// change is a line that adds an entry or takes it away, and whole one with all entries and extra more.
-func (a *agent) change(state string) []byte {
+// changeLine is a line that adds an entry or takes it away, and whole one with all entries and extra more.
+func (a *agent) changeLine(state string) []byte {
 	a.version++
-	return encode(list{Version: a.version, Servers: []listed{entry("x-0", 0, state)}})
+	return encodeLine(list{Version: a.version, Servers: []listEntry{newEntry("x-0", 0, state)}})
 }
 
-func (a *agent) whole(extra int) []byte {
+func (a *agent) fullListLine(extra int) []byte {
 	a.version++
 	all := slices.Clone(a.entries)
 	for i := range extra {
-		all = append(all, entry(fmt.Sprintf("x-%d", i), i, "ready"))
+		all = append(all, newEntry(fmt.Sprintf("x-%d", i), i, "ready"))
 	}
-	return encode(list{Version: a.version, Full: true, Servers: all})
+	return encodeLine(list{Version: a.version, Full: true, Servers: all})
 }
 
-func encode(l list) []byte {
+func encodeLine(l list) []byte {
 	data, err := json.Marshal(l)
 	if err != nil {
 		panic(err) // plain fields only
@@ -149,8 +149,8 @@
 	return append(data, '\n')
 }
 
-// tell writes a line to the watch.
-func (a *agent) tell(ctx context.Context, line []byte) error {
+// send writes a line to the watch.
+func (a *agent) send(ctx context.Context, line []byte) error {
 	select {
 	case a.lines <- line:
 		return nil
@@ -159,16 +159,16 @@
 	}
 }
 
-// lone is one relay that follows an agent.
-type lone struct {
+// testRelay is one relay that follows an agent.
+type testRelay struct {
 	*child
 	agent *agent
 	admin string
 	http  *http.Client
 }
 
-// startLone starts a relay that knows the agent's list, and returns once it serves.
-func startLone(ctx context.Context, start *process.Starter, a *agent, env scale.Env) (*lone, error) {
+// startRelay starts a relay that knows the agent's list, and returns once it serves.
+func startRelay(ctx context.Context, start *process.Starter, a *agent, env scale.Env) (*testRelay, error) {
 	addrs, err := freeAddrs(2)
 	if err != nil {
 		return nil, err
@@ -201,12 +201,12 @@
 	}
 	cmd := exec.Command(program)
 	cmd.Env = []string{"ROUTER_CONFIG=" + path, "ROUTER_STATE=" + state}
-	x := &lone{agent: a, admin: addrs[1], http: &http.Client{Timeout: 2 * time.Second}}
+	x := &testRelay{agent: a, admin: addrs[1], http: &http.Client{Timeout: 2 * time.Second}}
 	x.http.Transport = &http.Transport{DisableKeepAlives: true}
 	if x.child, err = launch(start, env.Dir, cmd); err != nil {
 		return nil, err
 	}
-	err = until(ctx, "the relay serves", heedMost, time.Millisecond, func() error { _, err := x.get("/api/ready"); return err })
+	err = poll(ctx, "the relay serves", applyTimeout, time.Millisecond, func() error { _, err := x.get("/api/ready"); return err })
 	if err != nil {
 		x.kill()
 		return nil, err
@@ -214,7 +214,7 @@
 	return x, nil
 }
 
-func (x *lone) get(path string) (string, error) {
+func (x *testRelay) get(path string) (string, error) {
 	res, err := x.http.Get("http://" + x.admin + path)
 	if err != nil {
 		return "", err
@@ -227,10 +227,10 @@
 	return string(body), err
 }
 
-// heeds waits until the relay's list has so many entries.
-func (x *lone) heeds(ctx context.Context, entries int) error {
+// awaitEntries waits until the relay's list has so many entries.
+func (x *testRelay) awaitEntries(ctx context.Context, entries int) error {
 	want := fmt.Sprintf("relay.cluster_size:%d|g", entries)
-	return until(ctx, fmt.Sprintf("a list of %d entries is heeded", entries), heedMost, time.Millisecond, func() error {
+	return poll(ctx, fmt.Sprintf("a list of %d entries is heeded", entries), applyTimeout, time.Millisecond, func() error {
 		body, err := x.get("/api/telemetry")
 		if err == nil && !strings.Contains(body, want) {
 			err = errors.New("the list is another yet")
@@ -239,13 +239,13 @@
 	})
 }
 
-// times tells changes one after another, each once the one before is heeded, and returns the median time of one.
-func (x *lone) times(ctx context.Context, count int, change func(i int) (line []byte, entries int)) (time.Duration, error) {
+// medianTime tells changes one after another, each once the one before is heeded, and returns the median time of one.
+func (x *testRelay) medianTime(ctx context.Context, count int, change func(i int) (line []byte, entries int)) (time.Duration, error) {
 	var all []time.Duration
 	for i := range count {
 		line, entries := change(i)
 		began := time.Now()
-		if err := errors.Join(x.agent.tell(ctx, line), x.heeds(ctx, entries)); err != nil {
+		if err := errors.Join(x.agent.send(ctx, line), x.awaitEntries(ctx, entries)); err != nil {
 			return 0, err
 		}
 		all = append(all, time.Since(began))
@@ -254,9 +254,9 @@
 	return all[count/2], nil
 }
 
-// cost tells changes so long apart that the relay has done with each, asks it nothing meanwhile, and returns the processor time
+// cpuCost tells changes so long apart that the relay has done with each, asks it nothing meanwhile, and returns the processor time
 // of one beyond what the relay takes at rest.
-func (x *lone) cost(ctx context.Context, count int, apart time.Duration,
+func (x *testRelay) cpuCost(ctx context.Context, count int, apart time.Duration,
 	change func(i int) (line []byte, entries int)) (time.Duration, error) {
 	var lines [][]byte
 	last := 0
@@ -264,13 +264,13 @@
 		line, entries := change(i)
 		lines, last = append(lines, line), entries
 	}
-	idle, idleTime, err := x.spent(func() error { return network.Sleep(ctx, idleFor) })
+	idle, idleTime, err := x.measureCPU(func() error { return network.Sleep(ctx, idleDuration) })
 	if err != nil {
 		return 0, err
 	}
-	used, took, err := x.spent(func() error {
+	used, took, err := x.measureCPU(func() error {
 		for _, line := range lines {
-			if err := errors.Join(x.agent.tell(ctx, line), network.Sleep(ctx, apart)); err != nil {
+			if err := errors.Join(x.agent.send(ctx, line), network.Sleep(ctx, apart)); err != nil {
 				return err
 			}
 		}
@@ -280,12 +280,12 @@
 		return 0, err
 	}
 	rest := time.Duration(float64(idle) * took.Seconds() / idleTime.Seconds())
-	return (used - rest) / time.Duration(count), x.heeds(ctx, last)
+	return (used - rest) / time.Duration(count), x.awaitEntries(ctx, last)
 }
 
-// spent is the relay's processor time while something is done, and how long that took.
-func (x *lone) spent(do func() error) (used, took time.Duration, err error) {
-	before, err := processTime(x.pid())
+// measureCPU is the relay's processor time while something is done, and how long that took.
+func (x *testRelay) measureCPU(do func() error) (used, took time.Duration, err error) {
+	before, err := processCPUTime(x.pid())
 	if err != nil {
 		return 0, 0, err
 	}
@@ -294,16 +294,16 @@
 		return 0, 0, err
 	}
 	took = time.Since(began)
-	after, err := processTime(x.pid())
+	after, err := processCPUTime(x.pid())
 	return after - before, took, err
 }
 
-func measureConfig(ctx context.Context, size int, _ uint64, env scale.Env) (map[string]float64, error) {
+func measureConfigList(ctx context.Context, size int, _ uint64, env scale.Env) (map[string]float64, error) {
 	a := newAgent(size)
 	defer a.close()
 	start := process.NewStarter()
 	defer start.End()
-	x, err := startLone(ctx, start, a, env)
+	x, err := startRelay(ctx, start, a, env)
 	if err != nil {
 		return nil, err
 	}
@@ -311,27 +311,27 @@
 	base := len(a.entries)
 	one := func(i int) ([]byte, int) {
 		if i%2 == 0 {
-			return a.change("ready"), base + 1
+			return a.changeLine("ready"), base + 1
 		}
-		return a.change("gone"), base
+		return a.changeLine("gone"), base
 	}
-	whole := func(i int) ([]byte, int) { return a.whole(2 + i%2), base + 2 + i%2 }
-	if err := x.heeds(ctx, base); err != nil {
+	whole := func(i int) ([]byte, int) { return a.fullListLine(2 + i%2), base + 2 + i%2 }
+	if err := x.awaitEntries(ctx, base); err != nil {
 		return nil, err
 	}
-	changeTime, err := x.times(ctx, changesMade, one)
+	changeTime, err := x.medianTime(ctx, changeCount, one)
 	if err != nil {
 		return nil, err
 	}
-	changeCost, err := x.cost(ctx, changesMade, changeEvery+2*changeTime, func(i int) ([]byte, int) { return one(i + 1) })
+	changeCost, err := x.cpuCost(ctx, changeCount, changeInterval+2*changeTime, func(i int) ([]byte, int) { return one(i + 1) })
 	if err != nil {
 		return nil, err
 	}
-	wholeTime, err := x.times(ctx, wholesMade, whole)
+	wholeTime, err := x.medianTime(ctx, fullListCount, whole)
 	if err != nil {
 		return nil, err
 	}
-	wholeCost, err := x.cost(ctx, wholesMade, changeEvery+2*wholeTime, func(i int) ([]byte, int) { return whole(i + 1) })
+	wholeCost, err := x.cpuCost(ctx, fullListCount, changeInterval+2*wholeTime, func(i int) ([]byte, int) { return whole(i + 1) })
 	return map[string]float64{"change_ms": millis(changeTime), "change_cpu_ms": millis(changeCost), "whole_ms": millis(wholeTime),
 		"whole_cpu_ms": millis(wholeCost)}, err
 }
--- a/internal/testbed/scale/fleetslope/fleetslope_test.go
+++ b/internal/testbed/scale/fleetslope/fleetslope_test.go
@@ -23,9 +23,9 @@
 	return scale.Env{Dir: t.TempDir(), Log: slog.New(slog.DiscardHandler)}
 }
 
-// noneLeft tells of goroutines that stay. A look of the library's that is under way when it is shut down ends within its
+// checkNoGoroutineLeak tells of goroutines that stay. A look of the library's that is under way when it is shut down ends within its
 // interval.
-func noneLeft(t *testing.T) {
+func checkNoGoroutineLeak(t *testing.T) {
 	t.Helper()
 	var err error
 	for range 20 {
@@ -37,7 +37,7 @@
 }
 
 func TestMembersMeetAndEnd(t *testing.T) {
-	defer noneLeft(t)
+	defer checkNoGoroutineLeak(t)
 	got, err := memberJoin().Measure(t.Context(), 5, 1, testEnv(t))
 	if err != nil {
 		t.Fatal(err)
@@ -53,13 +53,13 @@
 }
 
 func TestWhatBeginsHalfEnds(t *testing.T) {
-	defer noneLeft(t)
+	defer checkNoGoroutineLeak(t)
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
 	if _, err := memberLossOne().Measure(ctx, 5, 1, testEnv(t)); !errors.Is(err, context.Canceled) {
 		t.Errorf("ended with %v", err)
 	}
-	if _, err := configList().Measure(t.Context(), 5, 1, testEnv(t)); err == nil {
+	if _, err := configListSlope().Measure(t.Context(), 5, 1, testEnv(t)); err == nil {
 		t.Error("a relay without a program was measured")
 	}
 	if _, err := stewardDuties().Measure(t.Context(), 5, 1, testEnv(t)); err == nil {
@@ -68,21 +68,21 @@
 }
 
 func TestChildrenEnd(t *testing.T) {
-	defer noneLeft(t)
+	defer checkNoGoroutineLeak(t)
 	start := process.NewStarter()
 	defer start.End()
 	c, err := launch(start, t.TempDir(), exec.Command("sleep", "60"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, err := processTime(c.pid()); err != nil {
+	if _, err := processCPUTime(c.pid()); err != nil {
 		t.Error(err)
 	}
 	c.kill()
 	if c.cmd.ProcessState == nil || c.cmd.ProcessState.Success() {
 		t.Errorf("it has not ended by a signal: %v", c.cmd.ProcessState)
 	}
-	if _, err := processTime(c.pid()); err == nil {
+	if _, err := processCPUTime(c.pid()); err == nil {
 		t.Error("a process that has ended has processor time")
 	}
 }
@@ -90,7 +90,7 @@
 // A member's only seed is a listener that takes all it is sent and ends its answers at once: what has come there is what was
 // counted.
 func TestBytesCountedAreThoseSent(t *testing.T) {
-	defer noneLeft(t)
+	defer checkNoGoroutineLeak(t)
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -119,11 +119,11 @@
 			})
 		}
 	})
-	f, err := newMembers(1)
+	f, err := newMemberFleet(1)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := f.begin(t.Context(), 0, f.all[0], []string{l.Addr().String()}, gossip.Join, testEnv(t)); err != nil {
+	if err := f.startMember(t.Context(), 0, f.all[0], []string{l.Addr().String()}, gossip.Join, testEnv(t)); err != nil {
 		t.Fatal(err)
 	}
 	<-heard
@@ -132,8 +132,8 @@
 	}
 	l.Close()
 	conns.Wait()
-	if f.bytes() != came.Load() || came.Load() == 0 {
-		t.Errorf("%d bytes were counted, %d came", f.bytes(), came.Load())
+	if f.totalBytes() != came.Load() || came.Load() == 0 {
+		t.Errorf("%d bytes were counted, %d came", f.totalBytes(), came.Load())
 	}
 }
 
@@ -151,55 +151,55 @@
 			t.Errorf("%s: %d is not refused", s.Name, huge[4])
 		}
 	}
-	if _, err := newMembers(membersMost + 1); err == nil {
+	if _, err := newMemberFleet(maxMembers + 1); err == nil {
 		t.Error("more members than addresses")
 	}
 }
 
 func TestAgreementOfFewIsNone(t *testing.T) {
-	f, err := newMembers(3)
+	f, err := newMemberFleet(3)
 	if err != nil {
 		t.Fatal(err)
 	}
-	see := func(i int, digest uint64, present int) { f.all[i].seen.Store(&sight{digest, present}) }
+	see := func(i int, digest uint64, present int) { f.all[i].lastView.Store(&viewSummary{digest, present}) }
 	see(0, 7, 3)
 	see(1, 7, 3)
-	if f.agree(3) {
+	if f.viewsAgree(3) {
 		t.Error("one has told nothing yet")
 	}
 	see(2, 8, 3)
-	if f.agree(3) {
+	if f.viewsAgree(3) {
 		t.Error("one sees others")
 	}
 	see(2, 7, 3)
-	if !f.agree(3) || f.agree(2) {
+	if !f.viewsAgree(3) || f.viewsAgree(2) {
 		t.Error("all see the same three")
 	}
-	f.all[2].gone.Store(true)
+	f.all[2].ended.Store(true)
 	see(0, 5, 2)
 	see(1, 5, 2)
-	if !f.agree(f.live()) {
+	if !f.viewsAgree(f.liveCount()) {
 		t.Error("the two that are left see the same")
 	}
 }
 
 func TestACutParts(t *testing.T) {
-	c := &cut{}
-	if c.between(memberAddr(0), memberAddr(1)) {
+	c := &partition{}
+	if c.separates(memberAddr(0), memberAddr(1)) {
 		t.Error("parted before the cut")
 	}
-	c.parts.Store(cutParts)
+	c.groups.Store(partitionGroups)
 	for _, x := range []struct {
 		from, to int
 		parted   bool
 	}{{0, 1, true}, {0, 3, false}, {251, 500, false}, {250, 252, true}, {7, 7, false}} {
-		if got := c.between(memberAddr(x.from), memberAddr(x.to)); got != x.parted {
+		if got := c.separates(memberAddr(x.from), memberAddr(x.to)); got != x.parted {
 			t.Errorf("%d and %d: parted is %v", x.from, x.to, got)
 		}
 	}
-	lost := &parted{nil, memberAddr(0), c}
-	if _, err := lost.WriteTo(make([]byte, 17), memberAddr(1)); err != nil || c.lost.Load() != 17 {
-		t.Errorf("%d bytes lost, %v", c.lost.Load(), err)
+	lost := &partitionedTransport{nil, memberAddr(0), c}
+	if _, err := lost.WriteTo(make([]byte, 17), memberAddr(1)); err != nil || c.lostBytes.Load() != 17 {
+		t.Errorf("%d bytes lost, %v", c.lostBytes.Load(), err)
 	}
 	if _, err := lost.DialTimeout(memberAddr(1), 0); !errors.Is(err, os.ErrDeadlineExceeded) {
 		t.Errorf("a connection into the cut: %v", err)
--- a/internal/testbed/scale/fleetslope/memberslope.go
+++ b/internal/testbed/scale/fleetslope/memberslope.go
@@ -12,9 +12,9 @@
 	"onyxroad.dev/onyxroad/internal/testbed/scale"
 )
 
-const restFor = 15 * time.Second
+const restDuration = 15 * time.Second
 
-const hollowAbout = "; hollow members in one process over loopback, each at its own address. Processor time is the process's, " +
+const aboutSuffix = "; hollow members in one process over loopback, each at its own address. Processor time is the process's, " +
 	"divided by its members; bytes count once, where they are sent, or where their connection was opened"
 
 // settleFigures are those of a change in the fleet.
@@ -28,7 +28,7 @@
 
 // memberSlope is what slopes of members have in common.
 func memberSlope(name, about string, figures []scale.Figure) scale.Slope {
-	return scale.Slope{Name: name, About: about + hollowAbout, Variable: "members", Sizes: []int{50, 100, 150, 200, 300},
+	return scale.Slope{Name: name, About: about + aboutSuffix, Variable: "members", Sizes: []int{50, 100, 150, 200, 300},
 		Small: []int{4, 6, 8, 10, 12}, Seeds: []uint64{1, 2, 3}, Figures: figures,
 		Cost: func(size int) scale.Cost {
 			// What members hold of one another, and beside it their sockets, goroutines and packets under way.
@@ -48,21 +48,21 @@
 	})
 	s.Sizes, s.Seeds = []int{50, 100, 150, 200, 250, 300}, []uint64{1} // nothing is drawn
 	s.Measure = func(ctx context.Context, size int, _ uint64, env scale.Env) (map[string]float64, error) {
-		before, err := ownMemory()
+		before, err := ownMemoryUsage()
 		if err != nil {
 			return nil, err
 		}
-		var l load
-		var after memory
+		var l usage
+		var after memoryUsage
 		var exchange int64
-		err = withMembers(ctx, size, gossip.Join, env, func(f *members) error {
-			if l, err = f.during(size, func() error { return network.Sleep(ctx, restFor) }); err != nil {
+		err = withQuietFleet(ctx, size, gossip.Join, env, func(f *memberFleet) error {
+			if l, err = f.measureUsage(size, func() error { return network.Sleep(ctx, restDuration) }); err != nil {
 				return err
 			}
-			if after, err = ownMemory(); err != nil {
+			if after, err = ownMemoryUsage(); err != nil {
 				return err
 			}
-			exchange, err = f.exchange(ctx, gossip.Join, env)
+			exchange, err = f.measureExchange(ctx, gossip.Join, env)
 			return err
 		})
 		n := float64(size)
@@ -72,34 +72,34 @@
 	return s
 }
 
-// withMembers does something with a fleet whose members agree and have calmed down.
-func withMembers(ctx context.Context, size int, join membership.Join, env scale.Env,
-	do func(*members) error) (err error) {
-	f, err := newMembers(size)
+// withQuietFleet does something with a fleet whose members agree and have calmed down.
+func withQuietFleet(ctx context.Context, size int, join membership.Join, env scale.Env,
+	do func(*memberFleet) error) (err error) {
+	f, err := newMemberFleet(size)
 	if err != nil {
 		return err
 	}
 	defer func() { err = errors.Join(err, f.close()) }()
-	if err := f.start(ctx, join, env); err != nil {
+	if err := f.startAll(ctx, join, env); err != nil {
 		return err
 	}
-	if _, err := f.settle(ctx, time.Now()); err != nil {
+	if _, err := f.awaitAgreement(ctx, time.Now()); err != nil {
 		return err
 	}
-	if err := f.calm(ctx); err != nil {
+	if err := f.awaitQuiet(ctx); err != nil {
 		return err
 	}
 	return do(f)
 }
 
-// change measures what begin changes, until the live members agree again. n members pay for it.
-func (f *members) change(ctx context.Context, n int, begin func() error) (map[string]float64, error) {
+// measureChange measures what begin changes, until the live members agree again. n members pay for it.
+func (f *memberFleet) measureChange(ctx context.Context, n int, begin func() error) (map[string]float64, error) {
 	var settled time.Duration
-	l, err := f.during(n, func() error {
+	l, err := f.measureUsage(n, func() error {
 		began := time.Now()
 		err := begin()
 		if err == nil {
-			settled, err = f.settle(ctx, began)
+			settled, err = f.awaitAgreement(ctx, began)
 		}
 		return err
 	})
@@ -110,16 +110,16 @@
 func memberJoin() scale.Slope {
 	s := memberSlope("member-join", "all members of a fleet begin at once, with three of them as seeds", settleFigures)
 	s.Measure = func(ctx context.Context, size int, _ uint64, env scale.Env) (got map[string]float64, err error) {
-		f, err := newMembers(size)
+		f, err := newMemberFleet(size)
 		if err != nil {
 			return nil, err
 		}
 		defer func() { err = errors.Join(err, f.close()) }()
-		return f.change(ctx, size, func() error {
-			if err := f.start(ctx, gossip.Join, env); err != nil {
+		return f.measureChange(ctx, size, func() error {
+			if err := f.startAll(ctx, gossip.Join, env); err != nil {
 				return err
 			}
-			f.serve()
+			f.setServing()
 			return nil
 		})
 	}
@@ -131,12 +131,12 @@
 	s := memberSlope(name, about, settleFigures)
 	s.Measure = func(ctx context.Context, size int, seed uint64, env scale.Env) (got map[string]float64, err error) {
 		rng := rand.New(rand.NewPCG(seed, uint64(size)))
-		err = withMembers(ctx, size, gossip.Join, env, func(f *members) error {
-			var gone []*hollow
+		err = withQuietFleet(ctx, size, gossip.Join, env, func(f *memberFleet) error {
+			var gone []*testMember
 			for _, i := range rng.Perm(size)[:lost(size)] {
 				gone = append(gone, f.all[i])
 			}
-			got, err = f.change(ctx, size-len(gone), func() error { return f.end(gone...) })
+			got, err = f.measureChange(ctx, size-len(gone), func() error { return f.kill(gone...) })
 			return err
 		})
 		return got, err
--- /dev/null
+++ b/internal/testbed/scale/fleetslope/partition.go
@@ -0,0 +1,109 @@
+package fleetslope
+
+import (
+	"context"
+	"net"
+	"os"
+	"sync/atomic"
+	"time"
+
+	"github.com/hashicorp/memberlist"
+
+	"onyxroad.dev/onyxroad/internal/membership"
+	"onyxroad.dev/onyxroad/internal/membership/gossip"
+	"onyxroad.dev/onyxroad/internal/testbed/network"
+	"onyxroad.dev/onyxroad/internal/testbed/scale"
+)
+
+const (
+	partitionGroups = 3
+	partitionDuration   = 12 * time.Second // three times what the end of a member takes to be seen
+	dialPollInterval = 200 * time.Millisecond
+)
+
+// partition is a network between members that can be parted: silently, so that datagrams are lost, and connections come up once it is over.
+type partition struct {
+	groups atomic.Int64 // 0: one
+	lostBytes  atomic.Int64 // bytes that were sent and did not arrive
+}
+
+// separates tells whether two members are parted: neighbours by address are, and every third is together.
+func (c *partition) separates(from, to string) bool {
+	n := c.groups.Load()
+	return n > 0 && memberIndex(from)%n != memberIndex(to)%n
+}
+
+// memberIndex is the place of the member at an address.
+func memberIndex(addr string) int64 {
+	host, _, err := net.SplitHostPort(addr)
+	if ip := net.ParseIP(host).To4(); err == nil && ip != nil {
+		return int64(ip[2]-1)*250 + int64(ip[3]-1)
+	}
+	return 0
+}
+
+// join is gossip.Join over this network.
+func (c *partition) join() membership.Join {
+	return gossip.JoinOver(func(cfg membership.Config, t memberlist.NodeAwareTransport) memberlist.NodeAwareTransport {
+		return &partitionedTransport{t, cfg.Bind, c}
+	})
+}
+
+// partitionedTransport is a member's side of a network that can be cut.
+type partitionedTransport struct {
+	memberlist.NodeAwareTransport
+	addr string
+	partition  *partition
+}
+
+func (p *partitionedTransport) WriteTo(b []byte, addr string) (time.Time, error) {
+	return p.WriteToAddress(b, memberlist.Address{Addr: addr})
+}
+
+func (p *partitionedTransport) WriteToAddress(b []byte, a memberlist.Address) (time.Time, error) {
+	if p.partition.separates(p.addr, a.Addr) {
+		p.partition.lostBytes.Add(int64(len(b)))
+		return time.Now(), nil
+	}
+	return p.NodeAwareTransport.WriteToAddress(b, a)
+}
+
+func (p *partitionedTransport) DialTimeout(addr string, d time.Duration) (net.Conn, error) {
+	return p.DialAddressTimeout(memberlist.Address{Addr: addr}, d)
+}
+
+func (p *partitionedTransport) DialAddressTimeout(a memberlist.Address, d time.Duration) (net.Conn, error) {
+	end := time.Now().Add(d)
+	for p.partition.separates(p.addr, a.Addr) {
+		if time.Now().After(end) {
+			return nil, os.ErrDeadlineExceeded
+		}
+		time.Sleep(dialPollInterval) // as TCP asks again
+	}
+	return p.NodeAwareTransport.DialAddressTimeout(a, time.Until(end))
+}
+
+// memberCut measures a cut in three, and its heal.
+func memberCut() scale.Slope {
+	s := memberSlope("member-cut", "a fleet that is cut in three for 12 s, silently; it settles from the heal on", settleFigures)
+	s.Measure = func(ctx context.Context, size int, _ uint64, env scale.Env) (got map[string]float64, err error) {
+		c := &partition{}
+		err = withQuietFleet(ctx, size, c.join(), env, func(f *memberFleet) error {
+			f.lostBytes = &c.lostBytes
+			var settled time.Duration
+			l, err := f.measureUsage(size, func() error {
+				c.groups.Store(partitionGroups)
+				err := network.Sleep(ctx, partitionDuration)
+				c.groups.Store(0)
+				if err == nil {
+					settled, err = f.awaitAgreement(ctx, time.Now())
+				}
+				return err
+			})
+			got = l.figures(settled)
+			return err
+		})
+		return got, err
+	}
+	return s
+}
--- a/internal/testbed/scale/fleetslope/slopes.go
+++ b/internal/testbed/scale/fleetslope/slopes.go
@@ -8,5 +8,5 @@
 // Slopes are this package's slopes.
 func Slopes() []scale.Slope {
 	return []scale.Slope{memberRest(), memberJoin(), memberLossOne(), memberLossSixth(), memberCut(), memberView(),
-		stewardHolders(), stewardDuties(), configList()}
+		stewardHolders(), stewardDuties(), configListSlope()}
 }
--- a/internal/testbed/scale/fleetslope/stewards.go
+++ b/internal/testbed/scale/fleetslope/stewards.go
@@ -23,41 +23,41 @@
 
 const (
 	stewardCount = 3
-	lease        = 3 * time.Second
-	holdersEach  = 8 // holders begin in so many groups, a moment apart
-	beginMost    = 20 * time.Second
-	holdMost     = 60 * time.Second
-	takeoverMost = 60 * time.Second
-	holdersRest  = 15 * time.Second // a claim's longest wait: each holder claims once in it
-	lookEvery    = 20 * time.Millisecond
-	waitShare    = 0.95     // of wishes: the rest is just being made anew
-	stewardBase  = 20 << 20 // bytes that a steward holds with nobody to serve, no more
+	leaseDuration        = 3 * time.Second
+	holderBatch  = 8 // holders begin in so many groups, a moment apart
+	joinTimeout    = 20 * time.Second
+	holdTimeout     = 60 * time.Second
+	takeoverTimeout = 60 * time.Second
+	restWindow  = 15 * time.Second // a claim's longest wait: each holder claims once in it
+	pollInterval    = 20 * time.Millisecond
+	minWaitingShare    = 0.95     // of wishes: the rest is just being made anew
+	stewardBaseBytes  = 20 << 20 // bytes that a steward holds with nobody to serve, no more
 	holderBytes  = 256 << 10
 	dutyBytes    = 16 << 10
 )
 
-// stewards are three of the stewards' program, with hollow holders in this process.
-type stewards struct {
-	start   *process.Starter
-	all     []*child
-	apis    []string
+// stewardCluster are three of the stewardCluster' program, with hollow holders in this process.
+type stewardCluster struct {
+	starter   *process.Starter
+	processes     []*child
+	addrs    []string
 	client  *call.Client
 	clients []*call.Client // of the holders
-	work    sync.WaitGroup
-	stop    context.CancelFunc
+	holderRuns    sync.WaitGroup
+	stopHolders    context.CancelFunc
 }
 
-// newStewards are stewards that have not been started.
-func newStewards() (*stewards, error) {
+// newStewardCluster are stewards that have not been started.
+func newStewardCluster() (*stewardCluster, error) {
 	apis, err := freeAddrs(stewardCount)
 	if err != nil {
 		return nil, err
 	}
-	return &stewards{start: process.NewStarter(), apis: apis, client: call.NewClient(apis, nil), stop: func() {}}, nil
+	return &stewardCluster{starter: process.NewStarter(), addrs: apis, client: call.NewClient(apis, nil), stopHolders: func() {}}, nil
 }
 
-// begin starts the stewards and returns once they are one cluster.
-func (s *stewards) begin(ctx context.Context, env scale.Env) error {
+// startAll starts the stewards and returns once they are one cluster.
+func (s *stewardCluster) startAll(ctx context.Context, env scale.Env) error {
 	listen, err := freeAddrs(stewardCount)
 	if err != nil {
 		return err
@@ -71,8 +71,8 @@
 			return err
 		}
 	}
-	err = until(ctx, "a steward begins", beginMost, 20*time.Millisecond, func() error {
-		_, err := s.client.One(ctx, s.apis[0], call.PathBegin, call.Done{}, &call.JoinOut{}, 2*time.Second)
+	err = poll(ctx, "a steward begins", joinTimeout, 20*time.Millisecond, func() error {
+		_, err := s.client.One(ctx, s.addrs[0], call.PathBegin, call.Done{}, &call.JoinOut{}, 2*time.Second)
 		var no *call.Refusal
 		if errors.As(err, &no) {
 			return nil // begun already
@@ -82,7 +82,7 @@
 	if err != nil {
 		return err
 	}
-	return until(ctx, "the stewards are one cluster", beginMost, 20*time.Millisecond, func() error {
+	return poll(ctx, "the stewards are one cluster", joinTimeout, 20*time.Millisecond, func() error {
 		_, known, err := s.leader(ctx)
 		if err == nil && known < stewardCount {
 			err = fmt.Errorf("%d of them", known)
@@ -91,29 +91,29 @@
 	})
 }
 
-func (s *stewards) launch(program, home string, i int, listen string) error {
-	seeds, err := json.Marshal(s.apis)
+func (s *stewardCluster) launch(program, home string, i int, listen string) error {
+	seeds, err := json.Marshal(s.addrs)
 	if err != nil {
 		return fmt.Errorf("fleetslope: %w", err)
 	}
 	text := fmt.Sprintf("[steward]\nname = \"steward-%d\"\nfleet = \"slope\"\nlisten = %q\napi = %q\ndir = %q\nseeds = %s\n",
-		i, listen, s.apis[i], filepath.Join(home, "dir"), seeds)
+		i, listen, s.addrs[i], filepath.Join(home, "dir"), seeds)
 	path := filepath.Join(home, "settings.toml")
 	if err := errors.Join(os.MkdirAll(home, 0o700), os.WriteFile(path, []byte(text), 0o600)); err != nil {
 		return fmt.Errorf("fleetslope: %w", err)
 	}
-	c, err := launch(s.start, home, exec.Command(program, "run", "--config", path))
+	c, err := launch(s.starter, home, exec.Command(program, "run", "--config", path))
 	if err == nil {
-		s.all = append(s.all, c)
+		s.processes = append(s.processes, c)
 	}
 	return err
 }
 
 // leader is the steward that leads, by its own word, and how many it knows of.
-func (s *stewards) leader(ctx context.Context) (leads *child, known int, err error) {
-	for i, c := range s.all {
+func (s *stewardCluster) leader(ctx context.Context) (leads *child, known int, err error) {
+	for i, c := range s.processes {
 		var out call.StewardsOut
-		if _, err := s.client.One(ctx, s.apis[i], call.PathStewards, nil, &out, 0); err != nil {
+		if _, err := s.client.One(ctx, s.addrs[i], call.PathStewards, nil, &out, 0); err != nil {
 			continue
 		}
 		for _, x := range out.Stewards {
@@ -125,19 +125,19 @@
 	return nil, 0, errors.New("no steward leads")
 }
 
-// hold has holders want duties: wants gives those of each. They begin within a second or two.
-func (s *stewards) hold(ctx context.Context, holders int, wants func(i int) []string, env scale.Env) error {
-	ctx, s.stop = context.WithCancel(ctx)
+// startHolders has holders want duties: wants gives those of each. They begin within a second or two.
+func (s *stewardCluster) startHolders(ctx context.Context, holders int, wants func(i int) []string, env scale.Env) error {
+	ctx, s.stopHolders = context.WithCancel(ctx)
 	for i := range holders {
-		c := call.NewClient(s.apis, nil)
+		c := call.NewClient(s.addrs, nil)
 		s.clients = append(s.clients, c)
-		h := holder.New(holder.Config{Client: c, Name: fmt.Sprintf("holder-%05d", i), Lease: lease, Log: env.Log})
+		h := holder.New(holder.Config{Client: c, Name: fmt.Sprintf("holder-%05d", i), Lease: leaseDuration, Log: env.Log})
 		for _, d := range wants(i) {
 			h.Want(d, func(ctx context.Context, _ *holder.Term) error { <-ctx.Done(); return nil })
 		}
-		s.work.Go(func() { h.Run(ctx) })
-		if i%holdersEach == holdersEach-1 {
-			if err := network.Sleep(ctx, holdersEach*time.Millisecond); err != nil {
+		s.holderRuns.Go(func() { h.Run(ctx) })
+		if i%holderBatch == holderBatch-1 {
+			if err := network.Sleep(ctx, holderBatch*time.Millisecond); err != nil {
 				return err
 			}
 		}
@@ -145,8 +145,8 @@
 	return nil
 }
 
-// held returns nil if a leader says that so many duties are held, under leases that run, and as many wishes for them wait.
-func (s *stewards) held(ctx context.Context, duties, waiting int) error {
+// checkHeld returns nil if a leader says that so many duties are checkHeld, under leases that run, and as many wishes for them wait.
+func (s *stewardCluster) checkHeld(ctx context.Context, duties, waiting int) error {
 	var out call.DutiesOut
 	if err := s.client.Do(ctx, call.PathDuties, nil, &out, time.Second); err != nil {
 		return err
@@ -164,24 +164,24 @@
 	return nil
 }
 
-// bytes is what the holders' calls have cost the network so far, both ways.
-func (s *stewards) bytes() (sum int64) {
+// callBytes is what the holders' calls have cost the network so far, both ways.
+func (s *stewardCluster) callBytes() (sum int64) {
 	for _, c := range s.clients {
 		sum += c.Bytes()
 	}
 	return sum
 }
 
-func (s *stewards) close() {
-	s.stop()
-	for _, c := range s.all {
+func (s *stewardCluster) close() {
+	s.stopHolders()
+	for _, c := range s.processes {
 		c.kill()
 	}
-	s.work.Wait()
+	s.holderRuns.Wait()
 	for _, c := range append(s.clients, s.client) {
 		c.Close()
 	}
-	s.start.End()
+	s.starter.End()
 }
 
 var stewardFigures = []scale.Figure{
@@ -195,15 +195,15 @@
 
 // stewardSlope is what both slopes of stewards have in common. play tells of a size how many holders there are, how many
 // duties, and how many wishes of one holder go out at once.
-func stewardSlope(s scale.Slope, play func(size int) (holders, duties, wishes int)) scale.Slope {
+func stewardSlope(s scale.Slope, counts func(size int) (holders, duties, wishes int)) scale.Slope {
 	s.Seeds, s.Figures = []uint64{1, 2, 3}, stewardFigures
 	s.Cost = func(size int) scale.Cost {
-		holders, duties, wishes := play(size)
-		each := stewardBase + int64(duties)*dutyBytes + int64(holders)*(holderBytes+int64(wishes)*1024)
+		holders, duties, wishes := counts(size)
+		each := stewardBaseBytes + int64(duties)*dutyBytes + int64(holders)*(holderBytes+int64(wishes)*1024)
 		return scale.Cost{Memory: stewardCount * each, Processes: stewardCount}
 	}
 	s.Measure = func(ctx context.Context, size int, seed uint64, env scale.Env) (map[string]float64, error) {
-		holders, duties, wishes := play(size)
+		holders, duties, wishes := counts(size)
 		if duties > duty.DutiesMost {
 			return nil, fmt.Errorf("fleetslope: stewards know %d duties at most", duty.DutiesMost)
 		}
@@ -236,16 +236,16 @@
 
 func measureStewards(ctx context.Context, holders, duties, wishes int, rng *rand.Rand,
 	env scale.Env) (map[string]float64, error) {
-	s, err := newStewards()
+	s, err := newStewardCluster()
 	if err != nil {
 		return nil, err
 	}
 	defer s.close()
-	if err := s.begin(ctx, env); err != nil {
+	if err := s.startAll(ctx, env); err != nil {
 		return nil, err
 	}
 	first := rng.IntN(duties)
-	err = s.hold(ctx, holders, func(i int) (all []string) {
+	err = s.startHolders(ctx, holders, func(i int) (all []string) {
 		for k := range duties {
 			if wishes > 1 || k == (first+i)%duties {
 				all = append(all, fmt.Sprintf("duty-%d", k))
@@ -261,35 +261,35 @@
 	if wishes > 1 {
 		waiting = holders*wishes - min(duties, holders*wishes)
 	}
-	settled := func() error { return s.held(ctx, duties, int(waitShare*float64(waiting))) }
-	if err := until(ctx, "all duties are held", holdMost, lookEvery, settled); err != nil {
+	settled := func() error { return s.checkHeld(ctx, duties, int(minWaitingShare*float64(waiting))) }
+	if err := poll(ctx, "all duties are held", holdTimeout, pollInterval, settled); err != nil {
 		return nil, err
 	}
 	leads, _, err := s.leader(ctx)
 	if err != nil {
 		return nil, err
 	}
-	cpu, err := processTime(leads.pid())
+	cpu, err := processCPUTime(leads.pid())
 	if err != nil {
 		return nil, err
 	}
-	began, bytes := time.Now(), s.bytes()
-	if err := network.Sleep(ctx, holdersRest); err != nil {
+	began, bytes := time.Now(), s.callBytes()
+	if err := network.Sleep(ctx, restWindow); err != nil {
 		return nil, err
 	}
-	after, err := processTime(leads.pid())
+	after, err := processCPUTime(leads.pid())
 	if err != nil {
 		return nil, err
 	}
 	seconds := time.Since(began).Seconds()
-	bytes = s.bytes() - bytes
-	holds, err := resident(fmt.Sprint(leads.pid()))
+	bytes = s.callBytes() - bytes
+	holds, err := residentBytes(fmt.Sprint(leads.pid()))
 	if err != nil {
 		return nil, err
 	}
 	ended := time.Now()
 	leads.kill()
-	err = until(ctx, "another leader knows all", takeoverMost, lookEvery, settled)
+	err = poll(ctx, "another leader knows all", takeoverTimeout, pollInterval, settled)
 	return map[string]float64{"leader_cores": (after - cpu).Seconds() / seconds, "leader_bytes_s": float64(bytes) / seconds,
 		"leader_resident_bytes": holds, "takeover_ms": millis(time.Since(ended))}, err
 }
--- a/internal/testbed/scale/fleetslope/usage.go
+++ b/internal/testbed/scale/fleetslope/usage.go
@@ -13,8 +13,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// ownTime is the processor time that this process has used.
-func ownTime() time.Duration {
+// ownCPUTime is the processor time that this process has used.
+func ownCPUTime() time.Duration {
 	var u unix.Rusage
 	if err := unix.Getrusage(unix.RUSAGE_SELF, &u); err != nil {
 		panic(err) // no such error for a process's own
@@ -22,9 +22,9 @@
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// processTime is the processor time that another process has used so far, to the nanosecond: the sum over its threads,
+// processCPUTime is the processor time that another process has used so far, to the nanosecond: the sum over its threads,
 // which a Go program keeps.
-func processTime(pid int) (sum time.Duration, err error) {
+func processCPUTime(pid int) (sum time.Duration, err error) {
 	threads, err := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/schedstat", pid))
 	if err != nil || len(threads) == 0 {
 		return 0, fmt.Errorf("fleetslope: process %d has ended", pid)
@@ -43,8 +43,8 @@
 	return sum, nil
 }
 
-// resident is the memory that a process holds, in bytes; "self" is this one.
-func resident(pid string) (float64, error) {
+// residentBytes is the memory that a process holds, in bytes; "self" is this one.
+func residentBytes(pid string) (float64, error) {
 	data, err := os.ReadFile("/proc/" + pid + "/status")
 	if err != nil {
 		return 0, fmt.Errorf("fleetslope: %w", err)
@@ -58,15 +58,15 @@
 	return 0, fmt.Errorf("fleetslope: process %s has ended", pid)
 }
 
-// memory is what this process holds, in bytes: heap after a collection, and resident once what is free was given back.
-type memory struct{ heap, resident float64 }
+// memoryUsage is what this process holds, in bytes: heap after a collection, and resident once what is free was given back.
+type memoryUsage struct{ heap, resident float64 }
 
-func ownMemory() (m memory, err error) {
+func ownMemoryUsage() (m memoryUsage, err error) {
 	runtime.GC()
 	debug.FreeOSMemory()
 	var s runtime.MemStats
 	runtime.ReadMemStats(&s)
 	m.heap = float64(s.HeapAlloc)
-	m.resident, err = resident("self")
+	m.resident, err = residentBytes("self")
 	return m, err
 }
--- a/internal/testbed/scale/fleetslope/view.go
+++ b/internal/testbed/scale/fleetslope/view.go
@@ -14,11 +14,11 @@
 )
 
 const (
-	viewChanges = 20
+	viewChangeCount = 20
 	// What a tracker gets of one change. The slopes of members measured a settling within 5 s; a view counts as agreed on 3 s
 	// after it changed last, and each second a member is told some two views of others.
-	ticksOfChange  = 8
-	digestsOfTicks = 2
+	ticksPerChange  = 8
+	digestsPerTick = 2
 )
 
 // memberView measures the tracker alone, for fleets that don't fit a machine, driven by what smaller ones were measured to have.
@@ -46,7 +46,7 @@
 			Admin: memberAddr(i), Incarnation: 1_700_000_000_000 + incarnation, Folder: fmt.Sprintf("FOLDER%06d", i),
 			Version: "0123456789ab", State: membership.Serving}
 	}
-	before, err := ownMemory()
+	before, err := ownMemoryUsage()
 	if err != nil {
 		return nil, err
 	}
@@ -56,16 +56,16 @@
 		t.Heard(process(i, 1), now)
 	}
 	last := t.View()
-	after, err := ownMemory()
+	after, err := ownMemoryUsage()
 	if err != nil {
 		return nil, err
 	}
 	log := slog.New(slog.DiscardHandler)
 	// agree has time pass until a change is agreed on, and tells the view, as a member does.
 	agree := func() {
-		for range ticksOfChange {
+		for range ticksPerChange {
 			now = now.Add(time.Second)
-			for range digestsOfTicks {
+			for range digestsPerTick {
 				t.Told(fmt.Sprintf("relay-%05d", 1+rng.IntN(size-1)), t.View().Digest, now)
 			}
 			t.Tick(now)
@@ -76,8 +76,8 @@
 			}
 		}
 	}
-	began := ownTime()
-	for range viewChanges / 2 {
+	began := ownCPUTime()
+	for range viewChangeCount / 2 {
 		i := 1 + rng.IntN(size-1)
 		t.Lost(process(i, 1), false, now)
 		agree()
@@ -87,11 +87,11 @@
 			return nil, err
 		}
 	}
-	spent := ownTime() - began
+	spent := ownCPUTime() - began
 	if v := t.View(); v.Present != size || v.Agreement != membership.Agreed {
 		return nil, fmt.Errorf("fleetslope: the tracker ends with %d members of %d, %s", v.Present, size, v.Agreement)
 	}
 	runtime.KeepAlive(t)
-	return map[string]float64{"change_cpu_us": float64(spent.Microseconds()) / viewChanges, "heap_bytes": after.heap - before.heap,
+	return map[string]float64{"change_cpu_us": float64(spent.Microseconds()) / viewChangeCount, "heap_bytes": after.heap - before.heap,
 		"gathered_ms": millis(gossip.GatherFor(size))}, nil
 }
