--- a/internal/testbed/scale/fleetslope/child.go
+++ b/internal/testbed/scale/fleetslope/child.go
@@ -15,13 +15,13 @@
 	"onyxroad.dev/onyxroad/internal/testbed/process"
 )
 
-// child is a program that runs beside this one and ends with it.
+// child is a child process that ends with this process.
 type child struct {
-	cmd   *exec.Cmd
+	cmd    *exec.Cmd
 	exited chan struct{}
 }
 
-// launch starts a program, whose output goes to a file in dir.
+// launch starts a program with its output redirected to a file in dir.
 func launch(start *process.Starter, dir string, cmd *exec.Cmd) (*child, error) {
 	out, err := os.OpenFile(filepath.Join(dir, "log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
@@ -39,13 +39,13 @@
 
 func (c *child) pid() int { return c.cmd.Process.Pid }
 
-// kill ends it without a word.
+// kill sends SIGKILL and waits for the process to exit.
 func (c *child) kill() {
 	c.cmd.Process.Signal(syscall.SIGKILL)
 	<-c.exited
 }
 
-// poll tries every few milliseconds poll something works, ctx ends or too long has passed.
+// poll calls try at an interval until it succeeds, ctx ends or the time limit has passed.
 func poll(ctx context.Context, what string, most, every time.Duration, try func() error) error {
 	ctx, cancel := context.WithTimeout(ctx, most)
 	defer cancel()
@@ -55,12 +55,12 @@
 			return nil
 		}
 		if network.Sleep(ctx, every) != nil {
-			return fmt.Errorf("fleetslope: %s: not within %v: %w", what, most, errors.Join(context.Cause(ctx), err))
+			return fmt.Errorf("fleetslope: timeout after %v waiting until %s: %w", most, what, errors.Join(context.Cause(ctx), err))
 		}
 	}
 }
 
-// freeAddrs are addresses of the loopback interface at which nobody listens.
+// freeAddrs returns n loopback addresses with free ports.
 func freeAddrs(n int) (all []string, err error) {
 	for range n {
 		l, err := net.Listen("tcp4", "127.0.0.1:0")
--- a/internal/testbed/scale/fleetslope/config.go
+++ b/internal/testbed/scale/fleetslope/config.go
@@ -22,16 +22,16 @@
 )
 
 const (
-	routesPerDest  = 2 // entries of the list for each destination
-	changeCount = 61
-	fullListCount  = 5
-	changeInterval = 20 * time.Millisecond // far beyond what a change takes, so that each is a step of its own
-	idleDuration     = 2 * time.Second
-	applyTimeout    = 20 * time.Second
-	keepAliveInterval   = 2 * time.Second // a watch with nothing to tell gives an empty line so often
+	routesPerDest     = 2 // list entries per destination
+	changeCount       = 61
+	fullListCount     = 5
+	changeInterval    = 20 * time.Millisecond // far longer than a change takes, so that changes don't overlap
+	idleDuration      = 2 * time.Second
+	applyTimeout      = 20 * time.Second
+	keepAliveInterval = 2 * time.Second // between the empty lines that keep an idle watch open
 )
 
-// configListSlope measures how long a change at the agent takes to be heeded by a relay, and what it costs that relay.
+// configListSlope measures how long a relay takes to apply a change that its agent sends, and what the change costs the relay.
 func configListSlope() scale.Slope {
 	return scale.Slope{
 		Name: "config-list",
@@ -65,19 +65,19 @@
 	Weight int    `json:"weight"`
 }
 
-// list is discovery's list, whole or a change of it.
+// list is discovery's full list or a change of it.
 type list struct {
-	Version int      `json:"version"`
-	Full    bool     `json:"full"`
+	Version int         `json:"version"`
+	Full    bool        `json:"full"`
 	Servers []listEntry `json:"servers"`
 }
 
-// newEntry is one route, to an address that nobody ever calls.
+// newEntry returns the entry of a route to an address that is never called.
 func newEntry(id string, cell int, state string) listEntry {
 	return listEntry{ID: id, Addr: "127.0.0.1:9", Zone: "a", Kind: "platform", Cell: cell, State: state, Weight: 1}
 }
 
-// agent is discovery's agent: it says what it is told to, as soon as it is.
+// agent is a stub of discovery's agent. It sends the lines that the measurement gives it, at once.
 type agent struct {
 	server  *httptest.Server
 	version int
@@ -105,7 +105,7 @@
 	a.server.Close()
 }
 
-// handleWatch is the watch: a relay that is told a list with its configuration asks for nothing else.
+// handleWatch serves the watch. A relay whose configuration has a list requests nothing else.
 func (a *agent) handleWatch(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Query().Get("stream") == "" {
 		w.WriteHeader(http.StatusServiceUnavailable)
@@ -126,12 +126,13 @@
 	}
 }
 
-// changeLine is a line that adds an entry or takes it away, and whole one with all entries and extra more.
+// changeLine returns a line that adds an entry or removes it, by its state.
 func (a *agent) changeLine(state string) []byte {
 	a.version++
 	return encodeLine(list{Version: a.version, Servers: []listEntry{newEntry("x-0", 0, state)}})
 }
 
+// fullListLine returns a line with the full list and a number of extra entries.
 func (a *agent) fullListLine(extra int) []byte {
 	a.version++
 	all := slices.Clone(a.entries)
@@ -144,7 +145,7 @@
 func encodeLine(l list) []byte {
 	data, err := json.Marshal(l)
 	if err != nil {
-		panic(err) // plain fields only
+		panic(err) // can't fail: plain fields only
 	}
 	return append(data, '\n')
 }
@@ -159,7 +160,7 @@
 	}
 }
 
-// testRelay is one relay that follows an agent.
+// testRelay is a relay process that watches an agent.
 type testRelay struct {
 	*child
 	agent *agent
@@ -167,7 +168,7 @@
 	http  *http.Client
 }
 
-// startRelay starts a relay that knows the agent's list, and returns once it serves.
+// startRelay starts a relay that knows the agent's list, and returns when it is serving.
 func startRelay(ctx context.Context, start *process.Starter, a *agent, env scale.Env) (*testRelay, error) {
 	addrs, err := freeAddrs(2)
 	if err != nil {
@@ -206,7 +207,7 @@
 	if x.child, err = launch(start, env.Dir, cmd); err != nil {
 		return nil, err
 	}
-	err = poll(ctx, "the relay serves", applyTimeout, time.Millisecond, func() error { _, err := x.get("/api/ready"); return err })
+	err = poll(ctx, "the relay is serving", applyTimeout, time.Millisecond, func() error { _, err := x.get("/api/ready"); return err })
 	if err != nil {
 		x.kill()
 		return nil, err
@@ -227,19 +228,19 @@
 	return string(body), err
 }
 
-// awaitEntries waits until the relay's list has so many entries.
+// awaitEntries waits until the relay's list has the given number of entries.
 func (x *testRelay) awaitEntries(ctx context.Context, entries int) error {
 	want := fmt.Sprintf("relay.cluster_size:%d|g", entries)
-	return poll(ctx, fmt.Sprintf("a list of %d entries is heeded", entries), applyTimeout, time.Millisecond, func() error {
+	return poll(ctx, fmt.Sprintf("the relay has a list of %d entries", entries), applyTimeout, time.Millisecond, func() error {
 		body, err := x.get("/api/telemetry")
 		if err == nil && !strings.Contains(body, want) {
-			err = errors.New("the list is another yet")
+			err = errors.New("the relay's list has another size")
 		}
 		return err
 	})
 }
 
-// medianTime tells changes one after another, each once the one before is heeded, and returns the median time of one.
+// medianTime sends changes one after another, each when the previous one is applied, and returns the median time of a change.
 func (x *testRelay) medianTime(ctx context.Context, count int, change func(i int) (line []byte, entries int)) (time.Duration, error) {
 	var all []time.Duration
 	for i := range count {
@@ -254,8 +255,8 @@
 	return all[count/2], nil
 }
 
-// cpuCost tells changes so long apart that the relay has done with each, asks it nothing meanwhile, and returns the processor time
-// of one beyond what the relay takes at rest.
+// cpuCost sends changes at an interval that is long enough for the relay to finish each, without polling it meanwhile. It returns
+// the processor time per change beyond that of an idle relay.
 func (x *testRelay) cpuCost(ctx context.Context, count int, apart time.Duration,
 	change func(i int) (line []byte, entries int)) (time.Duration, error) {
 	var lines [][]byte
@@ -283,7 +284,7 @@
 	return (used - rest) / time.Duration(count), x.awaitEntries(ctx, last)
 }
 
-// measureCPU is the relay's processor time while something is done, and how long that took.
+// measureCPU returns the relay's processor time while do runs, and how long do took.
 func (x *testRelay) measureCPU(do func() error) (used, took time.Duration, err error) {
 	before, err := processCPUTime(x.pid())
 	if err != nil {
--- a/internal/testbed/scale/fleetslope/fleetslope_test.go
+++ b/internal/testbed/scale/fleetslope/fleetslope_test.go
@@ -23,8 +23,8 @@
 	return scale.Env{Dir: t.TempDir(), Log: slog.New(slog.DiscardHandler)}
 }
 
-// checkNoGoroutineLeak tells of goroutines that stay. A look of the library's that is under way when it is shut down ends within its
-// interval.
+// checkNoGoroutineLeak reports goroutines that remain. It retries because a probe of the library that runs during its shutdown
+// ends within the probe interval only.
 func checkNoGoroutineLeak(t *testing.T) {
 	t.Helper()
 	var err error
@@ -36,7 +36,7 @@
 	t.Error(err)
 }
 
-func TestMembersMeetAndEnd(t *testing.T) {
+func TestMemberJoinFigures(t *testing.T) {
 	defer checkNoGoroutineLeak(t)
 	got, err := memberJoin().Measure(t.Context(), 5, 1, testEnv(t))
 	if err != nil {
@@ -44,7 +44,7 @@
 	}
 	for _, f := range settleFigures {
 		if got[f.Name] <= 0 {
-			t.Errorf("%s is %v", f.Name, got[f.Name])
+			t.Errorf("%s is %v, want more than 0", f.Name, got[f.Name])
 		}
 	}
 	if got["peak_bytes_s"] < got["mean_bytes_s"] || got["peak_cores"] < got["mean_cores"] {
@@ -52,12 +52,12 @@
 	}
 }
 
-func TestWhatBeginsHalfEnds(t *testing.T) {
+func TestFailedStartsLeaveNothingRunning(t *testing.T) {
 	defer checkNoGoroutineLeak(t)
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
 	if _, err := memberLossOne().Measure(ctx, 5, 1, testEnv(t)); !errors.Is(err, context.Canceled) {
-		t.Errorf("ended with %v", err)
+		t.Errorf("got %v, want context.Canceled", err)
 	}
 	if _, err := configListSlope().Measure(t.Context(), 5, 1, testEnv(t)); err == nil {
 		t.Error("a relay without a program was measured")
@@ -67,7 +67,7 @@
 	}
 }
 
-func TestChildrenEnd(t *testing.T) {
+func TestChildIsKilled(t *testing.T) {
 	defer checkNoGoroutineLeak(t)
 	start := process.NewStarter()
 	defer start.End()
@@ -80,24 +80,24 @@
 	}
 	c.kill()
 	if c.cmd.ProcessState == nil || c.cmd.ProcessState.Success() {
-		t.Errorf("it has not ended by a signal: %v", c.cmd.ProcessState)
+		t.Errorf("the process was not ended by a signal: %v", c.cmd.ProcessState)
 	}
 	if _, err := processCPUTime(c.pid()); err == nil {
-		t.Error("a process that has ended has processor time")
+		t.Error("got the processor time of a process that has ended")
 	}
 }
 
-// A member's only seed is a listener that takes all it is sent and ends its answers at once: what has come there is what was
-// counted.
-func TestBytesCountedAreThoseSent(t *testing.T) {
+// The only seed of a member is a listener that reads everything and closes its own direction at once. The bytes that it reads
+// have to be those that the member counted.
+func TestCountedBytesEqualReceivedBytes(t *testing.T) {
 	defer checkNoGoroutineLeak(t)
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	var came atomic.Int64
+	var received atomic.Int64
 	var conns sync.WaitGroup
-	heard := make(chan struct{}, 1)
+	closed := make(chan struct{}, 1)
 	conns.Go(func() {
 		for {
 			c, err := l.Accept()
@@ -106,14 +106,14 @@
 			}
 			conns.Go(func() {
 				defer c.Close()
-				c.(*net.TCPConn).CloseWrite() // the answer: an end
+				c.(*net.TCPConn).CloseWrite() // the answer is an end of file
 				n, err := io.Copy(io.Discard, c)
 				if err != nil {
 					t.Error(err)
 				}
-				came.Add(n)
+				received.Add(n)
 				select {
-				case heard <- struct{}{}:
+				case closed <- struct{}{}:
 				default:
 				}
 			})
@@ -126,18 +126,18 @@
 	if err := f.startMember(t.Context(), 0, f.all[0], []string{l.Addr().String()}, gossip.Join, testEnv(t)); err != nil {
 		t.Fatal(err)
 	}
-	<-heard
+	<-closed
 	if err := f.close(); err != nil {
 		t.Error(err)
 	}
 	l.Close()
 	conns.Wait()
-	if f.totalBytes() != came.Load() || came.Load() == 0 {
-		t.Errorf("%d bytes were counted, %d came", f.totalBytes(), came.Load())
+	if f.totalBytes() != received.Load() || received.Load() == 0 {
+		t.Errorf("%d bytes were counted, %d received", f.totalBytes(), received.Load())
 	}
 }
 
-func TestWhatPassesTheMachineIsRefused(t *testing.T) {
+func TestSizesBeyondLimitsAreRefused(t *testing.T) {
 	limits := scale.Limits{Memory: 11 << 30, Processes: 300}
 	for _, s := range Slopes() {
 		if err := limits.Check(s, s.Sizes, s.Seeds); err != nil {
@@ -152,11 +152,11 @@
 		}
 	}
 	if _, err := newMemberFleet(maxMembers + 1); err == nil {
-		t.Error("more members than addresses")
+		t.Error("a fleet with more members than addresses was accepted")
 	}
 }
 
-func TestAgreementOfFewIsNone(t *testing.T) {
+func TestViewsAgreeNeedsAllLiveMembers(t *testing.T) {
 	f, err := newMemberFleet(3)
 	if err != nil {
 		t.Fatal(err)
@@ -165,48 +165,48 @@
 	see(0, 7, 3)
 	see(1, 7, 3)
 	if f.viewsAgree(3) {
-		t.Error("one has told nothing yet")
+		t.Error("agreed although one member has reported no view")
 	}
 	see(2, 8, 3)
 	if f.viewsAgree(3) {
-		t.Error("one sees others")
+		t.Error("agreed although one member has another view")
 	}
 	see(2, 7, 3)
 	if !f.viewsAgree(3) || f.viewsAgree(2) {
-		t.Error("all see the same three")
+		t.Error("three equal views: want agreement on 3 members only")
 	}
 	f.all[2].ended.Store(true)
 	see(0, 5, 2)
 	see(1, 5, 2)
 	if !f.viewsAgree(f.liveCount()) {
-		t.Error("the two that are left see the same")
+		t.Error("the two remaining members have equal views and don't agree")
 	}
 }
 
-func TestACutParts(t *testing.T) {
+func TestPartitionSeparatesMembers(t *testing.T) {
 	c := &partition{}
 	if c.separates(memberAddr(0), memberAddr(1)) {
-		t.Error("parted before the cut")
+		t.Error("separated before the partition")
 	}
 	c.groups.Store(partitionGroups)
 	for _, x := range []struct {
-		from, to int
-		parted   bool
+		from, to  int
+		separated bool
 	}{{0, 1, true}, {0, 3, false}, {251, 500, false}, {250, 252, true}, {7, 7, false}} {
-		if got := c.separates(memberAddr(x.from), memberAddr(x.to)); got != x.parted {
-			t.Errorf("%d and %d: parted is %v", x.from, x.to, got)
+		if got := c.separates(memberAddr(x.from), memberAddr(x.to)); got != x.separated {
+			t.Errorf("separates(%d, %d) is %v", x.from, x.to, got)
 		}
 	}
 	lost := &partitionedTransport{nil, memberAddr(0), c}
 	if _, err := lost.WriteTo(make([]byte, 17), memberAddr(1)); err != nil || c.lostBytes.Load() != 17 {
-		t.Errorf("%d bytes lost, %v", c.lostBytes.Load(), err)
+		t.Errorf("%d bytes were dropped, want 17: %v", c.lostBytes.Load(), err)
 	}
 	if _, err := lost.DialTimeout(memberAddr(1), 0); !errors.Is(err, os.ErrDeadlineExceeded) {
-		t.Errorf("a connection into the cut: %v", err)
+		t.Errorf("dial into another group: got %v, want os.ErrDeadlineExceeded", err)
 	}
 }
 
-func TestTheTrackerIsAgreedAfterEachChange(t *testing.T) {
+func TestTrackerAgreesAfterEachChange(t *testing.T) {
 	got, err := memberView().Measure(t.Context(), 60, 1, testEnv(t))
 	if err != nil || got["heap_bytes"] <= 0 || got["gathered_ms"] != 110 {
 		t.Errorf("%v, %v", got, err)
--- a/internal/testbed/scale/fleetslope/members.go
+++ b/internal/testbed/scale/fleetslope/members.go
@@ -18,44 +18,44 @@
 )
 
 const (
-	gossipPort  = 17946
-	seedCount   = 3  // members that all others are told of
-	startConcurrency   = 16 // members that begin at once
-	maxMembers = 250 * 250
-	memberOctet = 64 // the second byte of members' addresses
-	// A fleet is calm where a member sends less than this a second, and this more for each other member: four times what a fleet at
-	// rest was measured to send, and a tenth of what one sends that passes changes on.
+	gossipPort       = 17946
+	seedCount        = 3  // members that all members know as seeds
+	startConcurrency = 16 // members that start concurrently
+	maxMembers       = 250 * 250
+	memberOctet      = 64 // second octet of the members' addresses
+	// A fleet is quiet if a member sends less than quietBytes a second plus quietBytesPerMember for each member. That is four times
+	// what an idle fleet was measured to send, and a tenth of what a fleet sends that spreads changes.
 	quietBytes, quietBytesPerMember = 1000, 20
-	quietTimeout                 = 80 * time.Second
-	settleTimeout               = 60 * time.Second
-	buildings                = 6
+	quietTimeout                    = 80 * time.Second
+	settleTimeout                   = 60 * time.Second
+	buildings                       = 6
 )
 
-// testMember is a member without the relay around it.
+// testMember is a member of the fleet without a relay around it.
 type testMember struct {
-	fleet atomic.Pointer[membership.Fleet] // nil: not begun yet
-	ended  atomic.Bool
-	lastView  atomic.Pointer[viewSummary] // of the last view that it told
-	viewCount  atomic.Int64          // views that it told
+	fleet     atomic.Pointer[membership.Fleet] // nil until the member has started
+	ended     atomic.Bool
+	lastView  atomic.Pointer[viewSummary] // of the last view that it reported
+	viewCount atomic.Int64                // views reported
 }
 
-// viewSummary is what counts of a view for whether all see the same.
+// viewSummary is the part of a view that is compared to decide whether all members have the same view.
 type viewSummary struct {
 	digest  uint64
 	present int
 }
 
-// memberFleet is a fleet of hollow memberFleet in this process, each at an address of its own.
+// memberFleet is a fleet of members in this process, each with its own loopback address.
 type memberFleet struct {
-	all     []*testMember
-	changed chan struct{} // holds one: some view has changed
-	lostBytes    *atomic.Int64 // bytes that were sent into a cut; nil: there is none
+	all       []*testMember
+	changed   chan struct{} // buffered: signals that some view has changed
+	lostBytes *atomic.Int64 // bytes that a partition dropped; nil without one
 }
 
-// newMemberFleet is a fleet that has not begun.
+// newMemberFleet returns a fleet whose members have not started.
 func newMemberFleet(size int) (*memberFleet, error) {
 	if size > maxMembers {
-		return nil, fmt.Errorf("fleetslope: there are addresses for %d members", maxMembers)
+		return nil, fmt.Errorf("fleetslope: there are addresses for %d members only", maxMembers)
 	}
 	f := &memberFleet{changed: make(chan struct{}, 1)}
 	for range size {
@@ -64,12 +64,13 @@
 	return f, nil
 }
 
-// memberAddr is the place of a member: 127.64.x.y.
+// memberAddr returns the address of a member: 127.64.x.y.
 func memberAddr(i int) string {
 	return fmt.Sprintf("%v:%d", net.IPv4(127, memberOctet, byte(1+i/250), byte(1+i%250)), gossipPort)
 }
 
-// startAll has all members join one another, and waits for none of that. join is gossip.Join, or one over a network that can be cut.
+// startAll starts all members without waiting until they know each other. join is gossip.Join, or a variant of it over a network
+// that can be partitioned.
 func (f *memberFleet) startAll(ctx context.Context, join membership.Join, env scale.Env) error {
 	var seeds []string
 	for i := range min(seedCount, len(f.all)) {
@@ -83,7 +84,7 @@
 	return wg.Wait()
 }
 
-// startMember begins the member of a place.
+// startMember starts member i.
 func (f *memberFleet) startMember(ctx context.Context, i int, h *testMember, seeds []string, join membership.Join, env scale.Env) error {
 	dir := filepath.Join(env.Dir, fmt.Sprintf("m%05d", i))
 	if err := errors.Join(os.MkdirAll(dir, 0o700), ctx.Err()); err != nil {
@@ -106,8 +107,8 @@
 	return err
 }
 
-// measureExchange is what a full measureExchange between two members costs the network, in bytes: twice what a newcomer that knows nobody takes
-// until it knows all, which one side of an measureExchange tells it.
+// measureExchange returns the size of a full state exchange between two members, in bytes. That is twice the traffic of a new
+// member until it knows all others, because it learns them from one side of an exchange.
 func (f *memberFleet) measureExchange(ctx context.Context, join membership.Join, env scale.Env) (bytes int64, err error) {
 	h := &testMember{}
 	defer func() { err = errors.Join(err, f.kill(h)) }()
@@ -115,24 +116,24 @@
 		return 0, err
 	}
 	m := *h.fleet.Load()
-	err = poll(ctx, "a newcomer knows all", settleTimeout, time.Millisecond, func() error {
+	err = poll(ctx, "a new member knows all others", settleTimeout, time.Millisecond, func() error {
 		if n := m.View().Present; n <= len(f.all) {
-			return fmt.Errorf("it knows %d of %d", n, len(f.all))
+			return fmt.Errorf("it knows %d members, want more than %d", n, len(f.all))
 		}
 		return nil
 	})
 	return 2 * m.Bytes(), err
 }
 
-// setServing has all members tell that they setServing, as relays do once they can.
+// setServing sets the state of all members to serving, as relays do when they are ready.
 func (f *memberFleet) setServing() {
 	for _, h := range f.all {
 		(*h.fleet.Load()).Become(membership.Serving)
 	}
 }
 
-// awaitQuiet waits until what members pass on of a change has been passed on: each tells each of it a dozen times, a few packets at a
-// time, which goes on long after all know it. What is left then is looks at one another and full exchanges now and then.
+// awaitQuiet waits until the fleet has stopped spreading changes. Each member sends a change a dozen times, a few packets at a
+// time, which continues long after all members know it. Afterwards only probes and occasional full exchanges are left.
 func (f *memberFleet) awaitQuiet(ctx context.Context) error {
 	each := int64(len(f.all))
 	for end, last := time.Now().Add(quietTimeout), f.totalBytes(); ; {
@@ -144,13 +145,13 @@
 			return nil
 		}
 		if time.Now().After(end) {
-			return fmt.Errorf("fleetslope: %d members are not calm after %v: %d bytes a second", each, quietTimeout, (now-last)/each)
+			return fmt.Errorf("fleetslope: %d members are not quiet after %v: each sends %d bytes a second", each, quietTimeout, (now-last)/each)
 		}
 		last = now
 	}
 }
 
-// liveCount counts the members that have not been ended.
+// liveCount counts the members that have not been killed.
 func (f *memberFleet) liveCount() (n int) {
 	for _, h := range f.all {
 		if !h.ended.Load() {
@@ -160,7 +161,7 @@
 	return n
 }
 
-// kill ends members without a word, as by SIGKILL.
+// kill stops members without announcing it, as SIGKILL would.
 func (f *memberFleet) kill(gone ...*testMember) error {
 	var wg errgroup.Group
 	for _, h := range gone {
@@ -173,7 +174,7 @@
 
 func (f *memberFleet) close() error { return f.kill(f.all...) }
 
-// viewsAgree tells whether all live views that were told are the same, with so many members present.
+// viewsAgree reports whether all live members have reported the same view, with the given number of members present.
 func (f *memberFleet) viewsAgree(present int) bool {
 	var first *viewSummary
 	for _, h := range f.all {
@@ -189,7 +190,7 @@
 	return true
 }
 
-// awaitAgreement waits until all live members agree, and returns how long that took from a moment on.
+// awaitAgreement waits until the views of all live members agree, and returns the time since a given moment.
 func (f *memberFleet) awaitAgreement(ctx context.Context, since time.Time) (time.Duration, error) {
 	ctx, cancel := context.WithTimeout(ctx, settleTimeout)
 	defer cancel()
@@ -197,13 +198,14 @@
 		select {
 		case <-f.changed:
 		case <-ctx.Done():
-			return 0, fmt.Errorf("fleetslope: the views of %d members are not the same after %v: %w", present, settleTimeout, ctx.Err())
+			return 0, fmt.Errorf("fleetslope: the views of %d members still differ after %v: %w", present, settleTimeout, ctx.Err())
 		}
 	}
 	return time.Since(since), nil
 }
 
-// totalBytes is what all members have cost the network so far: each byte once, where it was sent, or where a connection was opened.
+// totalBytes returns the network traffic of all members so far. Each byte counts once: where a datagram was sent, or where the
+// connection was opened.
 func (f *memberFleet) totalBytes() (sum int64) {
 	if f.lostBytes != nil {
 		sum = f.lostBytes.Load()
@@ -216,17 +218,17 @@
 	return sum
 }
 
-// usage is what one member costs, the mean over a fleet's: in the mean of a time, and in that time's peak second.
+// usage is the cost of one member, averaged over the fleet: the mean over a period, and that of the period's busiest second.
 type usage struct{ cores, bytes, peakCores, peakBytes float64 }
 
-// figures are settleFigures of a change after which members agreed.
+// figures returns the values of settleFigures for a change after which the members agreed within a time.
 func (l usage) figures(settled time.Duration) map[string]float64 {
 	return map[string]float64{"settle_ms": millis(settled), "peak_bytes_s": l.peakBytes, "mean_bytes_s": l.bytes, "peak_cores": l.peakCores,
 		"mean_cores": l.cores}
 }
 
-// measureUsage measures what each of n members costs each second from now on until do is done, and to the end of that second.
-// Processor time is that of this process divided by n: the measurement's own part is in it.
+// measureUsage measures what each of n members costs in every second while do runs, up to the end of the last second. Processor
+// time is that of this process divided by n, and includes the measurement itself.
 func (f *memberFleet) measureUsage(n int, do func() error) (usage, error) {
 	done := make(chan error, 1)
 	go func() { done <- do() }()
--- a/internal/testbed/scale/fleetslope/memberslope.go
+++ b/internal/testbed/scale/fleetslope/memberslope.go
@@ -17,7 +17,7 @@
 const aboutSuffix = "; hollow members in one process over loopback, each at its own address. Processor time is the process's, " +
 	"divided by its members; bytes count once, where they are sent, or where their connection was opened"
 
-// settleFigures are those of a change in the fleet.
+// settleFigures are the figures of a change in the fleet.
 var settleFigures = []scale.Figure{
 	{Name: "settle_ms", Unit: "ms", About: "from the change until all live views that were told are the same"},
 	{Name: "peak_bytes_s", Unit: "bytes/s", About: "of one member, the mean of all in the fleet's busiest second"},
@@ -26,17 +26,17 @@
 	{Name: "mean_cores", Unit: "cores", About: "of one member, until the views are the same"},
 }
 
-// memberSlope is what slopes of members have in common.
+// memberSlope returns a slope with what all slopes of members share.
 func memberSlope(name, about string, figures []scale.Figure) scale.Slope {
 	return scale.Slope{Name: name, About: about + aboutSuffix, Variable: "members", Sizes: []int{50, 100, 150, 200, 300},
 		Small: []int{4, 6, 8, 10, 12}, Seeds: []uint64{1, 2, 3}, Figures: figures,
 		Cost: func(size int) scale.Cost {
-			// What members hold of one another, and beside it their sockets, goroutines and packets under way.
+			// The members' state about each other, and their sockets, goroutines and packets in flight.
 			return scale.Cost{Memory: int64(size) * (1<<20 + int64(size)*(8<<10))}
 		}}
 }
 
-// memberRest measures members of a fleet in which nothing happens.
+// memberRest measures the members of an idle fleet.
 func memberRest() scale.Slope {
 	s := memberSlope("member-rest", "members of a fleet in which nothing happens", []scale.Figure{
 		{Name: "cores", Unit: "cores", About: "of one member, in the mean"},
@@ -46,7 +46,7 @@
 		{Name: "heap_bytes", Unit: "bytes", About: "of one member, after a collection"},
 		{Name: "resident_bytes", Unit: "bytes", About: "of one member: what the process holds beyond before, divided by its members"},
 	})
-	s.Sizes, s.Seeds = []int{50, 100, 150, 200, 250, 300}, []uint64{1} // nothing is drawn
+	s.Sizes, s.Seeds = []int{50, 100, 150, 200, 250, 300}, []uint64{1} // nothing is random here
 	s.Measure = func(ctx context.Context, size int, _ uint64, env scale.Env) (map[string]float64, error) {
 		before, err := ownMemoryUsage()
 		if err != nil {
@@ -72,7 +72,7 @@
 	return s
 }
 
-// withQuietFleet does something with a fleet whose members agree and have calmed down.
+// withQuietFleet calls do with a fleet whose members agree and that has become quiet.
 func withQuietFleet(ctx context.Context, size int, join membership.Join, env scale.Env,
 	do func(*memberFleet) error) (err error) {
 	f, err := newMemberFleet(size)
@@ -92,7 +92,7 @@
 	return do(f)
 }
 
-// measureChange measures what begin changes, until the live members agree again. n members pay for it.
+// measureChange measures a change, started by begin, until the live members agree again. The cost is divided by n members.
 func (f *memberFleet) measureChange(ctx context.Context, n int, begin func() error) (map[string]float64, error) {
 	var settled time.Duration
 	l, err := f.measureUsage(n, func() error {
@@ -106,7 +106,7 @@
 	return l.figures(settled), err
 }
 
-// memberJoin measures a fleet all of whose members begin at once.
+// memberJoin measures a fleet all of whose members start at once.
 func memberJoin() scale.Slope {
 	s := memberSlope("member-join", "all members of a fleet begin at once, with three of them as seeds", settleFigures)
 	s.Measure = func(ctx context.Context, size int, _ uint64, env scale.Env) (got map[string]float64, err error) {
@@ -126,7 +126,7 @@
 	return s
 }
 
-// memberLoss measures the end, without a word, of some members.
+// memberLoss measures the unannounced loss of some members.
 func memberLoss(name, about string, lost func(size int) int) scale.Slope {
 	s := memberSlope(name, about, settleFigures)
 	s.Measure = func(ctx context.Context, size int, seed uint64, env scale.Env) (got map[string]float64, err error) {
--- a/internal/testbed/scale/fleetslope/partition.go
+++ b/internal/testbed/scale/fleetslope/partition.go
@@ -16,24 +16,25 @@
 )
 
 const (
-	partitionGroups = 3
-	partitionDuration   = 12 * time.Second // three times what the end of a member takes to be seen
-	dialPollInterval = 200 * time.Millisecond
+	partitionGroups   = 3
+	partitionDuration = 12 * time.Second // three times as long as it takes to detect the loss of a member
+	dialPollInterval  = 200 * time.Millisecond
 )
 
-// partition is a network between members that can be parted: silently, so that datagrams are lost, and connections come up once it is over.
+// partition is a network between members that can be partitioned. Datagrams between groups are then dropped silently, and dials
+// wait until the partition heals.
 type partition struct {
-	groups atomic.Int64 // 0: one
-	lostBytes  atomic.Int64 // bytes that were sent and did not arrive
+	groups    atomic.Int64 // number of groups; 0 without a partition
+	lostBytes atomic.Int64 // bytes sent and dropped
 }
 
-// separates tells whether two members are parted: neighbours by address are, and every third is together.
+// separates reports whether two members are in different groups. A member's group is its index modulo the number of groups.
 func (c *partition) separates(from, to string) bool {
 	n := c.groups.Load()
 	return n > 0 && memberIndex(from)%n != memberIndex(to)%n
 }
 
-// memberIndex is the place of the member at an address.
+// memberIndex returns the index of the member at an address.
 func memberIndex(addr string) int64 {
 	host, _, err := net.SplitHostPort(addr)
 	if ip := net.ParseIP(host).To4(); err == nil && ip != nil {
@@ -42,18 +43,18 @@
 	return 0
 }
 
-// join is gossip.Join over this network.
+// join returns gossip.Join over this network.
 func (c *partition) join() membership.Join {
 	return gossip.JoinOver(func(cfg membership.Config, t memberlist.NodeAwareTransport) memberlist.NodeAwareTransport {
 		return &partitionedTransport{t, cfg.Bind, c}
 	})
 }
 
-// partitionedTransport is a member's side of a network that can be cut.
+// partitionedTransport is a member's transport over a network that can be partitioned.
 type partitionedTransport struct {
 	memberlist.NodeAwareTransport
-	addr string
-	partition  *partition
+	addr      string
+	partition *partition
 }
 
 func (p *partitionedTransport) WriteTo(b []byte, addr string) (time.Time, error) {
@@ -78,12 +79,12 @@
 		if time.Now().After(end) {
 			return nil, os.ErrDeadlineExceeded
 		}
-		time.Sleep(dialPollInterval) // as TCP asks again
+		time.Sleep(dialPollInterval) // like TCP's retransmission of SYN
 	}
 	return p.NodeAwareTransport.DialAddressTimeout(a, time.Until(end))
 }
 
-// memberCut measures a cut in three, and its heal.
+// memberCut measures a partition into three groups and its healing.
 func memberCut() scale.Slope {
 	s := memberSlope("member-cut", "a fleet that is cut in three for 12 s, silently; it settles from the heal on", settleFigures)
 	s.Measure = func(ctx context.Context, size int, _ uint64, env scale.Env) (got map[string]float64, err error) {
--- a/internal/testbed/scale/fleetslope/stewards.go
+++ b/internal/testbed/scale/fleetslope/stewards.go
@@ -22,32 +22,32 @@
 )
 
 const (
-	stewardCount = 3
-	leaseDuration        = 3 * time.Second
-	holderBatch  = 8 // holders begin in so many groups, a moment apart
-	joinTimeout    = 20 * time.Second
-	holdTimeout     = 60 * time.Second
-	takeoverTimeout = 60 * time.Second
-	restWindow  = 15 * time.Second // a claim's longest wait: each holder claims once in it
-	pollInterval    = 20 * time.Millisecond
-	minWaitingShare    = 0.95     // of wishes: the rest is just being made anew
-	stewardBaseBytes  = 20 << 20 // bytes that a steward holds with nobody to serve, no more
-	holderBytes  = 256 << 10
-	dutyBytes    = 16 << 10
+	stewardCount     = 3
+	leaseDuration    = 3 * time.Second
+	holderBatch      = 8 // holders that start at once; the next batch follows a moment later
+	joinTimeout      = 20 * time.Second
+	holdTimeout      = 60 * time.Second
+	takeoverTimeout  = 60 * time.Second
+	restWindow       = 15 * time.Second // the longest wait of a claim: each holder claims once in it
+	pollInterval     = 20 * time.Millisecond
+	minWaitingShare  = 0.95     // of the wishes: the others are being renewed at any moment
+	stewardBaseBytes = 20 << 20 // upper bound in bytes of an idle steward's memory
+	holderBytes      = 256 << 10
+	dutyBytes        = 16 << 10
 )
 
-// stewardCluster are three of the stewardCluster' program, with hollow holders in this process.
+// stewardCluster is three steward processes, and holders of duties in this process.
 type stewardCluster struct {
-	starter   *process.Starter
-	processes     []*child
-	addrs    []string
-	client  *call.Client
-	clients []*call.Client // of the holders
-	holderRuns    sync.WaitGroup
-	stopHolders    context.CancelFunc
+	starter     *process.Starter
+	processes   []*child
+	addrs       []string
+	client      *call.Client
+	clients     []*call.Client // of the holders
+	holderRuns  sync.WaitGroup
+	stopHolders context.CancelFunc
 }
 
-// newStewardCluster are stewards that have not been started.
+// newStewardCluster returns a cluster that has not been started.
 func newStewardCluster() (*stewardCluster, error) {
 	apis, err := freeAddrs(stewardCount)
 	if err != nil {
@@ -56,7 +56,7 @@
 	return &stewardCluster{starter: process.NewStarter(), addrs: apis, client: call.NewClient(apis, nil), stopHolders: func() {}}, nil
 }
 
-// startAll starts the stewards and returns once they are one cluster.
+// startAll starts the stewards and returns when they have formed one cluster.
 func (s *stewardCluster) startAll(ctx context.Context, env scale.Env) error {
 	listen, err := freeAddrs(stewardCount)
 	if err != nil {
@@ -71,21 +71,21 @@
 			return err
 		}
 	}
-	err = poll(ctx, "a steward begins", joinTimeout, 20*time.Millisecond, func() error {
+	err = poll(ctx, "a steward creates the cluster", joinTimeout, 20*time.Millisecond, func() error {
 		_, err := s.client.One(ctx, s.addrs[0], call.PathBegin, call.Done{}, &call.JoinOut{}, 2*time.Second)
 		var no *call.Refusal
 		if errors.As(err, &no) {
-			return nil // begun already
+			return nil // the cluster exists already
 		}
 		return err
 	})
 	if err != nil {
 		return err
 	}
-	return poll(ctx, "the stewards are one cluster", joinTimeout, 20*time.Millisecond, func() error {
+	return poll(ctx, "the stewards form one cluster", joinTimeout, 20*time.Millisecond, func() error {
 		_, known, err := s.leader(ctx)
 		if err == nil && known < stewardCount {
-			err = fmt.Errorf("%d of them", known)
+			err = fmt.Errorf("%d stewards have joined", known)
 		}
 		return err
 	})
@@ -109,7 +109,7 @@
 	return err
 }
 
-// leader is the steward that leads, by its own word, and how many it knows of.
+// leader returns the steward that reports itself as the leader, and the number of stewards that it knows.
 func (s *stewardCluster) leader(ctx context.Context) (leads *child, known int, err error) {
 	for i, c := range s.processes {
 		var out call.StewardsOut
@@ -122,10 +122,10 @@
 			}
 		}
 	}
-	return nil, 0, errors.New("no steward leads")
+	return nil, 0, errors.New("no steward reports itself as the leader")
 }
 
-// startHolders has holders want duties: wants gives those of each. They begin within a second or two.
+// startHolders starts holders, within a second or two. wants returns the duties that holder i wants.
 func (s *stewardCluster) startHolders(ctx context.Context, holders int, wants func(i int) []string, env scale.Env) error {
 	ctx, s.stopHolders = context.WithCancel(ctx)
 	for i := range holders {
@@ -145,7 +145,8 @@
 	return nil
 }
 
-// checkHeld returns nil if a leader says that so many duties are checkHeld, under leases that run, and as many wishes for them wait.
+// checkHeld returns nil if a leader reports at least the given numbers of duties held under unexpired leases and of waiting
+// wishes.
 func (s *stewardCluster) checkHeld(ctx context.Context, duties, waiting int) error {
 	var out call.DutiesOut
 	if err := s.client.Do(ctx, call.PathDuties, nil, &out, time.Second); err != nil {
@@ -164,7 +165,7 @@
 	return nil
 }
 
-// callBytes is what the holders' calls have cost the network so far, both ways.
+// callBytes returns the network traffic of the holders' calls so far, in both directions.
 func (s *stewardCluster) callBytes() (sum int64) {
 	for _, c := range s.clients {
 		sum += c.Bytes()
@@ -193,8 +194,8 @@
 		"the wishes wait again"},
 }
 
-// stewardSlope is what both slopes of stewards have in common. play tells of a size how many holders there are, how many
-// duties, and how many wishes of one holder go out at once.
+// stewardSlope completes a slope with what both slopes of stewards share. counts returns, for a size, the numbers of holders, of
+// duties, and of wishes that one holder sends at once.
 func stewardSlope(s scale.Slope, counts func(size int) (holders, duties, wishes int)) scale.Slope {
 	s.Seeds, s.Figures = []uint64{1, 2, 3}, stewardFigures
 	s.Cost = func(size int) scale.Cost {
@@ -205,14 +206,14 @@
 	s.Measure = func(ctx context.Context, size int, seed uint64, env scale.Env) (map[string]float64, error) {
 		holders, duties, wishes := counts(size)
 		if duties > duty.DutiesMost {
-			return nil, fmt.Errorf("fleetslope: stewards know %d duties at most", duty.DutiesMost)
+			return nil, fmt.Errorf("fleetslope: stewards support %d duties at most", duty.DutiesMost)
 		}
 		return measureStewards(ctx, holders, duties, wishes, rand.New(rand.NewPCG(seed, uint64(size))), env)
 	}
 	return s
 }
 
-// stewardHolders measures by holders.
+// stewardHolders measures stewards against the number of holders.
 func stewardHolders() scale.Slope {
 	const duties = 50
 	return stewardSlope(scale.Slope{
@@ -223,7 +224,7 @@
 	}, func(size int) (int, int, int) { return size, min(duties, size), 1 })
 }
 
-// stewardDuties measures by duties.
+// stewardDuties measures stewards against the number of duties.
 func stewardDuties() scale.Slope {
 	const holders = 200
 	return stewardSlope(scale.Slope{
@@ -256,13 +257,13 @@
 	if err != nil {
 		return nil, err
 	}
-	// All that can't be held wait, but for a holder's own and what goes beyond a claim's bound.
+	// All wishes that can't be granted wait, except those for duties that the holder has and those beyond a claim's limit.
 	waiting := holders - duties
 	if wishes > 1 {
 		waiting = holders*wishes - min(duties, holders*wishes)
 	}
 	settled := func() error { return s.checkHeld(ctx, duties, int(minWaitingShare*float64(waiting))) }
-	if err := poll(ctx, "all duties are held", holdTimeout, pollInterval, settled); err != nil {
+	if err := poll(ctx, "all duties have holders", holdTimeout, pollInterval, settled); err != nil {
 		return nil, err
 	}
 	leads, _, err := s.leader(ctx)
@@ -289,7 +290,7 @@
 	}
 	ended := time.Now()
 	leads.kill()
-	err = poll(ctx, "another leader knows all", takeoverTimeout, pollInterval, settled)
+	err = poll(ctx, "another leader reports all duties and wishes", takeoverTimeout, pollInterval, settled)
 	return map[string]float64{"leader_cores": (after - cpu).Seconds() / seconds, "leader_bytes_s": float64(bytes) / seconds,
 		"leader_resident_bytes": holds, "takeover_ms": millis(time.Since(ended))}, err
 }
--- a/internal/testbed/scale/fleetslope/usage.go
+++ b/internal/testbed/scale/fleetslope/usage.go
@@ -13,17 +13,17 @@
 	"golang.org/x/sys/unix"
 )
 
-// ownCPUTime is the processor time that this process has used.
+// ownCPUTime returns the processor time that this process has used.
 func ownCPUTime() time.Duration {
 	var u unix.Rusage
 	if err := unix.Getrusage(unix.RUSAGE_SELF, &u); err != nil {
-		panic(err) // no such error for a process's own
+		panic(err) // can't fail for the process itself
 	}
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// processCPUTime is the processor time that another process has used so far, to the nanosecond: the sum over its threads,
-// which a Go program keeps.
+// processCPUTime returns the processor time that another process has used, in nanosecond resolution. It is the sum over the
+// process's threads, which is complete because a Go program keeps its threads.
 func processCPUTime(pid int) (sum time.Duration, err error) {
 	threads, err := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/schedstat", pid))
 	if err != nil || len(threads) == 0 {
@@ -32,7 +32,7 @@
 	for _, path := range threads {
 		data, err := os.ReadFile(path)
 		if err != nil {
-			continue // a thread that ended meanwhile
+			continue // the thread has ended meanwhile
 		}
 		ns, err := strconv.ParseInt(strings.Fields(string(data) + " -")[0], 10, 64)
 		if err != nil {
@@ -43,7 +43,7 @@
 	return sum, nil
 }
 
-// residentBytes is the memory that a process holds, in bytes; "self" is this one.
+// residentBytes returns the resident memory of a process, in bytes; "self" is this process.
 func residentBytes(pid string) (float64, error) {
 	data, err := os.ReadFile("/proc/" + pid + "/status")
 	if err != nil {
@@ -58,7 +58,8 @@
 	return 0, fmt.Errorf("fleetslope: process %s has ended", pid)
 }
 
-// memoryUsage is what this process holds, in bytes: heap after a collection, and resident once what is free was given back.
+// memoryUsage is the memory of this process in bytes: the heap after a garbage collection, and the resident memory after free
+// memory was returned to the system.
 type memoryUsage struct{ heap, resident float64 }
 
 func ownMemoryUsage() (m memoryUsage, err error) {
--- a/internal/testbed/scale/fleetslope/view.go
+++ b/internal/testbed/scale/fleetslope/view.go
@@ -15,13 +15,14 @@
 
 const (
 	viewChangeCount = 20
-	// What a tracker gets of one change. The slopes of members measured a settling within 5 s; a view counts as agreed on 3 s
-	// after it changed last, and each second a member is told some two views of others.
-	ticksPerChange  = 8
+	// The events that a tracker receives for one change. In the slopes of members the views settled within 5 s; a view counts as
+	// agreed on 3 s after its last change; and each second a member receives about two digests of other members' views.
+	ticksPerChange = 8
 	digestsPerTick = 2
 )
 
-// memberView measures the tracker alone, for fleets that don't fit a machine, driven by what smaller ones were measured to have.
+// memberView measures the view tracker alone, for fleets that are too large for one machine. It is driven by the events that
+// were measured in smaller fleets.
 func memberView() scale.Slope {
 	return scale.Slope{
 		Name: "member-view",
@@ -50,7 +51,7 @@
 	if err != nil {
 		return nil, err
 	}
-	now := time.Now() // the tracker's clock, which goes on as it is told
+	now := time.Now() // the tracker's simulated clock
 	t := membership.NewTracker(process(0, 1), size, now)
 	for i := 1; i < size; i++ {
 		t.Heard(process(i, 1), now)
@@ -61,8 +62,8 @@
 		return nil, err
 	}
 	log := slog.New(slog.DiscardHandler)
-	// agree has time pass until a change is agreed on, and tells the view, as a member does.
-	agree := func() {
+	// awaitAgreed advances the clock until a change is agreed on, and logs the new view, as a member does.
+	awaitAgreed := func() {
 		for range ticksPerChange {
 			now = now.Add(time.Second)
 			for range digestsPerTick {
@@ -80,16 +81,16 @@
 	for range viewChangeCount / 2 {
 		i := 1 + rng.IntN(size-1)
 		t.Lost(process(i, 1), false, now)
-		agree()
+		awaitAgreed()
 		t.Heard(process(i, 1), now)
-		agree()
+		awaitAgreed()
 		if err := ctx.Err(); err != nil {
 			return nil, err
 		}
 	}
 	spent := ownCPUTime() - began
 	if v := t.View(); v.Present != size || v.Agreement != membership.Agreed {
-		return nil, fmt.Errorf("fleetslope: the tracker ends with %d members of %d, %s", v.Present, size, v.Agreement)
+		return nil, fmt.Errorf("fleetslope: the tracker ends with %d of %d members, agreement %s", v.Present, size, v.Agreement)
 	}
 	runtime.KeepAlive(t)
 	return map[string]float64{"change_cpu_us": float64(spent.Microseconds()) / viewChangeCount, "heap_bytes": after.heap - before.heap,
