--- a/internal/testbed/scale/capacity/capacity_test.go
+++ b/internal/testbed/scale/capacity/capacity_test.go
@@ -17,8 +17,8 @@
 
 const repository = "../../../.."
 
-// folder is one with the repository's target, and a result whose figures are drawn with 1% of noise.
-func folder(t *testing.T) string {
+// writeFixture is one with the repository's target, and a result whose figures are drawn with 1% of noise.
+func writeFixture(t *testing.T) string {
 	t.Helper()
 	dir := t.TempDir()
 	data, err := os.ReadFile(filepath.Join(repository, "capacity", "target.toml"))
@@ -52,7 +52,7 @@
 	return dir
 }
 
-func read(t *testing.T, dir string) *Model {
+func readModel(t *testing.T, dir string) *Model {
 	t.Helper()
 	m, err := Read(dir)
 	if err != nil {
@@ -61,8 +61,8 @@
 	return m
 }
 
-// page is one with every table, filled.
-func page(t *testing.T, m *Model) []byte {
+// filledPage is one with every table, filled.
+func filledPage(t *testing.T, m *Model) []byte {
 	t.Helper()
 	text := "# Page\n"
 	for _, table := range m.Tables() {
@@ -77,9 +77,9 @@
 
 // The page passes, and fails when one figure of any row in it, any line of the target or any sample is changed.
 func TestCheckFindsOneChange(t *testing.T) {
-	dir := folder(t)
-	m := read(t, dir)
-	good := page(t, m)
+	dir := writeFixture(t)
+	m := readModel(t, dir)
+	good := filledPage(t, m)
 	if err := m.Check("page.md", good); err != nil {
 		t.Fatal(err)
 	}
@@ -116,7 +116,7 @@
 		m, err := Read(dir)
 		return err != nil || m.Check("page.md", good) != nil
 	}
-	for name, least := range map[string]int{"target.toml": len(keys), "relay-held-many.json": 5*(5*3+5) + 5 + 3 + 3} {
+	for name, least := range map[string]int{"target.toml": len(targetKeys), "relay-held-many.json": 5*(5*3+5) + 5 + 3 + 3} {
 		path := filepath.Join(dir, name)
 		data, err := os.ReadFile(path)
 		if err != nil {
@@ -140,8 +140,8 @@
 }
 
 func TestBadPagesAreRefused(t *testing.T) {
-	m := read(t, folder(t))
-	good := string(page(t, m))
+	m := readModel(t, writeFixture(t))
+	good := string(filledPage(t, m))
 	for _, c := range []struct{ old, new, want string }{
 		{beginMark + "runs -->", "", "ends no table"},
 		{beginMark + "runs -->", beginMark + "walks -->", "table walks is unknown"},
@@ -163,25 +163,25 @@
 
 // What the tables say of a law that holds, of one that doesn't, and of what nobody measured.
 func TestReckoning(t *testing.T) {
-	m := read(t, folder(t))
+	m := readModel(t, writeFixture(t))
 	owedHere := 61e9 / 11000
 	for _, c := range []struct {
 		cost term
 		want float64
 		sure certainty
 	}{
-		{often("relay-held-many", "step_cpu_us", owed, events), 2.8e6 / 11000 * (2 + 0.007*owedHere) / 1e6, byLaw},
-		{law("relay-held-many", "resident_bytes", owed), 1e7 + 1000*owedHere, byLaw},
-		{law("relay-held-many", "start_cpu_ms", owed), 0.05, byLaw},
-		{law("relay-held-many", "start_ms", owed), 4.096, measured},
-		{law("relay-held-many", "falls_ms", owed), 0.00625, measured},
-		{law("relay-held-few", "start_ms", owed), 0, missing},
-		{law("relay-held-many", "heap_bytes", owed), 0, missing},
-		{term{n: members, times: line}, 11000 * 120, byLaw},
+		{lawTimes("relay-held-many", "step_cpu_us", owed, events), 2.8e6 / 11000 * (2 + 0.007*owedHere) / 1e6, byLaw},
+		{lawTerm("relay-held-many", "resident_bytes", owed), 1e7 + 1000*owedHere, byLaw},
+		{lawTerm("relay-held-many", "start_cpu_ms", owed), 0.05, byLaw},
+		{lawTerm("relay-held-many", "start_ms", owed), 4.096, measured},
+		{lawTerm("relay-held-many", "falls_ms", owed), 0.00625, measured},
+		{lawTerm("relay-held-few", "start_ms", owed), 0, missing},
+		{lawTerm("relay-held-many", "heap_bytes", owed), 0, missing},
+		{term{size: members, count: memberLineBytes}, 11000 * 120, byLaw},
 	} {
-		r := m.term(c.cost)
-		if r.sure != c.sure || math.Abs(r.value-c.want) > 0.03*c.want {
-			t.Errorf("%s of %s: %g, sure %d, by %s; want %g, %d", c.cost.figure, c.cost.slope, r.value, r.sure, r.text, c.want, c.sure)
+		r := m.evalTerm(c.cost)
+		if r.certainty != c.sure || math.Abs(r.value-c.want) > 0.03*c.want {
+			t.Errorf("%s of %s: %g, sure %d, by %s; want %g, %d", c.cost.figure, c.cost.slope, r.value, r.certainty, r.text, c.want, c.sure)
 		}
 	}
 	for _, c := range []struct {
@@ -190,16 +190,16 @@
 		share float64
 		sign  string
 	}{
-		{often("relay-held-many", "step_cpu_us", owed, events), 0.026, (0.026/(2.8e6/11000)*1e6 - 2) / 0.007 / owedHere, ""},
-		{law("relay-held-many", "resident_bytes", owed), 256e6, 246e6 / 1000 / owedHere, ""},
-		{law("relay-held-many", "start_cpu_ms", owed), 10, math.Inf(1), "never"},
-		{law("relay-held-many", "start_ms", owed), 10, 16000 / owedHere, "≥ "},
-		{law("relay-held-many", "start_ms", owed), 0.3, 8000 / owedHere, "≤ "},
-		{law("relay-held-many", "falls_ms", owed), 0.01, 16000 / owedHere, "≥ "}, // passed below, and not any more
-		{law("relay-held-many", "falls_ms", owed), 0.003, 1000 / owedHere, "≤ "}, // passed at every size
-		{law("relay-held-few", "start_ms", owed), 10, math.Inf(1), "not measured"},
+		{lawTimes("relay-held-many", "step_cpu_us", owed, events), 0.026, (0.026/(2.8e6/11000)*1e6 - 2) / 0.007 / owedHere, ""},
+		{lawTerm("relay-held-many", "resident_bytes", owed), 256e6, 246e6 / 1000 / owedHere, ""},
+		{lawTerm("relay-held-many", "start_cpu_ms", owed), 10, math.Inf(1), "never"},
+		{lawTerm("relay-held-many", "start_ms", owed), 10, 16000 / owedHere, "≥ "},
+		{lawTerm("relay-held-many", "start_ms", owed), 0.3, 8000 / owedHere, "≤ "},
+		{lawTerm("relay-held-many", "falls_ms", owed), 0.01, 16000 / owedHere, "≥ "}, // passed below, and not any more
+		{lawTerm("relay-held-many", "falls_ms", owed), 0.003, 1000 / owedHere, "≤ "}, // passed at every size
+		{lawTerm("relay-held-few", "start_ms", owed), 10, math.Inf(1), "not measured"},
 	} {
-		share, sign := m.share(c.cost, c.limit)
+		share, sign := m.targetShare(c.cost, c.limit)
 		if sign != c.sign || share != c.share && math.Abs(share-c.share) > 0.03*c.share {
 			t.Errorf("%s of %s passes %g at %s%g, want %s%g", c.cost.figure, c.cost.slope, c.limit, sign, share, c.sign, c.share)
 		}
@@ -208,17 +208,17 @@
 
 // Every formula names keys that the target has, and figures in agreed units; the least share stands first.
 func TestFormulas(t *testing.T) {
-	m := read(t, folder(t))
+	m := readModel(t, writeFixture(t))
 	names := regexp.MustCompile(`^[a-z]+(-[a-z]+)+$`)
 	try := func(where string, s sum) {
 		if (s.unknown == "") == (len(s.terms) == 0) {
 			t.Errorf("%s is neither reckoned nor unknown, or both", where)
 		}
 		for _, c := range s.terms {
-			if n := c.n.of(m.Target); n <= 0 || c.slope != "" && !names.MatchString(c.slope) {
+			if n := c.size.of(m.Target); n <= 0 || c.slope != "" && !names.MatchString(c.slope) {
 				t.Errorf("%s: %s of %s at %g", where, c.figure, c.slope, n)
 			}
-			if _, ok := scales[s.unit]; !ok {
+			if _, ok := displayUnits[s.unit]; !ok {
 				t.Errorf("%s is in %q", where, s.unit)
 			}
 		}
@@ -226,7 +226,7 @@
 	for _, r := range roles {
 		try(r.name+": "+r.what, r.cost)
 	}
-	for _, d := range days() {
+	for _, d := range scenarioRows() {
 		try(d.name+": "+d.role+": "+d.what+", mean", d.mean)
 		try(d.name+": "+d.role+": "+d.what+", peak", d.peak)
 	}
@@ -236,7 +236,7 @@
 		}
 	}
 	var first []string
-	for line := range strings.Lines(m.budgets()) {
+	for line := range strings.Lines(m.budgetsTable()) {
 		first = append(first, strings.TrimSpace(strings.Split(line, "|")[1]))
 	}
 	want := []string{"0%", "0.253%", "≥ 0.289%", "0.494%", "1.01%", "4.46%", "520%", "not measured"}
--- a/internal/testbed/scale/capacity/reckon.go
+++ b/internal/testbed/scale/capacity/evaluate.go
@@ -11,16 +11,16 @@
 
 // amount is a number that follows from the target alone, in seconds, bytes or as a count.
 type amount struct {
-	words string // what it counts
+	label string // what it counts
 	of    func(Target) float64
 }
 
 // term is what a law says of a size, taken so many times. Without a slope it is the size itself.
 type term struct {
 	slope, figure string
-	n             amount
-	times         amount // zero: once
-	with          *term  // another that it is multiplied by
+	size             amount
+	count         amount // zero: once
+	multiplier          *term  // another that it is multiplied by
 }
 
 // sum is terms added up, in seconds, bytes, bytes a second, cores or as a count; or the reason why it is not known.
@@ -30,8 +30,8 @@
 	unknown string
 }
 
-// base brings units of figures to seconds.
-var base = map[string]float64{"us": 1e-6, "ms": 1e-3}
+// secondsPerUnit brings units of figures to seconds.
+var secondsPerUnit = map[string]float64{"us": 1e-6, "ms": 1e-3}
 
 // kinds of what was reckoned, each less sure than the one before.
 type certainty int
@@ -42,13 +42,13 @@
 	missing                   // no result has it
 )
 
-// reckoned is a value, how sure it is, and the arithmetic.
-type reckoned struct {
+// estimate is a value, how sure it is, and the arithmetic.
+type estimate struct {
 	value float64
-	sure  certainty
+	certainty  certainty
 	text  string
-	falls bool    // it is measured, and falls with the size
-	off   float64 // the largest error of prediction of its laws
+	decreasing bool    // it is measured, and falls with the size
+	maxError   float64 // the largest error of prediction of its laws
 	laws  []string
 }
 
@@ -69,65 +69,65 @@
 	return g, r.Sizes, ok
 }
 
-// factor is what a term is multiplied by, apart from its other term, with the words for it.
-func (m *Model) factor(t term) (float64, string) {
-	if t.times.of == nil {
+// termFactor is what a term is multiplied by, apart from its other term, with the words for it.
+func (m *Model) termFactor(t term) (float64, string) {
+	if t.count.of == nil {
 		return 1, ""
 	}
-	v := t.times.of(m.Target)
-	return v, " × " + number(v) + " " + t.times.words
+	v := t.count.of(m.Target)
+	return v, " × " + formatNumber(v) + " " + t.count.label
 }
 
-// term reckons one.
-func (m *Model) term(t term) reckoned {
-	n := t.n.of(m.Target)
-	times, words := m.factor(t)
+// evalTerm reckons one.
+func (m *Model) evalTerm(t term) estimate {
+	n := t.size.of(m.Target)
+	times, words := m.termFactor(t)
 	if t.slope == "" {
-		return reckoned{value: n * times, text: number(n) + " " + t.n.words + words}
+		return estimate{value: n * times, text: formatNumber(n) + " " + t.size.label + words}
 	}
 	g, sizes, ok := m.figure(t.slope, t.figure)
 	if !ok {
-		return reckoned{sure: missing, text: fmt.Sprintf("%s of %s is not measured", t.figure, t.slope)}
+		return estimate{certainty: missing, text: fmt.Sprintf("%s of %s is not measured", t.figure, t.slope)}
 	}
-	r := reckoned{off: g.Prediction.Error, laws: []string{string(g.Fit.Law)}}
+	r := estimate{maxError: g.Prediction.Error, laws: []string{string(g.Fit.Law)}}
 	if g.Used {
-		r.value, r.text = g.Fit.At(n), arithmetic(g.Fit, n)
+		r.value, r.text = g.Fit.At(n), formatArithmetic(g.Fit, n)
 	} else {
 		points := g.Points(sizes)
 		last := points[len(points)-1]
-		r.sure, r.value, r.falls = measured, last.Value, last.Value < points[0].Value
-		r.text = fmt.Sprintf("%s measured at %s", number(last.Value), number(last.Size))
+		r.certainty, r.value, r.decreasing = measured, last.Value, last.Value < points[0].Value
+		r.text = fmt.Sprintf("%s measured at %s", formatNumber(last.Value), formatNumber(last.Size))
 		r.laws = []string{"none that holds"}
 	}
 	r.text += " " + g.Unit + words
-	if f, ok := base[g.Unit]; ok {
+	if f, ok := secondsPerUnit[g.Unit]; ok {
 		r.value *= f
 	}
 	r.value *= times
-	if t.with != nil {
-		o := m.term(*t.with)
-		if o.sure == missing {
+	if t.multiplier != nil {
+		o := m.evalTerm(*t.multiplier)
+		if o.certainty == missing {
 			return o
 		}
 		r.value *= o.value
-		r.sure, r.falls, r.off = max(r.sure, o.sure), r.falls || o.falls, max(r.off, o.off)
+		r.certainty, r.decreasing, r.maxError = max(r.certainty, o.certainty), r.decreasing || o.decreasing, max(r.maxError, o.maxError)
 		r.text += " × (" + o.text + ")"
 		r.laws = append(r.laws, o.laws...)
 	}
 	return r
 }
 
-// sum adds up.
-func (m *Model) sum(s sum) reckoned {
-	all := reckoned{}
+// evalSum adds up.
+func (m *Model) evalSum(s sum) estimate {
+	all := estimate{}
 	var texts []string
 	for _, t := range s.terms {
-		r := m.term(t)
-		if r.sure == missing {
+		r := m.evalTerm(t)
+		if r.certainty == missing {
 			return r
 		}
 		all.value += r.value
-		all.sure, all.falls, all.off = max(all.sure, r.sure), all.falls || r.falls, max(all.off, r.off)
+		all.certainty, all.decreasing, all.maxError = max(all.certainty, r.certainty), all.decreasing || r.decreasing, max(all.maxError, r.maxError)
 		all.laws = append(all.laws, r.laws...)
 		texts = append(texts, r.text)
 	}
@@ -135,36 +135,36 @@
 	return all
 }
 
-// say is a sum's value, "≥" before it where it is only what was measured at the largest size, or "≈" if that falls.
-func (m *Model) say(s sum) string {
+// formatSum is a sum's value, "≥" before it where it is only what was measured at the largest size, or "≈" if that falls.
+func (m *Model) formatSum(s sum) string {
 	if s.unknown != "" {
 		return "not known: " + s.unknown
 	}
-	r := m.sum(s)
+	r := m.evalSum(s)
 	switch {
-	case r.sure == missing:
+	case r.certainty == missing:
 		return "not measured"
-	case r.sure == measured && r.falls:
-		return "≈ " + quantity(r.value, s.unit)
-	case r.sure == measured:
-		return "≥ " + quantity(r.value, s.unit)
+	case r.certainty == measured && r.decreasing:
+		return "≈ " + formatQuantity(r.value, s.unit)
+	case r.certainty == measured:
+		return "≥ " + formatQuantity(r.value, s.unit)
 	}
-	return quantity(r.value, s.unit)
+	return formatQuantity(r.value, s.unit)
 }
 
-// share is the part of the target at which a term first passes a limit. sign tells what is known: "" by the law, "≤" and
+// targetShare is the part of the target at which a term first passes a limit. sign tells what is known: "" by the law, "≤" and
 // "≥" by what was measured where the law doesn't hold, "never" if the law never comes there.
-func (m *Model) share(t term, limit float64) (share float64, sign string) {
+func (m *Model) targetShare(t term, limit float64) (share float64, sign string) {
 	g, sizes, ok := m.figure(t.slope, t.figure)
 	if !ok {
 		return math.Inf(1), "not measured"
 	}
-	times, _ := m.factor(t)
-	if f, ok := base[g.Unit]; ok {
+	times, _ := m.termFactor(t)
+	if f, ok := secondsPerUnit[g.Unit]; ok {
 		times *= f
 	}
 	limit /= times
-	whole := t.n.of(m.Target)
+	whole := t.size.of(m.Target)
 	if g.Used {
 		n, ok := g.Fit.Reaches(limit)
 		if !ok {
@@ -183,22 +183,22 @@
 	return points[i-1].Size / whole, "≥ "
 }
 
-// arithmetic is a law with the numbers in it.
-func arithmetic(f scale.Fit, n float64) string {
-	text := "(" + number(f.A) + " + " + number(f.B) + " × " + number(n)
+// formatArithmetic is a law with the numbers in it.
+func formatArithmetic(f scale.Fit, n float64) string {
+	text := "(" + formatNumber(f.A) + " + " + formatNumber(f.B) + " × " + formatNumber(n)
 	switch f.Law {
 	case scale.Constant:
-		return number(f.A)
+		return formatNumber(f.A)
 	case scale.Linearithmic:
-		text += " × ln " + number(n)
+		text += " × ln " + formatNumber(n)
 	case scale.Quadratic:
 		text += "²"
 	}
 	return text + ")"
 }
 
-// number has four digits that count, and commas.
-func number(v float64) string {
+// formatNumber has four digits that count, and commas.
+func formatNumber(v float64) string {
 	if v == 0 {
 		return "0"
 	}
@@ -214,14 +214,14 @@
 	if strings.Contains(text, ".") {
 		text = strings.TrimRight(strings.TrimRight(text, "0"), ".")
 	}
-	return commas(text)
+	return groupThousands(text)
 }
 
-// exact has all digits, and commas.
-func exact(v float64) string { return commas(strconv.FormatFloat(v, 'f', -1, 64)) }
+// formatExact has all digits, and commas.
+func formatExact(v float64) string { return groupThousands(strconv.FormatFloat(v, 'f', -1, 64)) }
 
-// commas puts them between the thousands of a number.
-func commas(text string) string {
+// groupThousands puts them between the thousands of a number.
+func groupThousands(text string) string {
 	whole, rest, dot := strings.Cut(text, ".")
 	sign := ""
 	if strings.HasPrefix(whole, "-") {
@@ -236,8 +236,8 @@
 	return sign + whole
 }
 
-// scales are what a reader is told values in.
-var scales = map[string][]struct {
+// displayUnits are what a reader is told values in.
+var displayUnits = map[string][]struct {
 	from float64
 	name string
 }{
@@ -248,9 +248,9 @@
 	"1":       {{0, ""}},
 }
 
-// quantity is a value with three digits that count, in a unit that suits it.
-func quantity(v float64, unit string) string {
-	of := scales[unit]
+// formatQuantity is a value with three digits that count, in a unit that suits it.
+func formatQuantity(v float64, unit string) string {
+	of := displayUnits[unit]
 	i := 0
 	for i < len(of)-1 && v < of[i].from {
 		i++
@@ -262,5 +262,5 @@
 		digits := math.Pow(10, 2-math.Floor(math.Log10(math.Abs(v))))
 		v = math.Round(v*digits) / digits
 	}
-	return strings.TrimSpace(number(v) + " " + of[i].name)
+	return strings.TrimSpace(formatNumber(v) + " " + of[i].name)
 }
--- a/internal/testbed/scale/capacity/page.go
+++ b/internal/testbed/scale/capacity/page.go
@@ -8,7 +8,7 @@
 	"strings"
 )
 
-var errNoEnd = errors.New("has no <!-- end -->")
+var errUnclosedTable = errors.New("has no <!-- end -->")
 
 const (
 	beginMark = "<!-- table "
@@ -21,18 +21,18 @@
 	if err != nil {
 		return err
 	}
-	has, should := strings.Split(string(page), "\n"), strings.Split(string(want), "\n")
-	for i := range has {
-		if i >= len(should) || has[i] != should[i] {
+	gotLines, wantLines := strings.Split(string(page), "\n"), strings.Split(string(want), "\n")
+	for i := range gotLines {
+		if i >= len(wantLines) || gotLines[i] != wantLines[i] {
 			right := "nothing"
-			if i < len(should) {
-				right = should[i]
+			if i < len(wantLines) {
+				right = wantLines[i]
 			}
-			return fmt.Errorf("%s:%d: the page says\n%s\nand the figures give\n%s", path, i+1, has[i], right)
+			return fmt.Errorf("%s:%d: the page says\n%s\nand the figures give\n%s", path, i+1, gotLines[i], right)
 		}
 	}
-	if len(should) > len(has) {
-		return fmt.Errorf("%s:%d: the page ends too early", path, len(has))
+	if len(wantLines) > len(gotLines) {
+		return fmt.Errorf("%s:%d: the page ends too early", path, len(gotLines))
 	}
 	return nil
 }
@@ -40,44 +40,44 @@
 // Fill puts the tables in their places in a page and leaves its words alone. A marker that is unknown, missing, twice there
 // or has no end is an error that names file and line.
 func (m *Model) Fill(path string, page []byte) ([]byte, error) {
-	left := map[string]string{}
+	pending := map[string]string{}
 	for _, t := range m.Tables() {
-		left[t.Name] = t.Text
+		pending[t.Name] = t.Text
 	}
 	var out strings.Builder
-	within, n, begun := "", 0, 0
+	openTable, n, openLine := "", 0, 0
 	for line := range strings.Lines(string(page)) {
 		n++
 		text := strings.TrimSpace(line)
 		if rest, ok := strings.CutPrefix(text, beginMark); ok {
 			name := strings.TrimSuffix(rest, " -->")
-			table, known := left[name]
+			table, known := pending[name]
 			switch {
-			case within != "":
-				return nil, fmt.Errorf("%s:%d: table %s %w", path, begun, within, errNoEnd)
+			case openTable != "":
+				return nil, fmt.Errorf("%s:%d: table %s %w", path, openLine, openTable, errUnclosedTable)
 			case !known:
 				return nil, fmt.Errorf("%s:%d: table %s is unknown, or stands twice", path, n, name)
 			}
-			delete(left, name)
-			within, begun = name, n
+			delete(pending, name)
+			openTable, openLine = name, n
 			out.WriteString(line + "\n" + table + "\n")
 			continue
 		}
 		if text == endMark {
-			if within == "" {
+			if openTable == "" {
 				return nil, fmt.Errorf("%s:%d: %s ends no table", path, n, endMark)
 			}
-			within = ""
+			openTable = ""
 		}
-		if within == "" {
+		if openTable == "" {
 			out.WriteString(line)
 		}
 	}
-	if within != "" {
-		return nil, fmt.Errorf("%s:%d: table %s %w", path, begun, within, errNoEnd)
+	if openTable != "" {
+		return nil, fmt.Errorf("%s:%d: table %s %w", path, openLine, openTable, errUnclosedTable)
 	}
-	if len(left) > 0 {
-		return nil, fmt.Errorf("%s:%d: has no table %s", path, n, strings.Join(slices.Sorted(maps.Keys(left)), ", "))
+	if len(pending) > 0 {
+		return nil, fmt.Errorf("%s:%d: has no table %s", path, n, strings.Join(slices.Sorted(maps.Keys(pending)), ", "))
 	}
 	return []byte(out.String()), nil
 }
--- a/internal/testbed/scale/capacity/tables.go
+++ b/internal/testbed/scale/capacity/tables.go
@@ -47,12 +47,12 @@
 
 // Tables are the page's, in its order.
 func (m *Model) Tables() []Table {
-	return []Table{{"target", m.target(false)}, {"assumptions", m.target(true)}, {"runs", m.runs()}, {"laws", m.laws()},
-		{"roles", m.roles()}, {"days", m.days()}, {"budgets", m.budgets()}}
+	return []Table{{"target", m.targetTable(false)}, {"assumptions", m.targetTable(true)}, {"runs", m.runsTable()}, {"laws", m.lawsTable()},
+		{"roles", m.rolesTable()}, {"days", m.scenariosTable()}, {"budgets", m.budgetsTable()}}
 }
 
-// rows writes a table.
-func rows(head []string, body [][]string) string {
+// markdownTable writes a table.
+func markdownTable(head []string, body [][]string) string {
 	var b strings.Builder
 	write := func(cells []string) { b.WriteString("| " + strings.Join(cells, " | ") + " |\n") }
 	write(head)
@@ -63,129 +63,129 @@
 	return b.String()
 }
 
-func (m *Model) target(assumed bool) string {
+func (m *Model) targetTable(assumed bool) string {
 	head := []string{"key", "value", "unit"}
 	if assumed {
 		head = append(head, "why")
 	}
 	var body [][]string
-	for _, k := range keys {
+	for _, k := range targetKeys {
 		if strings.HasPrefix(k.name, "assumptions.") == assumed {
 			q := m.Target[k.name]
-			body = append(body, []string{k.name, exact(*q.Value), q.Unit, q.Reason}[:len(head)])
+			body = append(body, []string{k.name, formatExact(*q.Value), q.Unit, q.Reason}[:len(head)])
 		}
 	}
-	return rows(head, body)
+	return markdownTable(head, body)
 }
 
-// names are those of the results, in the order of the alphabet.
-func (m *Model) names() []string { return slices.Sorted(maps.Keys(m.Results)) }
+// slopeNames are those of the results, in the order of the alphabet.
+func (m *Model) slopeNames() []string { return slices.Sorted(maps.Keys(m.Results)) }
 
-func (m *Model) runs() string {
+func (m *Model) runsTable() string {
 	var body [][]string
-	for _, name := range m.names() {
+	for _, name := range m.slopeNames() {
 		r := m.Results[name]
-		body = append(body, []string{name, r.Variable, spaced(r.Sizes), spaced(r.Seeds), r.Revision, fmt.Sprint(r.Cores), r.Go,
+		body = append(body, []string{name, r.Variable, joinSpaced(r.Sizes), joinSpaced(r.Seeds), r.Revision, fmt.Sprint(r.Cores), r.Go,
 			fmt.Sprintf("%.1f to %.1f", r.LoadBegin, r.LoadEnd), m.digests[name]})
 	}
-	return rows([]string{"slope", "size counts", "sizes", "seeds", "revision", "cores", "Go", "load", "file"}, body)
+	return markdownTable([]string{"slope", "size counts", "sizes", "seeds", "revision", "cores", "Go", "load", "file"}, body)
 }
 
-func spaced[T any](list []T) string { return strings.Trim(fmt.Sprint(list), "[]") }
+func joinSpaced[T any](list []T) string { return strings.Trim(fmt.Sprint(list), "[]") }
 
-func (m *Model) laws() string {
+func (m *Model) lawsTable() string {
 	var body [][]string
-	for _, name := range m.names() {
+	for _, name := range m.slopeNames() {
 		for _, g := range m.Results[name].Figures {
 			points := g.Points(m.Results[name].Sizes)
 			var medians []string
 			for _, p := range points {
-				medians = append(medians, number(p.Value))
+				medians = append(medians, formatNumber(p.Value))
 			}
 			p := g.Prediction
 			used := "yes"
 			if !g.Used {
 				used = "**no**"
 			}
-			body = append(body, []string{name, g.Name, g.Unit, strings.Join(medians, " "), string(g.Fit.Law), formula(g.Fit),
-				fmt.Sprintf("%s by %s", number(p.Predicted), p.Law), number(p.Measured), percent(p.Error), used})
+			body = append(body, []string{name, g.Name, g.Unit, strings.Join(medians, " "), string(g.Fit.Law), formatLaw(g.Fit),
+				fmt.Sprintf("%s by %s", formatNumber(p.Predicted), p.Law), formatNumber(p.Measured), formatPercent(p.Error), used})
 		}
 	}
-	return rows([]string{"slope", "figure", "unit", "medians over the seeds", "law", "at size n", "foretold of the largest",
+	return markdownTable([]string{"slope", "figure", "unit", "medians over the seeds", "law", "at size n", "foretold of the largest",
 		"measured", "error", "used"}, body)
 }
 
-// formula is a law as a reader writes it.
-func formula(f scale.Fit) string {
+// formatLaw is a law as a reader writes it.
+func formatLaw(f scale.Fit) string {
 	n := map[scale.Law]string{scale.Linear: " n", scale.Linearithmic: " n ln n", scale.Quadratic: " n²"}[f.Law]
 	if n == "" {
-		return number(f.A)
+		return formatNumber(f.A)
 	}
-	return number(f.A) + " + " + number(f.B) + n
+	return formatNumber(f.A) + " + " + formatNumber(f.B) + n
 }
 
-func percent(share float64) string { return quantity(100*share, "1") + "%" }
+func formatPercent(share float64) string { return formatQuantity(100*share, "1") + "%" }
 
-func (m *Model) roles() string {
+func (m *Model) rolesTable() string {
 	var body [][]string
 	for _, r := range roles {
-		row := []string{r.name, r.what, m.say(r.cost), "", "", "", r.mechanism}
-		if c := m.sum(r.cost); r.cost.unknown == "" && c.sure != missing {
+		row := []string{r.name, r.what, m.formatSum(r.cost), "", "", "", r.mechanism}
+		if c := m.evalSum(r.cost); r.cost.unknown == "" && c.certainty != missing {
 			row[3] = c.text
 			if len(c.laws) > 0 {
-				row[4], row[5] = strings.Join(slices.Compact(c.laws), ", "), percent(c.off)
+				row[4], row[5] = strings.Join(slices.Compact(c.laws), ", "), formatPercent(c.maxError)
 			}
 		}
 		body = append(body, row)
 	}
-	return rows([]string{"role", "what", "at the target", "arithmetic", "law", "error", "mechanism that carries it"}, body)
+	return markdownTable([]string{"role", "what", "at the target", "arithmetic", "law", "error", "mechanism that carries it"}, body)
 }
 
-func (m *Model) days() string {
+func (m *Model) scenariosTable() string {
 	cell := func(s sum) string {
-		if text := m.say(s); s.unknown != "" || m.sum(s).sure == missing {
+		if text := m.formatSum(s); s.unknown != "" || m.evalSum(s).certainty == missing {
 			return text
 		} else {
-			return text + " = " + m.sum(s).text
+			return text + " = " + m.evalSum(s).text
 		}
 	}
 	var body [][]string
-	for _, d := range days() {
+	for _, d := range scenarioRows() {
 		name := d.name
-		if key, ok := frequencies[name]; ok {
+		if key, ok := frequencyKeys[name]; ok {
 			q := m.Target[key]
-			name += ", " + number(*q.Value) + " a " + strings.TrimPrefix(q.Unit, "1/")
+			name += ", " + formatNumber(*q.Value) + " a " + strings.TrimPrefix(q.Unit, "1/")
 		}
 		body = append(body, []string{name, d.role, d.what, cell(d.mean), cell(d.peak)})
 	}
-	return rows([]string{"day", "role", "what", "mean", "peak"}, body)
+	return markdownTable([]string{"day", "role", "what", "mean", "peak"}, body)
 }
 
-func (m *Model) budgets() string {
+func (m *Model) budgetsTable() string {
 	type row struct {
 		share float64
 		cells []string
 	}
 	var body []row
 	for _, b := range budgets() {
-		r := row{cells: []string{"", b.serves, b.what, "", "", "", ""}}
+		r := row{cells: []string{"", b.purpose, b.what, "", "", "", ""}}
 		if f := b.fixed; f != nil {
-			has, needs := f.has.of(m.Target), f.needs.of(m.Target)
+			has, needs := f.current.of(m.Target), f.required.of(m.Target)
 			r.share = has / needs
-			r.cells[0], r.cells[5] = part(r.share), "a bound of today"
-			r.cells[3], r.cells[4] = number(needs)+" "+f.needs.words, strings.TrimSpace(number(has)+" "+f.has.words)
+			r.cells[0], r.cells[5] = formatShare(r.share), "a bound of today"
+			r.cells[3], r.cells[4] = formatNumber(needs)+" "+f.required.label, strings.TrimSpace(formatNumber(has)+" "+f.current.label)
 		} else {
-			share, sign := m.share(b.cost, b.limit.of(m.Target))
-			c := m.term(b.cost)
+			share, sign := m.targetShare(b.cost, b.limit.of(m.Target))
+			c := m.evalTerm(b.cost)
 			r.share = share
 			r.cells[0] = sign
 			if !math.IsInf(share, 1) {
-				r.cells[0] = sign + part(share)
+				r.cells[0] = sign + formatShare(share)
 			}
-			r.cells[3] = m.say(sum{unit: b.unit, terms: []term{b.cost}})
-			r.cells[4] = quantity(b.limit.of(m.Target), b.unit) + " " + b.limit.words
-			if c.sure != missing {
-				r.cells[5], r.cells[6] = strings.Join(c.laws, ", "), percent(c.off)
+			r.cells[3] = m.formatSum(sum{unit: b.unit, terms: []term{b.cost}})
+			r.cells[4] = formatQuantity(b.limit.of(m.Target), b.unit) + " " + b.limit.label
+			if c.certainty != missing {
+				r.cells[5], r.cells[6] = strings.Join(c.laws, ", "), formatPercent(c.maxError)
 			} else {
 				r.share = math.MaxFloat64 // behind what is known to pass, before what never does: nobody knows
 			}
@@ -197,13 +197,13 @@
 	for _, r := range body {
 		text = append(text, r.cells)
 	}
-	return rows([]string{"passed at, of the target", "for", "figure", "at the target", "budget", "law", "error"}, text)
+	return markdownTable([]string{"passed at, of the target", "for", "figure", "at the target", "budget", "law", "error"}, text)
 }
 
-// part is a share of the target, for a reader.
-func part(share float64) string {
+// formatShare is a share of the target, for a reader.
+func formatShare(share float64) string {
 	if share > 10 {
-		return quantity(share, "1") + " times"
+		return formatQuantity(share, "1") + " times"
 	}
-	return percent(share)
+	return formatPercent(share)
 }
--- a/internal/testbed/scale/capacity/target.go
+++ b/internal/testbed/scale/capacity/target.go
@@ -27,8 +27,8 @@
 // Target is what the system has to carry, by "target.relays" and so on.
 type Target map[string]Quantity
 
-// keys are those that a target has, with their units, in the page's order. Each has to be there.
-var keys = []struct{ name, unit string }{
+// targetKeys are those that a target has, with their units, in the page's order. Each has to be there.
+var targetKeys = []struct{ name, unit string }{
 	{"target.relays", "relays"}, {"target.events", "1/s"}, {"target.destinations", "destinations"}, {"target.down", "share"},
 	{"target.owed", "messages"}, {"target.regions", "regions"}, {"target.zones", "zones"}, {"target.changes", "1/day"},
 	{"target.in_force", "s"},
@@ -45,18 +45,18 @@
 	{"assumptions.steward_network", "KB/s"}, {"assumptions.member_line", "bytes"},
 }
 
-// factors bring a unit of the target to the one that is reckoned in: seconds, bytes and bytes a second.
-var factors = map[string]float64{
+// unitFactors bring a unit of the target to the one that is reckoned in: seconds, bytes and bytes a second.
+var unitFactors = map[string]float64{
 	"MB": 1e6, "KB/s": 1e3, "h": 3600, "1/day": 1 / 86400.0, "1/week": 1 / (7 * 86400.0), "1/month": 12 / (365 * 86400.0),
 }
 
-// of is a figure in seconds, bytes, or the unit that it has. There is a test that every formula names one that is there.
-func (t Target) of(name string) float64 {
+// value is a figure in seconds, bytes, or the unit that it has. There is a test that every formula names one that is there.
+func (t Target) value(name string) float64 {
 	q, ok := t[name]
 	if !ok {
 		panic("capacity: the target has no " + name)
 	}
-	if f, ok := factors[q.Unit]; ok {
+	if f, ok := unitFactors[q.Unit]; ok {
 		return *q.Value * f
 	}
 	return *q.Value
@@ -80,7 +80,7 @@
 	}
 	lines, sections := keyLines(data)
 	known := map[string]bool{}
-	for _, k := range keys {
+	for _, k := range targetKeys {
 		section, _, _ := strings.Cut(k.name, ".")
 		known[k.name], known[section] = true, true
 	}
@@ -95,7 +95,7 @@
 		}
 	}
 	t := Target{}
-	for _, k := range keys {
+	for _, k := range targetKeys {
 		section, key, _ := strings.Cut(k.name, ".")
 		q, ok := file[section][key]
 		if !ok {
