--- a/internal/testbed/scale/capacity/budgets.go
+++ b/internal/testbed/scale/capacity/budgets.go
@@ -1,16 +1,16 @@
 package capacity
 
-// budget is one row of the table that decides: a figure, and what it may be. Without a slope it is what there is today,
-// beside what the target needs.
+// budget is a row of the table of budgets: a figure and its limit. A row with a fixedBound has no slope: it compares a bound of
+// the current code with what the target needs.
 type budget struct {
 	purpose, what string
-	cost         term
-	limit        amount
-	unit         string
-	fixed        *fixedBound
+	cost          term
+	limit         amount
+	unit          string
+	fixed         *fixedBound
 }
 
-// fixedBound is a bound of today's code, and what the target needs.
+// fixedBound is a bound of the current code, and what the target needs.
 type fixedBound struct{ current, required amount }
 
 const (
@@ -21,13 +21,13 @@
 
 // The limits.
 var (
-	relayMemory = amount{"for what a relay holds", func(t Target) float64 { return t.value("assumptions.relay_memory") }}
-	relayDisk   = amount{"for its folder", func(t Target) float64 { return t.value("assumptions.relay_disk") }}
-	relayCores  = amount{"of a relay", func(t Target) float64 { return t.value("assumptions.relay_cores") }}
-	relayStart  = amount{"for a start", func(t Target) float64 { return t.value("assumptions.relay_start") }}
-	stepCores   = amount{"for steps", func(t Target) float64 { return t.value("assumptions.step_cores") }}
-	inForce     = amount{"for a change", func(t Target) float64 { return t.value("target.in_force") }}
-	viewTold    = amount{"for a view", func(t Target) float64 { return t.value("assumptions.view_told") }}
+	relayMemory     = amount{"for what a relay holds", func(t Target) float64 { return t.value("assumptions.relay_memory") }}
+	relayDisk       = amount{"for its folder", func(t Target) float64 { return t.value("assumptions.relay_disk") }}
+	relayCores      = amount{"of a relay", func(t Target) float64 { return t.value("assumptions.relay_cores") }}
+	relayStart      = amount{"for a start", func(t Target) float64 { return t.value("assumptions.relay_start") }}
+	stepCores       = amount{"for steps", func(t Target) float64 { return t.value("assumptions.step_cores") }}
+	inForce         = amount{"for a change", func(t Target) float64 { return t.value("target.in_force") }}
+	viewTold        = amount{"for a view", func(t Target) float64 { return t.value("assumptions.view_told") }}
 	controlCores    = amount{"for control", func(t Target) float64 { return t.value("control.cores") }}
 	controlMemory   = amount{"for control", func(t Target) float64 { return t.value("control.memory") }}
 	controlNetwork  = amount{"for control", func(t Target) float64 { return t.value("control.network") }}
@@ -37,7 +37,7 @@
 	controlMachines = amount{"machines for control", func(t Target) float64 { return t.value("control.machines") }}
 )
 
-// budgets are the rows, in no order of their own.
+// budgets returns the rows, unordered: the table sorts them.
 func budgets() []budget {
 	b := []budget{
 		{messages, "relay: memory of its list", lawTerm("relay-listed", "resident_bytes", listed), relayMemory, "bytes", nil},
--- a/internal/testbed/scale/capacity/capacity_test.go
+++ b/internal/testbed/scale/capacity/capacity_test.go
@@ -17,7 +17,7 @@
 
 const repository = "../../../.."
 
-// writeFixture is one with the repository's target, and a result whose figures are drawn with 1% of noise.
+// writeFixture returns a folder with the repository's target and one result, whose figures are computed with 1% of noise.
 func writeFixture(t *testing.T) string {
 	t.Helper()
 	dir := t.TempDir()
@@ -36,7 +36,7 @@
 			n, rng := float64(size), rand.New(rand.NewPCG(seed, uint64(size)))
 			noise := func() float64 { return 1 + 0.01*rng.NormFloat64() }
 			return map[string]float64{"step_cpu_us": (2 + 0.007*n) * noise(), "resident_bytes": (1e7 + 1000*n) * noise(),
-				"start_ms": n * n * n / 1e9 * noise(), "falls_ms": 1e5 / n * noise(), // no law has a cube or a fall
+				"start_ms": n * n * n / 1e9 * noise(), "falls_ms": 1e5 / n * noise(), // no law is cubic or falls
 				"start_cpu_ms": 50 * noise()}, nil
 		},
 	}
@@ -61,7 +61,7 @@
 	return m
 }
 
-// filledPage is one with every table, filled.
+// filledPage returns a page with every table filled.
 func filledPage(t *testing.T, m *Model) []byte {
 	t.Helper()
 	text := "# Page\n"
@@ -75,7 +75,8 @@
 	return filled
 }
 
-// The page passes, and fails when one figure of any row in it, any line of the target or any sample is changed.
+// The check passes for the right page, and fails when one digit is changed in any row of it, in any line of the target or in any
+// sample.
 func TestCheckFindsOneChange(t *testing.T) {
 	dir := writeFixture(t)
 	m := readModel(t, dir)
@@ -96,13 +97,13 @@
 		}
 		lines[i] = other(line)
 		if err := m.Check("page.md", []byte(strings.Join(lines, "\n"))); err == nil {
-			t.Errorf("line %d may say %s", i+1, lines[i])
+			t.Errorf("line %d: the check accepts %s", i+1, lines[i])
 		}
 		lines[i] = line
 		changed++
 	}
 	if changed < 40 {
-		t.Errorf("%d rows have a figure, want more", changed)
+		t.Errorf("%d rows have a figure, want at least 40", changed)
 	}
 	refused := func(path string, text string) bool {
 		was, err := os.ReadFile(path)
@@ -123,7 +124,7 @@
 			t.Fatal(err)
 		}
 		if refused(path, string(data)) {
-			t.Fatalf("%s is refused as it is", name)
+			t.Fatalf("%s is rejected without a change", name)
 		}
 		figure := regexp.MustCompile(`(?m)value = [0-9._]*[0-9]| -?[0-9][0-9.e+-]*,?$`)
 		found := figure.FindAllStringIndex(string(data), -1)
@@ -133,7 +134,7 @@
 		for _, at := range found {
 			text := string(data[:at[0]]) + other(string(data[at[0]:at[1]])) + string(data[at[1]:])
 			if !refused(path, text) {
-				t.Errorf("%s may have %s", name, other(string(data[at[0]:at[1]])))
+				t.Errorf("%s: the check accepts %s", name, other(string(data[at[0]:at[1]])))
 			}
 		}
 	}
@@ -143,12 +144,12 @@
 	m := readModel(t, writeFixture(t))
 	good := string(filledPage(t, m))
 	for _, c := range []struct{ old, new, want string }{
-		{beginMark + "runs -->", "", "ends no table"},
+		{beginMark + "runs -->", "", "<!-- end --> without a table"},
 		{beginMark + "runs -->", beginMark + "walks -->", "table walks is unknown"},
-		{beginMark + "runs -->", beginMark + "target -->", "table target is unknown, or stands twice"},
-		{endMark, "", "table target has no <!-- end -->"},
-		{good, "", "has no table assumptions, budgets, days, laws, roles, runs, target"},
-		{good, good[:strings.LastIndex(good, endMark)], "table budgets has no <!-- end -->"},
+		{beginMark + "runs -->", beginMark + "target -->", "table target is unknown or a duplicate"},
+		{endMark, "", "table target has no closing <!-- end -->"},
+		{good, "", "missing tables: assumptions, budgets, days, laws, roles, runs, target"},
+		{good, good[:strings.LastIndex(good, endMark)], "table budgets has no closing <!-- end -->"},
 	} {
 		err := m.Check("page.md", []byte(strings.Replace(good, c.old, c.new, 1)))
 		if err == nil || !strings.Contains(err.Error(), c.want) || !strings.HasPrefix(err.Error(), "page.md:") {
@@ -157,11 +158,12 @@
 	}
 	was := strings.Replace(good, "\nwords\n", "\nother words, 5 of them\n", 1)
 	if err := m.Check("page.md", []byte(was)); err != nil {
-		t.Errorf("words are no figures: %v", err)
+		t.Errorf("changed text outside the tables is rejected: %v", err)
 	}
 }
 
-// What the tables say of a law that holds, of one that doesn't, and of what nobody measured.
+// Terms are evaluated by a law that holds, by the largest measurement if the law doesn't hold, and as missing if there is no
+// result.
 func TestReckoning(t *testing.T) {
 	m := readModel(t, writeFixture(t))
 	owedHere := 61e9 / 11000
@@ -181,7 +183,7 @@
 	} {
 		r := m.evalTerm(c.cost)
 		if r.certainty != c.sure || math.Abs(r.value-c.want) > 0.03*c.want {
-			t.Errorf("%s of %s: %g, sure %d, by %s; want %g, %d", c.cost.figure, c.cost.slope, r.value, r.certainty, r.text, c.want, c.sure)
+			t.Errorf("%s of %s: %g, certainty %d, by %s; want %g, %d", c.cost.figure, c.cost.slope, r.value, r.certainty, r.text, c.want, c.sure)
 		}
 	}
 	for _, c := range []struct {
@@ -195,31 +197,31 @@
 		{lawTerm("relay-held-many", "start_cpu_ms", owed), 10, math.Inf(1), "never"},
 		{lawTerm("relay-held-many", "start_ms", owed), 10, 16000 / owedHere, "≥ "},
 		{lawTerm("relay-held-many", "start_ms", owed), 0.3, 8000 / owedHere, "≤ "},
-		{lawTerm("relay-held-many", "falls_ms", owed), 0.01, 16000 / owedHere, "≥ "}, // passed below, and not any more
-		{lawTerm("relay-held-many", "falls_ms", owed), 0.003, 1000 / owedHere, "≤ "}, // passed at every size
+		{lawTerm("relay-held-many", "falls_ms", owed), 0.01, 16000 / owedHere, "≥ "}, // exceeded at smaller sizes, but not at the largest
+		{lawTerm("relay-held-many", "falls_ms", owed), 0.003, 1000 / owedHere, "≤ "}, // exceeded at every size
 		{lawTerm("relay-held-few", "start_ms", owed), 10, math.Inf(1), "not measured"},
 	} {
 		share, sign := m.targetShare(c.cost, c.limit)
 		if sign != c.sign || share != c.share && math.Abs(share-c.share) > 0.03*c.share {
-			t.Errorf("%s of %s passes %g at %s%g, want %s%g", c.cost.figure, c.cost.slope, c.limit, sign, share, c.sign, c.share)
+			t.Errorf("%s of %s exceeds %g at %s%g, want %s%g", c.cost.figure, c.cost.slope, c.limit, sign, share, c.sign, c.share)
 		}
 	}
 }
 
-// Every formula names keys that the target has, and figures in agreed units; the least share stands first.
+// Every formula uses keys that the target has and figures in known units, and the budgets are sorted by the share of the target.
 func TestFormulas(t *testing.T) {
 	m := readModel(t, writeFixture(t))
 	names := regexp.MustCompile(`^[a-z]+(-[a-z]+)+$`)
 	try := func(where string, s sum) {
 		if (s.unknown == "") == (len(s.terms) == 0) {
-			t.Errorf("%s is neither reckoned nor unknown, or both", where)
+			t.Errorf("%s has to have either terms or a reason why it is unknown", where)
 		}
 		for _, c := range s.terms {
 			if n := c.size.of(m.Target); n <= 0 || c.slope != "" && !names.MatchString(c.slope) {
 				t.Errorf("%s: %s of %s at %g", where, c.figure, c.slope, n)
 			}
 			if _, ok := displayUnits[s.unit]; !ok {
-				t.Errorf("%s is in %q", where, s.unit)
+				t.Errorf("%s has the unknown unit %q", where, s.unit)
 			}
 		}
 	}
@@ -242,7 +244,7 @@
 	want := []string{"0%", "0.253%", "≥ 0.289%", "0.494%", "1.01%", "4.46%", "520%", "not measured"}
 	for i, w := range want {
 		if got := first[2+i]; got != w && !(strings.HasPrefix(got, w[:1]) && slices.Contains([]int{1, 5}, i)) {
-			t.Errorf("row %d is passed at %s, want %s", i, got, w)
+			t.Errorf("row %d is exceeded at %s, want %s", i, got, w)
 		}
 	}
 }
--- a/internal/testbed/scale/capacity/days.go
+++ b/internal/testbed/scale/capacity/days.go
@@ -1,6 +1,6 @@
 package capacity
 
-// scenarioRow is one row of the table of days: what a role spends on one, in the mean and at the peak.
+// scenarioRow is a row of the table of days: what a role uses in a scenario, on average and at the peak.
 type scenarioRow struct {
 	name, role, what string
 	mean, peak       sum
@@ -17,7 +17,7 @@
 	noSingle  = "no slope ends a machine with messages owed, and whether its folder outlasts it is not in the target"
 )
 
-// unknownRoles are the rows of the roles of which nothing can be told on a day.
+// unknownRoles returns the rows of the roles whose use in a scenario is not known.
 func unknownRoles(name string) []scenarioRow {
 	return []scenarioRow{
 		{name, "minder to come", "all", unknown(noMinder), unknown(noMinder)},
@@ -26,7 +26,7 @@
 	}
 }
 
-// settlingRows is what a member spends while the fleet settles after something.
+// settlingRows returns the rows of what a member uses while the fleet settles after a change.
 func settlingRows(name, slope string) []scenarioRow {
 	return []scenarioRow{
 		{name, "member", "messages while it settles", inTraffic(lawTerm(slope, "mean_bytes_s", members)),
@@ -37,7 +37,7 @@
 	}
 }
 
-// stewardRows is what the stewards and a holder spend whether something happens or not, and what a leader's end costs.
+// stewardRows returns the rows of what stewards and a holder use in any scenario, and of what the loss of the leader costs.
 func stewardRows(name string) []scenarioRow {
 	return []scenarioRow{
 		{name, "steward", "the leader's processor time",
@@ -50,19 +50,19 @@
 }
 
 const (
-	ordinary = "an ordinary day"
-	machine  = "a lost machine"
-	oneRack  = "a lost rack"
-	zone     = "a lost zone"
-	cut      = "regions apart for an hour"
+	ordinary   = "an ordinary day"
+	machine    = "a lost machine"
+	oneRack    = "a lost rack"
+	zone       = "a lost zone"
+	cut        = "regions apart for an hour"
 	releaseAll = "a release of everything"
-	coldStart     = "a cold start of everything"
+	coldStart  = "a cold start of everything"
 )
 
-// frequencyKeys are how often the days come, by keys of the target.
+// frequencyKeys are the keys of the target that tell how often a scenario occurs.
 var frequencyKeys = map[string]string{machine: "faults.machines", oneRack: "faults.racks", zone: "faults.zones"}
 
-// scenarioRows are the rows, in the page's order.
+// scenarioRows returns the rows in the page's order.
 func scenarioRows() []scenarioRow {
 	var d []scenarioRow
 	add := func(rows ...scenarioRow) { d = append(d, rows...) }
--- a/internal/testbed/scale/capacity/evaluate.go
+++ b/internal/testbed/scale/capacity/evaluate.go
@@ -9,57 +9,57 @@
 	"onyxroad.dev/onyxroad/internal/testbed/scale"
 )
 
-// amount is a number that follows from the target alone, in seconds, bytes or as a count.
+// amount is a number computed from the target alone, in seconds, bytes or as a count.
 type amount struct {
-	label string // what it counts
+	label string // what the number counts
 	of    func(Target) float64
 }
 
-// term is what a law says of a size, taken so many times. Without a slope it is the size itself.
+// term is the value of a figure's law at a size, multiplied by a count. Without a slope it is the size itself.
 type term struct {
 	slope, figure string
-	size             amount
-	count         amount // zero: once
-	multiplier          *term  // another that it is multiplied by
+	size          amount
+	count         amount // 1 if it is zero
+	multiplier    *term  // another term to multiply by
 }
 
-// sum is terms added up, in seconds, bytes, bytes a second, cores or as a count; or the reason why it is not known.
+// sum is a sum of terms in seconds, bytes, bytes a second, cores or as a count; or the reason why it is not known.
 type sum struct {
 	unit    string
 	terms   []term
 	unknown string
 }
 
-// secondsPerUnit brings units of figures to seconds.
+// secondsPerUnit converts units of time to seconds.
 var secondsPerUnit = map[string]float64{"us": 1e-6, "ms": 1e-3}
 
-// kinds of what was reckoned, each less sure than the one before.
+// certainty tells how an estimate was obtained, in descending order of confidence.
 type certainty int
 
 const (
-	byLaw    certainty = iota // the law passed its prediction
-	measured                  // the law didn't: this is what was measured at the largest size
-	missing                   // no result has it
+	byLaw    certainty = iota // by a law that passed its prediction
+	measured                  // the law did not pass: the measurement at the largest size
+	missing                   // no result has the figure
 )
 
-// estimate is a value, how sure it is, and the arithmetic.
+// estimate is a computed value, its certainty, and the arithmetic as text.
 type estimate struct {
-	value float64
+	value      float64
 	certainty  certainty
-	text  string
-	decreasing bool    // it is measured, and falls with the size
-	maxError   float64 // the largest error of prediction of its laws
-	laws  []string
+	text       string
+	decreasing bool    // a measured value that falls with the size
+	maxError   float64 // the largest prediction error of its laws
+	laws       []string
 }
 
-// Model is the target with the results.
+// Model is the target with the results of slopes.
 type Model struct {
 	Target  Target
 	Results map[string]*scale.Result
 	digests map[string]string
 }
 
-// figure finds what was measured.
+// figure returns a figure of a slope with the sizes at which it was measured.
 func (m *Model) figure(slope, name string) (scale.FigureResult, []int, bool) {
 	r := m.Results[slope]
 	if r == nil {
@@ -69,7 +69,7 @@
 	return g, r.Sizes, ok
 }
 
-// termFactor is what a term is multiplied by, apart from its other term, with the words for it.
+// termFactor returns the count by which a term is multiplied, and its text.
 func (m *Model) termFactor(t term) (float64, string) {
 	if t.count.of == nil {
 		return 1, ""
@@ -78,7 +78,7 @@
 	return v, " × " + formatNumber(v) + " " + t.count.label
 }
 
-// evalTerm reckons one.
+// evalTerm evaluates a term.
 func (m *Model) evalTerm(t term) estimate {
 	n := t.size.of(m.Target)
 	times, words := m.termFactor(t)
@@ -117,7 +117,7 @@
 	return r
 }
 
-// evalSum adds up.
+// evalSum evaluates a sum.
 func (m *Model) evalSum(s sum) estimate {
 	all := estimate{}
 	var texts []string
@@ -135,7 +135,8 @@
 	return all
 }
 
-// formatSum is a sum's value, "≥" before it where it is only what was measured at the largest size, or "≈" if that falls.
+// formatSum formats the value of a sum. "≥" marks a value that was only measured, at the largest size, and "≈" one that moreover
+// falls with the size.
 func (m *Model) formatSum(s sum) string {
 	if s.unknown != "" {
 		return "not known: " + s.unknown
@@ -152,8 +153,8 @@
 	return formatQuantity(r.value, s.unit)
 }
 
-// targetShare is the part of the target at which a term first passes a limit. sign tells what is known: "" by the law, "≤" and
-// "≥" by what was measured where the law doesn't hold, "never" if the law never comes there.
+// targetShare returns the share of the target at which a term first exceeds a limit. sign is "" if that follows from the law,
+// "≤" or "≥" if it follows from measurements because the law doesn't hold, and "never" if the law never reaches the limit.
 func (m *Model) targetShare(t term, limit float64) (share float64, sign string) {
 	g, sizes, ok := m.figure(t.slope, t.figure)
 	if !ok {
@@ -183,7 +184,7 @@
 	return points[i-1].Size / whole, "≥ "
 }
 
-// formatArithmetic is a law with the numbers in it.
+// formatArithmetic formats a law with its numbers filled in.
 func formatArithmetic(f scale.Fit, n float64) string {
 	text := "(" + formatNumber(f.A) + " + " + formatNumber(f.B) + " × " + formatNumber(n)
 	switch f.Law {
@@ -197,7 +198,7 @@
 	return text + ")"
 }
 
-// formatNumber has four digits that count, and commas.
+// formatNumber formats v with four significant digits and commas.
 func formatNumber(v float64) string {
 	if v == 0 {
 		return "0"
@@ -217,10 +218,10 @@
 	return groupThousands(text)
 }
 
-// formatExact has all digits, and commas.
+// formatExact formats v with all digits and commas.
 func formatExact(v float64) string { return groupThousands(strconv.FormatFloat(v, 'f', -1, 64)) }
 
-// groupThousands puts them between the thousands of a number.
+// groupThousands inserts commas between the thousands of a number.
 func groupThousands(text string) string {
 	whole, rest, dot := strings.Cut(text, ".")
 	sign := ""
@@ -236,7 +237,7 @@
 	return sign + whole
 }
 
-// displayUnits are what a reader is told values in.
+// displayUnits are the units in which values are shown, by the unit of the value.
 var displayUnits = map[string][]struct {
 	from float64
 	name string
@@ -248,7 +249,7 @@
 	"1":       {{0, ""}},
 }
 
-// formatQuantity is a value with three digits that count, in a unit that suits it.
+// formatQuantity formats v with three significant digits, in the most suitable unit.
 func formatQuantity(v float64, unit string) string {
 	of := displayUnits[unit]
 	i := 0
--- a/internal/testbed/scale/capacity/formulas.go
+++ b/internal/testbed/scale/capacity/formulas.go
@@ -2,64 +2,64 @@
 
 import "math"
 
-// What is reckoned from what. A role's row, a day's row and a budget's row are data; reckon.go does the sums.
+// The formulas are data: rows of roles here, of scenarios in days.go, of budgets in budgets.go. evaluate.go computes them.
 
-// The amounts: sizes at the target, and how often something happens.
+// Sizes and rates at the target.
 var (
-	listed   = amount{"destinations listed", func(t Target) float64 { return t.value("target.destinations") }}
-	destinationsUsed     = amount{"destinations used", func(t Target) float64 { return t.value("target.destinations") * t.value("assumptions.used") }}
-	owed     = amount{"messages owed", func(t Target) float64 { return t.value("target.owed") / t.value("target.relays") }}
-	events   = amount{"events/s", func(t Target) float64 { return t.value("target.events") / t.value("target.relays") }}
-	members  = amount{"members", func(t Target) float64 { return t.value("target.relays") }}
-	down     = amount{"destinations down", func(t Target) float64 { return t.value("target.destinations") * t.value("target.down") }}
-	duties   = amount{"duties", func(t Target) float64 { return down.of(t) * t.value("assumptions.duties_down") }}
-	changes  = amount{"changes/s", func(t Target) float64 { return t.value("target.changes") }}
-	perRelay = amount{"of one holder of all", func(t Target) float64 { return 1 / t.value("target.relays") }}
-	restarts = amount{"ends/s", func(t Target) float64 { return endsPerDay(t) / t.value("assumptions.restart_hours") }}
-	peakRestarts    = amount{"ends/s", func(t Target) float64 { return endsPerDay(t) / t.value("assumptions.restart_peak_hours") }}
-	release  = amount{"ends and joins/s", func(t Target) float64 {
+	listed           = amount{"destinations listed", func(t Target) float64 { return t.value("target.destinations") }}
+	destinationsUsed = amount{"destinations used", func(t Target) float64 { return t.value("target.destinations") * t.value("assumptions.used") }}
+	owed             = amount{"messages owed", func(t Target) float64 { return t.value("target.owed") / t.value("target.relays") }}
+	events           = amount{"events/s", func(t Target) float64 { return t.value("target.events") / t.value("target.relays") }}
+	members          = amount{"members", func(t Target) float64 { return t.value("target.relays") }}
+	down             = amount{"destinations down", func(t Target) float64 { return t.value("target.destinations") * t.value("target.down") }}
+	duties           = amount{"duties", func(t Target) float64 { return down.of(t) * t.value("assumptions.duties_down") }}
+	changes          = amount{"changes/s", func(t Target) float64 { return t.value("target.changes") }}
+	perRelay         = amount{"of one holder of all", func(t Target) float64 { return 1 / t.value("target.relays") }}
+	restarts         = amount{"ends/s", func(t Target) float64 { return endsPerDay(t) / t.value("assumptions.restart_hours") }}
+	peakRestarts     = amount{"ends/s", func(t Target) float64 { return endsPerDay(t) / t.value("assumptions.restart_peak_hours") }}
+	release          = amount{"ends and joins/s", func(t Target) float64 {
 		return 2 * t.value("target.relays") / t.value("assumptions.release_hours")
 	}}
-	ownStarts = amount{"starts/s of one relay", func(t Target) float64 { return restarts.of(t) / t.value("target.relays") }}
+	ownStarts         = amount{"starts/s of one relay", func(t Target) float64 { return restarts.of(t) / t.value("target.relays") }}
 	relaysInRack      = amount{"machines at once", func(t Target) float64 { return t.value("assumptions.relays_in_rack") }}
-	eventsWithoutZone     = amount{"events/s without a zone", func(t Target) float64 {
+	eventsWithoutZone = amount{"events/s without a zone", func(t Target) float64 {
 		return events.of(t) * t.value("target.zones") / (t.value("target.zones") - 1)
 	}}
 	owedDuringCut = amount{"messages owed more", func(t Target) float64 {
 		return events.of(t) * t.value("faults.cut") * (1 - 1/t.value("target.regions"))
 	}}
-	stewards = amount{"stewards", func(t Target) float64 { return t.value("assumptions.stewards") }}
-	memberLineBytes     = amount{"bytes", func(t Target) float64 { return t.value("assumptions.member_line") }}
-	// exchanges is how often a member begins a full one: memberlist does so every 30 s, and every 30 s more seldom for each
-	// doubling beyond 32 members.
+	stewards        = amount{"stewards", func(t Target) float64 { return t.value("assumptions.stewards") }}
+	memberLineBytes = amount{"bytes", func(t Target) float64 { return t.value("assumptions.member_line") }}
+	// exchanges is how often a member starts a full state exchange: memberlist does so every 30 s, plus 30 s for each doubling
+	// beyond 32 members.
 	exchanges = amount{"exchanges/s", func(t Target) float64 {
 		return 1 / (30 * (1 + max(0, math.Ceil(math.Log2(members.of(t)/32)))))
 	}}
-	fullLists   = amount{"relays", func(t Target) float64 { return t.value("target.relays") }}
+	fullLists             = amount{"relays", func(t Target) float64 { return t.value("target.relays") }}
 	fullListsPerBandwidth = amount{"relays to a byte a second of all machines for control", func(t Target) float64 {
 		return t.value("target.relays") / (t.value("control.machines") * t.value("assumptions.steward_network"))
 	}}
-	listLimit  = amount{"destinations at most", func(t Target) float64 { return t.value("assumptions.list_most") }}
+	listLimit = amount{"destinations at most", func(t Target) float64 { return t.value("assumptions.list_most") }}
 	dutyLimit = amount{"duties at most", func(t Target) float64 { return t.value("assumptions.duties_most") }}
-	zero  = amount{"", func(Target) float64 { return 0 }}
-	relays   = amount{"relays", func(t Target) float64 { return t.value("target.relays") }}
+	zero      = amount{"", func(Target) float64 { return 0 }}
+	relays    = amount{"relays", func(t Target) float64 { return t.value("target.relays") }}
 )
 
-// endsPerDay is how many members end in a day.
+// endsPerDay returns how many members stop in a day.
 func endsPerDay(t Target) float64 {
 	return 86400 * (t.value("faults.restarts") + t.value("faults.machines")*t.value("assumptions.relays_in_machine"))
 }
 
-// lawTerm is a term of one lawTerm.
+// lawTerm returns the value of a law at a size.
 func lawTerm(slope, figure string, n amount) term { return term{slope: slope, figure: figure, size: n} }
 
-// lawTimes is a term of one law, so many times.
+// lawTimes returns the value of a law at a size, multiplied by a count or a rate.
 func lawTimes(slope, figure string, n, times amount) term {
 	return term{slope: slope, figure: figure, size: n, count: times}
 }
 
-// churnCost is what a member spends beside its rest on ends and joins that come so often: the mean of one while the fleet
-// settles, by the time of that. It counts the rest twice, and so too much.
+// churnCost returns what a member uses at rest and for members that stop and join at a rate: the mean during the settling after
+// one of them, times the settling time. It is an overestimate, because it counts the use at rest twice.
 func churnCost(figure string, rate amount) sum {
 	unit := "cores"
 	if figure == "bytes_s" {
@@ -70,14 +70,14 @@
 		{slope: "member-loss-one", figure: "mean_" + figure, size: members, count: rate, multiplier: &settle}}}
 }
 
-// The sums, by what they are in; or why one is not known.
+// Sums by their unit, and the sum that is unknown for a reason.
 func inCores(terms ...term) sum   { return sum{unit: "cores", terms: terms} }
 func inTime(terms ...term) sum    { return sum{unit: "s", terms: terms} }
 func inBytes(terms ...term) sum   { return sum{unit: "bytes", terms: terms} }
 func inTraffic(terms ...term) sum { return sum{unit: "bytes/s", terms: terms} }
 func unknown(why string) sum      { return sum{unknown: why} }
 
-// role is one row of the table of roles.
+// role is a row of the table of roles.
 type role struct {
 	name, what, mechanism string
 	cost                  sum
--- a/internal/testbed/scale/capacity/page.go
+++ b/internal/testbed/scale/capacity/page.go
@@ -8,14 +8,14 @@
 	"strings"
 )
 
-var errUnclosedTable = errors.New("has no <!-- end -->")
+var errUnclosedTable = errors.New("has no closing <!-- end -->")
 
 const (
 	beginMark = "<!-- table "
 	endMark   = "<!-- end -->"
 )
 
-// Check tells where a page says something else than the tables do, or has not each of them once; nil if it agrees.
+// Check returns an error if a table in the page differs from the computed one, or if the page doesn't have each table once.
 func (m *Model) Check(path string, page []byte) error {
 	want, err := m.Fill(path, page)
 	if err != nil {
@@ -28,17 +28,17 @@
 			if i < len(wantLines) {
 				right = wantLines[i]
 			}
-			return fmt.Errorf("%s:%d: the page says\n%s\nand the figures give\n%s", path, i+1, gotLines[i], right)
+			return fmt.Errorf("%s:%d: the page has\n%s\nwant\n%s", path, i+1, gotLines[i], right)
 		}
 	}
 	if len(wantLines) > len(gotLines) {
-		return fmt.Errorf("%s:%d: the page ends too early", path, len(gotLines))
+		return fmt.Errorf("%s:%d: unexpected end of the page", path, len(gotLines))
 	}
 	return nil
 }
 
-// Fill puts the tables in their places in a page and leaves its words alone. A marker that is unknown, missing, twice there
-// or has no end is an error that names file and line.
+// Fill replaces the tables in a page and keeps its other text. A marker that is unknown, missing, duplicate or not closed is an
+// error that names file and line.
 func (m *Model) Fill(path string, page []byte) ([]byte, error) {
 	pending := map[string]string{}
 	for _, t := range m.Tables() {
@@ -56,7 +56,7 @@
 			case openTable != "":
 				return nil, fmt.Errorf("%s:%d: table %s %w", path, openLine, openTable, errUnclosedTable)
 			case !known:
-				return nil, fmt.Errorf("%s:%d: table %s is unknown, or stands twice", path, n, name)
+				return nil, fmt.Errorf("%s:%d: table %s is unknown or a duplicate", path, n, name)
 			}
 			delete(pending, name)
 			openTable, openLine = name, n
@@ -65,7 +65,7 @@
 		}
 		if text == endMark {
 			if openTable == "" {
-				return nil, fmt.Errorf("%s:%d: %s ends no table", path, n, endMark)
+				return nil, fmt.Errorf("%s:%d: %s without a table", path, n, endMark)
 			}
 			openTable = ""
 		}
@@ -77,7 +77,7 @@
 		return nil, fmt.Errorf("%s:%d: table %s %w", path, openLine, openTable, errUnclosedTable)
 	}
 	if len(pending) > 0 {
-		return nil, fmt.Errorf("%s:%d: has no table %s", path, n, strings.Join(slices.Sorted(maps.Keys(pending)), ", "))
+		return nil, fmt.Errorf("%s:%d: missing tables: %s", path, n, strings.Join(slices.Sorted(maps.Keys(pending)), ", "))
 	}
 	return []byte(out.String()), nil
 }
--- a/internal/testbed/scale/capacity/tables.go
+++ b/internal/testbed/scale/capacity/tables.go
@@ -15,7 +15,7 @@
 	"onyxroad.dev/onyxroad/internal/testbed/scale"
 )
 
-// Read reads the target, and the results that are there, from a folder.
+// Read reads the target and all results from a folder.
 func Read(dir string) (*Model, error) {
 	t, err := ReadTarget(filepath.Join(dir, "target.toml"))
 	if err != nil {
@@ -42,16 +42,16 @@
 	return m, nil
 }
 
-// Table is one of the page's, in Markdown.
+// Table is a table of the page in Markdown.
 type Table struct{ Name, Text string }
 
-// Tables are the page's, in its order.
+// Tables returns the tables in the page's order.
 func (m *Model) Tables() []Table {
 	return []Table{{"target", m.targetTable(false)}, {"assumptions", m.targetTable(true)}, {"runs", m.runsTable()}, {"laws", m.lawsTable()},
 		{"roles", m.rolesTable()}, {"days", m.scenariosTable()}, {"budgets", m.budgetsTable()}}
 }
 
-// markdownTable writes a table.
+// markdownTable formats a table.
 func markdownTable(head []string, body [][]string) string {
 	var b strings.Builder
 	write := func(cells []string) { b.WriteString("| " + strings.Join(cells, " | ") + " |\n") }
@@ -78,7 +78,7 @@
 	return markdownTable(head, body)
 }
 
-// slopeNames are those of the results, in the order of the alphabet.
+// slopeNames returns the names of the slopes that have results, sorted.
 func (m *Model) slopeNames() []string { return slices.Sorted(maps.Keys(m.Results)) }
 
 func (m *Model) runsTable() string {
@@ -115,7 +115,7 @@
 		"measured", "error", "used"}, body)
 }
 
-// formatLaw is a law as a reader writes it.
+// formatLaw formats a law as a function of n.
 func formatLaw(f scale.Fit) string {
 	n := map[scale.Law]string{scale.Linear: " n", scale.Linearithmic: " n ln n", scale.Quadratic: " n²"}[f.Law]
 	if n == "" {
@@ -187,7 +187,7 @@
 			if c.certainty != missing {
 				r.cells[5], r.cells[6] = strings.Join(c.laws, ", "), formatPercent(c.maxError)
 			} else {
-				r.share = math.MaxFloat64 // behind what is known to pass, before what never does: nobody knows
+				r.share = math.MaxFloat64 // not measured: sorted after known shares and before "never"
 			}
 		}
 		body = append(body, r)
@@ -200,7 +200,7 @@
 	return markdownTable([]string{"passed at, of the target", "for", "figure", "at the target", "budget", "law", "error"}, text)
 }
 
-// formatShare is a share of the target, for a reader.
+// formatShare formats a share of the target.
 func formatShare(share float64) string {
 	if share > 10 {
 		return formatQuantity(share, "1") + " times"
--- a/internal/testbed/scale/capacity/target.go
+++ b/internal/testbed/scale/capacity/target.go
@@ -1,5 +1,5 @@
-// Package capacity works out what each role costs at the target, from the laws that slopes measured, and keeps the tables
-// of the page in agreement with them. What is reckoned from what stands as data in formulas.go.
+// Package capacity computes what each role costs at the target, from the laws that slopes measured, and checks or fills the
+// tables of the capacity page. The formulas are data in formulas.go, budgets.go and days.go.
 package capacity
 
 import (
@@ -17,17 +17,17 @@
 	"onyxroad.dev/onyxroad/internal/settings"
 )
 
-// Quantity is one figure of the target.
+// Quantity is a value of the target with its unit.
 type Quantity struct {
 	Value  *float64 `toml:"value"`
 	Unit   string   `toml:"unit"`
-	Reason string   `toml:"reason"` // of an assumption: why this much
+	Reason string   `toml:"reason"` // the reason for an assumption
 }
 
-// Target is what the system has to carry, by "target.relays" and so on.
+// Target is the load that the system has to carry, by key, for example "target.relays".
 type Target map[string]Quantity
 
-// targetKeys are those that a target has, with their units, in the page's order. Each has to be there.
+// targetKeys lists the keys of a target with their units, in the page's order. All are required.
 var targetKeys = []struct{ name, unit string }{
 	{"target.relays", "relays"}, {"target.events", "1/s"}, {"target.destinations", "destinations"}, {"target.down", "share"},
 	{"target.owed", "messages"}, {"target.regions", "regions"}, {"target.zones", "zones"}, {"target.changes", "1/day"},
@@ -45,16 +45,17 @@
 	{"assumptions.steward_network", "KB/s"}, {"assumptions.member_line", "bytes"},
 }
 
-// unitFactors bring a unit of the target to the one that is reckoned in: seconds, bytes and bytes a second.
+// unitFactors convert units of the target to seconds, bytes and bytes a second.
 var unitFactors = map[string]float64{
 	"MB": 1e6, "KB/s": 1e3, "h": 3600, "1/day": 1 / 86400.0, "1/week": 1 / (7 * 86400.0), "1/month": 12 / (365 * 86400.0),
 }
 
-// value is a figure in seconds, bytes, or the unit that it has. There is a test that every formula names one that is there.
+// value returns a figure in seconds or bytes, or in its own unit. It panics if the name is unknown; a test checks that every
+// formula uses known names.
 func (t Target) value(name string) float64 {
 	q, ok := t[name]
 	if !ok {
-		panic("capacity: the target has no " + name)
+		panic("capacity: the target has no key " + name)
 	}
 	if f, ok := unitFactors[q.Unit]; ok {
 		return *q.Value * f
@@ -62,7 +63,7 @@
 	return *q.Value
 }
 
-// ReadTarget reads the file at path.
+// ReadTarget reads a target from the file at path.
 func ReadTarget(path string) (Target, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -71,8 +72,8 @@
 	return ParseTarget(path, data)
 }
 
-// ParseTarget reads the text of the file at path, strictly: a key that is unknown, missing or on no line of its own, a unit
-// that is not the key's, or a value that makes no sense is an error that names file, line and key.
+// ParseTarget parses the content of the file at path strictly. A key that is unknown, missing or without a line of its own, a
+// wrong unit and an invalid value are errors that name file, line and key.
 func ParseTarget(path string, data []byte) (Target, error) {
 	var file map[string]map[string]Quantity
 	if err := toml.NewDecoder(bytes.NewReader(data)).DisallowUnknownFields().Decode(&file); err != nil {
@@ -99,10 +100,10 @@
 		section, key, _ := strings.Cut(k.name, ".")
 		q, ok := file[section][key]
 		if !ok {
-			return nil, fmt.Errorf("%s:%d: %s: is missing", path, max(1, sections[section]), k.name)
+			return nil, fmt.Errorf("%s:%d: %s: missing", path, max(1, sections[section]), k.name)
 		}
 		if lines[k.name] == 0 {
-			return nil, fmt.Errorf("%s:%d: %s: has no line of its own", path, max(1, sections[section]), k.name)
+			return nil, fmt.Errorf("%s:%d: %s: not on a line of its own", path, max(1, sections[section]), k.name)
 		}
 		if err := q.check(k.unit, section == "assumptions"); err != nil {
 			return nil, fmt.Errorf("%s:%d: %s: %w", path, lines[k.name], k.name, err)
@@ -112,26 +113,26 @@
 	return t, nil
 }
 
-// check tells what makes no sense of a figure that has to be in a unit.
+// check checks a figure's value, unit and reason.
 func (q Quantity) check(unit string, assumed bool) error {
 	switch {
 	case q.Value == nil:
-		return errors.New("value is missing")
+		return errors.New("missing value")
 	case q.Unit != unit:
-		return fmt.Errorf("unit %q makes no sense, it is in %q", q.Unit, unit)
+		return fmt.Errorf("wrong unit %q, want %q", q.Unit, unit)
 	case !(*q.Value > 0) || math.IsInf(*q.Value, 0):
-		return fmt.Errorf("value %g is not above 0", *q.Value)
+		return fmt.Errorf("value %g is not positive and finite", *q.Value)
 	case unit == "share" && *q.Value > 1:
-		return fmt.Errorf("value %g is more than all", *q.Value)
+		return fmt.Errorf("share %g is above 1", *q.Value)
 	case assumed && q.Reason == "":
-		return errors.New("reason is missing: it is an assumption")
+		return errors.New("missing reason: required for an assumption")
 	case !assumed && q.Reason != "":
-		return errors.New("unknown key reason: it is no assumption")
+		return errors.New("unknown key reason: only assumptions have one")
 	}
 	return nil
 }
 
-// keyLines finds the lines of the keys and of the sections, from 1.
+// keyLines returns the lines of the keys and of the sections, counted from 1.
 func keyLines(data []byte) (lines, sections map[string]int) {
 	lines, sections = map[string]int{}, map[string]int{}
 	section, n := "", 0
