--- a/internal/testbed/scale/capacity/capacity_test.go
+++ b/internal/testbed/scale/capacity/capacity_test.go
@@ -217,7 +217,7 @@
 			t.Errorf("%s has to have either terms or a reason why it is unknown", where)
 		}
 		for _, c := range s.terms {
-			if n := c.size.of(m.Target); n <= 0 || c.slope != "" && !names.MatchString(c.slope) {
+			if n := c.size.eval(m.Target); n <= 0 || c.slope != "" && !names.MatchString(c.slope) {
 				t.Errorf("%s: %s of %s at %g", where, c.figure, c.slope, n)
 			}
 			if _, ok := displayUnits[s.unit]; !ok {
--- a/internal/testbed/scale/capacity/evaluate.go
+++ b/internal/testbed/scale/capacity/evaluate.go
@@ -12,7 +12,7 @@
 // amount is a number computed from the target alone, in seconds, bytes or as a count.
 type amount struct {
 	label string // what the number counts
-	of    func(Target) float64
+	eval  func(Target) float64
 }
 
 // term is the value of a figure's law at a size, multiplied by a count. Without a slope it is the size itself.
@@ -71,16 +71,16 @@
 
 // termFactor returns the count by which a term is multiplied, and its text.
 func (m *Model) termFactor(t term) (float64, string) {
-	if t.count.of == nil {
+	if t.count.eval == nil {
 		return 1, ""
 	}
-	v := t.count.of(m.Target)
+	v := t.count.eval(m.Target)
 	return v, " × " + formatNumber(v) + " " + t.count.label
 }
 
 // evalTerm evaluates a term.
 func (m *Model) evalTerm(t term) estimate {
-	n := t.size.of(m.Target)
+	n := t.size.eval(m.Target)
 	times, words := m.termFactor(t)
 	if t.slope == "" {
 		return estimate{value: n * times, text: formatNumber(n) + " " + t.size.label + words}
@@ -165,7 +165,7 @@
 		times *= f
 	}
 	limit /= times
-	whole := t.size.of(m.Target)
+	whole := t.size.eval(m.Target)
 	if g.Used {
 		n, ok := g.Fit.Reaches(limit)
 		if !ok {
--- a/internal/testbed/scale/capacity/formulas.go
+++ b/internal/testbed/scale/capacity/formulas.go
@@ -12,7 +12,7 @@
 	events           = amount{"events/s", func(t Target) float64 { return t.value("target.events") / t.value("target.relays") }}
 	members          = amount{"members", func(t Target) float64 { return t.value("target.relays") }}
 	down             = amount{"destinations down", func(t Target) float64 { return t.value("target.destinations") * t.value("target.down") }}
-	duties           = amount{"duties", func(t Target) float64 { return down.of(t) * t.value("assumptions.duties_down") }}
+	duties           = amount{"duties", func(t Target) float64 { return down.eval(t) * t.value("assumptions.duties_down") }}
 	changes          = amount{"changes/s", func(t Target) float64 { return t.value("target.changes") }}
 	perRelay         = amount{"of one holder of all", func(t Target) float64 { return 1 / t.value("target.relays") }}
 	restarts         = amount{"ends/s", func(t Target) float64 { return endsPerDay(t) / t.value("assumptions.restart_hours") }}
@@ -20,20 +20,20 @@
 	release          = amount{"ends and joins/s", func(t Target) float64 {
 		return 2 * t.value("target.relays") / t.value("assumptions.release_hours")
 	}}
-	ownStarts         = amount{"starts/s of one relay", func(t Target) float64 { return restarts.of(t) / t.value("target.relays") }}
+	ownStarts         = amount{"starts/s of one relay", func(t Target) float64 { return restarts.eval(t) / t.value("target.relays") }}
 	relaysInRack      = amount{"machines at once", func(t Target) float64 { return t.value("assumptions.relays_in_rack") }}
 	eventsWithoutZone = amount{"events/s without a zone", func(t Target) float64 {
-		return events.of(t) * t.value("target.zones") / (t.value("target.zones") - 1)
+		return events.eval(t) * t.value("target.zones") / (t.value("target.zones") - 1)
 	}}
 	owedDuringCut = amount{"messages owed more", func(t Target) float64 {
-		return events.of(t) * t.value("faults.cut") * (1 - 1/t.value("target.regions"))
+		return events.eval(t) * t.value("faults.cut") * (1 - 1/t.value("target.regions"))
 	}}
 	stewards        = amount{"stewards", func(t Target) float64 { return t.value("assumptions.stewards") }}
 	memberLineBytes = amount{"bytes", func(t Target) float64 { return t.value("assumptions.member_line") }}
 	// exchanges is how often a member starts a full state exchange: memberlist does so every 30 s, plus 30 s for each doubling
 	// beyond 32 members.
 	exchanges = amount{"exchanges/s", func(t Target) float64 {
-		return 1 / (30 * (1 + max(0, math.Ceil(math.Log2(members.of(t)/32)))))
+		return 1 / (30 * (1 + max(0, math.Ceil(math.Log2(members.eval(t)/32)))))
 	}}
 	fullLists             = amount{"relays", func(t Target) float64 { return t.value("target.relays") }}
 	fullListsPerBandwidth = amount{"relays to a byte a second of all machines for control", func(t Target) float64 {
--- a/internal/testbed/scale/capacity/tables.go
+++ b/internal/testbed/scale/capacity/tables.go
@@ -170,12 +170,12 @@
 	for _, b := range budgets() {
 		r := row{cells: []string{"", b.purpose, b.what, "", "", "", ""}}
 		if f := b.fixed; f != nil {
-			has, needs := f.current.of(m.Target), f.required.of(m.Target)
+			has, needs := f.current.eval(m.Target), f.required.eval(m.Target)
 			r.share = has / needs
 			r.cells[0], r.cells[5] = formatShare(r.share), "a bound of today"
 			r.cells[3], r.cells[4] = formatNumber(needs)+" "+f.required.label, strings.TrimSpace(formatNumber(has)+" "+f.current.label)
 		} else {
-			share, sign := m.targetShare(b.cost, b.limit.of(m.Target))
+			share, sign := m.targetShare(b.cost, b.limit.eval(m.Target))
 			c := m.evalTerm(b.cost)
 			r.share = share
 			r.cells[0] = sign
@@ -183,7 +183,7 @@
 				r.cells[0] = sign + formatShare(share)
 			}
 			r.cells[3] = m.formatSum(sum{unit: b.unit, terms: []term{b.cost}})
-			r.cells[4] = formatQuantity(b.limit.of(m.Target), b.unit) + " " + b.limit.label
+			r.cells[4] = formatQuantity(b.limit.eval(m.Target), b.unit) + " " + b.limit.label
 			if c.certainty != missing {
 				r.cells[5], r.cells[6] = strings.Join(c.laws, ", "), formatPercent(c.maxError)
 			} else {
