--- a/internal/testbed/duties/history_test.go
+++ b/internal/testbed/duties/history_test.go
@@ -20,14 +20,14 @@
 	}
 }
 
-func TestAuditPassesWhatIsRight(t *testing.T) {
+func TestAuditAcceptsValidHistory(t *testing.T) {
 	h := validHistory()
 	if v := h.Audit(); !v.Linearizable || v.Unknown || v.StaleAccepted+v.LeaseOverlaps+v.ReusedEpochs != 0 {
 		t.Errorf("%+v", v)
 	}
 }
 
-func TestAuditFindsEachBreach(t *testing.T) {
+func TestAuditFindsEachViolation(t *testing.T) {
 	for name, c := range map[string]struct {
 		change func(*History)
 		found  func(AuditResult) bool
--- a/internal/testbed/scale/capacity/capacity_test.go
+++ b/internal/testbed/scale/capacity/capacity_test.go
@@ -164,7 +164,7 @@
 
 // Terms are evaluated by a law that holds, by the largest measurement if the law doesn't hold, and as missing if there is no
 // result.
-func TestReckoning(t *testing.T) {
+func TestEvaluation(t *testing.T) {
 	m := readModel(t, writeFixture(t))
 	owedHere := 61e9 / 11000
 	for _, c := range []struct {
--- a/internal/testbed/scale/capacity/formulas.go
+++ b/internal/testbed/scale/capacity/formulas.go
@@ -2,7 +2,7 @@
 
 import "math"
 
-// The formulas are data: rows of roles here, of scenarios in days.go, of budgets in budgets.go. evaluate.go computes them.
+// The formulas are data: rows of roles here, of scenarios in scenarios.go, of budgets in budgets.go. evaluate.go computes them.
 
 // Sizes and rates at the target.
 var (
--- a/internal/testbed/scale/capacity/target.go
+++ b/internal/testbed/scale/capacity/target.go
@@ -1,5 +1,5 @@
 // Package capacity computes what each role costs at the target, from the laws that slopes measured, and checks or fills the
-// tables of the capacity page. The formulas are data in formulas.go, budgets.go and days.go.
+// tables of the capacity page. The formulas are data in formulas.go, budgets.go and scenarios.go.
 package capacity
 
 import (
--- a/internal/testbed/scale/relayslope/child.go
+++ b/internal/testbed/scale/relayslope/child.go
@@ -47,7 +47,7 @@
 	CPU      time.Duration // processor time of the process
 	Wall     time.Duration
 	Loop     time.Duration // processor time of the thread of the relay's loop
-	LoopSeen bool          // whether that thread is known
+	LoopSeen bool          // whether the thread is known
 	Heap     int64         // bytes, after a garbage collection; 0 unless asked for
 	Resident int64         // bytes
 	Log      *logState     // result of a logJob
