--- a/internal/testbed/scale/relayslope/process.go
+++ b/internal/testbed/scale/relayslope/process.go
@@ -59,8 +59,8 @@
 }
 
 // query sends a command to the child and returns its answer.
-func (c *child) query(word string) (childState, error) {
-	if _, err := fmt.Fprintln(c.in, word); err != nil {
+func (c *child) query(command string) (childState, error) {
+	if _, err := fmt.Fprintln(c.in, command); err != nil {
 		return childState{}, fmt.Errorf("relayslope: child: %w", err)
 	}
 	return c.readState()
