--- a/internal/testbed/duties/history.go
+++ b/internal/testbed/duties/history.go
@@ -8,69 +8,69 @@
 	"github.com/anishathalye/porcupine"
 )
 
-// Claim is a term that a worker began, as the worker wrote it down before its first effect.
+// Claim is the beginning of a term. The worker records it before the term's first effect.
 type Claim struct {
-	Worker  string        `json:"worker"`
-	Duty    string        `json:"duty"`
-	Epoch   uint64        `json:"epoch"`
-	Wished  time.Duration `json:"wished"`  // when the claim was first made
-	Granted time.Duration `json:"granted"` // when its holder began
+	Worker    string        `json:"worker"`
+	Duty      string        `json:"duty"`
+	Epoch     uint64        `json:"epoch"`
+	Requested time.Duration `json:"wished"`  // when the claim was first made
+	Granted   time.Duration `json:"granted"` // when the worker learned of the grant
 }
 
-// End is how a term ended, as the worker saw it.
+// End is the end of a term as the worker recorded it.
 type End struct {
 	Worker string        `json:"worker"`
 	Duty   string        `json:"duty"`
 	Epoch  uint64        `json:"epoch"`
 	At     time.Duration `json:"at"`
-	Lost   bool          `json:"lost"` // its lease was over
+	Lost   bool          `json:"lost"` // the lease expired
 }
 
-// Effect is one effect as its receiver saw it.
+// Effect is an effect as its receiver recorded it.
 type Effect struct {
-	Worker, Duty string
-	Receiver     int
-	Epoch        uint64
-	Sent         time.Duration // by the worker, which found its lease valid after that moment
-	Came, Done   time.Duration
-	Taken        bool
+	Worker, Duty        string
+	Receiver            int
+	Epoch               uint64
+	Sent                time.Duration // by the worker, which checked its lease after taking this time
+	Received, Processed time.Duration
+	Accepted            bool
 }
 
-// History is what one fleet did. Times are of the machine's monotonic clock, which all processes share.
+// History is everything that one fleet recorded. Times are from the machine's monotonic clock, which all processes share.
 type History struct {
 	Claims  []Claim
 	Ends    []End
 	Effects []Effect
 }
 
-// Verdict is what an audit of a history says. It shares no code with the programs that made it.
-type Verdict struct {
-	Linearizable bool // by porcupine, every duty
-	Unknown      bool // it could not be told in time
-	OlderTaken   int  // effects that were taken after one with a newer epoch, at one receiver
-	Overlaps     int  // effects that were sent under a valid lease after another holder had begun to
-	Reused       int  // epochs that were granted twice
+// AuditResult is the result of auditing a history. The audit shares no code with the programs under test.
+type AuditResult struct {
+	Linearizable  bool // porcupine's verdict over all duties
+	Unknown       bool // porcupine reached checkTimeout
+	StaleAccepted int  // effects accepted after one with a newer epoch at the same receiver
+	LeaseOverlaps int  // effects sent under a valid lease after a newer holder had sent one
+	ReusedEpochs  int  // epochs granted more than once
 }
 
-// state is what the model knows of one duty: which epochs were granted, and the highest that each receiver took.
-type state struct {
-	granted uint64
-	taken   [receivers]uint64
+// dutyState is the model's state of one duty: the highest epoch granted, and the highest that each receiver accepted.
+type dutyState struct {
+	granted  uint64
+	accepted [receiversPerFleet]uint64
 }
 
-// input is one operation: a grant, or an effect at a receiver.
-type input struct {
+// operation is the input of a step of the model: a grant, or an effect at a receiver.
+type operation struct {
 	effect   bool
 	receiver int
 	epoch    uint64
 }
 
-// model is a duty as it ought to be: epochs grow with each grant, a receiver takes an effect if its epoch was granted and none
-// newer was taken there, and refuses it only if one was.
+// model is the sequential specification of a duty: epochs grow with each grant; a receiver accepts an effect if its epoch was
+// granted and it has accepted none with a newer one, and refuses it only if it has.
 var model = porcupine.Model{
-	Init: func() any { return state{} },
+	Init: func() any { return dutyState{} },
 	Step: func(s, in, out any) (bool, any) {
-		x, op := s.(state), in.(input)
+		x, op := s.(dutyState), in.(operation)
 		switch {
 		case !op.effect:
 			if op.epoch <= x.granted {
@@ -79,20 +79,20 @@
 			x.granted = op.epoch
 			return true, x
 		case !out.(bool):
-			return op.epoch < x.taken[op.receiver], x
-		case op.epoch > x.granted || op.epoch < x.taken[op.receiver]:
+			return op.epoch < x.accepted[op.receiver], x
+		case op.epoch > x.granted || op.epoch < x.accepted[op.receiver]:
 			return false, x
 		}
-		x.taken[op.receiver] = op.epoch
+		x.accepted[op.receiver] = op.epoch
 		return true, x
 	},
 }
 
-const checkFor = 30 * time.Second
+const checkTimeout = 30 * time.Second
 
-// Audit judges a history.
-func (h *History) Audit() (v Verdict) {
-	v.Linearizable = true
+// Audit checks a history against the model and counts violations of the rules for epochs and leases.
+func (h *History) Audit() (result AuditResult) {
+	result.Linearizable = true
 	ops := map[string][]porcupine.Operation{}
 	clients := map[string]int{}
 	client := func(name string) int {
@@ -104,45 +104,45 @@
 	granted := map[uint64]Claim{}
 	for _, c := range h.Claims {
 		if o, ok := granted[c.Epoch]; ok && (o.Worker != c.Worker || o.Duty != c.Duty) {
-			v.Reused++
+			result.ReusedEpochs++
 		}
 		granted[c.Epoch] = c
-		ops[c.Duty] = append(ops[c.Duty], porcupine.Operation{ClientId: client(c.Worker), Input: input{epoch: c.Epoch}, Call: int64(c.Wished),
+		ops[c.Duty] = append(ops[c.Duty], porcupine.Operation{ClientId: client(c.Worker), Input: operation{epoch: c.Epoch}, Call: int64(c.Requested),
 			Output: true, Return: int64(c.Granted)})
 	}
-	by := map[string][]Effect{}
+	effectsByDuty := map[string][]Effect{}
 	for _, e := range h.Effects {
-		by[e.Duty] = append(by[e.Duty], e)
+		effectsByDuty[e.Duty] = append(effectsByDuty[e.Duty], e)
 		ops[e.Duty] = append(ops[e.Duty], porcupine.Operation{ClientId: client(e.Worker),
-			Input: input{effect: true, receiver: e.Receiver, epoch: e.Epoch}, Call: int64(e.Came), Output: e.Taken, Return: int64(e.Done)})
+			Input: operation{effect: true, receiver: e.Receiver, epoch: e.Epoch}, Call: int64(e.Received), Output: e.Accepted, Return: int64(e.Processed)})
 	}
 	for _, all := range ops {
-		switch porcupine.CheckOperationsTimeout(model, all, checkFor) {
+		switch porcupine.CheckOperationsTimeout(model, all, checkTimeout) {
 		case porcupine.Illegal:
-			v.Linearizable = false
+			result.Linearizable = false
 		case porcupine.Unknown:
-			v.Unknown = true
+			result.Unknown = true
 		}
 	}
-	for _, all := range by {
-		slices.SortFunc(all, func(a, b Effect) int { return cmp.Compare(a.Done, b.Done) })
-		var high [receivers]uint64
+	for _, all := range effectsByDuty {
+		slices.SortFunc(all, func(a, b Effect) int { return cmp.Compare(a.Processed, b.Processed) })
+		var highest [receiversPerFleet]uint64
 		for _, e := range all {
-			if e.Taken && e.Epoch < high[e.Receiver] {
-				v.OlderTaken++
+			if e.Accepted && e.Epoch < highest[e.Receiver] {
+				result.StaleAccepted++
 			}
-			if e.Taken {
-				high[e.Receiver] = max(high[e.Receiver], e.Epoch)
+			if e.Accepted {
+				highest[e.Receiver] = max(highest[e.Receiver], e.Epoch)
 			}
 		}
 		slices.SortFunc(all, func(a, b Effect) int { return cmp.Compare(a.Sent, b.Sent) })
 		newest := uint64(0)
 		for _, e := range all {
 			if e.Epoch < newest {
-				v.Overlaps++
+				result.LeaseOverlaps++
 			}
 			newest = max(newest, e.Epoch)
 		}
 	}
-	return v
+	return result
 }
--- a/internal/testbed/duties/receiver.go
+++ b/internal/testbed/duties/receiver.go
@@ -12,7 +12,7 @@
 	"onyxroad.dev/onyxroad/internal/duty"
 )
 
-// receiver takes effects, and keeps the highest epoch of each duty as everything does that takes any: by a duty.Fence.
+// receiver accepts effects over HTTP and refuses those with an old epoch by a duty.Fence, as every receiver of effects does.
 type receiver struct {
 	index   int
 	dir     string
@@ -33,17 +33,17 @@
 	if err := r.restart(); err != nil {
 		return nil, err
 	}
-	l, err := net.Listen("tcp4", addr)
+	listener, err := net.Listen("tcp4", addr)
 	if err != nil {
 		return nil, fmt.Errorf("duties: %w", err)
 	}
-	r.addr = l.Addr().String()
-	r.server = &http.Server{Handler: http.HandlerFunc(r.take)}
-	go r.server.Serve(l)
+	r.addr = listener.Addr().String()
+	r.server = &http.Server{Handler: http.HandlerFunc(r.handleEffect)}
+	go r.server.Serve(listener)
 	return r, nil
 }
 
-// restart has it forget all that is not on disk.
+// restart simulates a restart: the fence is read from disk again.
 func (r *receiver) restart() (err error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -51,21 +51,21 @@
 	return err
 }
 
-func (r *receiver) take(w http.ResponseWriter, req *http.Request) {
+func (r *receiver) handleEffect(w http.ResponseWriter, req *http.Request) {
 	var e effect
 	if err := json.NewDecoder(http.MaxBytesReader(w, req.Body, 4096)).Decode(&e); err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	came := Now()
+	received := MonotonicTime()
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	err := error(nil)
 	if !r.noFence {
 		err = r.fence.Admit(e.Duty, e.Epoch)
 	}
-	r.effects = append(r.effects, Effect{Worker: e.Worker, Duty: e.Duty, Receiver: r.index, Epoch: e.Epoch, Sent: e.Sent, Came: came,
-		Done: Now(), Taken: err == nil})
+	r.effects = append(r.effects, Effect{Worker: e.Worker, Duty: e.Duty, Receiver: r.index, Epoch: e.Epoch, Sent: e.Sent, Received: received,
+		Processed: MonotonicTime(), Accepted: err == nil})
 	if errors.Is(err, duty.ErrFenced) {
 		http.Error(w, err.Error(), http.StatusConflict)
 	} else if err != nil {
--- a/internal/testbed/duties/worker.go
+++ b/internal/testbed/duties/worker.go
@@ -19,40 +19,39 @@
 	"onyxroad.dev/onyxroad/internal/duty/holder"
 )
 
-// receivers is how many there are of each fleet.
-const receivers = 2
+const receiversPerFleet = 2
 
-// Now is the machine's monotonic clock.
-func Now() time.Duration {
+// MonotonicTime returns the time of the machine's monotonic clock.
+func MonotonicTime() time.Duration {
 	var t unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_MONOTONIC, &t); err != nil {
-		panic(err) // every Linux has it
+		panic(err) // CLOCK_MONOTONIC exists on every Linux
 	}
 	return time.Duration(t.Nano())
 }
 
-// WorkerOptions say what a worker does.
+// WorkerOptions configure a worker.
 type WorkerOptions struct {
 	Name      string
-	Count     int // holders in this process, with names of their own
+	Count     int // holders in this process, each with its own name
 	Stewards  []string
 	Duties    int
 	Lease     time.Duration
 	Receivers []string
 	Every     time.Duration // between effects
-	Local     string        // address that its connections come from
-	Record    string        // file that it writes its terms to; empty: none
+	Local     string        // local IP address of its connections
+	Record    string        // file to which its terms are written; empty for none
 }
 
-// effect is what a worker sends to a receiver.
+// effect is the message that a worker sends to a receiver.
 type effect struct {
 	Worker, Duty string
 	Epoch        uint64
 	Sent         time.Duration
 }
 
-// Work claims duties, and has effects while it holds them, until ctx ends. It is a process of its own in the testbed.
-func Work(ctx context.Context, o WorkerOptions) error {
+// RunWorker claims duties and sends effects while it holds them, until ctx ends. The testbed runs it in a separate process.
+func RunWorker(ctx context.Context, o WorkerOptions) error {
 	var out io.Writer = io.Discard
 	if o.Record != "" {
 		f, err := os.OpenFile(o.Record, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
@@ -63,7 +62,7 @@
 		out = f
 	}
 	local := net.ParseIP(o.Local)
-	w := &worker{o: o, out: out, http: &http.Client{Timeout: 10 * time.Second, Transport: &http.Transport{
+	w := &worker{options: o, recordFile: out, http: &http.Client{Timeout: 10 * time.Second, Transport: &http.Transport{
 		DialContext: (&net.Dialer{LocalAddr: &net.TCPAddr{IP: local}}).DialContext, MaxIdleConnsPerHost: 16}}}
 	var all sync.WaitGroup
 	for i := range max(1, o.Count) {
@@ -74,7 +73,7 @@
 		h := holder.New(holder.Config{Client: call.NewClient(o.Stewards, local), Name: name, Lease: o.Lease,
 			Log: slog.New(slog.NewTextHandler(os.Stderr, nil))})
 		for d := range o.Duties {
-			h.Register(fmt.Sprintf("duty-%d", d), func(ctx context.Context, t *holder.Term) error { return w.work(ctx, name, t) })
+			h.Register(fmt.Sprintf("duty-%d", d), func(ctx context.Context, t *holder.Term) error { return w.holdDuty(ctx, name, t) })
 		}
 		all.Go(func() { h.Run(ctx) })
 	}
@@ -83,49 +82,49 @@
 }
 
 type worker struct {
-	o    WorkerOptions
-	http *http.Client
-	mu   sync.Mutex
-	out  io.Writer
+	options    WorkerOptions
+	http       *http.Client
+	mu         sync.Mutex
+	recordFile io.Writer
 }
 
-// write puts a line down: whole, since a line is one write, and there after SIGKILL.
-func (w *worker) write(v any) {
+// writeRecord appends a line to the record file. A line is written by one system call, so that it is complete and survives SIGKILL.
+func (w *worker) writeRecord(v any) {
 	data, err := json.Marshal(v)
 	if err != nil {
-		panic(err) // plain fields only
+		panic(err) // can't fail: plain fields only
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.out.Write(append(data, '\n'))
+	w.recordFile.Write(append(data, '\n'))
 }
 
-// record is a line of a worker's file.
+// record is a line of a worker's record file.
 type record struct {
 	Claim *Claim `json:"claim,omitempty"`
 	End   *End   `json:"end,omitempty"`
 }
 
-func (w *worker) work(ctx context.Context, name string, t *holder.Term) error {
-	ago := func(at time.Time) time.Duration { return Now() - time.Since(at) }
-	w.write(record{Claim: &Claim{name, t.Duty, t.Epoch, ago(t.ClaimedAt), Now()}})
+func (w *worker) holdDuty(ctx context.Context, name string, t *holder.Term) error {
+	ago := func(at time.Time) time.Duration { return MonotonicTime() - time.Since(at) }
+	w.writeRecord(record{Claim: &Claim{name, t.Duty, t.Epoch, ago(t.ClaimedAt), MonotonicTime()}})
 	var out sync.WaitGroup
 	for n := 0; ctx.Err() == nil; n++ {
-		e := effect{name, t.Duty, t.Epoch, Now()}
+		e := effect{name, t.Duty, t.Epoch, MonotonicTime()}
 		if !t.Valid() {
 			break
 		}
-		if len(w.o.Receivers) > 0 {
-			// An effect that takes long to arrive does not hold up the next one, nor the end of the term.
-			to := w.o.Receivers[n%len(w.o.Receivers)]
+		if len(w.options.Receivers) > 0 {
+			// In the background: a slow effect must not delay the next one or the end of the term.
+			to := w.options.Receivers[n%len(w.options.Receivers)]
 			out.Go(func() { w.send(to, e) })
 		}
 		select {
 		case <-ctx.Done():
-		case <-time.After(w.o.Every):
+		case <-time.After(w.options.Every):
 		}
 	}
-	w.write(record{End: &End{name, t.Duty, t.Epoch, Now(), context.Cause(ctx) == holder.ErrLeaseExpired}})
+	w.writeRecord(record{End: &End{name, t.Duty, t.Epoch, MonotonicTime(), context.Cause(ctx) == holder.ErrLeaseExpired}})
 	return nil
 }
 
--- a/internal/testbed/run/run.go
+++ b/internal/testbed/run/run.go
@@ -119,7 +119,7 @@
 	if n := o.Experiment.Fleet.Stewards; n > 0 {
 		starter := process.NewStarter()
 		defer starter.Stop()
-		rn.stewards, err = duties.StartBeside(ctx, n, filepath.Join(filepath.Dir(o.Program), build.Steward), tempDir, ports.Base(), starter)
+		rn.stewards, err = duties.StartStewards(ctx, n, filepath.Join(filepath.Dir(o.Program), build.Steward), tempDir, ports.Base(), starter)
 		if err != nil {
 			return nil, err
 		}
@@ -128,7 +128,7 @@
 	rn.fleet = process.New(p, rn.ledger, ports, rn.platform, o.Program, tempDir)
 	defer rn.fleet.Close()
 	if rn.stewards != nil {
-		rn.fleet.Stewards = rn.stewards.APIs()
+		rn.fleet.Stewards = rn.stewards.Addresses()
 	}
 	rn.load = load.New(p, rn.ledger, ports.Relay, rn.fleet.Alive)
 	rn.platform.OnNotice = rn.load.HandleNotice
@@ -160,7 +160,7 @@
 	ledger      *ledger.Ledger
 	platform    *platform.Platform
 	fleet       *process.Fleet
-	stewards    *duties.Beside // nil: no stewards
+	stewards    *duties.StewardCluster // nil: no stewards
 	load        *load.Load
 	offset, end time.Duration
 }
@@ -235,7 +235,7 @@
 		return
 	}
 	if f.Kind == "stewards" {
-		if err := rn.stewards.Down(ctx, f.For); err != nil {
+		if err := rn.stewards.Outage(ctx, f.For); err != nil {
 			fmt.Fprintf(os.Stderr, "testbed: %s: %v\n", f.Kind, err)
 		}
 		return
--- a/internal/testbed/scale/capacity/capacity_test.go
+++ b/internal/testbed/scale/capacity/capacity_test.go
@@ -17,8 +17,8 @@
 
 const repository = "../../../.."
 
-// folder is one with the repository's target, and a result whose figures are drawn with 1% of noise.
-func folder(t *testing.T) string {
+// writeFixture returns a folder with the repository's target and one result, whose figures are computed with 1% of noise.
+func writeFixture(t *testing.T) string {
 	t.Helper()
 	dir := t.TempDir()
 	data, err := os.ReadFile(filepath.Join(repository, "capacity", "target.toml"))
@@ -36,7 +36,7 @@
 			n, rng := float64(size), rand.New(rand.NewPCG(seed, uint64(size)))
 			noise := func() float64 { return 1 + 0.01*rng.NormFloat64() }
 			return map[string]float64{"step_cpu_us": (2 + 0.007*n) * noise(), "resident_bytes": (1e7 + 1000*n) * noise(),
-				"start_ms": n * n * n / 1e9 * noise(), "falls_ms": 1e5 / n * noise(), // no law has a cube or a fall
+				"start_ms": n * n * n / 1e9 * noise(), "falls_ms": 1e5 / n * noise(), // no law is cubic or falls
 				"start_cpu_ms": 50 * noise()}, nil
 		},
 	}
@@ -52,7 +52,7 @@
 	return dir
 }
 
-func read(t *testing.T, dir string) *Model {
+func readModel(t *testing.T, dir string) *Model {
 	t.Helper()
 	m, err := Read(dir)
 	if err != nil {
@@ -61,8 +61,8 @@
 	return m
 }
 
-// page is one with every table, filled.
-func page(t *testing.T, m *Model) []byte {
+// filledPage returns a page with every table filled.
+func filledPage(t *testing.T, m *Model) []byte {
 	t.Helper()
 	text := "# Page\n"
 	for _, table := range m.Tables() {
@@ -75,11 +75,12 @@
 	return filled
 }
 
-// The page passes, and fails when one figure of any row in it, any line of the target or any sample is changed.
+// The check passes for the right page, and fails when one digit is changed in any row of it, in any line of the target or in any
+// sample.
 func TestCheckFindsOneChange(t *testing.T) {
-	dir := folder(t)
-	m := read(t, dir)
-	good := page(t, m)
+	dir := writeFixture(t)
+	m := readModel(t, dir)
+	good := filledPage(t, m)
 	if err := m.Check("page.md", good); err != nil {
 		t.Fatal(err)
 	}
@@ -96,13 +97,13 @@
 		}
 		lines[i] = other(line)
 		if err := m.Check("page.md", []byte(strings.Join(lines, "\n"))); err == nil {
-			t.Errorf("line %d may say %s", i+1, lines[i])
+			t.Errorf("line %d: the check accepts %s", i+1, lines[i])
 		}
 		lines[i] = line
 		changed++
 	}
 	if changed < 40 {
-		t.Errorf("%d rows have a figure, want more", changed)
+		t.Errorf("%d rows have a figure, want at least 40", changed)
 	}
 	refused := func(path string, text string) bool {
 		was, err := os.ReadFile(path)
@@ -116,14 +117,14 @@
 		m, err := Read(dir)
 		return err != nil || m.Check("page.md", good) != nil
 	}
-	for name, least := range map[string]int{"target.toml": len(keys), "relay-held-many.json": 5*(5*3+5) + 5 + 3 + 3} {
+	for name, least := range map[string]int{"target.toml": len(targetKeys), "relay-held-many.json": 5*(5*3+5) + 5 + 3 + 3} {
 		path := filepath.Join(dir, name)
 		data, err := os.ReadFile(path)
 		if err != nil {
 			t.Fatal(err)
 		}
 		if refused(path, string(data)) {
-			t.Fatalf("%s is refused as it is", name)
+			t.Fatalf("%s is rejected without a change", name)
 		}
 		figure := regexp.MustCompile(`(?m)value = [0-9._]*[0-9]| -?[0-9][0-9.e+-]*,?$`)
 		found := figure.FindAllStringIndex(string(data), -1)
@@ -133,22 +134,22 @@
 		for _, at := range found {
 			text := string(data[:at[0]]) + other(string(data[at[0]:at[1]])) + string(data[at[1]:])
 			if !refused(path, text) {
-				t.Errorf("%s may have %s", name, other(string(data[at[0]:at[1]])))
+				t.Errorf("%s: the check accepts %s", name, other(string(data[at[0]:at[1]])))
 			}
 		}
 	}
 }
 
 func TestBadPagesAreRefused(t *testing.T) {
-	m := read(t, folder(t))
-	good := string(page(t, m))
+	m := readModel(t, writeFixture(t))
+	good := string(filledPage(t, m))
 	for _, c := range []struct{ old, new, want string }{
-		{beginMark + "runs -->", "", "ends no table"},
+		{beginMark + "runs -->", "", "<!-- end --> without a table"},
 		{beginMark + "runs -->", beginMark + "walks -->", "table walks is unknown"},
-		{beginMark + "runs -->", beginMark + "target -->", "table target is unknown, or stands twice"},
-		{endMark, "", "table target has no <!-- end -->"},
-		{good, "", "has no table assumptions, budgets, days, laws, roles, runs, target"},
-		{good, good[:strings.LastIndex(good, endMark)], "table budgets has no <!-- end -->"},
+		{beginMark + "runs -->", beginMark + "target -->", "table target is unknown or a duplicate"},
+		{endMark, "", "table target has no closing <!-- end -->"},
+		{good, "", "missing tables: assumptions, budgets, days, laws, roles, runs, target"},
+		{good, good[:strings.LastIndex(good, endMark)], "table budgets has no closing <!-- end -->"},
 	} {
 		err := m.Check("page.md", []byte(strings.Replace(good, c.old, c.new, 1)))
 		if err == nil || !strings.Contains(err.Error(), c.want) || !strings.HasPrefix(err.Error(), "page.md:") {
@@ -157,31 +158,32 @@
 	}
 	was := strings.Replace(good, "\nwords\n", "\nother words, 5 of them\n", 1)
 	if err := m.Check("page.md", []byte(was)); err != nil {
-		t.Errorf("words are no figures: %v", err)
+		t.Errorf("changed text outside the tables is rejected: %v", err)
 	}
 }
 
-// What the tables say of a law that holds, of one that doesn't, and of what nobody measured.
-func TestReckoning(t *testing.T) {
-	m := read(t, folder(t))
+// Terms are evaluated by a law that holds, by the largest measurement if the law doesn't hold, and as missing if there is no
+// result.
+func TestEvaluation(t *testing.T) {
+	m := readModel(t, writeFixture(t))
 	owedHere := 61e9 / 11000
 	for _, c := range []struct {
 		cost term
 		want float64
 		sure certainty
 	}{
-		{often("relay-held-many", "step_cpu_us", owed, events), 2.8e6 / 11000 * (2 + 0.007*owedHere) / 1e6, byLaw},
-		{law("relay-held-many", "resident_bytes", owed), 1e7 + 1000*owedHere, byLaw},
-		{law("relay-held-many", "start_cpu_ms", owed), 0.05, byLaw},
-		{law("relay-held-many", "start_ms", owed), 4.096, measured},
-		{law("relay-held-many", "falls_ms", owed), 0.00625, measured},
-		{law("relay-held-few", "start_ms", owed), 0, missing},
-		{law("relay-held-many", "heap_bytes", owed), 0, missing},
-		{term{n: members, times: line}, 11000 * 120, byLaw},
+		{lawTimes("relay-held-many", "step_cpu_us", owed, events), 2.8e6 / 11000 * (2 + 0.007*owedHere) / 1e6, byLaw},
+		{lawTerm("relay-held-many", "resident_bytes", owed), 1e7 + 1000*owedHere, byLaw},
+		{lawTerm("relay-held-many", "start_cpu_ms", owed), 0.05, byLaw},
+		{lawTerm("relay-held-many", "start_ms", owed), 4.096, measured},
+		{lawTerm("relay-held-many", "falls_ms", owed), 0.00625, measured},
+		{lawTerm("relay-held-few", "start_ms", owed), 0, missing},
+		{lawTerm("relay-held-many", "heap_bytes", owed), 0, missing},
+		{term{size: members, count: memberLineBytes}, 11000 * 120, byLaw},
 	} {
-		r := m.term(c.cost)
-		if r.sure != c.sure || math.Abs(r.value-c.want) > 0.03*c.want {
-			t.Errorf("%s of %s: %g, sure %d, by %s; want %g, %d", c.cost.figure, c.cost.slope, r.value, r.sure, r.text, c.want, c.sure)
+		r := m.evalTerm(c.cost)
+		if r.certainty != c.sure || math.Abs(r.value-c.want) > 0.03*c.want {
+			t.Errorf("%s of %s: %g, certainty %d, by %s; want %g, %d", c.cost.figure, c.cost.slope, r.value, r.certainty, r.text, c.want, c.sure)
 		}
 	}
 	for _, c := range []struct {
@@ -190,43 +192,43 @@
 		share float64
 		sign  string
 	}{
-		{often("relay-held-many", "step_cpu_us", owed, events), 0.026, (0.026/(2.8e6/11000)*1e6 - 2) / 0.007 / owedHere, ""},
-		{law("relay-held-many", "resident_bytes", owed), 256e6, 246e6 / 1000 / owedHere, ""},
-		{law("relay-held-many", "start_cpu_ms", owed), 10, math.Inf(1), "never"},
-		{law("relay-held-many", "start_ms", owed), 10, 16000 / owedHere, "≥ "},
-		{law("relay-held-many", "start_ms", owed), 0.3, 8000 / owedHere, "≤ "},
-		{law("relay-held-many", "falls_ms", owed), 0.01, 16000 / owedHere, "≥ "}, // passed below, and not any more
-		{law("relay-held-many", "falls_ms", owed), 0.003, 1000 / owedHere, "≤ "}, // passed at every size
-		{law("relay-held-few", "start_ms", owed), 10, math.Inf(1), "not measured"},
+		{lawTimes("relay-held-many", "step_cpu_us", owed, events), 0.026, (0.026/(2.8e6/11000)*1e6 - 2) / 0.007 / owedHere, ""},
+		{lawTerm("relay-held-many", "resident_bytes", owed), 256e6, 246e6 / 1000 / owedHere, ""},
+		{lawTerm("relay-held-many", "start_cpu_ms", owed), 10, math.Inf(1), "never"},
+		{lawTerm("relay-held-many", "start_ms", owed), 10, 16000 / owedHere, "≥ "},
+		{lawTerm("relay-held-many", "start_ms", owed), 0.3, 8000 / owedHere, "≤ "},
+		{lawTerm("relay-held-many", "falls_ms", owed), 0.01, 16000 / owedHere, "≥ "}, // exceeded at smaller sizes, but not at the largest
+		{lawTerm("relay-held-many", "falls_ms", owed), 0.003, 1000 / owedHere, "≤ "}, // exceeded at every size
+		{lawTerm("relay-held-few", "start_ms", owed), 10, math.Inf(1), "not measured"},
 	} {
-		share, sign := m.share(c.cost, c.limit)
+		share, sign := m.targetShare(c.cost, c.limit)
 		if sign != c.sign || share != c.share && math.Abs(share-c.share) > 0.03*c.share {
-			t.Errorf("%s of %s passes %g at %s%g, want %s%g", c.cost.figure, c.cost.slope, c.limit, sign, share, c.sign, c.share)
+			t.Errorf("%s of %s exceeds %g at %s%g, want %s%g", c.cost.figure, c.cost.slope, c.limit, sign, share, c.sign, c.share)
 		}
 	}
 }
 
-// Every formula names keys that the target has, and figures in agreed units; the least share stands first.
+// Every formula uses keys that the target has and figures in known units, and the budgets are sorted by the share of the target.
 func TestFormulas(t *testing.T) {
-	m := read(t, folder(t))
+	m := readModel(t, writeFixture(t))
 	names := regexp.MustCompile(`^[a-z]+(-[a-z]+)+$`)
 	try := func(where string, s sum) {
 		if (s.unknown == "") == (len(s.terms) == 0) {
-			t.Errorf("%s is neither reckoned nor unknown, or both", where)
+			t.Errorf("%s has to have either terms or a reason why it is unknown", where)
 		}
 		for _, c := range s.terms {
-			if n := c.n.of(m.Target); n <= 0 || c.slope != "" && !names.MatchString(c.slope) {
+			if n := c.size.eval(m.Target); n <= 0 || c.slope != "" && !names.MatchString(c.slope) {
 				t.Errorf("%s: %s of %s at %g", where, c.figure, c.slope, n)
 			}
-			if _, ok := scales[s.unit]; !ok {
-				t.Errorf("%s is in %q", where, s.unit)
+			if _, ok := displayUnits[s.unit]; !ok {
+				t.Errorf("%s has the unknown unit %q", where, s.unit)
 			}
 		}
 	}
 	for _, r := range roles {
 		try(r.name+": "+r.what, r.cost)
 	}
-	for _, d := range days() {
+	for _, d := range scenarioRows() {
 		try(d.name+": "+d.role+": "+d.what+", mean", d.mean)
 		try(d.name+": "+d.role+": "+d.what+", peak", d.peak)
 	}
@@ -236,13 +238,13 @@
 		}
 	}
 	var first []string
-	for line := range strings.Lines(m.budgets()) {
+	for line := range strings.Lines(m.budgetsTable()) {
 		first = append(first, strings.TrimSpace(strings.Split(line, "|")[1]))
 	}
 	want := []string{"0%", "0.253%", "≥ 0.289%", "0.494%", "1.01%", "4.46%", "520%", "not measured"}
 	for i, w := range want {
 		if got := first[2+i]; got != w && !(strings.HasPrefix(got, w[:1]) && slices.Contains([]int{1, 5}, i)) {
-			t.Errorf("row %d is passed at %s, want %s", i, got, w)
+			t.Errorf("row %d is exceeded at %s, want %s", i, got, w)
 		}
 	}
 }
--- a/internal/testbed/scale/fleetslope/memberslope.go
+++ b/internal/testbed/scale/fleetslope/memberslope.go
@@ -12,12 +12,12 @@
 	"onyxroad.dev/onyxroad/internal/testbed/scale"
 )
 
-const restFor = 15 * time.Second
+const restDuration = 15 * time.Second
 
-const hollowAbout = "; hollow members in one process over loopback, each at its own address. Processor time is the process's, " +
+const aboutSuffix = "; hollow members in one process over loopback, each at its own address. Processor time is the process's, " +
 	"divided by its members; bytes count once, where they are sent, or where their connection was opened"
 
-// settleFigures are those of a change in the fleet.
+// settleFigures are the figures of a change in the fleet.
 var settleFigures = []scale.Figure{
 	{Name: "settle_ms", Unit: "ms", About: "from the change until all live views that were told are the same"},
 	{Name: "peak_bytes_s", Unit: "bytes/s", About: "of one member, the mean of all in the fleet's busiest second"},
@@ -26,17 +26,17 @@
 	{Name: "mean_cores", Unit: "cores", About: "of one member, until the views are the same"},
 }
 
-// memberSlope is what slopes of members have in common.
+// memberSlope returns a slope with what all slopes of members share.
 func memberSlope(name, about string, figures []scale.Figure) scale.Slope {
-	return scale.Slope{Name: name, About: about + hollowAbout, Variable: "members", Sizes: []int{50, 100, 150, 200, 300},
+	return scale.Slope{Name: name, About: about + aboutSuffix, Variable: "members", Sizes: []int{50, 100, 150, 200, 300},
 		Small: []int{4, 6, 8, 10, 12}, Seeds: []uint64{1, 2, 3}, Figures: figures,
 		Cost: func(size int) scale.Cost {
-			// What members hold of one another, and beside it their sockets, goroutines and packets under way.
+			// The members' state about each other, and their sockets, goroutines and packets in flight.
 			return scale.Cost{Memory: int64(size) * (1<<20 + int64(size)*(8<<10))}
 		}}
 }
 
-// memberRest measures members of a fleet in which nothing happens.
+// memberRest measures the members of an idle fleet.
 func memberRest() scale.Slope {
 	s := memberSlope("member-rest", "members of a fleet in which nothing happens", []scale.Figure{
 		{Name: "cores", Unit: "cores", About: "of one member, in the mean"},
@@ -46,23 +46,23 @@
 		{Name: "heap_bytes", Unit: "bytes", About: "of one member, after a collection"},
 		{Name: "resident_bytes", Unit: "bytes", About: "of one member: what the process holds beyond before, divided by its members"},
 	})
-	s.Sizes, s.Seeds = []int{50, 100, 150, 200, 250, 300}, []uint64{1} // nothing is drawn
+	s.Sizes, s.Seeds = []int{50, 100, 150, 200, 250, 300}, []uint64{1} // nothing is random here
 	s.Measure = func(ctx context.Context, size int, _ uint64, env scale.Env) (map[string]float64, error) {
-		before, err := ownMemory()
+		before, err := ownMemoryUsage()
 		if err != nil {
 			return nil, err
 		}
-		var l load
-		var after memory
+		var l usage
+		var after memoryUsage
 		var exchange int64
-		err = withMembers(ctx, size, gossip.Join, env, func(f *members) error {
-			if l, err = f.during(size, func() error { return network.Sleep(ctx, restFor) }); err != nil {
+		err = withQuietFleet(ctx, size, gossip.Join, env, func(f *memberFleet) error {
+			if l, err = f.measureUsage(size, func() error { return network.Sleep(ctx, restDuration) }); err != nil {
 				return err
 			}
-			if after, err = ownMemory(); err != nil {
+			if after, err = ownMemoryUsage(); err != nil {
 				return err
 			}
-			exchange, err = f.exchange(ctx, gossip.Join, env)
+			exchange, err = f.measureExchange(ctx, gossip.Join, env)
 			return err
 		})
 		n := float64(size)
@@ -72,71 +72,71 @@
 	return s
 }
 
-// withMembers does something with a fleet whose members agree and have calmed down.
-func withMembers(ctx context.Context, size int, join membership.Join, env scale.Env,
-	do func(*members) error) (err error) {
-	f, err := newMembers(size)
+// withQuietFleet calls do with a fleet whose members agree and that has become quiet.
+func withQuietFleet(ctx context.Context, size int, join membership.Join, env scale.Env,
+	do func(*memberFleet) error) (err error) {
+	f, err := newMemberFleet(size)
 	if err != nil {
 		return err
 	}
 	defer func() { err = errors.Join(err, f.close()) }()
-	if err := f.start(ctx, join, env); err != nil {
+	if err := f.startAll(ctx, join, env); err != nil {
 		return err
 	}
-	if _, err := f.settle(ctx, time.Now()); err != nil {
+	if _, err := f.awaitAgreement(ctx, time.Now()); err != nil {
 		return err
 	}
-	if err := f.calm(ctx); err != nil {
+	if err := f.awaitQuiet(ctx); err != nil {
 		return err
 	}
 	return do(f)
 }
 
-// change measures what begin changes, until the live members agree again. n members pay for it.
-func (f *members) change(ctx context.Context, n int, begin func() error) (map[string]float64, error) {
+// measureChange measures a change, started by begin, until the live members agree again. The cost is divided by n members.
+func (f *memberFleet) measureChange(ctx context.Context, n int, begin func() error) (map[string]float64, error) {
 	var settled time.Duration
-	l, err := f.during(n, func() error {
+	l, err := f.measureUsage(n, func() error {
 		began := time.Now()
 		err := begin()
 		if err == nil {
-			settled, err = f.settle(ctx, began)
+			settled, err = f.awaitAgreement(ctx, began)
 		}
 		return err
 	})
 	return l.figures(settled), err
 }
 
-// memberJoin measures a fleet all of whose members begin at once.
+// memberJoin measures a fleet all of whose members start at once.
 func memberJoin() scale.Slope {
 	s := memberSlope("member-join", "all members of a fleet begin at once, with three of them as seeds", settleFigures)
 	s.Measure = func(ctx context.Context, size int, _ uint64, env scale.Env) (got map[string]float64, err error) {
-		f, err := newMembers(size)
+		f, err := newMemberFleet(size)
 		if err != nil {
 			return nil, err
 		}
 		defer func() { err = errors.Join(err, f.close()) }()
-		return f.change(ctx, size, func() error {
-			if err := f.start(ctx, gossip.Join, env); err != nil {
+		return f.measureChange(ctx, size, func() error {
+			if err := f.startAll(ctx, gossip.Join, env); err != nil {
 				return err
 			}
-			f.serve()
+			f.setServing()
 			return nil
 		})
 	}
 	return s
 }
 
-// memberLoss measures the end, without a word, of some members.
+// memberLoss measures the unannounced loss of some members.
 func memberLoss(name, about string, lost func(size int) int) scale.Slope {
 	s := memberSlope(name, about, settleFigures)
 	s.Measure = func(ctx context.Context, size int, seed uint64, env scale.Env) (got map[string]float64, err error) {
 		rng := rand.New(rand.NewPCG(seed, uint64(size)))
-		err = withMembers(ctx, size, gossip.Join, env, func(f *members) error {
-			var gone []*hollow
+		err = withQuietFleet(ctx, size, gossip.Join, env, func(f *memberFleet) error {
+			var gone []*testMember
 			for _, i := range rng.Perm(size)[:lost(size)] {
 				gone = append(gone, f.all[i])
 			}
-			got, err = f.change(ctx, size-len(gone), func() error { return f.end(gone...) })
+			got, err = f.measureChange(ctx, size-len(gone), func() error { return f.kill(gone...) })
 			return err
 		})
 		return got, err
--- a/internal/testbed/scale/locate.go
+++ b/internal/testbed/scale/locate.go
@@ -9,16 +9,16 @@
 	"strings"
 )
 
-// located are the keys of a JSON text by their paths, "figures[2].unit" say, in order.
-type located []struct {
+// keyPositions lists the keys of a JSON text with their lines, in order. A path is, for example, "figures[2].unit".
+type keyPositions []struct {
 	path string
 	line int
 }
 
-// locate finds the keys, and refuses what is no JSON, has a key twice, or goes on behind its end. Its errors begin with
-// the line.
-func locate(data []byte) (located, error) {
-	var keys located
+// locateKeys finds the keys of a JSON text. It rejects invalid JSON, duplicate keys and trailing data, with errors that begin
+// with the line.
+func locateKeys(data []byte) (keyPositions, error) {
+	var keys keyPositions
 	seen := map[string]bool{}
 	d := json.NewDecoder(bytes.NewReader(data))
 	var value func(path string) error
@@ -41,7 +41,7 @@
 				inner = strings.TrimPrefix(fmt.Sprintf("%s.%s", path, k), ".")
 				line := lineAt(data, d.InputOffset())
 				if seen[inner] {
-					return fmt.Errorf(":%d: %s: stands twice", line, inner)
+					return fmt.Errorf(":%d: %s: duplicate key", line, inner)
 				}
 				seen[inner] = true
 				keys = append(keys, struct {
@@ -64,20 +64,20 @@
 	case err != nil && strings.HasPrefix(err.Error(), ":"):
 		return nil, err
 	case err != nil:
-		return nil, fmt.Errorf(":%d: ends too early: %w", lineAt(data, int64(len(data))), err)
+		return nil, fmt.Errorf(":%d: unexpected end: %w", lineAt(data, int64(len(data))), err)
 	case d.More():
-		return nil, fmt.Errorf(":%d: something stands behind the end", lineAt(data, d.InputOffset()))
+		return nil, fmt.Errorf(":%d: unexpected data after the end", lineAt(data, d.InputOffset()))
 	}
 	return keys, nil
 }
 
-// lineAt is the line of an offset, from 1.
+// lineAt returns the line of an offset, counted from 1.
 func lineAt(data []byte, offset int64) int {
 	return 1 + bytes.Count(data[:min(max(offset, 0), int64(len(data)))], []byte("\n"))
 }
 
-// line is where a key stands, or the last of those above it that is there.
-func (l located) line(path string) int {
+// line returns the line of a key, or of its closest enclosing key that exists.
+func (l keyPositions) line(path string) int {
 	for ; path != ""; path = path[:max(0, strings.LastIndexAny(path, ".["))] {
 		for _, k := range l {
 			if k.path == path {
@@ -88,10 +88,10 @@
 	return 1
 }
 
-// strict refuses keys that a type's JSON form hasn't, and the lack of those that it has.
-func (l located) strict(of any) error {
+// checkKeys rejects unknown and missing keys, by the JSON tags of a type.
+func (l keyPositions) checkKeys(of any) error {
 	known := map[string][]string{}
-	describe(reflect.TypeOf(of), "", known)
+	collectKeys(reflect.TypeOf(of), "", known)
 	has := map[string]bool{}
 	objects := []string{""}
 	for _, k := range l {
@@ -110,22 +110,22 @@
 		}
 	}
 	for _, k := range l {
-		if !names[general(k.path)] {
+		if !names[dropIndexes(k.path)] {
 			return fmt.Errorf(":%d: unknown key %s", k.line, k.path)
 		}
 	}
 	for _, o := range objects {
-		for _, key := range known[general(o)] {
+		for _, key := range known[dropIndexes(o)] {
 			if path := strings.TrimPrefix(o+"."+key, "."); !has[path] {
-				return fmt.Errorf(":%d: %s: is missing", l.line(o), path)
+				return fmt.Errorf(":%d: %s: missing", l.line(o), path)
 			}
 		}
 	}
 	return nil
 }
 
-// general leaves the places out of a path: "figures[2].unit" is "figures[].unit".
-func general(path string) string {
+// dropIndexes removes the indexes from a path: "figures[2].unit" becomes "figures[].unit".
+func dropIndexes(path string) string {
 	for from := 0; ; {
 		i := strings.IndexByte(path[from:], '[')
 		if i < 0 {
@@ -137,16 +137,16 @@
 	}
 }
 
-// describe notes the keys of a type and of those within it, by their object's path.
-func describe(t reflect.Type, path string, into map[string][]string) {
+// collectKeys collects the JSON keys of a type and of the types within it, by the path of their object.
+func collectKeys(t reflect.Type, path string, into map[string][]string) {
 	switch t.Kind() {
 	case reflect.Slice:
-		describe(t.Elem(), path+"[]", into)
+		collectKeys(t.Elem(), path+"[]", into)
 	case reflect.Struct:
 		for i := range t.NumField() {
 			key, _, _ := strings.Cut(t.Field(i).Tag.Get("json"), ",")
 			into[path] = append(into[path], key)
-			describe(t.Field(i).Type, strings.TrimPrefix(path+"."+key, "."), into)
+			collectKeys(t.Field(i).Type, strings.TrimPrefix(path+"."+key, "."), into)
 		}
 	}
 }
--- a/internal/testbed/scale/relayslope/log.go
+++ b/internal/testbed/scale/relayslope/log.go
@@ -15,22 +15,20 @@
 	"onyxroad.dev/onyxroad/internal/wal"
 )
 
-// The log alone: a process that opens one, and has it compacted.
-
-// logJob is a log to be opened.
+// logJob tells a child process to open a log without a relay and to write to it until it is compacted.
 type logJob struct {
 	Dir      string
 	Limit    int64 // bytes
 	Segments bool
 }
 
-// logState is what opening it came to.
+// logState is the measurement of a logJob.
 type logState struct {
 	OpenCPU, OpenWall time.Duration
 	Held              int
-	Heap              int64 // bytes, after a collection, that the log and what it holds take
-	Disk              int64 // bytes, once it is open
-	Compact           int64 // bytes that a compaction wrote
+	Heap              int64 // bytes, after a garbage collection, that the log and the messages it holds use
+	Disk              int64 // bytes, after opening
+	Compact           int64 // bytes written by a compaction
 }
 
 func (j *logJob) options() wal.Options {
@@ -41,28 +39,28 @@
 	return o
 }
 
-// run opens the log, tells what it took, and goes on until the log compacts itself.
+// run opens the log, measures that, and writes to it until the log compacts itself.
 func (j *logJob) run() (*logState, error) {
-	before := heap()
+	before := heapInUse()
 	o := j.options()
-	files := &counted{FS: disk.Dir(j.Dir)}
+	files := &countingFS{FS: disk.Dir(j.Dir)}
 	o.FS = files
-	began, spent := time.Now(), processTime()
+	began, spent := time.Now(), processCPUTime()
 	l, found, err := wal.OpenWith(o)
-	s := &logState{OpenWall: time.Since(began), OpenCPU: processTime() - spent, Held: len(found.Messages)}
+	s := &logState{OpenWall: time.Since(began), OpenCPU: processCPUTime() - spent, Held: len(found.Messages)}
 	if err != nil {
 		return nil, fmt.Errorf("relayslope: %w", err)
 	}
-	if s.Heap = heap() - before; s.Held == 0 {
-		return nil, errors.Join(errors.New("relayslope: the log holds nothing"), l.Close())
+	if s.Heap = heapInUse() - before; s.Held == 0 {
+		return nil, errors.Join(errors.New("relayslope: the log holds no messages"), l.Close())
 	}
-	if s.Disk, err = onDisk(j.Dir); err != nil {
+	if s.Disk, err = diskUsage(j.Dir); err != nil {
 		return nil, errors.Join(err, l.Close())
 	}
-	// Outcomes fill the log until it is compacted; what is held stays as it is.
-	files.beside.Store(0)
-	files.put.Store(false)
-	for at := time.Now(); !files.put.Load(); {
+	// Attempts and their outcomes fill the log until it is compacted. The held messages stay as they are.
+	files.tmpBytes.Store(0)
+	files.renamed.Store(false)
+	for at := time.Now(); !files.renamed.Load(); {
 		var sends []wal.Send
 		for i := range min(250, s.Held) {
 			m := found.Messages[i]
@@ -75,44 +73,44 @@
 			l.NeverRan(x.Message, x.Attempt.N)
 		}
 	}
-	s.Compact = files.beside.Load()
+	s.Compact = files.tmpBytes.Load()
 	return s, l.Close()
 }
 
-// counted counts what is written to files that are then put in the place of others: a compaction's.
-type counted struct {
+// countingFS counts the bytes written to temporary files, which a compaction renames over the log's files.
+type countingFS struct {
 	disk.FS
-	beside atomic.Int64 // bytes
-	put    atomic.Bool
+	tmpBytes atomic.Int64 // bytes written to temporary files
+	renamed  atomic.Bool
 }
 
-// Open opens a file. Only what is made for a compaction is renamed later.
-func (c *counted) Open(name string) (disk.File, error) {
+// Open opens a file and counts what is written to it if it is one of a compaction's temporary files.
+func (c *countingFS) Open(name string) (disk.File, error) {
 	f, err := c.FS.Open(name)
 	if filepath.Ext(name) == ".tmp" && err == nil {
-		f = countedFile{f, c}
+		f = countingFile{f, c}
 	}
 	return f, err
 }
 
-func (c *counted) Rename(from, to string) error {
-	c.put.Store(true)
+func (c *countingFS) Rename(from, to string) error {
+	c.renamed.Store(true)
 	return c.FS.Rename(from, to)
 }
 
-type countedFile struct {
+type countingFile struct {
 	disk.File
-	c *counted
+	fs *countingFS
 }
 
-func (f countedFile) WriteAt(p []byte, off int64) (int, error) {
+func (f countingFile) WriteAt(p []byte, off int64) (int, error) {
 	n, err := f.File.WriteAt(p, off)
-	f.c.beside.Add(int64(n))
+	f.fs.tmpBytes.Add(int64(n))
 	return n, err
 }
 
-// onDisk is what the files of a folder take, in bytes.
-func onDisk(dir string) (n int64, err error) {
+// diskUsage returns the disk space allocated to the files of a folder, in bytes.
+func diskUsage(dir string) (n int64, err error) {
 	entries, err := os.ReadDir(dir)
 	if err != nil {
 		return 0, fmt.Errorf("relayslope: %w", err)
@@ -129,27 +127,27 @@
 	return n, nil
 }
 
-// measureLog measures a log with so many messages held.
+// measureLog measures a log that holds the given number of messages.
 func measureLog(ctx context.Context, held int, env scale.Env, segments bool) (map[string]float64, error) {
 	j := &logJob{Dir: filepath.Join(env.Dir, "log"), Segments: segments}
 	if err := os.Mkdir(j.Dir, 0o700); err != nil {
 		return nil, fmt.Errorf("relayslope: %w", err)
 	}
-	// As small as takes them all: it is compacted as soon as anything comes on top.
+	// The limit barely fits the held messages, so that the log is compacted soon after more is written.
 	j.Limit = 1<<20 + int64(held)*1700
 	if err := writeLog(j.options(), held, func(i int) (class, dest int) { return 1, i % 2000 }); err != nil {
 		return nil, err
 	}
-	c, err := start(ctx, env.Dir, job{Log: j})
+	c, err := startChild(ctx, env.Dir, job{Log: j})
 	if err != nil {
 		return nil, err
 	}
-	if err := c.end(); err != nil {
+	if err := c.kill(); err != nil {
 		return nil, err
 	}
-	s := c.first.Log
+	s := c.initial.Log
 	if s == nil || s.Held != held {
-		return nil, fmt.Errorf("relayslope: the log does not hold %d messages: %+v", held, s)
+		return nil, fmt.Errorf("relayslope: the log should hold %d messages: %+v", held, s)
 	}
 	return map[string]float64{
 		"heap_bytes": float64(s.Heap), "disk_bytes": float64(s.Disk), "open_cpu_ms": millis(s.OpenCPU),
--- a/internal/testbed/scale/relayslope/platform.go
+++ b/internal/testbed/scale/relayslope/platform.go
@@ -15,14 +15,11 @@
 	"golang.org/x/sys/unix"
 )
 
-// The hollow platform: discovery's agent, one endpoint that answers all it is called with, and one that takes nothing. All
-// routes lead to one of the two, since a relay tells routes apart by their names.
+// retryAfter is the Retry-After of the endpoint that rejects everything: longer than any measurement, and shorter than the
+// lifetime of the messages, because they would be refused otherwise.
+const retryAfter = 2 * time.Hour
 
-// toldWait is how long the endpoint that takes nothing has a relay wait: longer than any measurement takes, and shorter
-// than the messages' time, which would have them refused.
-const toldWait = 2 * time.Hour
-
-// entry is one entry of discovery's list.
+// entry is an entry of discovery's list.
 type entry struct {
 	ID     string  `json:"id"`
 	Addr   string  `json:"addr,omitempty"`
@@ -31,48 +28,50 @@
 	Cell   int     `json:"cell"`
 	State  string  `json:"state"`
 	Weight float64 `json:"weight"`
-	// Started is the endpoint's last start, which no relay here goes by.
+	// Started is the time of the endpoint's last start, which the relays here don't use.
 	Started int64 `json:"started_ms"`
 }
 
-// list is the wire's form of discovery's list.
+// list is discovery's list, or a change of it, as sent on the wire.
 type list struct {
 	Version int64 `json:"version"`
 	Full    bool  `json:"full"`
 	Servers []any `json:"servers"`
 }
 
-// platform is all that a relay speaks with, but for its clients.
-type platform struct {
-	servers []*http.Server
-	serving sync.WaitGroup
-	shut    int // a socket that is bound and never listens
-
-	agent, healthy, none string // addresses
-
-	load    atomic.Pointer[load] // that is told of what is delivered; nil: none runs
-	turned  atomic.Int64         // calls that were turned away
-	notices atomic.Int64         // messages that were ended by a notice
-
-	mu      sync.Mutex
-	version int64
-	told    []list // changes that watches are yet to tell, as their version goes
-	changed chan struct{}
-	watches int
+// stubPlatform is everything that the relay communicates with, except its clients: discovery's agent, an endpoint that accepts
+// everything, and one that rejects everything. All routes lead to one of the two endpoints, which is possible because a relay
+// identifies routes by their IDs.
+type stubPlatform struct {
+	servers  []*http.Server
+	serving  sync.WaitGroup
+	closedFD int // a socket that is bound but does not listen; -1 if there is none
+
+	agentAddr, healthyAddr, downAddr string // addresses
+
+	load     atomic.Pointer[load] // the load whose deliveries are recorded; nil if none runs
+	rejected atomic.Int64         // calls rejected with a Retry-After
+	notices  atomic.Int64         // messages that ended with a notice
+
+	mu         sync.Mutex
+	version    int64
+	published  []list // all changes so far; each watch sends those after its version
+	changed    chan struct{}
+	watchCount int
 }
 
-// newPlatform serves a platform whose list has a version; its relay knows that list already.
-func newPlatform(ctx context.Context, version int64) (*platform, error) {
-	p := &platform{version: version, changed: make(chan struct{}), shut: -1}
+// newPlatform starts a platform whose list has the given version. The relay knows that list already.
+func newPlatform(ctx context.Context, version int64) (*stubPlatform, error) {
+	p := &stubPlatform{version: version, changed: make(chan struct{}), closedFD: -1}
 	agent := http.NewServeMux()
-	agent.HandleFunc("GET /catalog/members", p.watch)
-	agent.HandleFunc("POST /v2/finals", p.finals)
+	agent.HandleFunc("GET /catalog/members", p.handleWatch)
+	agent.HandleFunc("POST /v2/finals", p.handleNotices)
 	var err error
-	if p.agent, err = p.serve(ctx, agent); err == nil {
-		p.healthy, err = p.serve(ctx, http.HandlerFunc(p.take))
+	if p.agentAddr, err = p.serve(ctx, agent); err == nil {
+		p.healthyAddr, err = p.serve(ctx, http.HandlerFunc(p.handleCall))
 	}
 	if err == nil {
-		p.none, err = p.serve(ctx, http.HandlerFunc(p.turnAway))
+		p.downAddr, err = p.serve(ctx, http.HandlerFunc(p.rejectCall))
 	}
 	if err != nil {
 		return nil, errors.Join(err, p.close())
@@ -80,7 +79,7 @@
 	return p, nil
 }
 
-func (p *platform) serve(ctx context.Context, h http.Handler) (addr string, err error) {
+func (p *stubPlatform) serve(ctx context.Context, h http.Handler) (addr string, err error) {
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		return "", fmt.Errorf("relayslope: %w", err)
@@ -91,13 +90,14 @@
 	return l.Addr().String(), nil
 }
 
-// refuse has the endpoint that takes nothing refuse connections: its address is bound, and nobody listens there.
-func (p *platform) refuse() error {
+// refuseConnections replaces the rejecting endpoint by an address that refuses connections: it is bound, and nothing listens
+// there.
+func (p *stubPlatform) refuseConnections() error {
 	fd, err := unix.Socket(unix.AF_INET, unix.SOCK_STREAM|unix.SOCK_CLOEXEC, 0)
 	if err != nil {
 		return fmt.Errorf("relayslope: %w", err)
 	}
-	p.shut = fd
+	p.closedFD = fd
 	if err := unix.Bind(fd, &unix.SockaddrInet4{Addr: [4]byte{127, 0, 0, 1}}); err != nil {
 		return fmt.Errorf("relayslope: %w", err)
 	}
@@ -105,39 +105,39 @@
 	if err != nil {
 		return fmt.Errorf("relayslope: %w", err)
 	}
-	p.none = net.JoinHostPort("127.0.0.1", strconv.Itoa(at.(*unix.SockaddrInet4).Port))
+	p.downAddr = net.JoinHostPort("127.0.0.1", strconv.Itoa(at.(*unix.SockaddrInet4).Port))
 	return nil
 }
 
-// close ends all that is served, and waits for it.
-func (p *platform) close() (err error) {
+// close stops all servers and waits for them.
+func (p *stubPlatform) close() (err error) {
 	for _, s := range p.servers {
 		err = errors.Join(err, s.Close())
 	}
 	p.serving.Wait()
-	if p.shut >= 0 {
-		err = errors.Join(err, unix.Close(p.shut))
+	if p.closedFD >= 0 {
+		err = errors.Join(err, unix.Close(p.closedFD))
 	}
 	return err
 }
 
-// take answers a call.
-func (p *platform) take(w http.ResponseWriter, r *http.Request) {
+// handleCall accepts a call and records its delivery.
+func (p *stubPlatform) handleCall(w http.ResponseWriter, r *http.Request) {
 	if l := p.load.Load(); l != nil {
-		l.delivered(r.Header.Get("X-Trace-Id"))
+		l.recordDelivery(r.Header.Get("X-Trace-Id"))
 	}
 	w.WriteHeader(http.StatusOK)
 }
 
-// turnAway answers a call of a destination that takes none.
-func (p *platform) turnAway(w http.ResponseWriter, _ *http.Request) {
-	w.Header().Set("Retry-After", strconv.Itoa(int(toldWait.Seconds())))
+// rejectCall rejects a call with a Retry-After.
+func (p *stubPlatform) rejectCall(w http.ResponseWriter, _ *http.Request) {
+	w.Header().Set("Retry-After", strconv.Itoa(int(retryAfter.Seconds())))
 	w.Header().Set("Connection", "close")
 	w.WriteHeader(http.StatusTooManyRequests)
-	p.turned.Add(1)
+	p.rejected.Add(1)
 }
 
-func (p *platform) finals(w http.ResponseWriter, r *http.Request) {
+func (p *stubPlatform) handleNotices(w http.ResponseWriter, r *http.Request) {
 	for dec := json.NewDecoder(r.Body); ; {
 		var n struct{ ID string }
 		if dec.Decode(&n) != nil {
@@ -148,17 +148,17 @@
 	w.WriteHeader(http.StatusNoContent)
 }
 
-// watch tells what has changed since a version. A relay here is never told the whole list: it was started with it.
-func (p *platform) watch(w http.ResponseWriter, r *http.Request) {
+// handleWatch streams the changes after a version. It never sends the full list, because the relay was started with it.
+func (p *stubPlatform) handleWatch(w http.ResponseWriter, r *http.Request) {
 	known, err := strconv.ParseInt(r.FormValue("index"), 10, 64)
 	if err != nil || r.FormValue("stream") != "1" {
-		http.Error(w, "the hollow platform has watches alone", http.StatusNotFound)
+		http.Error(w, "only streaming watches are supported", http.StatusNotFound)
 		return
 	}
 	p.mu.Lock()
-	p.watches++
+	p.watchCount++
 	p.mu.Unlock()
-	empty := time.NewTicker(2 * time.Second) // as the protocol has it
+	empty := time.NewTicker(2 * time.Second) // required by the discovery protocol
 	defer empty.Stop()
 	out := http.NewResponseController(w)
 	enc := json.NewEncoder(w)
@@ -166,7 +166,7 @@
 		p.mu.Lock()
 		changed := p.changed
 		var news []list
-		for _, l := range p.told {
+		for _, l := range p.published {
 			if l.Version > known {
 				news = append(news, l)
 			}
@@ -193,19 +193,19 @@
 	}
 }
 
-// change has the list change: entries are an entry or, to be unreadable, anything else.
-func (p *platform) change(entries ...any) {
+// publish changes the list. Each of the entries is an entry or, to send something unreadable, any other value.
+func (p *stubPlatform) publish(entries ...any) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.version++
-	p.told = append(p.told, list{Version: p.version, Servers: entries})
+	p.published = append(p.published, list{Version: p.version, Servers: entries})
 	close(p.changed)
 	p.changed = make(chan struct{})
 }
 
-// watched tells whether a relay follows the list.
-func (p *platform) watched() bool {
+// hasWatch reports whether a relay has started to watch the list.
+func (p *stubPlatform) hasWatch() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.watches > 0
+	return p.watchCount > 0
 }
--- a/internal/testbed/scale/relayslope/process.go
+++ b/internal/testbed/scale/relayslope/process.go
@@ -14,17 +14,17 @@
 	"onyxroad.dev/onyxroad/internal/testbed/process"
 )
 
-// child is a child process as its parent sees it.
+// child is a child process, from the parent's side.
 type child struct {
 	cmd     *exec.Cmd
 	in      io.WriteCloser
 	out     *bufio.Scanner
 	starter *process.Starter
-	first   state // what it told when it was ready
+	initial childState // reported when it was ready
 }
 
-// start starts this program once more as a child with a job, and waits until it is ready. dir is where its job is written.
-func start(ctx context.Context, dir string, j job) (*child, error) {
+// startChild starts this program as a child process with a job, and waits until it is ready. The job is written to a file in dir.
+func startChild(ctx context.Context, dir string, j job) (*child, error) {
 	data, err := json.Marshal(j)
 	if err != nil {
 		return nil, fmt.Errorf("relayslope: %w", err)
@@ -52,23 +52,23 @@
 		c.starter.Stop()
 		return nil, fmt.Errorf("relayslope: child: %w", err)
 	}
-	if c.first, err = c.read(); err != nil {
-		return nil, errors.Join(err, c.end())
+	if c.initial, err = c.readState(); err != nil {
+		return nil, errors.Join(err, c.kill())
 	}
 	return c, nil
 }
 
-// ask has the child answer a word.
-func (c *child) ask(word string) (state, error) {
-	if _, err := fmt.Fprintln(c.in, word); err != nil {
-		return state{}, fmt.Errorf("relayslope: child: %w", err)
+// query sends a command to the child and returns its answer.
+func (c *child) query(command string) (childState, error) {
+	if _, err := fmt.Fprintln(c.in, command); err != nil {
+		return childState{}, fmt.Errorf("relayslope: child: %w", err)
 	}
-	return c.read()
+	return c.readState()
 }
 
-func (c *child) read() (s state, err error) {
+func (c *child) readState() (s childState, err error) {
 	if !c.out.Scan() {
-		return s, errors.Join(errors.New("relayslope: the child says nothing"), c.out.Err())
+		return s, errors.Join(errors.New("relayslope: the child closed its output"), c.out.Err())
 	}
 	if err := json.Unmarshal(c.out.Bytes(), &s); err != nil {
 		return s, fmt.Errorf("relayslope: child: %w", err)
@@ -76,8 +76,8 @@
 	return s, nil
 }
 
-// end ends the child at once: nothing that it holds is wanted any more.
-func (c *child) end() error {
+// kill kills the child and waits for it. Its state is not needed any more.
+func (c *child) kill() error {
 	err := c.cmd.Process.Kill()
 	if errors.Is(err, os.ErrProcessDone) {
 		err = nil
