--- a/internal/backlog/apply.go
+++ b/internal/backlog/apply.go
@@ -86,7 +86,7 @@
 	batch       *pebble.Batch
 	dests       map[int]destState // state after the change
 	pending     map[uint32]*Ref   // messages added by this change; nil: removed by it
-	highest     uint32
+	maxID       uint32
 	minDeadline position
 	messages    int
 	removed     int
@@ -96,19 +96,19 @@
 func (s *Store) newChange() *change {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return &change{s: s, batch: s.db.NewBatch(), dests: map[int]destState{}, pending: map[uint32]*Ref{}, highest: s.highest,
+	return &change{s: s, batch: s.db.NewBatch(), dests: map[int]destState{}, pending: map[uint32]*Ref{}, maxID: s.maxID,
 		minDeadline: s.minDeadline, messages: s.messages}
 }
 
 // dest returns the state of a destination after the change so far.
 func (c *change) dest(dest int) destState {
-	if q, ok := c.dests[dest]; ok {
-		return q
+	if state, ok := c.dests[dest]; ok {
+		return state
 	}
 	c.s.mu.Lock()
 	defer c.s.mu.Unlock()
-	if q := c.s.dests[dest]; q != nil {
-		return *q
+	if state := c.s.dests[dest]; state != nil {
+		return *state
 	}
 	return destState{minRank: maxPosition}
 }
@@ -121,7 +121,7 @@
 		}
 		return *r, true, false
 	}
-	if id > c.s.highest {
+	if id > c.s.maxID {
 		return Ref{}, false, false
 	}
 	e, ok, err := get(c.s.db, id)
@@ -185,32 +185,32 @@
 	}
 	c.pending[e.ID] = &e.Ref
 	c.addToCount(e.Dest, 1)
-	q := c.dests[e.Dest]
-	if p := (position{e.Rank, e.ID}); p.less(q.minRank) {
-		q.minRank = p
-		c.dests[e.Dest] = q
+	state := c.dests[e.Dest]
+	if p := (position{e.Rank, e.ID}); p.less(state.minRank) {
+		state.minRank = p
+		c.dests[e.Dest] = state
 	}
 	if p := (position{e.Deadline, e.ID}); p.less(c.minDeadline) {
 		c.minDeadline = p
 	}
-	c.highest = max(c.highest, e.ID)
+	c.maxID = max(c.maxID, e.ID)
 	return nil
 }
 
 func (c *change) addToCount(dest, n int) {
-	q := c.dest(dest)
-	q.count += n
-	c.dests[dest] = q
+	state := c.dest(dest)
+	state.count += n
+	c.dests[dest] = state
 	c.messages += n
 	c.removed += max(0, -n)
 }
 
 // writeCounters adds the changed counters to the batch.
 func (c *change) writeCounters() error {
-	for dest, q := range c.dests {
+	for dest, state := range c.dests {
 		var err error
-		if q.count > 0 {
-			err = c.batch.Set(countKey(dest), appendPosition(binary.BigEndian.AppendUint64(nil, uint64(q.count)), q.minRank), nil)
+		if state.count > 0 {
+			err = c.batch.Set(countKey(dest), appendPosition(binary.BigEndian.AppendUint64(nil, uint64(state.count)), state.minRank), nil)
 		} else {
 			err = c.batch.Delete(countKey(dest), nil)
 		}
@@ -219,9 +219,9 @@
 		}
 	}
 	if c.messages == 0 {
-		c.highest, c.minDeadline = 0, maxPosition
+		c.maxID, c.minDeadline = 0, maxPosition
 	}
-	return c.batch.Set([]byte{keyState}, appendPosition(binary.BigEndian.AppendUint32(nil, c.highest), c.minDeadline), nil)
+	return c.batch.Set([]byte{keyState}, appendPosition(binary.BigEndian.AppendUint32(nil, c.maxID), c.minDeadline), nil)
 }
 
 // publish updates the in-memory state after the batch was committed.
@@ -229,21 +229,21 @@
 	s := c.s
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for dest, q := range c.dests {
+	for dest, state := range c.dests {
 		switch have := s.dests[dest]; {
-		case q.count <= 0:
+		case state.count <= 0:
 			if have != nil {
 				delete(s.dests, dest)
 				s.sortedDests = nil
 			}
 		case have != nil:
-			*have = q
+			*have = state
 		default:
-			s.dests[dest] = &q
+			s.dests[dest] = &state
 			s.sortedDests = nil
 		}
 	}
-	s.highest, s.minDeadline, s.messages = c.highest, c.minDeadline, c.messages
+	s.maxID, s.minDeadline, s.messages = c.maxID, c.minDeadline, c.messages
 	s.removedSinceCompaction += c.removed
 	clear(s.dangling)
 }
--- a/internal/backlog/backlog.go
+++ b/internal/backlog/backlog.go
@@ -80,7 +80,7 @@
 	dests                  map[int]*destState
 	sortedDests            []int // sorted keys of dests; nil: must be recomputed
 	messages               int
-	highest                uint32
+	maxID                  uint32
 	minDeadline            position        // lower bound of all positions in the deadline index
 	dangling               map[string]bool // index keys without a readable message; true: delete the record as well
 	removedSinceCompaction int             // messages removed since the last full compaction; after opening assumed to be all
@@ -105,8 +105,8 @@
 func (s *Store) Count(dest int) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if q := s.dests[dest]; q != nil {
-		return q.count
+	if state := s.dests[dest]; state != nil {
+		return state.count
 	}
 	return 0
 }
--- a/internal/backlog/check.go
+++ b/internal/backlog/check.go
@@ -37,7 +37,7 @@
 			if err != nil {
 				return err
 			}
-			for good := it.First(); good; good = it.Next() {
+			for valid := it.First(); valid; valid = it.Next() {
 				have[i] += xxhash.Sum64(it.Key())
 			}
 			if err := it.Close(); err != nil {
@@ -53,7 +53,7 @@
 			r.Problems = append(r.Problems, fmt.Sprintf("the counter of messages is %d, but %d are stored", s.messages, r.Messages))
 		}
 		for dest, n := range counts {
-			if q := s.dests[dest]; q == nil || q.count != n {
+			if state := s.dests[dest]; state == nil || state.count != n {
 				r.Problems = append(r.Problems, fmt.Sprintf("the counter of destination %d is wrong: %d messages are stored", dest, n))
 				break
 			}
--- a/internal/backlog/damage_test.go
+++ b/internal/backlog/damage_test.go
@@ -47,7 +47,7 @@
 // stored is an error.
 func readAll(s *Store, ever model) (map[uint32]bool, error) {
 	found := map[uint32]bool{}
-	right := func(e Entry) error {
+	verify := func(e Entry) error {
 		if w, ok := ever[e.ID]; !ok || w.Ref != e.Ref || !bytes.Equal(w.Data, e.Data) {
 			return fmt.Errorf("message %d is %v", e.ID, e.Ref)
 		}
@@ -83,7 +83,7 @@
 		return nil, err
 	}
 	for _, e := range append(all, list...) {
-		if err := right(e); err != nil {
+		if err := verify(e); err != nil {
 			return nil, err
 		}
 	}
@@ -93,7 +93,7 @@
 // checkDamaged opens a damaged folder, reads everything, applies a change, and opens it again. All readable messages must be as
 // they were stored, and the store must be consistent after the second open. It returns the number of messages left and the
 // combined reports of both opens.
-func checkDamaged(t *testing.T, d *crashdisk.Disk, m, ever model, logs bool, what string) (left int, found OpenReport) {
+func checkDamaged(t *testing.T, d *crashdisk.Disk, m, ever model, isLog bool, what string) (left int, found OpenReport) {
 	t.Helper()
 	s, firstReport, err := Open(smallOptions(d))
 	if err != nil {
@@ -125,7 +125,7 @@
 		t.Fatalf("%s: the message added after the damage is lost", what)
 	}
 	for id := range have {
-		if _, ok := m[id]; !ok && id != fresh.ID && !logs {
+		if _, ok := m[id]; !ok && id != fresh.ID && !isLog {
 			t.Fatalf("%s: removed message %d has reappeared", what, id)
 		}
 	}
--- a/internal/backlog/fail_test.go
+++ b/internal/backlog/fail_test.go
@@ -17,16 +17,16 @@
 // TestFailingDisk makes each kind of disk operation fail for a while during random changes. It guards against applied messages
 // becoming unreadable during the failure, and against a refused change being stored partly.
 func TestFailingDisk(t *testing.T) {
-	for _, power := range []bool{true, false} {
+	for _, fsync := range []bool{true, false} {
 		for _, fails := range []string{"write", "sync", "open", "remove", "syncdir", "write sync open remove syncdir rename"} {
-			t.Run(fmt.Sprintf("power %v %s", power, fails), func(t *testing.T) {
-				failingDisk(t, power, fails)
+			t.Run(fmt.Sprintf("power %v %s", fsync, fails), func(t *testing.T) {
+				runWithFailingDisk(t, fsync, fails)
 			})
 		}
 	}
 }
 
-func failingDisk(t *testing.T, power bool, fails string) {
+func runWithFailingDisk(t *testing.T, fsync bool, fails string) {
 	d := crashdisk.New()
 	var failing atomic.Bool
 	d.Fail = func(op, _ string) error {
@@ -36,7 +36,7 @@
 		return nil
 	}
 	o := smallOptions(d)
-	o.Fsync = power
+	o.Fsync = fsync
 	s, _ := mustOpen(t, o)
 	now := time.Unix(1000, 0)
 	s.now = func() time.Time { return now }
@@ -94,7 +94,7 @@
 	if wrong := m.diff(s); wrong != "" {
 		t.Fatal(wrong)
 	}
-	if refused == 0 && (power || !strings.Contains(fails, "sync")) {
+	if refused == 0 && (fsync || !strings.Contains(fails, "sync")) {
 		t.Error("no change was refused")
 	}
 	s.Close()
--- a/internal/backlog/open.go
+++ b/internal/backlog/open.go
@@ -91,7 +91,7 @@
 	if err := s.openOrRepair(repairRequested, &report); err != nil {
 		return s, report, err
 	}
-	report.Messages, report.MaxID = s.messages, s.highest
+	report.Messages, report.MaxID = s.messages, s.maxID
 	return s, report, nil
 }
 
@@ -318,19 +318,19 @@
 	if err != nil {
 		return err
 	}
-	for good := it.First(); good; good = it.Next() {
+	for valid := it.First(); valid; valid = it.Next() {
 		key, value := it.Key(), it.Value()
 		if len(key) != 5 || len(value) != 8+8+idBytes {
 			return errors.Join(fmt.Errorf("%w: a counter has an invalid length of %d bytes", ErrDamaged, len(value)), it.Close())
 		}
-		q := &destState{int(binary.BigEndian.Uint64(value)), decodePosition(value)}
-		dests[int(binary.BigEndian.Uint32(key[1:]))] = q
-		messages += q.count
+		state := &destState{int(binary.BigEndian.Uint64(value)), decodePosition(value)}
+		dests[int(binary.BigEndian.Uint32(key[1:]))] = state
+		messages += state.count
 	}
 	if err := it.Close(); err != nil {
 		return err
 	}
-	highest, low := uint32(0), maxPosition
+	maxID, minDeadline := uint32(0), maxPosition
 	value, closer, err := db.Get([]byte{keyState})
 	switch {
 	case errors.Is(err, pebble.ErrNotFound):
@@ -339,14 +339,14 @@
 	case len(value) != idBytes+8+idBytes:
 		return errors.Join(fmt.Errorf("%w: the state record has an invalid length of %d bytes", ErrDamaged, len(value)), closer.Close())
 	default:
-		highest, low = binary.BigEndian.Uint32(value), decodePosition(value)
+		maxID, minDeadline = binary.BigEndian.Uint32(value), decodePosition(value)
 		if err := closer.Close(); err != nil {
 			return err
 		}
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.dests, s.sortedDests, s.messages, s.highest, s.minDeadline, s.dangling = dests, nil, messages, highest, low, map[string]bool{}
+	s.dests, s.sortedDests, s.messages, s.maxID, s.minDeadline, s.dangling = dests, nil, messages, maxID, minDeadline, map[string]bool{}
 	s.removedSinceCompaction = messages + 1
 	return nil
 }
--- a/internal/backlog/read.go
+++ b/internal/backlog/read.go
@@ -92,16 +92,16 @@
 			return err
 		}
 		defer it.Close()
-		for good := it.SeekPrefixGE(prefix); good; good = it.Next() {
+		for valid := it.SeekPrefixGE(prefix); valid; valid = it.Next() {
 			key := it.Key()
 			if len(key) != tracePrefixLen+idBytes {
 				continue
 			}
-			e, there, err := get(db, binary.BigEndian.Uint32(key[tracePrefixLen:]))
+			e, stored, err := get(db, binary.BigEndian.Uint32(key[tracePrefixLen:]))
 			if err != nil {
 				return err
 			}
-			if there && e.Trace == trace {
+			if stored && e.Trace == trace {
 				r, ok = e.Ref, true
 				return nil
 			}
@@ -133,7 +133,7 @@
 			return err
 		}
 		defer it.Close()
-		for good := it.First(); good; good = it.Next() {
+		for valid := it.First(); valid; valid = it.Next() {
 			p := decodePosition(it.Key())
 			if first == maxPosition {
 				first = p
@@ -161,19 +161,19 @@
 // First returns up to n messages of a destination, most urgent first: in order of rank, then of id.
 func (s *Store) First(dest, n int) ([]Entry, error) {
 	s.mu.Lock()
-	q := s.dests[dest]
-	if q == nil || n <= 0 {
+	state := s.dests[dest]
+	if state == nil || n <= 0 {
 		s.mu.Unlock()
 		return nil, nil
 	}
-	low := q.minRank
+	low := state.minRank
 	s.mu.Unlock()
 	all, first, err := s.scanIndex(destKey(dest, low), prefixEnd(destKey(dest, position{})[:5]), n, func(position) bool { return true })
 	if err != nil {
 		return nil, err
 	}
 	s.mu.Lock()
-	q.minRank = first
+	state.minRank = first
 	s.mu.Unlock()
 	return all, nil
 }
--- a/internal/backlog/repair.go
+++ b/internal/backlog/repair.go
@@ -42,7 +42,7 @@
 		if !ours && name != repairName || ours && gen >= s.generation {
 			continue
 		}
-		if kept := ours && (report.Lost || damagedFiles[name]) && s.setAside(name); kept {
+		if kept := ours && (report.Lost || damagedFiles[name]) && s.quarantine(name); kept {
 			report.Problems = append(report.Problems, damagedPrefix+name)
 			continue
 		}
@@ -55,9 +55,9 @@
 	return s.openForWriting()
 }
 
-// setAside renames a damaged file to keep it for inspection, unless the files set aside would take more than their share of the
+// quarantine renames a damaged file to keep it for inspection, unless the files set aside would take more than their share of the
 // limit. It reports whether the file was kept.
-func (s *Store) setAside(name string) bool {
+func (s *Store) quarantine(name string) bool {
 	to := damagedPrefix + name
 	s.usage.mu.Lock()
 	sum := s.usage.sizes[name]
@@ -202,7 +202,7 @@
 		return id, err
 	}
 	defer it.Close()
-	for good := it.First(); good; good = it.Next() {
+	for valid := it.First(); valid; valid = it.Next() {
 		id = binary.BigEndian.Uint32(it.Key()[1:])
 		value, err := it.ValueAndErr()
 		if err != nil {
@@ -311,38 +311,38 @@
 	if err := b.DeleteRange([]byte{keyCount}, []byte{keyCount + 1}, nil); err != nil {
 		return err
 	}
-	err := forEachDest(db, func(dest int, q destState) error {
-		return b.Set(countKey(dest), appendPosition(binary.BigEndian.AppendUint64(nil, uint64(q.count)), q.minRank), nil)
+	err := forEachDest(db, func(dest int, state destState) error {
+		return b.Set(countKey(dest), appendPosition(binary.BigEndian.AppendUint64(nil, uint64(state.count)), state.minRank), nil)
 	})
 	if err != nil {
 		return err
 	}
-	highest, low := uint32(0), maxPosition
+	maxID, minDeadline := uint32(0), maxPosition
 	it, err := db.NewIter(&pebble.IterOptions{LowerBound: []byte{keyMessage}, UpperBound: []byte{keyMessage + 1}})
 	if err != nil {
 		return err
 	}
 	if it.Last() {
-		highest, low = binary.BigEndian.Uint32(it.Key()[1:]), position{math.MinInt64, 0}
+		maxID, minDeadline = binary.BigEndian.Uint32(it.Key()[1:]), position{math.MinInt64, 0}
 	}
 	if err := it.Close(); err != nil {
 		return err
 	}
-	if err := b.Set([]byte{keyState}, appendPosition(binary.BigEndian.AppendUint32(nil, highest), low), nil); err != nil {
+	if err := b.Set([]byte{keyState}, appendPosition(binary.BigEndian.AppendUint32(nil, maxID), minDeadline), nil); err != nil {
 		return err
 	}
 	return b.Commit(pebble.Sync)
 }
 
 // forEachDest calls visit with the state of each destination that is in the destination index.
-func forEachDest(db *pebble.DB, visit func(dest int, q destState) error) error {
+func forEachDest(db *pebble.DB, visit func(dest int, state destState) error) error {
 	it, err := db.NewIter(&pebble.IterOptions{LowerBound: []byte{keyDest}, UpperBound: []byte{keyDest + 1}})
 	if err != nil {
 		return err
 	}
 	defer it.Close()
 	at, q := -1, destState{}
-	for good := it.First(); good; good = it.Next() {
+	for valid := it.First(); valid; valid = it.Next() {
 		if dest := int(binary.BigEndian.Uint32(it.Key()[1:])); dest != at {
 			if q.count > 0 {
 				if err := visit(at, q); err != nil {
--- a/internal/backlog/size_test.go
+++ b/internal/backlog/size_test.go
@@ -42,22 +42,22 @@
 // durations collects measured durations.
 type durations []time.Duration
 
-func (t *durations) time(do func()) {
+func (d *durations) time(do func()) {
 	began := time.Now()
 	do()
-	*t = append(*t, time.Since(began))
+	*d = append(*d, time.Since(began))
 }
 
-func (t durations) String() string {
-	slices.Sort(t)
-	if len(t) == 0 {
+func (d durations) String() string {
+	slices.Sort(d)
+	if len(d) == 0 {
 		return "none"
 	}
 	var sum time.Duration
-	for _, d := range t {
+	for _, d := range d {
 		sum += d
 	}
-	return fmt.Sprintf("mean %v, median %v, p99 %v, most %v", sum/time.Duration(len(t)), t[len(t)/2], t[len(t)*99/100], t[len(t)-1])
+	return fmt.Sprintf("mean %v, median %v, p99 %v, most %v", sum/time.Duration(len(d)), d[len(d)/2], d[len(d)*99/100], d[len(d)-1])
 }
 
 // resourceUsage describes this process: its heap after a garbage collection, its current and maximum resident memory, its open
--- a/internal/backlog/tidy.go
+++ b/internal/backlog/tidy.go
@@ -23,44 +23,44 @@
 	if err != nil {
 		return err
 	}
-	marked, newest, content := "", "", false
+	markedManifest, newestManifest, hasData := "", "", false
 	for _, name := range slices.Sorted(slices.Values(names)) {
 		switch {
 		case strings.HasPrefix(name, markerPrefix):
-			marked = name[strings.LastIndexByte(name, '.')+1:]
+			markedManifest = name[strings.LastIndexByte(name, '.')+1:]
 		case strings.HasPrefix(name, manifestPrefix):
-			newest = name
+			newestManifest = name
 		case strings.HasSuffix(name, ".sst"):
-			content = true
+			hasData = true
 		case strings.HasSuffix(name, ".log"):
 			size, _ := s.usage.size(f.name(name))
-			content = content || size > 0
+			hasData = hasData || size > 0
 		}
 	}
-	if marked == "" && !content {
+	if markedManifest == "" && !hasData {
 		return nil // the folder was only being created
 	}
-	if marked == "" && newest != "" {
+	if markedManifest == "" && newestManifest != "" {
 		report.Problems = append(report.Problems, "the manifest marker is missing: the newest manifest is used")
-		marker, err := s.fs.Open(f.name(markerPrefix + "999999." + newest))
+		marker, err := s.fs.Open(f.name(markerPrefix + "999999." + newestManifest))
 		if err == nil {
 			err = errors.Join(marker.Close(), s.fs.SyncDir())
 		}
 		if err != nil {
 			return err
 		}
-		marked = newest
+		markedManifest = newestManifest
 	}
-	if marked == "" {
+	if markedManifest == "" {
 		return nil
 	}
-	if main, twin, err := s.readManifestPair(f, marked); err != nil {
+	if main, mirror, err := s.readManifestPair(f, markedManifest); err != nil {
 		return err
-	} else if countRecords(twin) > countRecords(main) {
+	} else if countRecords(mirror) > countRecords(main) {
 		if !s.opts.Fsync {
 			report.Problems = append(report.Problems, "the manifest is not readable to its end: its mirror is used")
 		}
-		if err := disk.Replace(s.fs, f.name(marked), twin); err != nil {
+		if err := disk.Replace(s.fs, f.name(markedManifest), mirror); err != nil {
 			return err
 		}
 	}
@@ -68,8 +68,8 @@
 }
 
 // readManifestPair reads a manifest and its mirror. A missing file is returned as empty.
-func (s *Store) readManifestPair(f *engineFS, name string) (main, twin []byte, err error) {
-	for to, name := range map[*[]byte]string{&main: name, &twin: mirrorName(name)} {
+func (s *Store) readManifestPair(f *engineFS, name string) (main, mirror []byte, err error) {
+	for to, name := range map[*[]byte]string{&main: name, &mirror: mirrorName(name)} {
 		if _, ok := s.usage.size(f.name(name)); !ok {
 			continue
 		}
@@ -77,7 +77,7 @@
 			return nil, nil, err
 		}
 	}
-	return main, twin, nil
+	return main, mirror, nil
 }
 
 // promoteMirror replaces the manifest with its mirror, if they differ.
@@ -92,18 +92,18 @@
 			continue
 		}
 		name = name[strings.LastIndexByte(name, '.')+1:]
-		main, twin, err := s.readManifestPair(f, name)
+		main, mirror, err := s.readManifestPair(f, name)
 		if err != nil {
 			return err
 		}
-		if len(twin) == 0 || bytes.Equal(main, twin) {
+		if len(mirror) == 0 || bytes.Equal(main, mirror) {
 			return errors.New("backlog: the mirror of the manifest is missing or identical to it")
 		}
 		report.Problems = append(report.Problems, "the manifest is unreadable: its mirror is used")
-		if s.setAside(f.name(name)) {
+		if s.quarantine(f.name(name)) {
 			report.Problems = append(report.Problems, damagedPrefix+f.name(name))
 		}
-		return disk.Replace(s.fs, f.name(name), twin)
+		return disk.Replace(s.fs, f.name(name), mirror)
 	}
 	return errors.New("backlog: there is no manifest marker")
 }
--- a/internal/duty/figures/figures.go
+++ b/internal/duty/figures/figures.go
@@ -99,7 +99,7 @@
 }
 
 // Figures are the fleet's, if this relay holds the duty.
-func (f *Figures) Figures() (text string, held bool) {
+func (f *Figures) Metrics() (text string, held bool) {
 	t := f.holder.Holds(Duty)
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/duty/figures/figures_test.go
+++ b/internal/duty/figures/figures_test.go
@@ -31,7 +31,7 @@
 	if text != want {
 		t.Errorf("%s", text)
 	}
-	if _, held := f.Figures(); held {
+	if _, held := f.Metrics(); held {
 		t.Error("answers for the fleet without holding the duty")
 	}
 }
--- a/internal/relay/admin.go
+++ b/internal/relay/admin.go
@@ -42,11 +42,11 @@
 }
 
 // forClass returns the metrics of a class. Those of a class that no longer exists are discarded.
-func (f *metrics) forClass(class int) *classMetrics {
-	if class < 0 || class >= len(f.classes) {
+func (ms *metrics) forClass(class int) *classMetrics {
+	if class < 0 || class >= len(ms.classes) {
 		return &classMetrics{}
 	}
-	return &f.classes[class]
+	return &ms.classes[class]
 }
 
 // markCounted reports whether this is m's first final outcome, the only one that is counted.
@@ -57,8 +57,8 @@
 }
 
 // countEnd counts a message that is refused or has failed.
-func (f *metrics) countEnd(m *message, final wal.Final) {
-	switch c := f.forClass(m.Class); {
+func (ms *metrics) countEnd(m *message, final wal.Final) {
+	switch c := ms.forClass(m.Class); {
 	case !m.markCounted():
 	case final.Deferred:
 		c.deferred.Add(1)
@@ -68,27 +68,27 @@
 }
 
 // countRejected counts a message of a class that is rejected with an answer.
-func (f *metrics) countRejected(class int, a answer) {
+func (ms *metrics) countRejected(class int, a answer) {
 	if a.status == http.StatusServiceUnavailable {
-		f.forClass(class).deferred.Add(1)
+		ms.forClass(class).deferred.Add(1)
 		return
 	}
-	f.forClass(class).errored.Add(1)
+	ms.forClass(class).errored.Add(1)
 }
 
-func (f *metrics) String() string {
+func (ms *metrics) String() string {
 	var b strings.Builder
-	for i, name := range f.names {
-		c := &f.classes[i]
+	for i, name := range ms.names {
+		c := &ms.classes[i]
 		fmt.Fprintf(&b, "relay.answered.%s:%d|c\n", name, c.answered.Load())
 		fmt.Fprintf(&b, "relay.deferred.%s:%d|c\n", name, c.deferred.Load())
 		fmt.Fprintf(&b, "relay.errored.%s:%d|c\n", name, c.errored.Load())
 		fmt.Fprintf(&b, "relay.sends.%s:%d|c\n", name, c.sends.Load())
 	}
-	fmt.Fprintf(&b, "relay.current:%d|g\n", f.current.Load())
-	fmt.Fprintf(&b, "relay.cluster_size:%d|g\n", f.size.Load())
-	fmt.Fprintf(&b, "relay.cluster_unhealthy:%d|g", f.unhealthy.Load())
-	if text := f.backlog.Load(); text != nil {
+	fmt.Fprintf(&b, "relay.current:%d|g\n", ms.current.Load())
+	fmt.Fprintf(&b, "relay.cluster_size:%d|g\n", ms.size.Load())
+	fmt.Fprintf(&b, "relay.cluster_unhealthy:%d|g", ms.unhealthy.Load())
+	if text := ms.backlog.Load(); text != nil {
 		b.WriteString(*text)
 	}
 	return b.String()
--- a/internal/relay/backlog.go
+++ b/internal/relay/backlog.go
@@ -101,16 +101,16 @@
 	if err != nil {
 		return fmt.Errorf("relay: %w", err)
 	}
-	o := &backlogQueue{
+	q := &backlogQueue{
 		window: newWindow(b.Window, b.Share, r.cfg.Settings.MaxHeld), Backlog: *b, relay: r, store: store,
 		unconfirmed: map[uint32]owed.Ref{}, sharedIDs: map[uint32]time.Time{}, maxRecoveredID: contents.MaxID, nextDeadline: 0,
 	}
 	if contents.Lost || contents.Rebuilt || len(contents.Problems) > 0 {
 		r.log.Error("the backlog was damaged", "messages", contents.Messages, "lost", contents.Lost, "aside", contents.Problems)
 	}
-	o.startJob = func(j *storeJob) {
-		o.jobs.Go(func() {
-			j.run(o.store)
+	q.startJob = func(j *storeJob) {
+		q.jobs.Go(func() {
+			j.run(q.store)
 			r.post(j)
 		})
 	}
@@ -131,17 +131,17 @@
 			}
 		}
 	}
-	if o.clockOffset, err = r.loadClockOffset(); err != nil {
+	if q.clockOffset, err = r.loadClockOffset(); err != nil {
 		return errors.Join(err, store.Close())
 	}
 	for dest, n := range store.Dests() {
-		o.addOnDisk(dest, n)
+		q.addOnDisk(dest, n)
 	}
-	o.diskBytes = store.DiskBytes()
-	if o.onDisk > 0 {
-		r.log.Info("recovered the backlog", "messages", o.onDisk, "destinations", len(o.dests), "bytes", o.diskBytes)
+	q.diskBytes = store.DiskBytes()
+	if q.onDisk > 0 {
+		r.log.Info("recovered the backlog", "messages", q.onDisk, "destinations", len(q.dests), "bytes", q.diskBytes)
 	}
-	r.backlog, r.lastID = o, max(r.lastID, contents.MaxID)
+	r.backlog, r.lastID = q, max(r.lastID, contents.MaxID)
 	return nil
 }
 
@@ -189,120 +189,120 @@
 
 // storedTime converts a time to its form on disk: on the log's timeline, plus the offset by which the clock was set
 // back over restarts. restoredTime is the inverse.
-func (o *backlogQueue) storedTime(at time.Time) int64 {
-	return o.relay.wal.Stamp(at).Add(o.clockOffset).UnixNano()
+func (q *backlogQueue) storedTime(at time.Time) int64 {
+	return q.relay.wal.Stamp(at).Add(q.clockOffset).UnixNano()
 }
 
-func (o *backlogQueue) restoredTime(ns int64) time.Time {
-	return o.relay.wal.Local(time.Unix(0, ns).Add(-o.clockOffset))
+func (q *backlogQueue) restoredTime(ns int64) time.Time {
+	return q.relay.wal.Local(time.Unix(0, ns).Add(-q.clockOffset))
 }
 
 // ref returns the reference of a message in the store.
-func (o *backlogQueue) ref(m *message) owed.Ref {
-	return owed.Ref{ID: m.ID, Trace: m.Trace, Dest: m.Dest, Rank: m.rank(), Deadline: o.storedTime(m.Deadline)}
+func (q *backlogQueue) ref(m *message) owed.Ref {
+	return owed.Ref{ID: m.ID, Trace: m.Trace, Dest: m.Dest, Rank: m.rank(), Deadline: q.storedTime(m.Deadline)}
 }
 
 // lookup answers a request for a message that is already on disk; false if it is not. Since the message then has more
 // than one client, withdraw ignores it for sharedIDLifetime.
-func (o *backlogQueue) lookup(trace string) (answer, bool) {
-	if o == nil || o.onDisk == 0 {
+func (q *backlogQueue) lookup(trace string) (answer, bool) {
+	if q == nil || q.onDisk == 0 {
 		return answer{}, false
 	}
-	ref, ok, err := o.store.Find(trace)
+	ref, ok, err := q.store.Find(trace)
 	switch {
 	case err != nil:
-		o.relay.log.Warn("cannot look up a message in the backlog", "err", err)
+		q.relay.log.Warn("cannot look up a message in the backlog", "err", err)
 		return backlogUnavailable(), true // whether the message is on disk is unknown
 	case !ok:
 		return answer{}, false
-	case o.unconfirmed[ref.ID].ID != 0:
+	case q.unconfirmed[ref.ID].ID != 0:
 		return finalAnswer(expiredFinal), true
 	}
-	o.sharedIDs[ref.ID] = clock.Now()
+	q.sharedIDs[ref.ID] = clock.Now()
 	return answer{status: http.StatusAccepted}, true
 }
 
 // refuses reports whether a new message would have to go to disk while the disk is full, failing or far behind.
-func (o *backlogQueue) refuses(dest int) bool {
-	if o == nil || o.admits(dest) && o.held-o.sent < o.maxUnsent {
+func (q *backlogQueue) refuses(dest int) bool {
+	if q == nil || q.admits(dest) && q.held-q.sent < q.maxUnsent {
 		return false
 	}
-	if !o.full && !o.failing && len(o.outgoing) < 4*o.maxUnsent {
+	if !q.full && !q.failing && len(q.outgoing) < 4*q.maxUnsent {
 		return false
 	}
-	o.refused++
+	q.refused++
 	return true
 }
 
 // add, remove and markSent keep count of the messages at the module; see window.
-func (o *backlogQueue) add(m *message) {
-	if o != nil {
-		o.window.add(m)
+func (q *backlogQueue) add(m *message) {
+	if q != nil {
+		q.window.add(m)
 	}
 }
 
-func (o *backlogQueue) remove(m *message) {
-	if o != nil {
-		o.window.remove(m)
+func (q *backlogQueue) remove(m *message) {
+	if q != nil {
+		q.window.remove(m)
 	}
 }
 
-func (o *backlogQueue) markSent(m *message) {
-	if o != nil {
-		o.window.markSent(m)
+func (q *backlogQueue) markSent(m *message) {
+	if q != nil {
+		q.window.markSent(m)
 	}
 }
 
-// divert sends a new message to disk instead of the module if the window does not admit it.
-func (o *backlogQueue) divert(m *message) bool {
-	if o == nil || m.Attempts > 0 || !storable(m.Dest) || o.admits(m.Dest) {
+// moveNewToDisk sends a new message to disk instead of the module if the window does not admit it.
+func (q *backlogQueue) moveNewToDisk(m *message) bool {
+	if q == nil || m.Attempts > 0 || !storable(m.Dest) || q.admits(m.Dest) {
 		return false
 	}
-	o.relay.held--
-	o.moveToDisk(m)
+	q.relay.held--
+	q.moveToDisk(m)
 	return true
 }
 
 // moveToDisk queues a message that is not at the module for the disk.
-func (o *backlogQueue) moveToDisk(m *message) {
+func (q *backlogQueue) moveToDisk(m *message) {
 	m.move = movingToDisk
-	o.addOnDisk(m.Dest, 1)
-	o.outgoing = append(o.outgoing, m)
+	q.addOnDisk(m.Dest, 1)
+	q.outgoing = append(q.outgoing, m)
 }
 
 // evictable reports whether a message at the module may move to disk: it was never sent, it is durable in the log, and no
 // client waits for it.
-func (o *backlogQueue) evictable(m *message) bool {
+func (q *backlogQueue) evictable(m *message) bool {
 	return !m.ended && m.move == notMoving && m.sends == 0 && m.outstanding == 0 && m.Attempts == 0 && len(m.MayRun) == 0 &&
-		m.Final == nil && !m.Withdrawn && m.continuation == nil && storable(m.Dest) && m.seq <= o.relay.wal.Durable() && o.relay.wal.IsLive(m.Message)
+		m.Final == nil && !m.Withdrawn && m.continuation == nil && storable(m.Dest) && m.seq <= q.relay.wal.Durable() && q.relay.wal.IsLive(m.Message)
 }
 
 // evictExcess moves the messages that exceed the window to disk. The module is told before it makes its next decision.
-func (o *backlogQueue) evictExcess() {
-	if o == nil || o.full || o.failing {
+func (q *backlogQueue) evictExcess() {
+	if q == nil || q.full || q.failing {
 		return
 	}
 	least := 0
-	if o.relay.wal.FillRatio() > evictFill {
-		least = 1 + (o.held-o.sent)/8
+	if q.relay.wal.FillRatio() > evictFill {
+		least = 1 + (q.held-q.sent)/8
 	}
-	for _, m := range o.excess(least, o.evictable) {
-		o.relay.held--
-		o.remove(m)
-		o.relay.nextEvents = append(o.relay.nextEvents, policy.Event{Kind: policy.Withdrawn, ID: m.ID})
-		o.moveToDisk(m)
+	for _, m := range q.excess(least, q.evictable) {
+		q.relay.held--
+		q.remove(m)
+		q.relay.nextEvents = append(q.relay.nextEvents, policy.Event{Kind: policy.Withdrawn, ID: m.ID})
+		q.moveToDisk(m)
 	}
 }
 
 // cancelTransfer ends a message that is withdrawn while it moves. If it may be on disk, it is removed there before it
 // ends in the log: a restart would otherwise send it.
-func (o *backlogQueue) cancelTransfer(m *message) {
-	for i, x := range o.outgoing {
+func (q *backlogQueue) cancelTransfer(m *message) {
+	for i, x := range q.outgoing {
 		if x == m && m.move == movingToDisk {
-			o.outgoing = append(o.outgoing[:i], o.outgoing[i+1:]...)
+			q.outgoing = append(q.outgoing[:i], q.outgoing[i+1:]...)
 			m.move, m.ended = notMoving, true
-			o.addOnDisk(m.Dest, -1)
-			o.relay.release(m)
+			q.addOnDisk(m.Dest, -1)
+			q.relay.release(m)
 			return
 		}
 	}
@@ -310,59 +310,59 @@
 }
 
 // withdraw ends a message on disk whose client has disconnected without its answer.
-func (o *backlogQueue) withdraw(id uint32) {
-	if o == nil || o.onDisk == 0 {
+func (q *backlogQueue) withdraw(id uint32) {
+	if q == nil || q.onDisk == 0 {
 		return
 	}
-	if _, ok := o.sharedIDs[id]; ok || o.unconfirmed[id].ID != 0 {
+	if _, ok := q.sharedIDs[id]; ok || q.unconfirmed[id].ID != 0 {
 		return
 	}
-	e, ok, err := o.store.Get(id)
+	e, ok, err := q.store.Get(id)
 	if err != nil || !ok {
 		return
 	}
-	o.removals = append(o.removals, e.Ref)
+	q.removals = append(q.removals, e.Ref)
 }
 
 // confirm removes a message on disk whose final notice was confirmed; false if the id is not of such a message.
-func (o *backlogQueue) confirm(id uint32) bool {
-	if o == nil {
+func (q *backlogQueue) confirm(id uint32) bool {
+	if q == nil {
 		return false
 	}
-	ref, ok := o.unconfirmed[id]
+	ref, ok := q.unconfirmed[id]
 	if ok {
-		delete(o.unconfirmed, id)
-		o.removals = append(o.removals, ref)
-		o.relay.wal.RememberCompletion(ref.Trace, o.restoredTime(ref.Deadline), wal.CompletionOf(expiredFinal))
+		delete(q.unconfirmed, id)
+		q.removals = append(q.removals, ref)
+		q.relay.wal.RememberCompletion(ref.Trace, q.restoredTime(ref.Deadline), wal.CompletionOf(expiredFinal))
 	}
 	return ok
 }
 
 // admitRecovered reports whether a message that was recovered from the log goes to the module. Otherwise it queues the
 // message for the disk: one that was never tried waits behind those already there.
-func (o *backlogQueue) admitRecovered(m *message) bool {
-	if o == nil || m.Attempts > 0 || len(m.MayRun) > 0 || m.Doubt || !storable(m.Dest) || o.admits(m.Dest) && o.held-o.sent < o.maxUnsent {
+func (q *backlogQueue) admitRecovered(m *message) bool {
+	if q == nil || m.Attempts > 0 || len(m.MayRun) > 0 || m.Doubt || !storable(m.Dest) || q.admits(m.Dest) && q.held-q.sent < q.maxUnsent {
 		return true
 	}
-	o.moveToDisk(m)
+	q.moveToDisk(m)
 	return false
 }
 
 // waitForJob waits until no job is running. It returns false on a time-out.
-func (o *backlogQueue) waitForJob(timeout time.Duration) bool {
-	if o == nil || o.job == nil {
+func (q *backlogQueue) waitForJob(timeout time.Duration) bool {
+	if q == nil || q.job == nil {
 		return true
 	}
 	timer := time.NewTimer(timeout)
 	defer timer.Stop()
 	for {
 		select {
-		case e := <-o.relay.events:
+		case e := <-q.relay.events:
 			if j, ok := e.(*storeJob); ok {
-				o.relay.nextEvents = o.jobFinished(o.relay.nextEvents, j)
+				q.relay.nextEvents = q.jobFinished(q.relay.nextEvents, j)
 				return true
 			}
-			o.relay.postponed = append(o.relay.postponed, e)
+			q.relay.postponed = append(q.relay.postponed, e)
 		case <-timer.C:
 			return false
 		}
@@ -370,48 +370,48 @@
 }
 
 // close closes the store. What a job has done without the loop knowing yet is in the log as well.
-func (o *backlogQueue) close() error {
-	if o == nil || o.store == nil {
+func (q *backlogQueue) close() error {
+	if q == nil || q.store == nil {
 		return nil
 	}
-	o.jobs.Wait()
-	err := o.store.Close()
-	o.store = nil
+	q.jobs.Wait()
+	err := q.store.Close()
+	q.store = nil
 	return err
 }
 
 // reopen opens the store again after a failed hand-over.
-func (o *backlogQueue) reopen() error {
-	if o == nil || o.store != nil {
+func (q *backlogQueue) reopen() error {
+	if q == nil || q.store != nil {
 		return nil
 	}
 	var err error
 	for end := clock.Now().Add(relockTimeout); ; time.Sleep(lockRetryInterval) {
-		if o.store, _, err = o.Open(); err == nil || clock.Now().After(end) {
+		if q.store, _, err = q.Open(); err == nil || clock.Now().After(end) {
 			return err
 		}
 	}
 }
 
 // count returns the number of messages that are on disk or moving there.
-func (o *backlogQueue) count() int {
-	if o == nil {
+func (q *backlogQueue) count() int {
+	if q == nil {
 		return 0
 	}
-	return o.onDisk
+	return q.onDisk
 }
 
 // publish updates the backlog's metrics.
-func (o *backlogQueue) publish() {
-	if o == nil {
+func (q *backlogQueue) publish() {
+	if q == nil {
 		return
 	}
-	text := o.String()
-	o.relay.metrics.backlog.Store(&text)
+	text := q.String()
+	q.relay.metrics.backlog.Store(&text)
 }
 
 // String formats the backlog's metrics for /api/telemetry.
-func (o *backlogQueue) String() string {
+func (q *backlogQueue) String() string {
 	gauge := func(b bool) int {
 		if b {
 			return 1
@@ -421,7 +421,7 @@
 	return fmt.Sprintf("\nrelay.backlog.messages:%d|g\nrelay.backlog.destinations:%d|g\nrelay.backlog.bytes:%d|g\nrelay.backlog.window:%d|g\n"+
 		"relay.backlog.moving:%d|g\nrelay.backlog.out:%d|c\nrelay.backlog.in:%d|c\nrelay.backlog.ended:%d|c\nrelay.backlog.refused:%d|c\n"+
 		"relay.backlog.full:%d|g\nrelay.backlog.failing:%d|g",
-		o.onDisk, len(o.dests), o.diskBytes, o.held, len(o.outgoing)+len(o.incoming), o.movedOut, o.movedIn, o.ended, o.refused, gauge(o.full), gauge(o.failing))
+		q.onDisk, len(q.dests), q.diskBytes, q.held, len(q.outgoing)+len(q.incoming), q.movedOut, q.movedIn, q.ended, q.refused, gauge(q.full), gauge(q.failing))
 }
 
 // backlogUnavailable answers a message that the backlog would have to store, but cannot.
--- a/internal/relay/clients.go
+++ b/internal/relay/clients.go
@@ -115,7 +115,7 @@
 }
 
 // run accepts connections until the listener is closed.
-func (s *clients) run(l net.Listener) error {
+func (cs *clients) run(l net.Listener) error {
 	for {
 		nc, err := sockets.AcceptFrom(l)
 		switch {
@@ -124,55 +124,55 @@
 		case err != nil:
 			// The client disconnected at once, or the machine lacks a resource that this process cannot free. Neither
 			// is a reason to close a connection whose request may be in transit.
-			s.noteAccept(true)
-			s.acceptErrors.Do(func() { s.log.Warn("accept", "err", err) })
+			cs.noteAccept(true)
+			cs.acceptErrors.Do(func() { cs.log.Warn("accept", "err", err) })
 			if errors.Is(err, syscall.EMFILE) {
-				s.makeRoom(true)
+				cs.makeRoom(true)
 			}
 			time.Sleep(acceptRetryDelay)
 			continue
 		}
-		s.noteAccept(false)
-		s.makeRoom(false)
+		cs.noteAccept(false)
+		cs.makeRoom(false)
 		c := &client{conn: newConn(nc)}
-		if !s.admit(c) {
+		if !cs.admit(c) {
 			nc.Close()
 			continue
 		}
-		go s.serve(c)
+		go cs.serve(c)
 	}
 }
 
 // admit adds a new connection. It returns false if no more are accepted.
-func (s *clients) admit(c *client) bool {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if s.closed {
+func (cs *clients) admit(c *client) bool {
+	cs.mu.Lock()
+	defer cs.mu.Unlock()
+	if cs.closed {
 		return false
 	}
-	s.conns[c] = struct{}{}
+	cs.conns[c] = struct{}{}
 	now := clock.Now()
 	c.since = now
-	if !s.stalledSince.IsZero() {
-		c.since = s.stalledSince // it may have been waiting since then
+	if !cs.stalledSince.IsZero() {
+		c.since = cs.stalledSince // it may have been waiting since then
 	}
 	c.SetReadDeadline(laterOf(c.since.Add(requestTimeout), now.Add(minRequestTime)))
 	return true
 }
 
 // noteAccept records whether accepting fails. The deadline of connections that wait meanwhile runs from their connecting.
-func (s *clients) noteAccept(failed bool) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
+func (cs *clients) noteAccept(failed bool) {
+	cs.mu.Lock()
+	defer cs.mu.Unlock()
 	now := clock.Now()
 	switch {
-	case failed && s.stalledSince.IsZero():
-		s.stalledSince = now
-	case !failed && now.Sub(s.failedAt) > stallResetAfter:
-		s.stalledSince = time.Time{}
+	case failed && cs.stalledSince.IsZero():
+		cs.stalledSince = now
+	case !failed && now.Sub(cs.failedAt) > stallResetAfter:
+		cs.stalledSince = time.Time{}
 	}
 	if failed {
-		s.failedAt = now
+		cs.failedAt = now
 	}
 }
 
@@ -185,32 +185,32 @@
 
 // makeRoom waits until the limit allows another connection, and asks one to close if necessary. If forced, it asks one in
 // any case.
-func (s *clients) makeRoom(forced bool) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
+func (cs *clients) makeRoom(forced bool) {
+	cs.mu.Lock()
+	defer cs.mu.Unlock()
 	now := clock.Now()
-	if c := s.leastNeeded(now); forced && c != nil {
-		s.requestClose(c)
+	if c := cs.leastNeeded(now); forced && c != nil {
+		cs.requestClose(c)
 	}
-	for len(s.conns) >= s.limit {
-		if c := s.leastNeeded(now); c != nil && len(s.conns)-s.closing >= s.limit {
-			s.requestClose(c)
+	for len(cs.conns) >= cs.limit {
+		if c := cs.leastNeeded(now); c != nil && len(cs.conns)-cs.closing >= cs.limit {
+			cs.requestClose(c)
 		}
-		s.changed.Wait()
+		cs.changed.Wait()
 	}
 	// Clients that send one request and keep the connection must not fill the table for good. Regular clients are seldom
 	// affected, since their connections are in use.
-	if len(s.conns) > s.keepAliveLimit {
-		for c := range s.conns {
+	if len(cs.conns) > cs.keepAliveLimit {
+		for c := range cs.conns {
 			if c.phase == phaseIdle && now.Sub(c.since) > idleGrace {
-				s.requestClose(c)
+				cs.requestClose(c)
 			}
 		}
 	}
 }
 
 // leastNeeded returns the connection to close when room is short; nil if all are being answered or closing.
-func (s *clients) leastNeeded(now time.Time) *client {
+func (cs *clients) leastNeeded(now time.Time) *client {
 	rank := func(c *client) int {
 		switch age := now.Sub(c.since); {
 		case c.closeRequested:
@@ -225,7 +225,7 @@
 		return 4
 	}
 	var least *client
-	for c := range s.conns {
+	for c := range cs.conns {
 		if d := rank(c); d < 4 && (least == nil || d < rank(least) || d == rank(least) && c.since.Before(least.since)) {
 			least = c
 		}
@@ -234,31 +234,31 @@
 }
 
 // requestClose makes a connection close as soon as no request that it has read is unanswered. Called with mu held.
-func (s *clients) requestClose(c *client) {
+func (cs *clients) requestClose(c *client) {
 	if !c.closeRequested && !c.closed {
 		c.closeRequested = true
-		s.closing++
+		cs.closing++
 		c.SetReadDeadline(pastDeadline)
 	}
 }
 
 // drop closes a connection and removes it. Called with mu held.
-func (s *clients) drop(c *client) {
+func (cs *clients) drop(c *client) {
 	if !c.closed {
 		c.closed = true
 		if c.closeRequested {
-			s.closing--
+			cs.closing--
 		}
 		c.Close()
-		delete(s.conns, c)
-		s.changed.Broadcast()
+		delete(cs.conns, c)
+		cs.changed.Broadcast()
 	}
 }
 
 // setPhase sets a connection's phase and read deadline. It returns false if the connection was dropped or must close now.
-func (s *clients) setPhase(c *client, p phase) bool {
-	s.mu.Lock()
-	defer s.mu.Unlock()
+func (cs *clients) setPhase(c *client, p phase) bool {
+	cs.mu.Lock()
+	defer cs.mu.Unlock()
 	if c.closed {
 		return false
 	}
@@ -271,8 +271,8 @@
 		}
 		c.SetReadDeadline(laterOf(from.Add(requestTimeout), c.since.Add(minRequestTime)))
 	case phaseIdle:
-		s.changed.Signal()
-		if s.noKeepAlive || c.closeRequested {
+		cs.changed.Signal()
+		if cs.noKeepAlive || c.closeRequested {
 			return false
 		}
 		c.SetReadDeadline(c.since.Add(idleTimeout))
@@ -286,93 +286,93 @@
 }
 
 // setLimit changes the limit on connections.
-func (s *clients) setLimit(limit int) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.limit, s.keepAliveLimit = limit, limit*3/8
+func (cs *clients) setLimit(limit int) {
+	cs.mu.Lock()
+	defer cs.mu.Unlock()
+	cs.limit, cs.keepAliveLimit = limit, limit*3/8
 }
 
 // disableKeepAlive makes each connection close with its next answer. Idle ones stay open until then, because a close
 // could cross a request.
-func (s *clients) disableKeepAlive() {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.noKeepAlive = true
+func (cs *clients) disableKeepAlive() {
+	cs.mu.Lock()
+	defer cs.mu.Unlock()
+	cs.noKeepAlive = true
 }
 
 // drain closes idle connections now, and the others with their next answer.
-func (s *clients) drain() {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.noKeepAlive = true
-	for c := range s.conns {
+func (cs *clients) drain() {
+	cs.mu.Lock()
+	defer cs.mu.Unlock()
+	cs.noKeepAlive = true
+	for c := range cs.conns {
 		if c.phase == phaseIdle {
-			s.requestClose(c)
+			cs.requestClose(c)
 		}
 	}
 }
 
 // close closes silent and idle connections, waits until by for the others, and then closes them too.
-func (s *clients) close(by time.Time) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.closed = true
-	defer time.AfterFunc(clock.Until(by), func() { s.mu.Lock(); s.changed.Broadcast(); s.mu.Unlock() }).Stop()
-	for len(s.conns) > 0 {
+func (cs *clients) close(by time.Time) {
+	cs.mu.Lock()
+	defer cs.mu.Unlock()
+	cs.closed = true
+	defer time.AfterFunc(clock.Until(by), func() { cs.mu.Lock(); cs.changed.Broadcast(); cs.mu.Unlock() }).Stop()
+	for len(cs.conns) > 0 {
 		late := !clock.Now().Before(by)
-		for c := range s.conns {
+		for c := range cs.conns {
 			if late {
-				s.guard.CheckClose(c.RemoteAddr().String(), c.unanswered.Load() && c.phase == phaseBusy, 0)
-				s.drop(c)
+				cs.guard.CheckClose(c.RemoteAddr().String(), c.unanswered.Load() && c.phase == phaseBusy, 0)
+				cs.drop(c)
 			} else if c.phase == phaseSilent || c.phase == phaseIdle {
-				s.requestClose(c)
+				cs.requestClose(c)
 			}
 		}
-		if len(s.conns) > 0 {
-			s.changed.Wait()
+		if len(cs.conns) > 0 {
+			cs.changed.Wait()
 		}
 	}
 }
 
 // serve reads requests from a connection until either side closes it.
-func (s *clients) serve(c *client) {
+func (cs *clients) serve(c *client) {
 	defer func() {
-		s.mu.Lock()
-		defer s.mu.Unlock()
+		cs.mu.Lock()
+		defer cs.mu.Unlock()
 		if !c.closed {
-			s.guard.CheckClose(c.RemoteAddr().String(), c.unanswered.Load(), 0)
+			cs.guard.CheckClose(c.RemoteAddr().String(), c.unanswered.Load(), 0)
 		}
-		s.drop(c)
+		cs.drop(c)
 	}()
 	for {
 		c.allow(maxHeadBytes)
-		if _, err := c.r.Peek(1); err != nil || !s.setPhase(c, phaseReading) {
+		if _, err := c.r.Peek(1); err != nil || !cs.setPhase(c, phaseReading) {
 			return
 		}
-		if !s.handleRequest(c) {
+		if !cs.handleRequest(c) {
 			return
 		}
-		if c.r.Buffered() == 0 && !s.setPhase(c, phaseIdle) { // otherwise the next request has already been read, and is answered
+		if c.r.Buffered() == 0 && !cs.setPhase(c, phaseIdle) { // otherwise the next request has already been read, and is answered
 			return
 		}
 	}
 }
 
 // handleRequest reads and answers one request. It returns false if the connection cannot be used further.
-func (s *clients) handleRequest(c *client) bool {
+func (cs *clients) handleRequest(c *client) bool {
 	c.startCapture()
 	req, err := http.ReadRequest(c.r)
 	head := c.captured
 	c.stopCapture()
 	if err != nil {
-		return s.refuse(c, readErrorAnswer(err))
+		return cs.refuse(c, readErrorAnswer(err))
 	}
 	switch {
 	case hasBothLengths(req, head):
 		// A request with both lengths may be read differently elsewhere, which allows request smuggling.
-		return s.refuse(c, badRequest("both Content-Length and Transfer-Encoding"))
+		return cs.refuse(c, badRequest("both Content-Length and Transfer-Encoding"))
 	case req.ContentLength > maxBodyBytes:
-		return s.refuse(c, answer{status: http.StatusRequestEntityTooLarge, text: "body over 64 KiB"})
+		return cs.refuse(c, answer{status: http.StatusRequestEntityTooLarge, text: "body over 64 KiB"})
 	}
 	c.allow(maxWireBytes)
 	if strings.EqualFold(req.Header.Get("Expect"), "100-continue") {
@@ -380,7 +380,7 @@
 	}
 	c.unanswered.Store(true)
 	bodyBuffered := int64(c.r.Buffered()) >= req.ContentLength && req.ContentLength >= 0
-	a := s.handler(c, req)
+	a := cs.handler(c, req)
 	switch {
 	case a.status == 0:
 		c.unanswered.Store(false)
@@ -390,12 +390,12 @@
 			io.Copy(io.Discard, req.Body) // does not block
 		}
 		if !bodyBuffered || c.r.Buffered() > 0 {
-			return s.refuse(c, a)
+			return cs.refuse(c, a)
 		}
 	}
-	last, err := s.reply(c, a, req.Close)
+	last, err := cs.reply(c, a, req.Close)
 	if err == nil && last && !req.Close {
-		s.guard.CheckClose(c.RemoteAddr().String(), false, c.r.Buffered())
+		cs.guard.CheckClose(c.RemoteAddr().String(), false, c.r.Buffered())
 	}
 	return err == nil && !last
 }
@@ -427,8 +427,8 @@
 
 // refuse answers a request that is not accepted. The connection is closed, because the end of the request has not
 // arrived or cannot be determined, but only after the rest has been read.
-func (s *clients) refuse(c *client, a answer) bool {
-	if _, err := s.reply(c, a, true); err != nil || !s.setPhase(c, phaseLingering) {
+func (cs *clients) refuse(c *client, a answer) bool {
+	if _, err := cs.reply(c, a, true); err != nil || !cs.setPhase(c, phaseLingering) {
 		return false
 	}
 	if half, ok := c.Conn.(interface{ CloseWrite() error }); ok {
@@ -439,12 +439,12 @@
 }
 
 // reply writes an answer. It returns whether the connection closes after it, be it for closeConn or for another reason.
-func (s *clients) reply(c *client, a answer, closeConn bool) (bool, error) {
-	s.mu.Lock()
+func (cs *clients) reply(c *client, a answer, closeConn bool) (bool, error) {
+	cs.mu.Lock()
 	// Clients can hold only a limited number of connections, too. If there are many, clients that send one request and
 	// stay would keep others from connecting long before the table here is full.
-	closeConn = closeConn || c.r.Buffered() == 0 && (s.noKeepAlive || c.closeRequested || len(s.conns) > s.keepAliveLimit)
-	s.mu.Unlock()
+	closeConn = closeConn || c.r.Buffered() == 0 && (cs.noKeepAlive || c.closeRequested || len(cs.conns) > cs.keepAliveLimit)
+	cs.mu.Unlock()
 	res := http.Response{StatusCode: a.status, ProtoMajor: 1, ProtoMinor: 1, Header: http.Header{}, Close: closeConn}
 	if a.retryAfter > 0 {
 		res.Header.Set("Retry-After", strconv.FormatFloat(a.retryAfter.Seconds(), 'f', 3, 64))
--- a/internal/relay/clients_test.go
+++ b/internal/relay/clients_test.go
@@ -361,11 +361,11 @@
 	hasRead, proceed chan struct{}
 }
 
-func (c *pausedReader) Read(b []byte) (int, error) {
-	n, err := c.Conn.Read(b)
+func (r *pausedReader) Read(b []byte) (int, error) {
+	n, err := r.Conn.Read(b)
 	if n > 0 {
-		c.hasRead <- struct{}{}
-		<-c.proceed
+		r.hasRead <- struct{}{}
+		<-r.proceed
 	}
 	return n, err
 }
--- a/internal/relay/discovery.go
+++ b/internal/relay/discovery.go
@@ -327,41 +327,41 @@
 }
 
 // add queues notices. It never blocks the loop.
-func (f *noticeSender) add(ns ...notice) {
-	f.mu.Lock()
-	f.queue = append(f.queue, ns...)
-	f.mu.Unlock()
+func (s *noticeSender) add(ns ...notice) {
+	s.mu.Lock()
+	s.queue = append(s.queue, ns...)
+	s.mu.Unlock()
 	select {
-	case f.signal <- struct{}{}:
+	case s.signal <- struct{}{}:
 	default:
 	}
 }
 
 // run sends queued notices until ctx ends. It repeats a notice that was not confirmed: a duplicate does no harm,
 // whereas a missing one loses a message.
-func (f *noticeSender) run(ctx context.Context) {
+func (s *noticeSender) run(ctx context.Context) {
 	delay, timeout := minRetryDelay, minNoticeTimeout
 	for {
-		f.mu.Lock()
-		batch := f.queue[:min(len(f.queue), noticeBatch)]
-		f.mu.Unlock()
+		s.mu.Lock()
+		batch := s.queue[:min(len(s.queue), noticeBatch)]
+		s.mu.Unlock()
 		if len(batch) == 0 {
 			select {
 			case <-ctx.Done():
 				return
-			case <-f.signal:
+			case <-s.signal:
 			}
 			continue
 		}
-		if err := f.post(ctx, batch, timeout); err != nil {
-			f.log.Warn("notices not confirmed", "count", len(batch), "err", err)
+		if err := s.post(ctx, batch, timeout); err != nil {
+			s.log.Warn("notices not confirmed", "count", len(batch), "err", err)
 			switch {
 			case errors.Is(err, errAgentMoved):
 				delay = minRetryDelay
 				continue // immediately, at the new address
 			case errors.Is(err, context.DeadlineExceeded):
 				timeout = min(maxNoticeTimeout, 2*timeout)
-				f.agent.client.CloseIdleConnections() // they may be dead too
+				s.agent.client.CloseIdleConnections() // they may be dead too
 				continue                              // without a delay: the time-out was one
 			}
 			select {
@@ -377,26 +377,26 @@
 		for _, n := range batch {
 			ids = append(ids, n.id)
 		}
-		f.mu.Lock()
-		if f.queue = f.queue[len(batch):]; len(f.queue) == 0 {
-			f.queue = nil
+		s.mu.Lock()
+		if s.queue = s.queue[len(batch):]; len(s.queue) == 0 {
+			s.queue = nil
 		}
-		f.mu.Unlock()
-		f.onConfirmed(ids)
+		s.mu.Unlock()
+		s.onConfirmed(ids)
 	}
 }
 
-func (f *noticeSender) post(ctx context.Context, batch []notice, timeout time.Duration) error {
-	addr, ctx, done := f.agent.session(ctx)
+func (s *noticeSender) post(ctx context.Context, batch []notice, timeout time.Duration) error {
+	addr, ctx, done := s.agent.session(ctx)
 	defer done()
-	err := f.postTo(ctx, addr, batch, timeout)
+	err := s.postTo(ctx, addr, batch, timeout)
 	if cause := context.Cause(ctx); err != nil && cause != nil {
 		return cause
 	}
 	return err
 }
 
-func (f *noticeSender) postTo(ctx context.Context, addr string, batch []notice, timeout time.Duration) error {
+func (s *noticeSender) postTo(ctx context.Context, addr string, batch []notice, timeout time.Duration) error {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	var lines bytes.Buffer
@@ -410,7 +410,7 @@
 	if err != nil {
 		return err
 	}
-	res, err := f.agent.client.Do(req)
+	res, err := s.agent.client.Do(req)
 	if err != nil {
 		return err
 	}
--- a/internal/relay/durable.go
+++ b/internal/relay/durable.go
@@ -109,7 +109,7 @@
 	var calls []*call
 	for _, c := range p.calls {
 		if c.anyEnded() || delayed && !r.sendAllowed(c) {
-			r.abortCalls([]*call{c}, policy.Moot)
+			r.abortCalls([]*call{c}, policy.NotRun)
 			continue
 		}
 		calls = append(calls, c)
@@ -119,7 +119,7 @@
 		case errors.Is(err, wal.ErrNeedsNewFile):
 			r.finishWhenDurable(pendingStep{calls: calls, unwritten: true})
 		case err != nil:
-			r.abortCalls(calls, policy.Moot)
+			r.abortCalls(calls, policy.NotRun)
 		default:
 			r.finishWhenDurable(pendingStep{calls: calls})
 		}
--- a/internal/relay/durable_test.go
+++ b/internal/relay/durable_test.go
@@ -16,12 +16,12 @@
 
 // newDurableRelay returns a relay with Config.Power on an in-memory disk. Its loop is not running, and its syncs block
 // while the gate is locked.
-func newDurableRelay(t *testing.T, d *crashdisk.Disk, gate *sync.RWMutex) *Relay {
+func newDurableRelay(t *testing.T, d *crashdisk.Disk, syncLock *sync.RWMutex) *Relay {
 	t.Helper()
 	d.Fail = func(op, _ string) error {
 		if op == "sync" {
-			gate.RLock()
-			gate.RUnlock() //lint:ignore SA2001 it waits until the gate opens
+			syncLock.RLock()
+			syncLock.RUnlock() //lint:ignore SA2001 it waits until the gate opens
 		}
 		return nil
 	}
@@ -60,10 +60,10 @@
 }
 
 func TestAnswersAndCallsWaitForSync(t *testing.T) {
-	var gate sync.RWMutex
+	var syncLock sync.RWMutex
 	d := crashdisk.New()
-	r := newDurableRelay(t, d, &gate)
-	gate.Lock()
+	r := newDurableRelay(t, d, &syncLock)
+	syncLock.Lock()
 	in, duplicate := newSubmission("a", 7, time.Minute), newSubmission("a", 7, time.Minute)
 	r.step([]any{in})
 	r.step([]any{duplicate})
@@ -73,7 +73,7 @@
 	if one || two || r.callsOut > 0 {
 		t.Errorf("before it is on disk: answers %v and %v, %d calls", one, two, r.callsOut)
 	}
-	gate.Unlock()
+	syncLock.Unlock()
 	waitOnDisk(t, r)
 	for _, in := range []*submission{in, duplicate} {
 		if a, ok := answered(in); !ok || a.status != http.StatusAccepted {
@@ -91,9 +91,9 @@
 }
 
 func TestSlowDiskRejectsClients(t *testing.T) {
-	var gate sync.RWMutex
-	r := newDurableRelay(t, crashdisk.New(), &gate)
-	gate.Lock()
+	var syncLock sync.RWMutex
+	r := newDurableRelay(t, crashdisk.New(), &syncLock)
+	syncLock.Lock()
 	in, duplicate := newSubmission("a", 7, time.Minute), newSubmission("a", 7, time.Minute)
 	r.step([]any{in, duplicate})
 	r.pendingSteps[0].since = time.Now().Add(-time.Second)
@@ -103,7 +103,7 @@
 			t.Errorf("while the disk is slow: %+v, %v", a, ok)
 		}
 	}
-	gate.Unlock()
+	syncLock.Unlock()
 	waitOnDisk(t, r)
 	r.step(nil)
 	waitOnDisk(t, r)
@@ -114,9 +114,9 @@
 }
 
 func TestFailedSyncRejectsNewMessages(t *testing.T) {
-	var gate sync.RWMutex
+	var syncLock sync.RWMutex
 	d := crashdisk.New()
-	r := newDurableRelay(t, d, &gate)
+	r := newDurableRelay(t, d, &syncLock)
 	old := newSubmission("a", 7, time.Minute)
 	r.step([]any{old})
 	waitOnDisk(t, r)
@@ -162,8 +162,8 @@
 }
 
 func TestMemoriesAreReadBackOrRejected(t *testing.T) {
-	var gate sync.RWMutex
-	r := newDurableRelay(t, crashdisk.New(), &gate)
+	var syncLock sync.RWMutex
+	r := newDurableRelay(t, crashdisk.New(), &syncLock)
 	if _, err := readMemories(r.cfg.StateDir); !errors.Is(err, errNoMemories) {
 		t.Errorf("without a file: %v", err)
 	}
@@ -190,14 +190,14 @@
 // A client that disconnects while its message's call waits for the disk submits the message again. The first call must
 // then not be made as well.
 func TestDelayedCallIsDroppedWhenClientDisconnects(t *testing.T) {
-	var gate sync.RWMutex
-	r := newDurableRelay(t, crashdisk.New(), &gate)
+	var syncLock sync.RWMutex
+	r := newDurableRelay(t, crashdisk.New(), &syncLock)
 	r.guard.OnViolation(func(text string) { t.Error(text) })
-	gate.Lock()
+	syncLock.Lock()
 	in := newSubmission("a", 7, time.Minute)
 	r.step([]any{in})
 	r.step([]any{withdrawal{r.byTrace["a"].ID}})
-	gate.Unlock()
+	syncLock.Unlock()
 	waitOnDisk(t, r)
 	r.step(nil)
 	if r.callsOut > 0 {
--- a/internal/relay/exclusions.go
+++ b/internal/relay/exclusions.go
@@ -57,104 +57,104 @@
 
 // load takes the set over from an earlier process. The caller must hold the log's lock. An error is transient, and then
 // nothing is taken over.
-func (x *exclusions) load(seen []string) error {
-	x.mu.Lock()
-	defer x.mu.Unlock()
-	data, err := os.ReadFile(filepath.Join(x.dir, exclusionsFile))
+func (e *exclusions) load(seen []string) error {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	data, err := os.ReadFile(filepath.Join(e.dir, exclusionsFile))
 	if isTransient(err) {
 		return fmt.Errorf("relay: read excluded endpoints: %w", err)
 	}
-	x.owned = true
-	x.addSeen(seen)
+	e.owned = true
+	e.addSeen(seen)
 	var ids []string
 	if err == nil {
 		err = json.Unmarshal(data, &ids)
 	}
 	if err != nil && !errors.Is(err, os.ErrNotExist) {
-		x.log.Error("cannot read the set of excluded endpoints", "err", err)
+		e.log.Error("cannot read the set of excluded endpoints", "err", err)
 	}
 	for _, id := range ids {
-		x.excluded[id] = true // not shared with readers yet
+		e.excluded[id] = true // not shared with readers yet
 	}
-	x.notify()
+	e.notify()
 	return nil
 }
 
 // unload gives the set up again, because the earlier process keeps it.
-func (x *exclusions) unload() {
-	x.mu.Lock()
-	defer x.mu.Unlock()
-	x.owned, x.excluded, x.unsaved = false, map[string]bool{}, false
+func (e *exclusions) unload() {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	e.owned, e.excluded, e.unsaved = false, map[string]bool{}, false
 }
 
-func (x *exclusions) notify() {
+func (e *exclusions) notify() {
 	select {
-	case x.changed <- struct{}{}:
+	case e.changed <- struct{}{}:
 	default:
 	}
 }
 
 // noteListed records ids from discovery's list. If there are too many, the oldest that are no longer listed are dropped.
-func (x *exclusions) noteListed(ids []string, isListed func(id string) bool) {
-	x.mu.Lock()
-	defer x.mu.Unlock()
-	x.addSeen(ids)
-	for n := len(x.seenOrder); n > 0 && len(x.seenOrder) > maxSeenIDs; n-- {
-		id := x.seenOrder[0]
-		x.seenOrder = x.seenOrder[1:]
+func (e *exclusions) noteListed(ids []string, isListed func(id string) bool) {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	e.addSeen(ids)
+	for n := len(e.seenOrder); n > 0 && len(e.seenOrder) > maxSeenIDs; n-- {
+		id := e.seenOrder[0]
+		e.seenOrder = e.seenOrder[1:]
 		if isListed(id) {
-			x.seenOrder = append(x.seenOrder, id)
+			e.seenOrder = append(e.seenOrder, id)
 		} else {
-			delete(x.seen, id)
+			delete(e.seen, id)
 		}
 	}
 }
 
-func (x *exclusions) addSeen(ids []string) {
+func (e *exclusions) addSeen(ids []string) {
 	for _, id := range ids {
-		if !x.seen[id] {
-			x.seen[id] = true
-			x.seenOrder = append(x.seenOrder, id)
+		if !e.seen[id] {
+			e.seen[id] = true
+			e.seenOrder = append(e.seenOrder, id)
 		}
 	}
 }
 
 // set excludes an endpoint, or includes it again.
-func (x *exclusions) set(change exclusionChange) answer {
+func (e *exclusions) set(change exclusionChange) answer {
 	id, out := change.Host, change.Out
-	x.mu.Lock()
-	if successor := x.successor; successor != nil {
-		x.mu.Unlock()
+	e.mu.Lock()
+	if successor := e.successor; successor != nil {
+		e.mu.Unlock()
 		in := &submission{exclusionChange: change, reply: make(chan answer, 1)}
 		successor.forward(in)
 		return <-in.reply
 	}
-	defer x.mu.Unlock()
+	defer e.mu.Unlock()
 	switch {
-	case !x.owned:
+	case !e.owned:
 		return answer{status: http.StatusServiceUnavailable, text: "not serving"}
-	case !x.excluded[id] && !x.seen[id]:
+	case !e.excluded[id] && !e.seen[id]:
 		return answer{status: http.StatusNotFound, text: "no such endpoint was ever listed"}
 	}
-	if err := x.checkFence(change); errors.Is(err, duty.ErrFenced) {
+	if err := e.checkFence(change); errors.Is(err, duty.ErrFenced) {
 		return answer{status: http.StatusConflict, text: err.Error()}
 	} else if err != nil {
-		x.log.Error("cannot check the epoch of a duty's request", "duty", change.Duty, "epoch", change.Epoch, "err", err)
+		e.log.Error("cannot check the epoch of a duty's request", "duty", change.Duty, "epoch", change.Epoch, "err", err)
 		return answer{status: http.StatusServiceUnavailable, text: "not kept: " + err.Error()}
 	}
-	if x.excluded[id] != out {
-		next, err := x.withChange(id, out)
+	if e.excluded[id] != out {
+		next, err := e.withChange(id, out)
 		if err != nil {
 			return answer{status: http.StatusServiceUnavailable, text: err.Error()}
 		}
 		// In force at once, even if saving fails: an exclusion must hold from 1 s after the request, whatever the disk
 		// does.
-		x.excluded, x.unsaved = next, true
-		x.log.Info("endpoint exclusion changed", "id", id, "out", out)
-		x.notify()
+		e.excluded, e.unsaved = next, true
+		e.log.Info("endpoint exclusion changed", "id", id, "out", out)
+		e.notify()
 	}
-	if err := x.save(); err != nil {
-		x.log.Error("endpoint exclusion not saved", "id", id, "out", out, "err", err)
+	if err := e.save(); err != nil {
+		e.log.Error("endpoint exclusion not saved", "id", id, "out", out, "err", err)
 		return answer{status: http.StatusServiceUnavailable, text: "in force, and not kept yet: " + err.Error()}
 	}
 	if out {
@@ -165,21 +165,21 @@
 
 // checkFence refuses a change by a former holder of a duty; mu must be held. A newer epoch is saved to disk before
 // anything in its name is done.
-func (x *exclusions) checkFence(change exclusionChange) (err error) {
+func (e *exclusions) checkFence(change exclusionChange) (err error) {
 	if change.Duty == "" {
 		return nil
 	}
-	if x.fence == nil {
-		if x.fence, err = duty.OpenFence(x.dir); err != nil {
+	if e.fence == nil {
+		if e.fence, err = duty.OpenFence(e.dir); err != nil {
 			return err
 		}
 	}
-	return x.fence.Pass(change.Duty, change.Epoch)
+	return e.fence.Pass(change.Duty, change.Epoch)
 }
 
 // withChange returns the set with one endpoint excluded or included.
-func (x *exclusions) withChange(id string, out bool) (map[string]bool, error) {
-	next := maps.Clone(x.excluded)
+func (e *exclusions) withChange(id string, out bool) (map[string]bool, error) {
+	next := maps.Clone(e.excluded)
 	if next[id] = true; !out {
 		delete(next, id)
 	}
@@ -194,37 +194,37 @@
 }
 
 // retrySave tries again to save the set if saving has failed.
-func (x *exclusions) retrySave() {
-	x.mu.Lock()
-	defer x.mu.Unlock()
-	if x.owned && x.unsaved && x.save() == nil {
-		x.log.Info("excluded endpoints are saved again")
+func (e *exclusions) retrySave() {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	if e.owned && e.unsaved && e.save() == nil {
+		e.log.Info("excluded endpoints are saved again")
 	}
 }
 
 // save replaces the set on disk atomically, if it is outdated.
-func (x *exclusions) save() error {
-	if !x.unsaved {
+func (e *exclusions) save() error {
+	if !e.unsaved {
 		return nil
 	}
-	data, err := json.Marshal(slices.Sorted(maps.Keys(x.excluded)))
+	data, err := json.Marshal(slices.Sorted(maps.Keys(e.excluded)))
 	if err != nil {
 		return err
 	}
-	temp := filepath.Join(x.dir, exclusionsFile+".tmp")
+	temp := filepath.Join(e.dir, exclusionsFile+".tmp")
 	if err := os.WriteFile(temp, data, 0o600); err != nil {
 		return err
 	}
-	if err := os.Rename(temp, filepath.Join(x.dir, exclusionsFile)); err != nil {
+	if err := os.Rename(temp, filepath.Join(e.dir, exclusionsFile)); err != nil {
 		return err
 	}
-	x.unsaved = false
+	e.unsaved = false
 	return nil
 }
 
 // current returns the set. It is never modified: a change makes a new one.
-func (x *exclusions) current() map[string]bool {
-	x.mu.Lock()
-	defer x.mu.Unlock()
-	return x.excluded
+func (e *exclusions) current() map[string]bool {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	return e.excluded
 }
--- a/internal/relay/fleet.go
+++ b/internal/relay/fleet.go
@@ -96,9 +96,9 @@
 type Duties interface {
 	// Run claims duties and does their work while they are held, until ctx ends. members returns the members present.
 	Run(ctx context.Context, members func() []membership.Process)
-	// Figures returns the fleet's metrics in the format of /api/telemetry if this process holds them; otherwise the
+	// Metrics returns the fleet's metrics in the format of /api/telemetry if this process holds them; otherwise the
 	// holder, if it is known.
-	Figures() (text string, held bool)
+	Metrics() (text string, held bool)
 }
 
 // handleFleet answers GET /api/fleet.
@@ -106,7 +106,7 @@
 	if r.cfg.Duties == nil {
 		return answer{status: http.StatusNotFound, text: "no duties"}
 	}
-	text, held := r.cfg.Duties.Figures()
+	text, held := r.cfg.Duties.Metrics()
 	if !held {
 		return answer{status: http.StatusMisdirectedRequest, text: text}
 	}
--- a/internal/relay/fleet_test.go
+++ b/internal/relay/fleet_test.go
@@ -18,15 +18,15 @@
 	ended  string
 }
 
-func (s *fakeFleet) View() membership.View {
+func (f *fakeFleet) View() membership.View {
 	return membership.View{Version: 3, Agreement: membership.Split, Present: 2, Careful: 5, Other: 3,
 		Members: []membership.Member{{Process: membership.Process{Name: "n3"}}}}
 }
 
-func (s *fakeFleet) Become(x membership.State) { s.states = append(s.states, x) }
-func (s *fakeFleet) Bytes() int64              { return 17 }
-func (s *fakeFleet) Leave() error              { s.ended = "left"; return nil }
-func (s *fakeFleet) Close() error              { s.ended = "closed"; return nil }
+func (f *fakeFleet) Become(x membership.State) { f.states = append(f.states, x) }
+func (f *fakeFleet) Bytes() int64              { return 17 }
+func (f *fakeFleet) Leave() error              { f.ended = "left"; return nil }
+func (f *fakeFleet) Close() error              { f.ended = "closed"; return nil }
 
 func TestRelayAnnouncesStateToFleet(t *testing.T) {
 	r := newTestRelay(t)
--- a/internal/relay/guards.go
+++ b/internal/relay/guards.go
@@ -89,10 +89,10 @@
 }
 
 // count returns the number of connections.
-func (s *clients) count() int {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return len(s.conns)
+func (cs *clients) count() int {
+	cs.mu.Lock()
+	defer cs.mu.Unlock()
+	return len(cs.conns)
 }
 
 // openCount returns the number of connections, idle or not.
--- a/internal/relay/handover.go
+++ b/internal/relay/handover.go
@@ -72,12 +72,12 @@
 
 // moduleStart returns the time on this process's clock at which the other process's module clock was zero. It uses the
 // monotonic clock where both readings are of the same boot, and otherwise the wall clock.
-func (e *handoverState) moduleStart() time.Time {
+func (h *handoverState) moduleStart() time.Time {
 	now := clock.Now()
-	if machine, ok := clock.ReadMachine(); ok && machine.Follows(e.Clock.Machine) {
-		return now.Add(-e.Clock.Module - (machine.Monotonic - e.Clock.Machine.Monotonic))
+	if machine, ok := clock.ReadMachine(); ok && machine.Follows(h.Clock.Machine) {
+		return now.Add(-h.Clock.Module - (machine.Monotonic - h.Clock.Machine.Monotonic))
 	}
-	return now.Add(-now.Sub(e.Began))
+	return now.Add(-now.Sub(h.Began))
 }
 
 // outstandingAttempt is an attempt in flight. With Cut set, it has already timed out for its message while its call goes
--- a/internal/relay/hosts.go
+++ b/internal/relay/hosts.go
@@ -117,24 +117,24 @@
 	conn, isNew, err := h.get(ctx, peer{c.route, c.addr})
 	switch {
 	case err != nil && isLocalShortage(err):
-		return sameResults(c, result{outcome: policy.Moot})
+		return sameResults(c, result{outcome: policy.NotRun})
 	case err != nil:
 		return sameResults(c, result{outcome: policy.ConnectFailed})
 	}
 	// While the connection was being opened, the host may have announced a drain or a wait.
 	if isNew && !allowed() {
 		conn.release()
-		return sameResults(c, result{outcome: policy.Moot})
+		return sameResults(c, result{outcome: policy.NotRun})
 	}
 	req, err := newRequest(c)
 	if err != nil {
 		conn.release()
-		return sameResults(c, result{outcome: policy.Moot})
+		return sameResults(c, result{outcome: policy.NotRun})
 	}
 	// Since the decision, one of its messages may have ended or expired.
 	if !c.beginWrite(clock.Now()) {
 		conn.release()
-		return sameResults(c, result{outcome: policy.Moot})
+		return sameResults(c, result{outcome: policy.NotRun})
 	}
 	return h.exchange(ctx, req, c, conn)
 }
@@ -355,13 +355,13 @@
 		return policy.Full, false
 	case http.StatusServiceUnavailable:
 		if head.Header.Get("Slots-Taken") == "1" {
-			return policy.Moot, false
+			return policy.NotRun, false
 		}
 		return policy.Full, false
 	case http.StatusGatewayTimeout:
-		return policy.Moot, false
+		return policy.NotRun, false
 	case http.StatusGone:
-		return policy.Moot, true
+		return policy.NotRun, true
 	}
 	return policy.Error, false // 500 and unknown codes: the call may have run
 }
@@ -391,9 +391,9 @@
 		case "later":
 			results[i].outcome = policy.Full
 		case "gone":
-			results[i].outcome, results[i].gone = policy.Moot, true
+			results[i].outcome, results[i].gone = policy.NotRun, true
 		case "exhausted":
-			results[i].outcome = policy.Moot
+			results[i].outcome = policy.NotRun
 		}
 	}
 	return results
--- a/internal/relay/hosts_test.go
+++ b/internal/relay/hosts_test.go
@@ -274,7 +274,7 @@
 		return true
 	})
 	h := newTestHostClient(t, testConfig())
-	if r := h.do(t.Context(), newCall(addr, "a"), func() bool { return false }); r[0].outcome != policy.Moot {
+	if r := h.do(t.Context(), newCall(addr, "a"), func() bool { return false }); r[0].outcome != policy.NotRun {
 		t.Errorf("outcome %v", r[0].outcome)
 	}
 	if n := requests.Load(); n != 0 {
@@ -361,7 +361,7 @@
 		t.Fatal(err)
 	}
 	// The relay's own limit must not count as a failure of the host.
-	if r := h.do(t.Context(), newCall(addrOf(two), "a"), alwaysAllowed); r[0].outcome != policy.Moot {
+	if r := h.do(t.Context(), newCall(addrOf(two), "a"), alwaysAllowed); r[0].outcome != policy.NotRun {
 		t.Errorf("beyond the limit: outcome %v", r[0].outcome)
 	}
 	busy.discard()
@@ -379,9 +379,9 @@
 		{429, http.Header{"Retry-After": {"soon"}}, result{outcome: policy.Full}},
 		{503, nil, result{outcome: policy.Full}},
 		{503, http.Header{"Retry-After": {"2"}}, result{outcome: policy.Full, wait: 2 * time.Second}},
-		{503, http.Header{"Slots-Taken": {"1"}}, result{outcome: policy.Moot}},
-		{504, nil, result{outcome: policy.Moot}},
-		{410, nil, result{outcome: policy.Moot, gone: true}},
+		{503, http.Header{"Slots-Taken": {"1"}}, result{outcome: policy.NotRun}},
+		{504, nil, result{outcome: policy.NotRun}},
+		{410, nil, result{outcome: policy.NotRun, gone: true}},
 		{302, http.Header{"Location": {"/elsewhere"}}, result{outcome: policy.Error}},
 		{418, nil, result{outcome: policy.Error}},
 		{200, http.Header{"Endpoint-Load-Metrics": {"TEXT x0=0.4, x1=25, y=7"}},
@@ -416,7 +416,7 @@
 	}{
 		{"every state", 200, "", `[{"id":"f","state":"what"},{"id":"e","state":"exhausted"},{"id":"d","state":"gone"},
 			{"id":"c","state":"later"},{"id":"b","state":"error"},{"id":"a","state":"ok"}]`,
-			[]policy.Outcome{policy.OK, policy.Error, policy.Full, policy.Moot, policy.Moot, policy.Error}},
+			[]policy.Outcome{policy.OK, policy.Error, policy.Full, policy.NotRun, policy.NotRun, policy.Error}},
 		{"missing and unreadable items", 200, "", `[{"id":"a","state":"ok"},7,{"id":3},{"id":"f","state":"ok"}]`,
 			[]policy.Outcome{policy.OK, policy.Error, policy.Error, policy.Error, policy.Error, policy.OK}},
 		{"unreadable", 200, "", `{`, slices.Repeat([]policy.Outcome{policy.Error}, 6)},
--- a/internal/relay/job.go
+++ b/internal/relay/job.go
@@ -64,77 +64,77 @@
 
 // maintain ends messages that expire while in transit and starts the next job. The loop calls it after each step and
 // periodically.
-func (o *backlogQueue) maintain() {
-	if o == nil {
+func (q *backlogQueue) maintain() {
+	if q == nil {
 		return
 	}
 	now := clock.Now()
-	for id, at := range o.sharedIDs {
+	for id, at := range q.sharedIDs {
 		if now.Sub(at) > sharedIDLifetime {
-			delete(o.sharedIDs, id)
+			delete(q.sharedIDs, id)
 		}
 	}
-	for _, all := range [][]*message{o.outgoing, o.incoming} {
-		o.expireMoving(all, now)
+	for _, all := range [][]*message{q.outgoing, q.incoming} {
+		q.expireMoving(all, now)
 	}
-	if o.job != nil {
-		o.expireMoving(o.job.putMessages, now)
-		o.expireMoving(o.job.removedMessages, now)
+	if q.job != nil {
+		q.expireMoving(q.job.putMessages, now)
+		q.expireMoving(q.job.removedMessages, now)
 		return
 	}
-	if (o.failing || o.full) && now.Sub(o.failedAt) < storeRetryInterval {
+	if (q.failing || q.full) && now.Sub(q.failedAt) < storeRetryInterval {
 		return
 	}
-	if j := o.nextJob(now); j != nil {
-		o.job = j
-		o.startJob(j)
+	if j := q.nextJob(now); j != nil {
+		q.job = j
+		q.startJob(j)
 	}
 }
 
 // expireMoving reports the ends of messages in transit whose deadline has passed.
-func (o *backlogQueue) expireMoving(all []*message, now time.Time) {
+func (q *backlogQueue) expireMoving(all []*message, now time.Time) {
 	var ended []*message
 	for _, m := range all {
 		if m.ended || m.dropped || now.Before(m.Deadline.Add(-expiryLead)) {
 			continue
 		}
 		m.ended = true
-		o.relay.metrics.countEnd(m, expiredFinal)
-		o.relay.wal.SetFinal(m.Message, expiredFinal)
+		q.relay.metrics.countEnd(m, expiredFinal)
+		q.relay.wal.SetFinal(m.Message, expiredFinal)
 		ended = append(ended, m)
-		o.ended++
+		q.ended++
 	}
-	o.relay.recordEnds(ended)
+	q.relay.recordEnds(ended)
 }
 
 // nextJob returns the next work for the store; nil if there is none.
-func (o *backlogQueue) nextJob(now time.Time) *storeJob {
-	durable := o.relay.wal.Durable()
+func (q *backlogQueue) nextJob(now time.Time) *storeJob {
+	durable := q.relay.wal.Durable()
 	j := &storeJob{}
-	rest := o.outgoing[:0:0]
-	for _, m := range o.outgoing {
+	rest := q.outgoing[:0:0]
+	for _, m := range q.outgoing {
 		if len(j.put) >= jobBatch || m.seq > durable {
 			rest = append(rest, m)
 			continue
 		}
-		j.putMessages, j.put = append(j.putMessages, m), append(j.put, owed.Entry{Ref: o.ref(m), Data: wal.Marshal(m.Message)})
+		j.putMessages, j.put = append(j.putMessages, m), append(j.put, owed.Entry{Ref: q.ref(m), Data: wal.Marshal(m.Message)})
 	}
-	o.outgoing = rest
-	rest = o.incoming[:0:0]
-	for _, m := range o.incoming {
+	q.outgoing = rest
+	rest = q.incoming[:0:0]
+	for _, m := range q.incoming {
 		if m.seq > durable {
 			rest = append(rest, m)
 			continue
 		}
-		j.removedMessages, j.remove = append(j.removedMessages, m), append(j.remove, o.ref(m))
+		j.removedMessages, j.remove = append(j.removedMessages, m), append(j.remove, q.ref(m))
 	}
-	o.incoming = rest
-	j.removedRefs, o.removals = o.removals, nil
+	q.incoming = rest
+	j.removedRefs, q.removals = q.removals, nil
 	j.remove = append(j.remove, j.removedRefs...)
-	if !o.relay.stopping && now.After(o.loadAfter) && o.relay.wal.FillRatio() < loadFill {
-		j.loads = o.nextLoads(jobBatch)
+	if !q.relay.stopping && now.After(q.loadAfter) && q.relay.wal.FillRatio() < loadFill {
+		j.loads = q.nextLoads(jobBatch)
 	}
-	if by := o.storedTime(now.Add(expiryLead)); o.nextDeadline <= by && len(o.unconfirmed) < maxUnconfirmedExpiries && !o.relay.noSends {
+	if by := q.storedTime(now.Add(expiryLead)); q.nextDeadline <= by && len(q.unconfirmed) < maxUnconfirmedExpiries && !q.relay.noSends {
 		j.due = by
 	}
 	if len(j.put)+len(j.remove)+len(j.loads) == 0 && j.due == 0 {
@@ -144,102 +144,102 @@
 }
 
 // jobFinished applies a job's results and returns the events that the module has to see.
-func (o *backlogQueue) jobFinished(evs []policy.Event, j *storeJob) []policy.Event {
-	o.job, o.diskBytes = nil, j.bytes
+func (q *backlogQueue) jobFinished(evs []policy.Event, j *storeJob) []policy.Event {
+	q.job, q.diskBytes = nil, j.bytes
 	for _, l := range j.loads {
-		o.finishLoad(l.dest)
+		q.finishLoad(l.dest)
 	}
-	o.noteDiskState(j)
-	if o.failing || j.full {
-		o.outgoing = append(j.putMessages, o.outgoing...)
+	q.noteDiskState(j)
+	if q.failing || j.full {
+		q.outgoing = append(j.putMessages, q.outgoing...)
 		j.putMessages = nil
 	}
-	if o.failing {
+	if q.failing {
 		// It is unknown whether the writes were applied; applying them again is harmless.
-		o.incoming, o.removals = append(j.removedMessages, o.incoming...), append(j.removedRefs, o.removals...)
+		q.incoming, q.removals = append(j.removedMessages, q.incoming...), append(j.removedRefs, q.removals...)
 		return evs
 	}
 	for _, m := range j.putMessages {
 		if m.dropped || m.ended {
 			m.move = movingToMemory // remove it from disk again; then it is over
-			o.incoming = append(o.incoming, m)
+			q.incoming = append(q.incoming, m)
 			continue
 		}
 		m.move = notMoving
-		o.movedOut++
-		o.relay.wal.End(m.Message) // it is durable on disk
+		q.movedOut++
+		q.relay.wal.End(m.Message) // it is durable on disk
 		m.ended = true
-		o.relay.retire(m)
+		q.relay.retire(m)
 	}
 	for _, ref := range j.removedRefs {
-		o.addOnDisk(ref.Dest, -1)
+		q.addOnDisk(ref.Dest, -1)
 	}
 	for _, m := range j.removedMessages {
-		o.addOnDisk(m.Dest, -1)
+		q.addOnDisk(m.Dest, -1)
 		m.move = notMoving
 		switch {
 		case m.dropped:
 			m.ended = true
-			o.relay.release(m)
+			q.relay.release(m)
 		case m.ended && m.confirmed:
-			o.relay.complete(m, wal.CompletionOf(*m.Final))
+			q.relay.complete(m, wal.CompletionOf(*m.Final))
 		case m.ended:
-		case !o.relay.noSends:
-			evs = append(evs, o.loadedEvent(m))
+		case !q.relay.noSends:
+			evs = append(evs, q.loadedEvent(m))
 		}
 	}
-	o.nextDeadline = j.nextDue
-	o.relay.endExpired(j.expired)
-	o.relay.acceptLoaded(j.loaded)
+	q.nextDeadline = j.nextDue
+	q.relay.endExpired(j.expired)
+	q.relay.acceptLoaded(j.loaded)
 	return evs
 }
 
 // noteDiskState tracks whether the disk accepts writes.
-func (o *backlogQueue) noteDiskState(j *storeJob) {
-	log := o.relay.log
+func (q *backlogQueue) noteDiskState(j *storeJob) {
+	log := q.relay.log
 	if j.err != nil {
-		if o.failedAt = clock.Now(); !o.failing {
+		if q.failedAt = clock.Now(); !q.failing {
 			log.Error("the backlog's disk fails: nothing new goes there", "err", j.err)
 		}
-		o.failing = true
+		q.failing = true
 		return
 	}
-	if o.failing {
+	if q.failing {
 		log.Info("the backlog's disk accepts writes again")
 	}
-	o.failing = false
+	q.failing = false
 	if j.full {
-		if o.failedAt = clock.Now(); !o.full {
-			log.Warn("the backlog is full: new messages beyond the window are refused", "messages", o.onDisk, "bytes", j.bytes)
+		if q.failedAt = clock.Now(); !q.full {
+			log.Warn("the backlog is full: new messages beyond the window are refused", "messages", q.onDisk, "bytes", j.bytes)
 		}
-		o.full = true
-	} else if len(j.put) > 0 && o.full {
+		q.full = true
+	} else if len(j.put) > 0 && q.full {
 		log.Info("the backlog has room again")
-		o.full = false
+		q.full = false
 	}
 }
 
 // loadedEvent tells the module about a message from the disk.
-func (o *backlogQueue) loadedEvent(m *message) policy.Event {
-	o.relay.held++
-	o.movedIn++
-	o.add(m)
-	if m.ID <= o.maxRecoveredID {
-		return o.relay.resumedEvent(m, nil)
+func (q *backlogQueue) loadedEvent(m *message) policy.Event {
+	q.relay.held++
+	q.movedIn++
+	q.add(m)
+	if m.ID <= q.maxRecoveredID {
+		return q.relay.resumedEvent(m, nil)
 	}
-	return o.relay.acceptedEvent(m)
+	return q.relay.acceptedEvent(m)
 }
 
 // endExpired reports the ends of messages that expired on disk. They are removed once the platform accepts the notice.
 func (r *Relay) endExpired(all []owed.Entry) {
-	o := r.backlog
+	q := r.backlog
 	var notices []notice
 	for _, e := range all {
-		if r.msgs[e.ID] != nil || o.unconfirmed[e.ID].ID != 0 {
+		if r.msgs[e.ID] != nil || q.unconfirmed[e.ID].ID != 0 {
 			continue // in transit, or already reported
 		}
-		o.unconfirmed[e.ID] = e.Ref
-		o.ended++
+		q.unconfirmed[e.ID] = e.Ref
+		q.ended++
 		if m, err := wal.Unmarshal(e.Data); err == nil {
 			r.metrics.countEnd(&message{Message: m}, expiredFinal)
 		}
@@ -250,21 +250,21 @@
 
 // acceptLoaded writes messages read from disk to the log again. If the log has no room, they stay on disk.
 func (r *Relay) acceptLoaded(all []owed.Entry) {
-	o := r.backlog
+	q := r.backlog
 	var ms []*message
 	var walMessages []*wal.Message
 	for _, e := range all {
-		if r.msgs[e.ID] != nil || o.unconfirmed[e.ID].ID != 0 {
+		if r.msgs[e.ID] != nil || q.unconfirmed[e.ID].ID != 0 {
 			continue
 		}
 		m, err := wal.Unmarshal(e.Data)
 		if err != nil {
 			r.log.Error("cannot read a message of the backlog", "id", e.Trace, "err", err)
-			o.unconfirmed[e.ID] = e.Ref
+			q.unconfirmed[e.ID] = e.Ref
 			r.notices.add(newNotice(e.ID, e.Trace, wal.Final{}))
 			continue
 		}
-		m.Deadline = o.restoredTime(e.Deadline)
+		m.Deadline = q.restoredTime(e.Deadline)
 		ms, walMessages = append(ms, &message{Message: m, move: movingToMemory}), append(walMessages, m)
 	}
 	if len(walMessages) == 0 {
@@ -274,12 +274,12 @@
 		if !r.logFull {
 			r.log.Warn("the backlog waits for the log", "err", err)
 		}
-		o.loadAfter = clock.Now().Add(storeRetryInterval)
+		q.loadAfter = clock.Now().Add(storeRetryInterval)
 		return
 	}
 	for _, m := range ms {
 		m.seq = r.wal.Written()
 		r.msgs[m.ID], r.byTrace[m.Trace] = m, m
 	}
-	o.incoming = append(o.incoming, ms...)
+	q.incoming = append(q.incoming, ms...)
 }
--- a/internal/relay/lifecycle.go
+++ b/internal/relay/lifecycle.go
@@ -47,7 +47,7 @@
 // outcomeReasons maps a call's outcome to the reason that is logged.
 var outcomeReasons = map[policy.Outcome]stateReason{
 	policy.OK: "ok", policy.Error: "error", policy.Full: "turned_away", policy.ConnectFailed: "connect_failed", policy.Reset: "reset",
-	policy.Timeout: "timeout", policy.Cancelled: "cancelled", policy.Moot: "not_sent",
+	policy.Timeout: "timeout", policy.Cancelled: "cancelled", policy.NotRun: "not_sent",
 }
 
 // endReason is the reason for the end of an undelivered message.
--- a/internal/relay/resubmission.go
+++ b/internal/relay/resubmission.go
@@ -39,12 +39,12 @@
 }
 
 // String formats the counters for /api/telemetry.
-func (s *resubmissions) String() string {
+func (r *resubmissions) String() string {
 	var b strings.Builder
 	for outcome, name := range resubmissionNames {
-		fmt.Fprintf(&b, "\nrelay.resubmitted.%s:%d|c", name, s.counts[outcome].Load())
+		fmt.Fprintf(&b, "\nrelay.resubmitted.%s:%d|c", name, r.counts[outcome].Load())
 	}
-	fmt.Fprintf(&b, "\nrelay.completions:%d|g\nrelay.completions_evicted:%d|c", s.remembered.Load(), s.evicted.Load())
+	fmt.Fprintf(&b, "\nrelay.completions:%d|g\nrelay.completions_evicted:%d|c", r.remembered.Load(), r.evicted.Load())
 	return b.String()
 }
 
--- a/internal/relay/revoked_test.go
+++ b/internal/relay/revoked_test.go
@@ -28,7 +28,7 @@
 	ended.revoke()
 	late.attempts[0].deadline = time.Now()
 	for _, c := range []*call{ended, late} {
-		if r := h.do(t.Context(), c, alwaysAllowed); r[0].outcome != policy.Moot {
+		if r := h.do(t.Context(), c, alwaysAllowed); r[0].outcome != policy.NotRun {
 			t.Errorf("%s: outcome %v", c.attempts[0].m.Trace, r[0].outcome)
 		}
 	}
--- a/internal/relay/step.go
+++ b/internal/relay/step.go
@@ -73,7 +73,7 @@
 		for _, in := range waiting {
 			switch m := in.msg; {
 			case m.Message != in.m: // a duplicate of one in this step, or of one that is not durable yet
-			case r.backlog.divert(m):
+			case r.backlog.moveNewToDisk(m):
 			case m.Attempts > 0:
 				r.backlog.add(m)
 				evs = append(evs, r.resumedEvent(m, nil))
@@ -227,7 +227,7 @@
 	}
 	m.outstanding--
 	switch res.outcome {
-	case policy.Full, policy.ConnectFailed, policy.Moot:
+	case policy.Full, policy.ConnectFailed, policy.NotRun:
 		r.wal.NeverRan(m.Message, a.n)
 	}
 	if ok && m.markCounted() {
--- a/internal/relay/unwritten_test.go
+++ b/internal/relay/unwritten_test.go
@@ -21,10 +21,10 @@
 	failing atomic.Bool
 }
 
-func (s *failingDisk) files(dir string) disk.FS {
+func (d *failingDisk) files(dir string) disk.FS {
 	return &faultdisk.Disk{FS: disk.Dir(dir), Fail: func(op faultdisk.Op, _ string) faultdisk.Fault {
-		if s.failing.Load() && slices.Contains(s.ops, op) {
-			return s.fault
+		if d.failing.Load() && slices.Contains(d.ops, op) {
+			return d.fault
 		}
 		return faultdisk.Fault{}
 	}}
--- a/internal/relay/window.go
+++ b/internal/relay/window.go
@@ -43,12 +43,12 @@
 
 // dest returns the state of a destination and creates it if needed.
 func (w *window) dest(dest int) *destWindow {
-	c := w.dests[dest]
-	if c == nil {
-		c = &destWindow{dest: dest}
-		w.dests[dest] = c
+	d := w.dests[dest]
+	if d == nil {
+		d = &destWindow{dest: dest}
+		w.dests[dest] = d
 	}
-	return c
+	return d
 }
 
 // fairShare is the number of messages per destination if all destinations with messages share the window equally.
@@ -57,8 +57,8 @@
 // admits reports whether a new message may go to the module directly. It may not overtake messages of its destination
 // that are on disk.
 func (w *window) admits(dest int) bool {
-	c := w.dests[dest]
-	return w.held < w.maxHeld && (c == nil || c.onDisk == 0 && c.held < w.maxPerDest || !storable(dest))
+	d := w.dests[dest]
+	return w.held < w.maxHeld && (d == nil || d.onDisk == 0 && d.held < w.maxPerDest || !storable(dest))
 }
 
 // storable reports whether the store can represent the destination's number.
@@ -66,13 +66,13 @@
 
 // add counts a message that is passed to the module.
 func (w *window) add(m *message) {
-	c := w.dest(m.Dest)
-	c.held++
+	d := w.dest(m.Dest)
+	d.held++
 	w.held++
-	m.destWindow = c
+	m.destWindow = d
 	if m.sends == 0 {
-		m.unsentIndex = len(c.unsent)
-		c.unsent = append(c.unsent, m)
+		m.unsentIndex = len(d.unsent)
+		d.unsent = append(d.unsent, m)
 		return
 	}
 	m.unsentIndex = -1
@@ -88,17 +88,17 @@
 }
 
 func (w *window) removeUnsent(m *message) {
-	c := m.destWindow
-	last := c.unsent[len(c.unsent)-1]
-	c.unsent[m.unsentIndex], last.unsentIndex = last, m.unsentIndex
-	c.unsent[len(c.unsent)-1] = nil
-	c.unsent, m.unsentIndex = c.unsent[:len(c.unsent)-1], -1
+	d := m.destWindow
+	last := d.unsent[len(d.unsent)-1]
+	d.unsent[m.unsentIndex], last.unsentIndex = last, m.unsentIndex
+	d.unsent[len(d.unsent)-1] = nil
+	d.unsent, m.unsentIndex = d.unsent[:len(d.unsent)-1], -1
 }
 
 // remove counts out a message that has left the module.
 func (w *window) remove(m *message) {
-	c := m.destWindow
-	if c == nil {
+	d := m.destWindow
+	if d == nil {
 		return
 	}
 	if m.unsentIndex >= 0 {
@@ -107,32 +107,32 @@
 		w.sent--
 	}
 	m.destWindow = nil
-	c.held--
+	d.held--
 	w.held--
-	w.queueLoad(c)
-	w.dropIfEmpty(c)
+	w.queueLoad(d)
+	w.dropIfEmpty(d)
 }
 
 // addOnDisk changes the number of a destination's messages on disk by n, which may be negative.
 func (w *window) addOnDisk(dest, n int) {
-	c := w.dest(dest)
-	c.onDisk += n
+	d := w.dest(dest)
+	d.onDisk += n
 	w.onDisk += n
-	w.queueLoad(c)
-	w.dropIfEmpty(c)
+	w.queueLoad(d)
+	w.dropIfEmpty(d)
 }
 
 // queueLoad queues a destination with messages on disk for nextLoads.
-func (w *window) queueLoad(c *destWindow) {
-	if c.onDisk > 0 && !c.queued {
-		c.queued = true
-		w.loadQueue = append(w.loadQueue, c)
+func (w *window) queueLoad(d *destWindow) {
+	if d.onDisk > 0 && !d.queued {
+		d.queued = true
+		w.loadQueue = append(w.loadQueue, d)
 	}
 }
 
-func (w *window) dropIfEmpty(c *destWindow) {
-	if c.held == 0 && c.onDisk == 0 && !c.loading {
-		delete(w.dests, c.dest)
+func (w *window) dropIfEmpty(d *destWindow) {
+	if d.held == 0 && d.onDisk == 0 && !d.loading {
+		delete(w.dests, d.dest)
 	}
 }
 
@@ -152,17 +152,17 @@
 	room = min(room, w.maxHeld-w.held)
 	queue := w.loadQueue
 	w.loadQueue = nil
-	for i, c := range queue {
+	for i, d := range queue {
 		if limit <= 0 || room <= 0 {
 			w.loadQueue = append(w.loadQueue, queue[i:]...)
 			break
 		}
-		if c.queued = false; c.onDisk == 0 || c.loading || c.held > share/2 {
+		if d.queued = false; d.onDisk == 0 || d.loading || d.held > share/2 {
 			continue // queued again when one of its messages leaves the module
 		}
-		n := min(share-c.held, c.onDisk, limit, room)
-		c.loading = true
-		all = append(all, loadRequest{c.dest, n})
+		n := min(share-d.held, d.onDisk, limit, room)
+		d.loading = true
+		all = append(all, loadRequest{d.dest, n})
 		limit, room = limit-n, room-n
 	}
 	return all
@@ -170,10 +170,10 @@
 
 // finishLoad marks a load as finished, successful or not.
 func (w *window) finishLoad(dest int) {
-	if c := w.dests[dest]; c != nil {
-		c.loading = false
-		w.queueLoad(c)
-		w.dropIfEmpty(c)
+	if d := w.dests[dest]; d != nil {
+		d.loading = false
+		w.queueLoad(d)
+		w.dropIfEmpty(d)
 	}
 }
 
@@ -189,16 +189,16 @@
 	over += w.maxUnsent / 16
 	share := w.fairShare()
 	dests := make([]*destWindow, 0, len(w.dests))
-	for _, c := range w.dests {
-		if len(c.unsent) > 0 {
-			dests = append(dests, c)
+	for _, d := range w.dests {
+		if len(d.unsent) > 0 {
+			dests = append(dests, d)
 		}
 	}
 	slices.SortFunc(dests, func(a, b *destWindow) int { return cmp.Or(b.held-a.held, a.dest-b.dest) })
 	for _, keep := range []int{share, 0} {
-		for _, c := range dests {
-			if n := min(over-len(all), c.held-keep, len(c.unsent)); n > 0 {
-				all = append(all, c.leastUrgent(n, evictable)...)
+		for _, d := range dests {
+			if n := min(over-len(all), d.held-keep, len(d.unsent)); n > 0 {
+				all = append(all, d.leastUrgent(n, evictable)...)
 			}
 		}
 		if len(all) >= need {
@@ -211,8 +211,8 @@
 // leastUrgent returns up to n of the least urgent messages that were never sent, and stops at the first that is not
 // evictable: an evicted message takes all that rank after it along, which keeps messages of the same order key in
 // order.
-func (c *destWindow) leastUrgent(n int, evictable func(*message) bool) []*message {
-	all := slices.Clone(c.unsent)
+func (d *destWindow) leastUrgent(n int, evictable func(*message) bool) []*message {
+	all := slices.Clone(d.unsent)
 	slices.SortFunc(all, func(a, b *message) int { return cmp.Or(cmp.Compare(b.rank(), a.rank()), cmp.Compare(b.ID, a.ID)) })
 	all = all[:min(n, len(all))]
 	if i := slices.IndexFunc(all, func(m *message) bool { return !evictable(m) }); i >= 0 {
--- a/internal/wal/read.go
+++ b/internal/wal/read.go
@@ -129,7 +129,7 @@
 
 // readSegmentFolder reads a segmented folder without changing it.
 func readSegmentFolder(d disk.FS, names []string, s state) (*segmentFolder, error) {
-	c := &segmentFolder{state: s, Report: Report{Format: SegmentFormat}}
+	sf := &segmentFolder{state: s, Report: Report{Format: SegmentFormat}}
 	data := map[string][]byte{}
 	var snaps, segs []uint64
 	for _, n := range names {
@@ -145,7 +145,7 @@
 			return nil, fmt.Errorf("wal: read %s: %w", n, err)
 		}
 		data[n] = content
-		c.newestGen = max(c.newestGen, snap, seg)
+		sf.newestGen = max(sf.newestGen, snap, seg)
 		if isSnap {
 			snaps = append(snaps, snap)
 		} else {
@@ -156,11 +156,11 @@
 	slices.Sort(segs)
 	from, newest := uint64(0), &snapshotFile{}
 	for i := len(snaps) - 1; i >= 0 && from == 0; i-- {
-		x := &snapshotFile{}
-		if x.read(data, snaps[i]) {
-			from, newest = snaps[i], x
+		candidate := &snapshotFile{}
+		if candidate.read(data, snaps[i]) {
+			from, newest = snaps[i], candidate
 		} else if i == len(snaps)-1 {
-			newest = x
+			newest = candidate
 		}
 	}
 	if from == 0 && len(snaps) > 0 {
@@ -170,22 +170,22 @@
 	if len(snaps) > 0 {
 		for gen := from; gen < snaps[len(snaps)-1]; gen++ {
 			if !slices.Contains(segs, gen) {
-				c.Missing = append(c.Missing, genFileName(segPrefix, gen))
+				sf.Missing = append(sf.Missing, genFileName(segPrefix, gen))
 			}
 		}
 	}
-	c.snapshotGen = from
+	sf.snapshotGen = from
 	if from > 0 {
-		c.merge(&newest.Report)
-		c.Files = append(c.Files, genFileName(snapPrefix, from))
+		sf.merge(&newest.Report)
+		sf.Files = append(sf.Files, genFileName(snapPrefix, from))
 		if newest.clock != nil {
-			c.resumeTimeline(newest.clock)
+			sf.resumeTimeline(newest.clock)
 		}
 		for _, f := range newest.entries {
-			c.apply(f.rec, f.body)
+			sf.apply(f.rec, f.body)
 		}
-		if len(newest.Holes)+len(c.Missing) > 0 {
-			c.markDoubt()
+		if len(newest.Holes)+len(sf.Missing) > 0 {
+			sf.markDoubt()
 		}
 	}
 	var segments []*segmentFile
@@ -194,30 +194,30 @@
 			segments = append(segments, readSegment(data[genFileName(segPrefix, gen)], gen))
 		}
 	}
-	c.applySegments(segments)
+	sf.applySegments(segments)
 	for _, n := range names {
-		if _, ok := data[n]; ok && !slices.Contains(c.Files, n) {
-			c.Spare = append(c.Spare, n)
+		if _, ok := data[n]; ok && !slices.Contains(sf.Files, n) {
+			sf.Spare = append(sf.Spare, n)
 		}
 	}
-	c.Generation = c.newestGen
-	return c, nil
+	sf.Generation = sf.newestGen
+	return sf, nil
 }
 
 func roundUpToSector(n int64) int64 { return (n + disk.Sector - 1) / disk.Sector * disk.Sector }
 
 // merge adds the report of a single file.
-func (r *Report) merge(of *Report) {
-	r.Records += of.Records
-	r.Bytes += of.Bytes
-	r.Repaired += of.Repaired
-	r.Holes = append(r.Holes, of.Holes...)
-	r.Missing = append(r.Missing, of.Missing...)
+func (r *Report) merge(other *Report) {
+	r.Records += other.Records
+	r.Bytes += other.Bytes
+	r.Repaired += other.Repaired
+	r.Holes = append(r.Holes, other.Holes...)
+	r.Missing = append(r.Missing, other.Missing...)
 	if r.Name == "" {
-		r.Name = of.Name
+		r.Name = other.Name
 	}
-	if of.Began.After(r.Began) {
-		r.Began = of.Began
+	if other.Began.After(r.Began) {
+		r.Began = other.Began
 	}
 }
 
@@ -320,7 +320,7 @@
 }
 
 // applySegments applies the records of the segments that follow the snapshot, in order.
-func (c *segmentFolder) applySegments(segments []*segmentFile) {
+func (sf *segmentFolder) applySegments(segments []*segmentFile) {
 	for i := len(segments) - 1; i >= 0; i-- {
 		s := segments[i]
 		s.promisedBytes = s.durableBytes
@@ -338,32 +338,32 @@
 	last := uint64(0)
 	for _, s := range segments {
 		if len(s.entries) == 0 && s.promisedBytes == 0 {
-			c.addTornTail(s, 0)
+			sf.addTornTail(s, 0)
 			return // its first write never reached the disk: neither it nor later segments were promised
 		}
-		if h := s.head; h != nil && h.Prev > 0 && h.Prev != last && h.Kept > 0 && h.Prev >= c.snapshotGen {
-			c.Missing = append(c.Missing, genFileName(segPrefix, h.Prev))
-			c.markDoubt()
+		if h := s.head; h != nil && h.Prev > 0 && h.Prev != last && h.Kept > 0 && h.Prev >= sf.snapshotGen {
+			sf.Missing = append(sf.Missing, genFileName(segPrefix, h.Prev))
+			sf.markDoubt()
 		}
 		last = s.gen
-		if !c.applySegment(s) {
+		if !sf.applySegment(s) {
 			return
 		}
 	}
 }
 
 // addTornTail adds a hole for an unfinished last write at the end of a segment.
-func (c *segmentFolder) addTornTail(s *segmentFile, at int64) {
+func (sf *segmentFolder) addTornTail(s *segmentFile, at int64) {
 	if s.size > at {
-		c.Holes = append(c.Holes, Hole{File: genFileName(segPrefix, s.gen), From: at, To: s.size, Torn: true})
+		sf.Holes = append(sf.Holes, Hole{File: genFileName(segPrefix, s.gen), From: at, To: s.size, Torn: true})
 	}
 }
 
 // applySegment applies a segment's records. It returns false if the segment ends in a torn write, so that later segments are
 // ignored.
-func (c *segmentFolder) applySegment(s *segmentFile) bool {
+func (sf *segmentFolder) applySegment(s *segmentFile) bool {
 	name := genFileName(segPrefix, s.gen)
-	c.Files = append(c.Files, name)
+	sf.Files = append(sf.Files, name)
 	holes := s.Holes
 	s.Holes = nil
 	if s.size < s.promisedBytes {
@@ -377,7 +377,7 @@
 		}
 	}
 	if s.head != nil && s.head.Clock != nil {
-		c.resumeTimeline(s.head.Clock)
+		sf.resumeTimeline(s.head.Clock)
 	}
 	next := 0
 	for _, e := range s.entries {
@@ -385,20 +385,20 @@
 			break
 		}
 		for ; next < len(holes) && holes[next].From < e.at; next++ {
-			c.markDoubt()
+			sf.markDoubt()
 		}
 		if e.rec.Kind != recHeader && e.rec.Kind != recSeal {
-			c.apply(e.rec, e.body)
+			sf.apply(e.rec, e.body)
 			s.Records++
 		}
 	}
 	if next < len(holes) {
-		c.markDoubt()
+		sf.markDoubt()
 	}
 	s.Report.Holes = holes
-	c.merge(&s.Report)
+	sf.merge(&s.Report)
 	if end < s.size {
-		c.addTornTail(s, end)
+		sf.addTornTail(s, end)
 		return false
 	}
 	return true
--- a/internal/wal/report.go
+++ b/internal/wal/report.go
@@ -10,39 +10,39 @@
 // Summary describes what reading the folder found and what it means for messages, for an operator.
 func (r *Report) Summary() string {
 	var b strings.Builder
-	say := func(format string, args ...any) { fmt.Fprintf(&b, format+"\n", args...) }
+	add := func(format string, args ...any) { fmt.Fprintf(&b, format+"\n", args...) }
 	switch r.Format {
 	case 0:
-		say("The folder is empty: a relay that starts on it has no messages to deliver.")
+		add("The folder is empty: a relay that starts on it has no messages to deliver.")
 		return b.String()
 	case 1:
-		say("The log is a single file (format 1) of %d bytes.", r.Bytes)
+		add("The log is a single file (format 1) of %d bytes.", r.Bytes)
 	default:
-		say("The log is kept in segments (format %d) by relay %q; generation %d, %d records in %d bytes, in %s.", r.Format, r.Name,
+		add("The log is kept in segments (format %d) by relay %q; generation %d, %d records in %d bytes, in %s.", r.Format, r.Name,
 			r.Generation, r.Records, r.Bytes, strings.Join(r.Files, ", "))
 	}
 	for _, n := range r.Spare {
-		say("%s is no longer needed; the next start removes it.", n)
+		add("%s is no longer needed; the next start removes it.", n)
 	}
 	if r.Repaired > 0 {
-		say("%d records had one flipped bit, which the checksum locates and which was corrected. Nothing is lost, but the disk "+
+		add("%d records had one flipped bit, which the checksum locates and which was corrected. Nothing is lost, but the disk "+
 			"corrupts data.", r.Repaired)
 	}
 	for _, h := range r.Holes {
 		if h.Torn {
-			say("%s ends with %d bytes of an unfinished write. Nothing in them was promised.", h.File,
+			add("%s ends with %d bytes of an unfinished write. Nothing in them was promised.", h.File,
 				h.To-h.From)
 		} else {
-			say("%s: bytes %d to %d can't be read, although they had reached the disk.", h.File, h.From, h.To)
+			add("%s: bytes %d to %d can't be read, although they had reached the disk.", h.File, h.From, h.To)
 		}
 	}
 	for _, n := range r.Missing {
-		say("%s is missing, although it had reached the disk.", n)
+		add("%s is missing, although it had reached the disk.", n)
 	}
 	if r.Intact() {
-		say("Nothing that was promised is lost.")
+		add("Nothing that was promised is lost.")
 	} else {
-		say("Messages accepted in the unreadable part are lost. Each message held before it may " +
+		add("Messages accepted in the unreadable part are lost. Each message held before it may " +
 			"have run: those that must not run twice are not sent again and end as undeliverable, those that are safe to repeat are sent.")
 	}
 	return b.String()
@@ -55,11 +55,11 @@
 		return nil, nil, fmt.Errorf("wal: %w", err)
 	}
 	if isSegmented(names) {
-		c, err := readSegmentFolder(d, names, newRawTimesState())
+		sf, err := readSegmentFolder(d, names, newRawTimesState())
 		if err != nil {
 			return nil, nil, err
 		}
-		return &c.Report, c.messages(), nil
+		return &sf.Report, sf.messages(), nil
 	}
 	data, err := d.ReadFile(logName)
 	if err != nil {
--- a/internal/wal/segments.go
+++ b/internal/wal/segments.go
@@ -70,36 +70,36 @@
 }
 
 // openSegments reads a folder and begins a new generation of segments. A single-file log is converted.
-func (l *Log) openSegments(names []string, guarded bool) (Recovery, error) {
+func (l *Log) openSegments(names []string, segmented bool) (Recovery, error) {
 	s := &segmentedLog{Options: l.Options, state: &l.state, otherFiles: map[string]int64{}}
 	s.wake.L = &s.mu
 	var found Recovery
-	if guarded {
-		c, err := readSegmentFolder(l.FS, names, newState())
+	if segmented {
+		sf, err := readSegmentFolder(l.FS, names, newState())
 		if err != nil {
 			return found, err
 		}
-		if c.Name != "" && l.Name != "" && c.Name != l.Name && c.Name != l.PreviousName && !l.AdoptForeign {
-			return found, fmt.Errorf("%w: of %q, and this is %q", ErrForeignFolder, c.Name, l.Name)
+		if sf.Name != "" && l.Name != "" && sf.Name != l.Name && sf.Name != l.PreviousName && !l.AdoptForeign {
+			return found, fmt.Errorf("%w: of %q, and this is %q", ErrForeignFolder, sf.Name, l.Name)
 		}
-		l.state, s.gen = c.state, c.newestGen
-		found.Report = &c.Report
-		left := c.Files
-		if c.Intact() {
-			for _, n := range append(c.Spare, snapTemp) {
+		l.state, s.gen = sf.state, sf.newestGen
+		found.Report = &sf.Report
+		kept := sf.Files
+		if sf.Intact() {
+			for _, n := range append(sf.Spare, snapTemp) {
 				if l.FS.Remove(n) != nil {
-					left = append(left, n)
+					kept = append(kept, n)
 				}
 			}
 		} else {
-			left = append(left, c.Spare...)
+			kept = append(kept, sf.Spare...)
 		}
-		for _, n := range left {
+		for _, n := range kept {
 			if data, err := l.FS.ReadFile(n); err == nil {
 				s.otherFiles[n] = roundUpToSector(int64(len(data)))
 			}
 		}
-		s.quarantine(&c.Report, names)
+		s.quarantine(&sf.Report, names)
 	} else {
 		s.needsGuard = true
 		data, err := l.FS.ReadFile(logName)
@@ -154,29 +154,29 @@
 
 // convertToSingle converts a segmented folder to a single file.
 func (l *Log) convertToSingle(names []string) error {
-	c, err := readSegmentFolder(l.FS, names, newState())
+	sf, err := readSegmentFolder(l.FS, names, newState())
 	if err != nil {
 		return err
 	}
-	return writeSingle(l.FS, c, names)
+	return writeSingle(l.FS, sf, names)
 }
 
 // writeSingle writes the state of a segmented folder to a single file and then removes the segments. A crash at any point leaves
 // one of the two formats intact.
-func writeSingle(d disk.FS, c *segmentFolder, names []string) error {
+func writeSingle(d disk.FS, sf *segmentFolder, names []string) error {
 	const temp = "wal.back"
 	var buf []byte
-	for _, p := range c.clockRecord() {
+	for _, p := range sf.clockRecord() {
 		buf = appendRecord(buf, p)
 	}
-	for _, p := range c.completionRecords() {
+	for _, p := range sf.completionRecords() {
 		buf = appendRecord(buf, p)
 	}
-	for _, m := range c.messages() {
+	for _, m := range sf.messages() {
 		if m.Doubt && m.Final == nil && !m.Withdrawn {
 			m.Final = &Final{} // a single file can't record the doubt: end the message as one that may have run
 		}
-		buf = appendRecord(buf, c.acceptPayload(m))
+		buf = appendRecord(buf, sf.acceptPayload(m))
 	}
 	f, err := d.Open(temp)
 	if err != nil {
@@ -216,7 +216,7 @@
 	if r.Intact() {
 		return
 	}
-	put := func(n string, data []byte) {
+	write := func(n string, data []byte) {
 		if s.quarantined+roundUpToSector(int64(len(data))) > room {
 			return
 		}
@@ -228,10 +228,10 @@
 		f.Close()
 		s.quarantined += roundUpToSector(int64(len(data)))
 	}
-	put(fmt.Sprintf("%s%08x.txt", quarantinePrefix, s.gen), []byte(r.Summary()))
+	write(fmt.Sprintf("%s%08x.txt", quarantinePrefix, s.gen), []byte(r.Summary()))
 	for _, h := range r.Holes {
 		if !h.Torn {
-			put(fmt.Sprintf("%s%s-%d", quarantinePrefix, h.File, h.From), h.data)
+			write(fmt.Sprintf("%s%s-%d", quarantinePrefix, h.File, h.From), h.data)
 		}
 	}
 }
@@ -378,9 +378,9 @@
 // ensureRoom reserves disk space for the records that end the messages held, and refuses new work while syncs are behind.
 func (s *segmentedLog) ensureRoom() error {
 	s.mu.Lock()
-	worn, since := s.failed != nil || s.file == nil, s.unsyncedSince
+	needsNew, since := s.failed != nil || s.file == nil, s.unsyncedSince
 	s.mu.Unlock()
-	if worn {
+	if needsNew {
 		return ErrNeedsNewFile
 	}
 	if !since.IsZero() && clock.Since(since) > maxSyncDelay {
--- a/internal/wal/segments_test.go
+++ b/internal/wal/segments_test.go
@@ -17,24 +17,24 @@
 )
 
 // openSegmented opens a segmented folder, synced or not.
-func openSegmented(t *testing.T, d disk.FS, power bool) (*Log, Recovery) {
+func openSegmented(t *testing.T, d disk.FS, syncWrites bool) (*Log, Recovery) {
 	t.Helper()
-	l, found, err := OpenWith(Options{FS: d, Limit: ampleLimit, Name: "n3", Format: SegmentFormat, SyncWrites: power})
+	l, found, err := OpenWith(Options{FS: d, Limit: ampleLimit, Name: "n3", Format: SegmentFormat, SyncWrites: syncWrites})
 	must(t, err)
 	return l, found
 }
 
 // smallLog returns a small log with records of several kinds. Its process was either killed or closed the log.
-func smallLog(t *testing.T, power, closed bool) *crashdisk.Disk {
+func smallLog(t *testing.T, syncWrites, closed bool) *crashdisk.Disk {
 	t.Helper()
 	d := crashdisk.New()
-	l, _ := openSegmented(t, d, power)
+	l, _ := openSegmented(t, d, syncWrites)
 	one, two, three := message(1), message(2), message(3)
 	must(t, l.Accept(one, two))
 	must(t, l.RecordSends(Send{one, Attempt{Host: "s-1", Zone: 1, At: noon}}, Send{two, Attempt{Host: "s-2", At: noon}}))
 	l.NeverRan(two, 0)
 	must(t, l.Close())
-	l, _ = openSegmented(t, d, power)
+	l, _ = openSegmented(t, d, syncWrites)
 	must(t, l.Accept(three))
 	one = l.live[1]
 	l.SetFinal(one, Final{})
@@ -53,8 +53,8 @@
 // are repaired.
 func TestBitFlipsAreDetectedOrRepaired(t *testing.T) {
 	for _, closed := range []bool{true, false} {
-		for _, power := range []bool{true, false} {
-			d := smallLog(t, power, closed)
+		for _, syncWrites := range []bool{true, false} {
+			d := smallLog(t, syncWrites, closed)
 			_, want, err := Check(d)
 			must(t, err)
 			names, err := d.Names()
@@ -78,12 +78,12 @@
 						repaired++
 					}
 					if !same && r.Intact() {
-						t.Errorf("closed %v, power %v, %s, bit %d: not detected, %v instead of %v", closed, power, n, bit, got, want)
+						t.Errorf("closed %v, power %v, %s, bit %d: not detected, %v instead of %v", closed, syncWrites, n, bit, got, want)
 					}
 				}
 			}
 			if repaired < flips*9/10 {
-				t.Errorf("closed %v, power %v: %d of %d flips repaired", closed, power, repaired, flips)
+				t.Errorf("closed %v, power %v: %d of %d flips repaired", closed, syncWrites, repaired, flips)
 			}
 		}
 	}
@@ -225,12 +225,12 @@
 // TestFailedSync checks that a file is no longer trusted or written after a sync of it has failed.
 func TestFailedSync(t *testing.T) {
 	d := crashdisk.New()
-	told := make(chan struct{}, 100)
-	l, _, err := OpenWith(Options{FS: d, Limit: ampleLimit, Format: SegmentFormat, SyncWrites: true, Notify: func() { told <- struct{}{} }})
+	notified := make(chan struct{}, 100)
+	l, _, err := OpenWith(Options{FS: d, Limit: ampleLimit, Format: SegmentFormat, SyncWrites: true, Notify: func() { notified <- struct{}{} }})
 	must(t, err)
 	one, two := message(1), message(2)
 	must(t, l.Accept(one, two))
-	<-told
+	<-notified
 	broken := errors.New("input/output error")
 	d.Fail = func(op, _ string) error {
 		if op == "sync" {
@@ -239,7 +239,7 @@
 		return nil
 	}
 	must(t, l.RecordSends(Send{one, Attempt{Host: "s-1", At: noon}}))
-	<-told
+	<-notified
 	if l.Durable() == l.Written() {
 		t.Error("a write whose sync failed counts as durable")
 	}
@@ -253,14 +253,14 @@
 	if l.TryRecover() {
 		t.Error("recovered while the disk still fails")
 	}
-	<-told
+	<-notified
 	d.Fail = nil
 	s := l.backend.(*segmentedLog)
 	s.lastFailedTry = time.Time{} // the pause is over
 	if l.TryRecover() {
 		t.Error("recovered before the snapshot was written")
 	}
-	<-told
+	<-notified
 	if !l.TryRecover() || l.Durable() != l.Written()-1 && l.Durable() != l.Written() {
 		t.Errorf("not recovered: %d of %d writes durable", l.Durable(), l.Written())
 	}
@@ -390,7 +390,7 @@
 // TestSegmentedLogKeepsDiskLimit adds up the size of all files at every change of the folder.
 func TestSegmentedLogKeepsDiskLimit(t *testing.T) {
 	const limit = 60_000
-	for _, power := range []bool{false, true} {
+	for _, syncWrites := range []bool{false, true} {
 		d := crashdisk.New()
 		most := int64(0)
 		d.After = func(string, string) {
@@ -405,10 +405,10 @@
 		var mu sync.Mutex
 		after := d.After
 		d.After = func(op, name string) { mu.Lock(); defer mu.Unlock(); after(op, name) }
-		told := make(chan struct{}, 1)
-		l, _, err := OpenWith(Options{FS: d, Limit: limit, Format: SegmentFormat, SyncWrites: power, Notify: func() {
+		notified := make(chan struct{}, 1)
+		l, _, err := OpenWith(Options{FS: d, Limit: limit, Format: SegmentFormat, SyncWrites: syncWrites, Notify: func() {
 			select {
-			case told <- struct{}{}:
+			case notified <- struct{}{}:
 			default:
 			}
 		}})
@@ -418,7 +418,7 @@
 			m := message(i + 1)
 			switch err := l.Accept(m); {
 			case errors.Is(err, ErrFull), errors.Is(err, ErrSlow):
-				<-told // wait for the running snapshot or sync
+				<-notified // wait for the running snapshot or sync
 				continue
 			default:
 				must(t, err)
@@ -433,10 +433,10 @@
 		}
 		must(t, l.Close())
 		if most > limit || most < limit/4 {
-			t.Errorf("power %v: %d bytes on disk at most, %d allowed", power, most, limit)
+			t.Errorf("power %v: %d bytes on disk at most, %d allowed", syncWrites, most, limit)
 		}
-		if _, found := openSegmented(t, d, power); len(found.Messages) != len(held) {
-			t.Errorf("power %v: %d held, %d found", power, len(held), len(found.Messages))
+		if _, found := openSegmented(t, d, syncWrites); len(found.Messages) != len(held) {
+			t.Errorf("power %v: %d held, %d found", syncWrites, len(held), len(found.Messages))
 		}
 	}
 }
--- a/internal/wal/sync.go
+++ b/internal/wal/sync.go
@@ -34,14 +34,14 @@
 // snapshot. The result is true once the log can be written again.
 func (s *segmentedLog) tryRecover(live func() [][]byte) bool {
 	s.mu.Lock()
-	failed, renewing, renewed, tried := s.failed, s.snapshotting, s.recoveryGen, s.lastFailedTry
+	failed, snapshotting, recoveryGen, lastFailedTry := s.failed, s.snapshotting, s.recoveryGen, s.lastFailedTry
 	s.mu.Unlock()
 	switch {
 	case failed == nil:
 		return true
-	case renewing:
-	case renewed > 0:
-		if s.beginSegment(renewed, nil) != nil {
+	case snapshotting:
+	case recoveryGen > 0:
+		if s.beginSegment(recoveryGen, nil) != nil {
 			s.mu.Lock()
 			s.recoveryGen = 0 // the snapshot may be out of date by the next attempt: write another
 			s.mu.Unlock()
@@ -56,7 +56,7 @@
 		s.written++ // a snapshot counts as a write
 		s.durable = s.written
 		return true
-	case clock.Since(tried) >= recoveryRetryInterval:
+	case clock.Since(lastFailedTry) >= recoveryRetryInterval:
 		if s.writeGuard() != nil {
 			s.mu.Lock()
 			s.lastFailedTry = clock.Now()
@@ -90,7 +90,7 @@
 		if len(s.unsynced) == 0 || s.failed != nil {
 			return
 		}
-		todo, target, began, names := slices.Clone(s.unsynced), s.written, clock.Now(), s.dirUnsynced
+		todo, target, began, dirUnsynced := slices.Clone(s.unsynced), s.written, clock.Now(), s.dirUnsynced
 		s.dirUnsynced = false
 		s.mu.Unlock()
 		var err error
@@ -99,7 +99,7 @@
 				err = d.file.Sync()
 			}
 		}
-		if err == nil && names {
+		if err == nil && dirUnsynced {
 			err = s.FS.SyncDir()
 		}
 		s.mu.Lock()
--- a/internal/wal/wal.go
+++ b/internal/wal/wal.go
@@ -235,12 +235,12 @@
 	if err != nil {
 		return nil, Recovery{}, fmt.Errorf("wal: %w", err)
 	}
-	switch guarded := isSegmented(names); {
+	switch segmented := isSegmented(names); {
 	case o.Format == SegmentFormat:
-		found, err := l.openSegments(names, guarded)
+		found, err := l.openSegments(names, segmented)
 		l.pruneCompletions()
 		return l, found, err
-	case guarded:
+	case segmented:
 		if err := l.convertToSingle(names); err != nil {
 			return nil, Recovery{}, err
 		}
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -368,7 +368,7 @@
 var outcomes = map[string]policy.Outcome{
 	"ok": policy.OK, "error": policy.Error, "full": policy.Full, "timeout": policy.Timeout,
 	"connect_failed": policy.ConnectFailed, "reset": policy.Reset, "cancelled": policy.Cancelled,
-	"moot": policy.Moot,
+	"moot": policy.NotRun,
 }
 
 func (f *fields) outcome() policy.Outcome {
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -43,7 +43,7 @@
 			Route: "host.a", Outcome: policy.Full, Took: time.Millisecond, RetryAfter: 450 * time.Millisecond,
 			Report: policy.Report{Present: true, Remaining: 0.25, Limit: 3.5}}},
 		{"FINISHED 3 9 0 host.a moot 0 0 1 -\n", policy.Event{Kind: policy.Finished, ID: 9, Route: "host.a",
-			Outcome: policy.Moot}},
+			Outcome: policy.NotRun}},
 		{"PONG 3 host.a connect_failed 1.5 -\n", policy.Event{Kind: policy.Probed, Route: "host.a",
 			Outcome: policy.ConnectFailed, Took: 1500 * time.Microsecond}},
 		{"TIMED_OUT_CLIENT 3 242166553\n", policy.Event{Kind: policy.Withdrawn, ID: 242166553}},
--- a/policy/api.go
+++ b/policy/api.go
@@ -15,7 +15,7 @@
 // Outcome is how an attempt or a probe ended.
 type Outcome int
 
-// The outcomes of an attempt. Full, ConnectFailed and Moot prove that the message did not run.
+// The outcomes of an attempt. Full, ConnectFailed and NotRun prove that the message did not run.
 const (
 	OK            Outcome = iota // delivered
 	Error                        // answered with an error
@@ -24,7 +24,7 @@
 	ConnectFailed                // no connection, or the request was not written completely
 	Reset                        // the connection ended before the answer
 	Cancelled                    // the sender ended the call
-	Moot                         // did not run, for a reason that says nothing about the health of the route
+	NotRun                       // did not run, for a reason that says nothing about the health of the route
 )
 
 // Class is one class of message.
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -358,7 +358,7 @@
 	case OK:
 		s.recordDelivery(r, o.sent, took)
 		return
-	case Moot, Cancelled:
+	case NotRun, Cancelled:
 		return
 	case Full:
 		if r.refusals == 0 {
@@ -635,7 +635,7 @@
 	case ConnectFailed:
 		m.failedRoute = c.route
 		return
-	case Full, Moot:
+	case Full, NotRun:
 		return
 	case Timeout, Reset, Cancelled:
 		m.timeouts++
--- a/policy/property_test.go
+++ b/policy/property_test.go
@@ -198,7 +198,7 @@
 	}
 	t := &m.attempts[e.Attempt]
 	t.out = false
-	t.mayHaveRun = e.Outcome != Full && e.Outcome != ConnectFailed && e.Outcome != Moot
+	t.mayHaveRun = e.Outcome != Full && e.Outcome != ConnectFailed && e.Outcome != NotRun
 	if e.Outcome == OK {
 		m.ended = true
 		w.answered++
@@ -348,7 +348,7 @@
 			e.RetryAfter = time.Duration(200+w.rng.IntN(900)) * time.Millisecond
 		}
 	case n == 4:
-		e.Outcome = []Outcome{Error, Reset, Cancelled, Moot}[w.rng.IntN(4)]
+		e.Outcome = []Outcome{Error, Reset, Cancelled, NotRun}[w.rng.IntN(4)]
 	case n == 5:
 		took = time.Hour
 	}
