--- a/cmd/cherrytrestle-fleet/main.go
+++ b/cmd/cherrytrestle-fleet/main.go
@@ -4,7 +4,7 @@
 
 import (
 	"onyxroad.dev/onyxroad/internal/backlog"
-	"onyxroad.dev/onyxroad/internal/backlog/owed"
+	"onyxroad.dev/onyxroad/internal/backlog/storage"
 	"onyxroad.dev/onyxroad/internal/duty/figures"
 	"onyxroad.dev/onyxroad/internal/membership/gossip"
 	"onyxroad.dev/onyxroad/internal/program"
@@ -19,7 +19,7 @@
 		},
 		Backlog: func(c program.BacklogConfig) relay.Backlog {
 			o := backlog.Options{Dir: c.Dir, Limit: int64(c.DiskMB * 1e6), Fsync: c.Fsync, Name: c.Name, FS: c.FS, Log: c.Log}
-			return relay.Backlog{Window: c.Window, Share: c.Share, Open: func() (owed.Store, owed.OpenReport, error) {
+			return relay.Backlog{Window: c.Window, Share: c.Share, Open: func() (storage.Store, storage.OpenReport, error) {
 				s, found, err := backlog.Open(o)
 				if err != nil {
 					return nil, found, err // not a non-nil interface with a nil *backlog.Store
--- a/internal/backlog/backlog.go
+++ b/internal/backlog/backlog.go
@@ -17,13 +17,13 @@
 
 	"github.com/cockroachdb/pebble/v2"
 
-	"onyxroad.dev/onyxroad/internal/backlog/owed"
+	"onyxroad.dev/onyxroad/internal/backlog/storage"
 	"onyxroad.dev/onyxroad/internal/disk"
 )
 
 var (
 	// ErrFull is returned when there is no space for the added messages. Changes that only remove messages still succeed.
-	ErrFull = owed.ErrFull
+	ErrFull = storage.ErrFull
 	// ErrDisk is returned when the disk fails; it wraps the cause. Whether the failed change was stored is known only once a
 	// later Apply succeeds. Applying the same change again is harmless.
 	ErrDisk = errors.New("backlog: the disk fails")
@@ -39,9 +39,9 @@
 
 // Types shared with the relay, which must not link the storage engine.
 type (
-	Ref        = owed.Ref
-	Entry      = owed.Entry
-	OpenReport = owed.OpenReport
+	Ref        = storage.Ref
+	Entry      = storage.Entry
+	OpenReport = storage.OpenReport
 )
 
 // Options configures a store.
--- a/internal/backlog/owed/owed.go
+++ b/internal/backlog/storage/storage.go
@@ -1,6 +1,6 @@
-// Package owed declares the interface between a relay and the store of its backlog. It is separate from package backlog so
+// Package storage declares the interface between a relay and the store of its backlog. It is separate from package backlog so
 // that a relay without a backlog does not link the storage engine.
-package owed
+package storage
 
 import (
 	"errors"
--- a/internal/relay/backlog.go
+++ b/internal/relay/backlog.go
@@ -10,7 +10,7 @@
 	"sync"
 	"time"
 
-	"onyxroad.dev/onyxroad/internal/backlog/owed"
+	"onyxroad.dev/onyxroad/internal/backlog/storage"
 	"onyxroad.dev/onyxroad/internal/clock"
 	"onyxroad.dev/onyxroad/internal/disk"
 	"onyxroad.dev/onyxroad/internal/wal"
@@ -49,7 +49,7 @@
 
 // Backlog configures a relay's backlog.
 type Backlog struct {
-	Open   func() (owed.Store, owed.OpenReport, error)
+	Open   func() (storage.Store, storage.OpenReport, error)
 	Window int     // most messages in memory that were never sent
 	Share  float64 // fraction of Window that one destination may have in memory
 }
@@ -69,16 +69,16 @@
 	*window
 	Backlog
 	relay          *Relay
-	store          owed.Store
+	store          storage.Store
 	maxRecoveredID uint32 // highest id that was on disk at the start of the process
 	clockOffset    time.Duration
 
-	outgoing     []*message           // moving to disk, and not in a job
-	incoming     []*message           // moving to memory: in the log again, and still on disk
-	removals     []owed.Ref           // ended, and still on disk
-	unconfirmed  map[uint32]owed.Ref  // on disk, with final notices that are not confirmed yet
-	sharedIDs    map[uint32]time.Time // ids on disk that were submitted again, with the time of the latest request
-	job          *storeJob            // running; nil if none
+	outgoing     []*message             // moving to disk, and not in a job
+	incoming     []*message             // moving to memory: in the log again, and still on disk
+	removals     []storage.Ref          // ended, and still on disk
+	unconfirmed  map[uint32]storage.Ref // on disk, with final notices that are not confirmed yet
+	sharedIDs    map[uint32]time.Time   // ids on disk that were submitted again, with the time of the latest request
+	job          *storeJob              // running; nil if none
 	startJob     func(*storeJob)
 	jobs         sync.WaitGroup
 	nextDeadline int64     // earliest deadline on disk as of the last job; noDeadline: none
@@ -103,7 +103,7 @@
 	}
 	q := &backlogQueue{
 		window: newWindow(b.Window, b.Share, r.cfg.Settings.MaxHeld), Backlog: *b, relay: r, store: store,
-		unconfirmed: map[uint32]owed.Ref{}, sharedIDs: map[uint32]time.Time{}, maxRecoveredID: contents.MaxID, nextDeadline: 0,
+		unconfirmed: map[uint32]storage.Ref{}, sharedIDs: map[uint32]time.Time{}, maxRecoveredID: contents.MaxID, nextDeadline: 0,
 	}
 	if contents.Lost || contents.Rebuilt || len(contents.Problems) > 0 {
 		r.log.Error("the backlog was damaged", "messages", contents.Messages, "lost", contents.Lost, "aside", contents.Problems)
@@ -115,7 +115,7 @@
 		})
 	}
 	if store.Len() > 0 {
-		var duplicates []owed.Ref
+		var duplicates []storage.Ref
 		for _, m := range found.Messages {
 			e, ok, err := store.Get(m.ID)
 			if err != nil {
@@ -198,8 +198,8 @@
 }
 
 // ref returns the reference of a message in the store.
-func (q *backlogQueue) ref(m *message) owed.Ref {
-	return owed.Ref{ID: m.ID, Trace: m.Trace, Dest: m.Dest, Rank: m.rank(), Deadline: q.storedTime(m.Deadline)}
+func (q *backlogQueue) ref(m *message) storage.Ref {
+	return storage.Ref{ID: m.ID, Trace: m.Trace, Dest: m.Dest, Rank: m.rank(), Deadline: q.storedTime(m.Deadline)}
 }
 
 // lookup answers a request for a message that is already on disk; false if it is not. Since the message then has more
--- a/internal/relay/backlog_test.go
+++ b/internal/relay/backlog_test.go
@@ -13,25 +13,25 @@
 	"testing"
 	"time"
 
-	"onyxroad.dev/onyxroad/internal/backlog/owed"
+	"onyxroad.dev/onyxroad/internal/backlog/storage"
 	"onyxroad.dev/onyxroad/internal/disk/crashdisk"
 	"onyxroad.dev/onyxroad/internal/wal"
 	"onyxroad.dev/onyxroad/policy"
 )
 
-// memoryStore is an in-memory owed.Store.
+// memoryStore is an in-memory storage.Store.
 type memoryStore struct {
-	entries  map[uint32]owed.Entry
+	entries  map[uint32]storage.Entry
 	capacity int // 0: unlimited
 	err      error
 }
 
-func (s *memoryStore) Apply(put []owed.Entry, remove []owed.Ref) error {
+func (s *memoryStore) Apply(put []storage.Entry, remove []storage.Ref) error {
 	if s.err != nil {
 		return s.err
 	}
 	if s.capacity > 0 && len(put) > 0 && len(s.entries)+len(put) > s.capacity {
-		return owed.ErrFull
+		return storage.ErrFull
 	}
 	for _, r := range remove {
 		delete(s.entries, r.ID)
@@ -42,13 +42,13 @@
 	return nil
 }
 
-func (s *memoryStore) sorted(keep func(owed.Entry) bool, by func(owed.Entry) int64) (all []owed.Entry) {
+func (s *memoryStore) sorted(keep func(storage.Entry) bool, by func(storage.Entry) int64) (all []storage.Entry) {
 	for _, e := range s.entries {
 		if keep(e) {
 			all = append(all, e)
 		}
 	}
-	slices.SortFunc(all, func(a, b owed.Entry) int {
+	slices.SortFunc(all, func(a, b storage.Entry) int {
 		if d := by(a) - by(b); d != 0 {
 			return int(min(1, max(-1, d)))
 		}
@@ -57,13 +57,13 @@
 	return all
 }
 
-func (s *memoryStore) First(dest, n int) ([]owed.Entry, error) {
-	all := s.sorted(func(e owed.Entry) bool { return e.Dest == dest }, func(e owed.Entry) int64 { return e.Rank })
+func (s *memoryStore) First(dest, n int) ([]storage.Entry, error) {
+	all := s.sorted(func(e storage.Entry) bool { return e.Dest == dest }, func(e storage.Entry) int64 { return e.Rank })
 	return all[:min(n, len(all))], s.err
 }
 
-func (s *memoryStore) Due(by int64, n int) ([]owed.Entry, error) {
-	all := s.sorted(func(e owed.Entry) bool { return e.Deadline <= by }, func(e owed.Entry) int64 { return e.Deadline })
+func (s *memoryStore) Due(by int64, n int) ([]storage.Entry, error) {
+	all := s.sorted(func(e storage.Entry) bool { return e.Deadline <= by }, func(e storage.Entry) int64 { return e.Deadline })
 	return all[:min(n, len(all))], s.err
 }
 
@@ -76,16 +76,16 @@
 	return next, ok, nil
 }
 
-func (s *memoryStore) Find(trace string) (owed.Ref, bool, error) {
+func (s *memoryStore) Find(trace string) (storage.Ref, bool, error) {
 	for _, e := range s.entries {
 		if e.Trace == trace {
 			return e.Ref, true, nil
 		}
 	}
-	return owed.Ref{}, false, nil
+	return storage.Ref{}, false, nil
 }
 
-func (s *memoryStore) Get(id uint32) (owed.Entry, bool, error) {
+func (s *memoryStore) Get(id uint32) (storage.Entry, bool, error) {
 	e, ok := s.entries[id]
 	return e, ok, nil
 }
@@ -112,8 +112,8 @@
 func (s *memoryStore) DiskBytes() int64 { return int64(len(s.entries)) }
 func (s *memoryStore) Close() error     { return nil }
 
-func (s *memoryStore) open() (owed.Store, owed.OpenReport, error) {
-	found := owed.OpenReport{Messages: len(s.entries)}
+func (s *memoryStore) open() (storage.Store, storage.OpenReport, error) {
+	found := storage.OpenReport{Messages: len(s.entries)}
 	for id := range s.entries {
 		found.MaxID = max(found.MaxID, id)
 	}
@@ -199,7 +199,7 @@
 }
 
 func TestMessagesBeyondTheWindowMoveToDisk(t *testing.T) {
-	b := newBacklogRelay(t, &memoryStore{entries: map[uint32]owed.Entry{}}, crashdisk.New(), 64)
+	b := newBacklogRelay(t, &memoryStore{entries: map[uint32]storage.Entry{}}, crashdisk.New(), 64)
 	for i := range 10 {
 		b.submit(100, 100*i, 7, time.Hour)
 		b.runJobs()
@@ -247,7 +247,7 @@
 }
 
 func TestMostUrgentMessageIsLoadedFirst(t *testing.T) {
-	b := newBacklogRelay(t, &memoryStore{entries: map[uint32]owed.Entry{}}, crashdisk.New(), 64)
+	b := newBacklogRelay(t, &memoryStore{entries: map[uint32]storage.Entry{}}, crashdisk.New(), 64)
 	b.submit(64, 0, 7, 3*time.Hour)
 	b.submit(200, 1000, 7, 2*time.Hour)
 	b.submit(1, 2000, 7, time.Hour)
@@ -262,7 +262,7 @@
 }
 
 func TestMessagesThatExpireOnDiskGetNotices(t *testing.T) {
-	b := newBacklogRelay(t, &memoryStore{entries: map[uint32]owed.Entry{}}, crashdisk.New(), 64)
+	b := newBacklogRelay(t, &memoryStore{entries: map[uint32]storage.Entry{}}, crashdisk.New(), 64)
 	b.submit(32, 0, 7, time.Hour) // the destination's share
 	b.submit(100, 1000, 7, expiryLead/2)
 	b.submit(5, 2000, 7, time.Hour)
@@ -289,7 +289,7 @@
 		"failing": func(s *memoryStore) { s.err = errors.New("input/output error") },
 	} {
 		t.Run(name, func(t *testing.T) {
-			s := &memoryStore{entries: map[uint32]owed.Entry{}}
+			s := &memoryStore{entries: map[uint32]storage.Entry{}}
 			b := newBacklogRelay(t, s, crashdisk.New(), 64)
 			breakStore(s)
 			b.submit(100, 0, 7, time.Hour)
@@ -317,7 +317,7 @@
 func TestWithdrawnMessageIsRemovedFromDiskBeforeLog(t *testing.T) {
 	for _, when := range []string{"before its job", "under its job", "on disk"} {
 		t.Run(when, func(t *testing.T) {
-			b := newBacklogRelay(t, &memoryStore{entries: map[uint32]owed.Entry{}}, crashdisk.New(), 64)
+			b := newBacklogRelay(t, &memoryStore{entries: map[uint32]storage.Entry{}}, crashdisk.New(), 64)
 			b.submit(33, 0, 7, time.Hour)
 			if len(b.jobs) != 1 {
 				t.Fatalf("%d jobs", len(b.jobs))
@@ -354,7 +354,7 @@
 
 // In an ordered class messages are loaded in their order of arrival, even if a later one has an earlier deadline.
 func TestBacklogKeepsOrderOfKey(t *testing.T) {
-	b := newBacklogRelay(t, &memoryStore{entries: map[uint32]owed.Entry{}}, crashdisk.New(), 64)
+	b := newBacklogRelay(t, &memoryStore{entries: map[uint32]storage.Entry{}}, crashdisk.New(), 64)
 	b.cfg.Settings.Classes[0].Ordered = true
 	rng := rand.New(rand.NewPCG(1, 2))
 	for i := range 200 {
@@ -385,7 +385,7 @@
 
 // A clock that is set back over a restart must not give messages on disk more time.
 func TestClockSetBackExtendsNoDeadlineOnDisk(t *testing.T) {
-	d, s := crashdisk.New(), &memoryStore{entries: map[uint32]owed.Entry{}}
+	d, s := crashdisk.New(), &memoryStore{entries: map[uint32]storage.Entry{}}
 	b := newBacklogRelay(t, s, d, 64)
 	b.submit(100, 0, 7, time.Hour)
 	b.runJobs()
@@ -415,12 +415,12 @@
 func TestCrashBetweenLogAndBacklogLosesNoMessage(t *testing.T) {
 	rng := rand.New(rand.NewPCG(7, 11))
 	for state := 0; state < *crashStates; {
-		s, d := &memoryStore{entries: map[uint32]owed.Entry{}}, crashdisk.New()
+		s, d := &memoryStore{entries: map[uint32]storage.Entry{}}, crashdisk.New()
 		b := newBacklogRelay(t, s, d, 64)
 		pending, sent, next := map[string]bool{}, map[string]bool{}, 0
 		var snapshots []struct {
 			logs          *crashdisk.Disk
-			store         map[uint32]owed.Entry
+			store         map[uint32]storage.Entry
 			pending, sent map[string]bool
 		}
 		takeSnapshot := func(when func() bool) {
@@ -429,7 +429,7 @@
 			}
 			snapshots = append(snapshots, struct {
 				logs          *crashdisk.Disk
-				store         map[uint32]owed.Entry
+				store         map[uint32]storage.Entry
 				pending, sent map[string]bool
 			}{d.Crash(func() bool { return true }), maps.Clone(s.entries), maps.Clone(pending), maps.Clone(sent)})
 		}
@@ -516,7 +516,7 @@
 // empty.
 func TestRelayWithoutBacklogRefusesFolderWithOne(t *testing.T) {
 	d := crashdisk.New()
-	b := newBacklogRelay(t, &memoryStore{entries: map[uint32]owed.Entry{}}, d, 64)
+	b := newBacklogRelay(t, &memoryStore{entries: map[uint32]storage.Entry{}}, d, 64)
 	b.submit(100, 0, 7, time.Hour)
 	b.runJobs()
 	plain := wal.Options{Limit: 40e6, Format: wal.SegmentFormat, Name: "n3"}
--- a/internal/relay/resubmission_test.go
+++ b/internal/relay/resubmission_test.go
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"onyxroad.dev/onyxroad/internal/backlog/owed"
+	"onyxroad.dev/onyxroad/internal/backlog/storage"
 	"onyxroad.dev/onyxroad/internal/disk/crashdisk"
 	"onyxroad.dev/onyxroad/internal/wal"
 	"onyxroad.dev/onyxroad/policy"
@@ -92,7 +92,7 @@
 }
 
 func TestMessageExpiredInBacklogIsNotAcceptedAgain(t *testing.T) {
-	b := newBacklogRelay(t, &memoryStore{entries: map[uint32]owed.Entry{}}, crashdisk.New(), 64)
+	b := newBacklogRelay(t, &memoryStore{entries: map[uint32]storage.Entry{}}, crashdisk.New(), 64)
 	b.submit(100, 0, 7, time.Hour)
 	b.runJobs()
 	in := newSubmission("late", 7, 300*time.Millisecond)
--- a/internal/relay/job.go
+++ b/internal/relay/storejob.go
@@ -4,7 +4,7 @@
 	"errors"
 	"time"
 
-	"onyxroad.dev/onyxroad/internal/backlog/owed"
+	"onyxroad.dev/onyxroad/internal/backlog/storage"
 	"onyxroad.dev/onyxroad/internal/clock"
 	"onyxroad.dev/onyxroad/internal/wal"
 	"onyxroad.dev/onyxroad/policy"
@@ -12,28 +12,28 @@
 
 // storeJob is one round of writes and reads at the backlog's store. Writes are durable before anything is read.
 type storeJob struct {
-	put    []owed.Entry
-	remove []owed.Ref
+	put    []storage.Entry
+	remove []storage.Ref
 	loads  []loadRequest
 	due    int64 // read entries that expire by then; 0: none
 
 	putMessages, removedMessages []*message // messages whose entries are put and removed
-	removedRefs                  []owed.Ref
+	removedRefs                  []storage.Ref
 
 	full    bool // there was no room for put
 	err     error
-	loaded  []owed.Entry
-	expired []owed.Entry
+	loaded  []storage.Entry
+	expired []storage.Entry
 	nextDue int64
 	bytes   int64
 }
 
 // run does the job's writes and reads.
-func (j *storeJob) run(s owed.Store) {
+func (j *storeJob) run(s storage.Store) {
 	defer func() { j.bytes = s.DiskBytes() }()
 	if len(j.put)+len(j.remove) > 0 {
 		err := s.Apply(j.put, j.remove)
-		if errors.Is(err, owed.ErrFull) {
+		if errors.Is(err, storage.ErrFull) {
 			j.full = true
 			err = nil
 			if len(j.remove) > 0 {
@@ -117,7 +117,7 @@
 			rest = append(rest, m)
 			continue
 		}
-		j.putMessages, j.put = append(j.putMessages, m), append(j.put, owed.Entry{Ref: q.ref(m), Data: wal.Marshal(m.Message)})
+		j.putMessages, j.put = append(j.putMessages, m), append(j.put, storage.Entry{Ref: q.ref(m), Data: wal.Marshal(m.Message)})
 	}
 	q.outgoing = rest
 	rest = q.incoming[:0:0]
@@ -231,7 +231,7 @@
 }
 
 // endExpired reports the ends of messages that expired on disk. They are removed once the platform accepts the notice.
-func (r *Relay) endExpired(all []owed.Entry) {
+func (r *Relay) endExpired(all []storage.Entry) {
 	q := r.backlog
 	var notices []notice
 	for _, e := range all {
@@ -249,7 +249,7 @@
 }
 
 // acceptLoaded writes messages read from disk to the log again. If the log has no room, they stay on disk.
-func (r *Relay) acceptLoaded(all []owed.Entry) {
+func (r *Relay) acceptLoaded(all []storage.Entry) {
 	q := r.backlog
 	var ms []*message
 	var walMessages []*wal.Message
--- a/internal/testbed/scale/relayslope/owed.go
+++ b/internal/testbed/scale/relayslope/owed.go
@@ -9,7 +9,7 @@
 	"time"
 
 	"onyxroad.dev/onyxroad/internal/backlog"
-	"onyxroad.dev/onyxroad/internal/backlog/owed"
+	"onyxroad.dev/onyxroad/internal/backlog/storage"
 	"onyxroad.dev/onyxroad/internal/relay"
 	"onyxroad.dev/onyxroad/internal/testbed/scale"
 	"onyxroad.dev/onyxroad/internal/wal"
@@ -39,7 +39,7 @@
 		return nil
 	}
 	o := backlog.Options{Dir: s.Dir, Limit: s.Limit, Name: name}
-	return &relay.Backlog{Window: s.Window, Share: s.Share, Open: func() (owed.Store, owed.OpenReport, error) {
+	return &relay.Backlog{Window: s.Window, Share: s.Share, Open: func() (storage.Store, storage.OpenReport, error) {
 		store, found, err := backlog.Open(o)
 		if err != nil {
 			return nil, found, err
@@ -58,7 +58,7 @@
 	const batch = 2000
 	until := time.Now().Add(heldFor)
 	for i := 0; i < n && ctx.Err() == nil; {
-		var put []owed.Entry
+		var put []storage.Entry
 		for ; len(put) < batch && i < n; i++ {
 			trace := fmt.Sprintf("%016x", rng.Uint64())
 			body := make([]byte, bodyBytes)
@@ -68,7 +68,7 @@
 			m := &wal.Message{ID: uint32(i + 1), Trace: trace, Key: keyText(trace), Class: 1, Dest: dest(i),
 				Deadline: until.Add(time.Duration(i) * time.Millisecond), Body: body}
 			m.Rank = m.Deadline.UnixNano()
-			put = append(put, owed.Entry{Ref: owed.Ref{ID: m.ID, Trace: trace, Dest: m.Dest, Rank: m.Rank, Deadline: m.Rank}, Data: wal.Marshal(m)})
+			put = append(put, storage.Entry{Ref: storage.Ref{ID: m.ID, Trace: trace, Dest: m.Dest, Rank: m.Rank, Deadline: m.Rank}, Data: wal.Marshal(m)})
 		}
 		if err := store.Apply(put, nil); err != nil {
 			return fmt.Errorf("relayslope: stock the backlog: %w", err)
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -1,6 +1,6 @@
 // Package policy makes the decisions of a sender: which route a message tries, and when the message is
 // retried, held, refused or failed. api.go holds the interface; the decisions are in this file and in
-// pace.go, resume.go, slots.go, byhand.go and spent.go. A message tries the routes of its destination in a
+// pace.go, resume.go, slots.go, exclusion.go and giveup.go. A message tries the routes of its destination in a
 // fixed order. The first failure rule that matches an outcome decides what follows, and later messages skip a
 // failing route until its skip expires.
 //
