--- a/internal/backlog/engine.go
+++ b/internal/backlog/engine.go
@@ -24,7 +24,7 @@
 	filterBits          = 10 // bits per key: 1 % of the lookups of absent keys read a block
 	maxL0Tables         = 16 // L0 tables, each the size of a memtable, at which writes stall until they are compacted
 	baseLevelTables     = 4  // tables of the level that L0 is compacted into
-	damagedShare        = 16 // damaged files are kept up to 1/16 of the limit
+	quarantineShare     = 16 // damaged files are kept up to 1/16 of the limit
 	bufferShare         = 128
 )
 
--- a/internal/backlog/repair.go
+++ b/internal/backlog/repair.go
@@ -67,7 +67,7 @@
 		}
 	}
 	s.usage.mu.Unlock()
-	if sum > s.opts.Limit/damagedShare || s.fs.Rename(name, to) != nil {
+	if sum > s.opts.Limit/quarantineShare || s.fs.Rename(name, to) != nil {
 		return false
 	}
 	s.usage.rename(name, to)
--- a/internal/wal/completed_test.go
+++ b/internal/wal/completed_test.go
@@ -93,9 +93,9 @@
 					t.Fatalf("%d bytes on disk of %d", l.Size(), limit)
 				}
 			}
-			most := int(completionShare * float64(limit) / completionBytes)
-			if n, evicted := l.CompletionStats(); n != most || evicted != int64(ends-most) {
-				t.Errorf("%d remembered, %d evicted; want %d", n, evicted, most)
+			capacity := int(completionShare * float64(limit) / completionBytes)
+			if n, evicted := l.CompletionStats(); n != capacity || evicted != int64(ends-capacity) {
+				t.Errorf("%d remembered, %d evicted; want %d", n, evicted, capacity)
 			}
 			if _, ok := l.Completed(message(ends).Trace); !ok {
 				t.Error("the last end is not remembered")
--- a/internal/wal/crash_test.go
+++ b/internal/wal/crash_test.go
@@ -164,11 +164,11 @@
 
 // step does one operation, or several between two syncs.
 func (ct *crashTester) step(next *uint32) {
-	held := ct.rng.IntN(3) == 0
-	if held {
+	delaySyncs := ct.rng.IntN(3) == 0
+	if delaySyncs {
 		ct.syncLock.Lock()
 	}
-	var promises []func()
+	var onDurable []func()
 	for range 1 + ct.rng.IntN(4) {
 		ms := ct.live()
 		pick := func() *Message { return ms[ct.rng.IntN(len(ms))] }
@@ -189,7 +189,7 @@
 			} else if err != nil {
 				ct.t.Fatal(err)
 			} else {
-				promises = append(promises, func() {
+				onDurable = append(onDurable, func() {
 					for _, m := range in {
 						ct.accepted[m.ID] = m
 					}
@@ -206,7 +206,7 @@
 			} else if err != nil {
 				ct.t.Fatal(err)
 			}
-			promises = append(promises, func() { ct.mayRun[m.ID] = append(ct.mayRun[m.ID], a.N) })
+			onDurable = append(onDurable, func() { ct.mayRun[m.ID] = append(ct.mayRun[m.ID], a.N) })
 		case k == 6:
 			if m := pick(); len(m.MayRun) > 0 {
 				n := m.MayRun[len(m.MayRun)-1].N
@@ -219,7 +219,7 @@
 			if m := pick(); m.Final == nil && !m.Withdrawn {
 				f := Final{Deferred: true, Again: time.Second}
 				ct.log.SetFinal(m, f)
-				promises = append(promises, func() { ct.final[m.ID] = f })
+				onDurable = append(onDurable, func() { ct.final[m.ID] = f })
 			}
 		case k == 8:
 			if m := pick(); ct.rng.IntN(2) == 0 {
@@ -229,7 +229,7 @@
 				ct.ended[m.ID] = true
 				ct.mu.Unlock()
 				ct.log.Complete(m, Delivered)
-				promises = append(promises, func() {
+				onDurable = append(onDurable, func() {
 					ct.completed = append(ct.completed, m)
 					ct.completed = ct.completed[max(0, len(ct.completed)-minCompletions/2):]
 				})
@@ -241,7 +241,7 @@
 		}
 	}
 	err := ct.log.Flush()
-	if held {
+	if delaySyncs {
 		ct.syncLock.Unlock()
 	}
 	if err != nil && !errors.Is(err, ErrFull) {
@@ -250,8 +250,8 @@
 	ct.waitIdle()
 	if err == nil {
 		ct.mu.Lock()
-		for _, p := range promises {
-			p()
+		for _, record := range onDurable {
+			record()
 		}
 		ct.mu.Unlock()
 	}
--- a/internal/wal/read.go
+++ b/internal/wal/read.go
@@ -298,12 +298,12 @@
 // segmentFile is the content of a segment.
 type segmentFile struct {
 	Report
-	gen           uint64
-	head          *fileHeader // nil if it can't be read
-	entries       []entry
-	size          int64
-	durableBytes  int64 // that were on disk according to the segment itself
-	promisedBytes int64 // that were on disk according to all segments
+	gen               uint64
+	head              *fileHeader // nil if it can't be read
+	entries           []entry
+	size              int64
+	durableBytes      int64 // that were on disk according to the segment itself
+	knownDurableBytes int64 // that were on disk according to all segments
 }
 
 func readSegment(data []byte, gen uint64) *segmentFile {
@@ -323,21 +323,21 @@
 func (sf *segmentFolder) applySegments(segments []*segmentFile) {
 	for i := len(segments) - 1; i >= 0; i-- {
 		s := segments[i]
-		s.promisedBytes = s.durableBytes
+		s.knownDurableBytes = s.durableBytes
 		if i+1 == len(segments) || segments[i+1].head == nil || segments[i+1].head.Prev != s.gen {
 			continue
 		}
 		// The next segment's header says how many bytes of this one were on disk by then, and a sync of the next segment syncs
 		// all of this one first.
 		next := segments[i+1]
-		s.promisedBytes = max(s.promisedBytes, next.head.Kept)
-		if next.promisedBytes > 0 {
-			s.promisedBytes = max(s.promisedBytes, next.head.Good)
+		s.knownDurableBytes = max(s.knownDurableBytes, next.head.Kept)
+		if next.knownDurableBytes > 0 {
+			s.knownDurableBytes = max(s.knownDurableBytes, next.head.Good)
 		}
 	}
 	last := uint64(0)
 	for _, s := range segments {
-		if len(s.entries) == 0 && s.promisedBytes == 0 {
+		if len(s.entries) == 0 && s.knownDurableBytes == 0 {
 			sf.addTornTail(s, 0)
 			return // its first write never reached the disk: neither it nor later segments were promised
 		}
@@ -366,12 +366,12 @@
 	sf.Files = append(sf.Files, name)
 	holes := s.Holes
 	s.Holes = nil
-	if s.size < s.promisedBytes {
-		holes = append(holes, Hole{File: name, From: s.size, To: s.promisedBytes})
+	if s.size < s.knownDurableBytes {
+		holes = append(holes, Hole{File: name, From: s.size, To: s.knownDurableBytes})
 	}
 	end := s.size
 	for i, h := range holes {
-		if h.From >= s.promisedBytes {
+		if h.From >= s.knownDurableBytes {
 			holes, end = holes[:i], h.From
 			break
 		}
--- a/internal/wal/segments_test.go
+++ b/internal/wal/segments_test.go
@@ -177,10 +177,10 @@
 func TestPowerLossDuringConversion(t *testing.T) {
 	check := func(d *crashdisk.Disk, when string) {
 		for _, format := range []int{1, SegmentFormat} {
-			x := d.AfterKill()
-			l, found, err := OpenWith(Options{FS: x, Limit: ampleLimit, Format: format})
+			copied := d.AfterKill()
+			l, found, err := OpenWith(Options{FS: copied, Limit: ampleLimit, Format: format})
 			if err != nil || foundIDs(found) != "1 2 " {
-				t.Fatalf("%s, format %d: %q, %v in %s", when, format, foundIDs(found), err, x.Listing())
+				t.Fatalf("%s, format %d: %q, %v in %s", when, format, foundIDs(found), err, copied.Listing())
 			}
 			must(t, l.Close())
 		}
@@ -367,22 +367,22 @@
 			l, _ := open(mine)
 			one, two := message(1), message(2)
 			must(t, l.Accept(one, two))
-			x, found := open(other)
+			otherLog, found := open(other)
 			if foundIDs(found) != "1 2 " {
 				t.Fatalf("%d to %d: %q", mine, other, foundIDs(found))
 			}
-			must(t, x.Close())
+			must(t, otherLog.Close())
 			must(t, l.Reclaim())
 			must(t, l.RecordSends(Send{one, Attempt{Host: "s-1", At: noon}}))
 			l.End(two)
 			must(t, l.Accept(message(3)))
 			must(t, l.Close())
 			d = d.AfterKill()
-			x, found = open(mine)
+			otherLog, found = open(mine)
 			if foundIDs(found) != "1 3 " || len(found.Messages[0].MayRun) != 1 {
 				t.Errorf("%d, and %d between: %q in %s", mine, other, foundIDs(found), d.Listing())
 			}
-			must(t, x.Close())
+			must(t, otherLog.Close())
 		}
 	}
 }
@@ -392,7 +392,7 @@
 	const limit = 60_000
 	for _, syncWrites := range []bool{false, true} {
 		d := crashdisk.New()
-		most := int64(0)
+		maxUsed := int64(0)
 		d.After = func(string, string) {
 			names, _ := d.Names()
 			sum := int64(0)
@@ -400,7 +400,7 @@
 				data, _ := d.ReadFile(n)
 				sum += roundUpToSector(int64(len(data)))
 			}
-			most = max(most, sum)
+			maxUsed = max(maxUsed, sum)
 		}
 		var mu sync.Mutex
 		after := d.After
@@ -432,8 +432,8 @@
 			}
 		}
 		must(t, l.Close())
-		if most > limit || most < limit/4 {
-			t.Errorf("power %v: %d bytes on disk at most, %d allowed", syncWrites, most, limit)
+		if maxUsed > limit || maxUsed < limit/4 {
+			t.Errorf("power %v: %d bytes on disk at most, %d allowed", syncWrites, maxUsed, limit)
 		}
 		if _, found := openSegmented(t, d, syncWrites); len(found.Messages) != len(held) {
 			t.Errorf("power %v: %d held, %d found", syncWrites, len(held), len(found.Messages))
