--- a/internal/backlog/compaction.go
+++ b/internal/backlog/compaction.go
@@ -7,8 +7,8 @@
 	"github.com/cockroachdb/pebble/v2"
 )
 
-// compactionThreshold sets when a full store is compacted: when more messages were removed than 1/compactionThreshold of the
-// stored ones.
+// compactionThreshold sets when a full store is compacted: once the messages removed since the last compaction are more than
+// 1/compactionThreshold of the stored ones.
 const compactionThreshold = 8
 
 // compactionJob is a running compaction of the whole store.
--- a/internal/backlog/engine.go
+++ b/internal/backlog/engine.go
@@ -21,11 +21,11 @@
 	manifestBytes       = 4 << 20  // size at which the manifest is rotated
 	maxCompactions      = 1        // concurrent compactions
 	blockBytes          = 8 << 10
-	filterBits          = 10 // bits per key: 1 % of the lookups of absent keys read a block
-	maxL0Tables         = 16 // L0 tables, each the size of a memtable, at which writes stall until they are compacted
-	baseLevelTables     = 4  // tables of the level that L0 is compacted into
-	quarantineShare     = 16 // damaged files are kept up to 1/16 of the limit
-	bufferShare         = 128
+	filterBits          = 10  // bits per key: 1 % of the lookups of absent keys read a block
+	maxL0Tables         = 16  // L0 tables, each the size of a memtable, at which writes stall until they are compacted
+	baseLevelTables     = 4   // tables of the level that L0 is compacted into
+	quarantineShare     = 16  // quarantined files take at most 1/16 of the limit
+	bufferShare         = 128 // by default, a memtable and a table file take at most 1/128 of the limit each
 )
 
 func (o *Options) setDefaults() {
--- a/internal/backlog/fail_test.go
+++ b/internal/backlog/fail_test.go
@@ -19,7 +19,7 @@
 func TestFailingDisk(t *testing.T) {
 	for _, fsync := range []bool{true, false} {
 		for _, fails := range []string{"write", "sync", "open", "remove", "syncdir", "write sync open remove syncdir rename"} {
-			t.Run(fmt.Sprintf("power %v %s", fsync, fails), func(t *testing.T) {
+			t.Run(fmt.Sprintf("fsync %v, %s", fsync, fails), func(t *testing.T) {
 				runWithFailingDisk(t, fsync, fails)
 			})
 		}
--- a/internal/backlog/model_test.go
+++ b/internal/backlog/model_test.go
@@ -132,7 +132,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		d := crashdisk.New()
 		o := smallOptions(d)
-		o.Fsync = rapid.Bool().Draw(t, "power")
+		o.Fsync = rapid.Bool().Draw(t, "fsync")
 		s, _, err := Open(o)
 		if err != nil {
 			t.Fatal(err)
@@ -183,7 +183,7 @@
 				}
 				check()
 			},
-			"whole": func(*rapid.T) { check() },
+			"compare": func(*rapid.T) { check() },
 		})
 	})
 }
--- a/internal/backlog/open.go
+++ b/internal/backlog/open.go
@@ -24,7 +24,7 @@
 //	owner          the relay that owns the folder, and the current generation of the engine's files
 //	gG-NAME        the engine's files of generation G; a repair writes the next generation beside it
 //	mend           requests a repair: some data was unreadable, and the next open rewrites the readable data
-//	damaged-NAME   damaged files that were set aside
+//	damaged-NAME   quarantined damaged files
 //	lock           locked by the process that has the folder open
 const (
 	ownerName     = "owner"
@@ -59,7 +59,7 @@
 }
 
 // Open opens a folder, or creates it. It refuses the folder of another relay and one that is in use. Damage is no reason for
-// refusal: unreadable data is set aside and reported.
+// refusal: everything readable is kept, the damage is reported, and damaged files are quarantined while there is room for them.
 func Open(o Options) (s *Store, report OpenReport, err error) {
 	o.setDefaults()
 	s = &Store{opts: o, log: o.Log, now: clock.Now, usage: &diskUsage{limit: o.Limit, sizes: map[string]int64{}}}
--- a/internal/backlog/repair.go
+++ b/internal/backlog/repair.go
@@ -19,7 +19,7 @@
 func (s *Store) repair(report *OpenReport) error {
 	old := s.newEngineFS()
 	old.readOnly = true
-	damagedFiles := map[string]bool{} // damaged files of the old generation, which are set aside
+	damagedFiles := map[string]bool{} // damaged files of the old generation, to be quarantined
 	from, logs, err := s.openDamaged(old, damagedFiles, report)
 	if err != nil {
 		report.Lost = true
@@ -55,8 +55,8 @@
 	return s.openForWriting()
 }
 
-// quarantine renames a damaged file to keep it for inspection, unless the files set aside would take more than their share of the
-// limit. It reports whether the file was kept.
+// quarantine renames a damaged file to keep it for inspection, unless the quarantined files would take more than their share of
+// the limit. It reports whether the file was kept.
 func (s *Store) quarantine(name string) bool {
 	to := damagedPrefix + name
 	s.usage.mu.Lock()
--- a/internal/backlog/storage/storage.go
+++ b/internal/backlog/storage/storage.go
@@ -52,6 +52,6 @@
 	Messages int
 	MaxID    uint32   // highest id assigned since the store was last empty
 	Problems []string // descriptions of everything that could not be read
-	Lost     bool     // nothing was readable: the files were set aside and the store starts empty
+	Lost     bool     // nothing was readable: the files were quarantined and the store starts empty
 	Rebuilt  bool     // some data was unreadable: everything readable was rewritten
 }
--- a/internal/duty/figures/figures.go
+++ b/internal/duty/figures/figures.go
@@ -98,7 +98,7 @@
 	f.text, f.since = text, time.Now()
 }
 
-// Figures are the fleet's, if this relay holds the duty.
+// Metrics returns the fleet's metrics if this relay holds the duty, and otherwise a text that says who may.
 func (f *Figures) Metrics() (text string, held bool) {
 	t := f.holder.Holds(Duty)
 	f.mu.Lock()
--- a/internal/relay/durable_test.go
+++ b/internal/relay/durable_test.go
@@ -15,13 +15,13 @@
 )
 
 // newDurableRelay returns a relay with Config.Power on an in-memory disk. Its loop is not running, and its syncs block
-// while the gate is locked.
+// while syncLock is locked.
 func newDurableRelay(t *testing.T, d *crashdisk.Disk, syncLock *sync.RWMutex) *Relay {
 	t.Helper()
 	d.Fail = func(op, _ string) error {
 		if op == "sync" {
 			syncLock.RLock()
-			syncLock.RUnlock() //lint:ignore SA2001 it waits until the gate opens
+			syncLock.RUnlock() //lint:ignore SA2001 waits until the test unlocks it
 		}
 		return nil
 	}
--- a/internal/relay/fleet.go
+++ b/internal/relay/fleet.go
@@ -96,8 +96,8 @@
 type Duties interface {
 	// Run claims duties and does their work while they are held, until ctx ends. members returns the members present.
 	Run(ctx context.Context, members func() []membership.Process)
-	// Metrics returns the fleet's metrics in the format of /api/telemetry if this process holds them; otherwise the
-	// holder, if it is known.
+	// Metrics returns the fleet's metrics in the format of /api/telemetry if this process holds the duty of aggregating
+	// them. Otherwise text says who may hold it.
 	Metrics() (text string, held bool)
 }
 
--- a/internal/relay/handover.go
+++ b/internal/relay/handover.go
@@ -327,7 +327,7 @@
 				r.forwardOutcome(e.a, result{outcome: policy.Timeout, took: clock.Since(e.a.sent)}, true)
 			}
 		case sendCheck:
-			e.reply <- false // the attempt ends as moot, and the new process decides anew
+			e.reply <- false // the attempt ends as policy.NotRun, and the new process decides anew
 		case handoverRequest:
 			e.link.Close()
 		case stopIntake:
--- a/internal/wal/crash_test.go
+++ b/internal/wal/crash_test.go
@@ -28,7 +28,7 @@
 
 	syncLock sync.RWMutex // while the tester holds it, no sync completes
 
-	mu                  sync.Mutex // guards what follows: promises are not recorded while a state is being checked
+	mu                  sync.Mutex // guards what follows: expectations do not change while a state is being checked
 	stateRNG            *rand.Rand
 	accepted            map[uint32]*Message // acknowledged to the client
 	mayRun              map[uint32][]int    // attempts whose first byte may have been sent
@@ -48,7 +48,7 @@
 	ct.disk.Fail = func(op, _ string) error {
 		if op == "sync" {
 			ct.syncLock.RLock()
-			ct.syncLock.RUnlock() //lint:ignore SA2001 waits until the gate opens
+			ct.syncLock.RUnlock() //lint:ignore SA2001 waits until the tester unlocks it
 		}
 		return nil
 	}
@@ -109,14 +109,12 @@
 	ct.states.Add(1)
 	text := d.Listing()
 	if deep {
-		first, draw := true, ct.stateRNG
+		rng := ct.stateRNG
 		d.After = func(string, string) {
 			for range 2 {
-				ct.check(d.Crash(crashdisk.KeepRandom(draw)), when+", then during recovery", false)
+				ct.check(d.Crash(crashdisk.KeepRandom(rng)), when+", then during recovery", false)
 			}
-			first = false
 		}
-		_ = first
 	}
 	l, found, err := OpenWith(Options{FS: d, Limit: ct.limit, Name: "n3", Format: SegmentFormat, SyncWrites: true})
 	if err != nil {
--- a/internal/wal/read.go
+++ b/internal/wal/read.go
@@ -57,7 +57,7 @@
 type Hole struct {
 	File     string
 	From, To int64
-	// Torn means that it is the end of an unfinished write, which nobody was promised.
+	// Torn means that it is the end of an unfinished write, which was never reported as durable.
 	Torn bool
 	data []byte
 }
@@ -77,7 +77,7 @@
 	Missing    []string // files that must have existed
 }
 
-// Intact reports whether all data that was promised to be durable has been read.
+// Intact reports whether all data that was reported as durable has been read.
 func (r *Report) Intact() bool {
 	return len(r.Missing) == 0 && !slices.ContainsFunc(r.Holes, func(h Hole) bool { return !h.Torn })
 }
@@ -115,7 +115,7 @@
 	return gen, err == nil && gen > 0 && genFileName(prefix, gen) == name
 }
 
-// isSegmented reports whether the folder is segmented: it has the guard, and its first snapshot was finished.
+// isSegmented reports whether the folder is segmented: it has the guard directory, and its first snapshot was finished.
 func isSegmented(names []string) bool {
 	return slices.Contains(names, guardName+"/") && slices.ContainsFunc(names, isSegmentedFile)
 }
@@ -339,7 +339,7 @@
 	for _, s := range segments {
 		if len(s.entries) == 0 && s.knownDurableBytes == 0 {
 			sf.addTornTail(s, 0)
-			return // its first write never reached the disk: neither it nor later segments were promised
+			return // its first write never reached the disk: neither it nor later segments were reported as durable
 		}
 		if h := s.head; h != nil && h.Prev > 0 && h.Prev != last && h.Kept > 0 && h.Prev >= sf.snapshotGen {
 			sf.Missing = append(sf.Missing, genFileName(segPrefix, h.Prev))
--- a/internal/wal/segments.go
+++ b/internal/wal/segments.go
@@ -55,7 +55,7 @@
 	failed        error             // why a new file is needed
 	snapshotting  bool              // a snapshot is being written in the background
 	recoveryGen   uint64            // the generation whose snapshot was written since the failure; 0 if none
-	lastFailedTry time.Time         // when a snapshot last failed
+	lastFailedTry time.Time         // when a snapshot or an attempt to recover last failed
 	dirUnsynced   bool              // a segment's name may not be on disk
 	closing       bool
 	sealed        bool // the final sync is done, so that every byte before the last seal is durable
@@ -439,8 +439,8 @@
 	return nil
 }
 
-// undoWrite removes what a failed write may have left after the valid part of the segment. If that fails as well, the segment is
-// given up.
+// undoWrite removes what a failed write may have left after the valid part of the segment. If that fails as well, nothing
+// more is written to the segment.
 func (s *segmentedLog) undoWrite(at, size int64, cause error) error {
 	if err := eraseTail(s.file, at, at+size); err != nil {
 		s.fail(cause)
--- a/internal/wal/segments_test.go
+++ b/internal/wal/segments_test.go
@@ -16,7 +16,7 @@
 	"onyxroad.dev/onyxroad/internal/disk/crashdisk"
 )
 
-// openSegmented opens a segmented folder, synced or not.
+// openSegmented opens a segmented folder, with or without SyncWrites.
 func openSegmented(t *testing.T, d disk.FS, syncWrites bool) (*Log, Recovery) {
 	t.Helper()
 	l, found, err := OpenWith(Options{FS: d, Limit: ampleLimit, Name: "n3", Format: SegmentFormat, SyncWrites: syncWrites})
@@ -78,12 +78,12 @@
 						repaired++
 					}
 					if !same && r.Intact() {
-						t.Errorf("closed %v, power %v, %s, bit %d: not detected, %v instead of %v", closed, syncWrites, n, bit, got, want)
+						t.Errorf("closed %v, syncWrites %v, %s, bit %d: not detected, %v instead of %v", closed, syncWrites, n, bit, got, want)
 					}
 				}
 			}
 			if repaired < flips*9/10 {
-				t.Errorf("closed %v, power %v: %d of %d flips repaired", closed, syncWrites, repaired, flips)
+				t.Errorf("closed %v, syncWrites %v: %d of %d flips repaired", closed, syncWrites, repaired, flips)
 			}
 		}
 	}
@@ -433,10 +433,10 @@
 		}
 		must(t, l.Close())
 		if maxUsed > limit || maxUsed < limit/4 {
-			t.Errorf("power %v: %d bytes on disk at most, %d allowed", syncWrites, maxUsed, limit)
+			t.Errorf("syncWrites %v: %d bytes on disk at most, %d allowed", syncWrites, maxUsed, limit)
 		}
 		if _, found := openSegmented(t, d, syncWrites); len(found.Messages) != len(held) {
-			t.Errorf("power %v: %d held, %d found", syncWrites, len(held), len(found.Messages))
+			t.Errorf("syncWrites %v: %d held, %d found", syncWrites, len(held), len(found.Messages))
 		}
 	}
 }
--- a/internal/wal/wal.go
+++ b/internal/wal/wal.go
@@ -51,8 +51,8 @@
 	MayRun   []Attempt // attempts without an outcome, or with one that does not prove that they never ran
 	Final    *Final    // the notice that ends it, once decided
 
-	// Withdrawn means that nothing is owed, because the client left without an answer. The message may have run, which must be known if
-	// the client submits it again.
+	// Withdrawn means that no answer or notice is due, because the client disconnected before its answer. The message may have run,
+	// which must be known if the client submits it again.
 	Withdrawn bool `json:",omitempty"`
 
 	// Doubt means that an unreadable part of the log may have held attempts of this message.
@@ -70,7 +70,7 @@
 // Final is the notice that ends an undelivered message.
 type Final struct {
 	Deferred bool          // the client may safely submit the message again
-	Again    time.Duration // how long the client should wait before that; 0 if it is not told
+	Again    time.Duration // how long the client should wait before that; 0 if unspecified
 }
 
 // Send is an attempt that is about to be made, with its message.
