--- a/internal/backlog/backlog.go
+++ b/internal/backlog/backlog.go
@@ -17,13 +17,13 @@
 
 	"github.com/cockroachdb/pebble/v2"
 
-	"onyxroad.dev/onyxroad/internal/backlog/owed"
+	"onyxroad.dev/onyxroad/internal/backlog/storage"
 	"onyxroad.dev/onyxroad/internal/disk"
 )
 
 var (
 	// ErrFull is returned when there is no space for the added messages. Changes that only remove messages still succeed.
-	ErrFull = owed.ErrFull
+	ErrFull = storage.ErrFull
 	// ErrDisk is returned when the disk fails; it wraps the cause. Whether the failed change was stored is known only once a
 	// later Apply succeeds. Applying the same change again is harmless.
 	ErrDisk = errors.New("backlog: the disk fails")
@@ -39,9 +39,9 @@
 
 // Types shared with the relay, which must not link the storage engine.
 type (
-	Ref        = owed.Ref
-	Entry      = owed.Entry
-	OpenReport = owed.OpenReport
+	Ref        = storage.Ref
+	Entry      = storage.Entry
+	OpenReport = storage.OpenReport
 )
 
 // Options configures a store.
@@ -80,7 +80,7 @@
 	dests                  map[int]*destState
 	sortedDests            []int // sorted keys of dests; nil: must be recomputed
 	messages               int
-	highest                uint32
+	maxID                  uint32
 	minDeadline            position        // lower bound of all positions in the deadline index
 	dangling               map[string]bool // index keys without a readable message; true: delete the record as well
 	removedSinceCompaction int             // messages removed since the last full compaction; after opening assumed to be all
@@ -105,8 +105,8 @@
 func (s *Store) Count(dest int) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if q := s.dests[dest]; q != nil {
-		return q.count
+	if state := s.dests[dest]; state != nil {
+		return state.count
 	}
 	return 0
 }
--- a/internal/duty/figures/figures.go
+++ b/internal/duty/figures/figures.go
@@ -98,8 +98,8 @@
 	f.text, f.storedAt = text, time.Now()
 }
 
-// Figures returns the fleet's figures if this relay holds the duty, else a text that says how to find the holder.
-func (f *Figures) Figures() (text string, held bool) {
+// Metrics returns the fleet's metrics if this relay holds the duty, and otherwise a text that says how to find the holder.
+func (f *Figures) Metrics() (text string, held bool) {
 	t := f.holder.CurrentTerm(Duty)
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/duty/figures/figures_test.go
+++ b/internal/duty/figures/figures_test.go
@@ -31,7 +31,7 @@
 	if text != want {
 		t.Errorf("%s", text)
 	}
-	if _, held := f.Figures(); held {
+	if _, held := f.Metrics(); held {
 		t.Error("serves fleet figures without holding the duty")
 	}
 }
