--- a/policy/policy.go
+++ b/policy/policy.go
@@ -1,8 +1,8 @@
 // Package policy makes the decisions of a sender: which route a message tries, and when the message is
 // retried, held, refused or failed. api.go holds the interface; the decisions are in this file and in
-// pace.go, resume.go, slots.go, exclusion.go and giveup.go. A message tries the routes of its destination in a
-// fixed order. The first failure rule that matches an outcome decides what follows, and later messages skip a
-// failing route until its skip expires.
+// pace.go, resume.go, slots.go, exclusion.go and giveup.go. A message tries the routes of its destination in
+// a fixed order. The first failure rule that matches an outcome decides what follows, and later messages skip
+// a failing route until its skip expires.
 //
 // This file is ordered as follows: constants, failure rules, route groups and routes, messages, the guards
 // mayAttempt and mayRefuse, route choice, queue and dispatch, deadlines.
