--- a/internal/backlog/backlog.go
+++ b/internal/backlog/backlog.go
@@ -51,7 +51,7 @@
 	Fsync bool         // applied changes also survive a power loss; otherwise only the end of the process
 	Name  string       // name of the relay; a folder of another relay is refused unless Adopt is set
 	Adopt bool         // take over another relay's folder
-	FS    disk.FS      // file system of the folder, which must also be a disk.Opener; nil: the operating system's
+	FS    disk.FS      // file system of the folder, which must also be a disk.ReadOpener; nil: the operating system's
 	Log   *slog.Logger // nil: no logging
 
 	// Sizes in bytes of the engine's block cache, of one memtable and of one table file; 0: defaults. For tests.
--- a/policy/fleet_test.go
+++ b/policy/fleet_test.go
@@ -257,8 +257,8 @@
 	}
 }
 
-// worstExcess returns by how many calls the worst window since the end of the outage exceeded what the site's rules page
-// allows: its budget of N calls plus 2 sqrt(N) + 2, or 3 sqrt(N) + 3 for less than 30 calls.
+// worstExcess returns by how many calls the worst window since the end of the outage exceeded what the platform's rules
+// allow: its budget of N calls plus 2 sqrt(N) + 2, or 3 sqrt(N) + 3 for less than 30 calls.
 func (w *fleetSimulation) worstExcess() (worst float64) {
 	const few = 30 // calls
 	worst = math.Inf(-1)
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -20,7 +20,7 @@
 
 const (
 	firstSkip             = 2 * time.Second         // most outages last longer; a trial costs one call
-	maxSkip               = 10 * time.Second        // longest skip, as the site's rules page gives it
+	maxSkip               = 10 * time.Second        // longest skip, the length that the design gives
 	skipGrowth            = 1.5                     // factor from one skip to the next while trials fail
 	skipJitter            = 0.2                     // share that skips vary by, to keep senders out of step
 	outageWait            = 2500 * time.Millisecond // a longer Retry-After means an outage, not a rate limit
